--- a/src/main/java/org/beechhoist/cli/Check.java
+++ b/src/main/java/org/beechhoist/cli/Check.java
@@ -18,12 +18,12 @@
     @Override
     public Integer call() {
         try {
-            Settings s = Settings.load(config);
+            Settings settings = Settings.load(config);
             PolicyScript.load(script);
             System.out.printf(
                     "%s: good: node %s of %d, %d teams%n",
-                    config, s.node(), s.nodes(), s.teams().size());
-            s.warnings().forEach(w -> System.out.println("warning: " + w));
+                    config, settings.node(), settings.nodes(), settings.teams().size());
+            settings.warnings().forEach(w -> System.out.println("warning: " + w));
             return 0;
         } catch (Settings.Bad | PolicyScript.Bad e) {
             System.err.println("beechhoist: " + e.getMessage());
--- a/src/main/java/org/beechhoist/cli/CronCommands.java
+++ b/src/main/java/org/beechhoist/cli/CronCommands.java
@@ -51,11 +51,11 @@
             Map<String, Calendar> out = new HashMap<>();
             if (dir != null) {
                 try (var files = Files.list(dir)) {
-                    for (Path f : files.sorted().toList()) {
-                        String name = f.getFileName().toString();
+                    for (Path path : files.sorted().toList()) {
+                        String name = path.getFileName().toString();
                         if (name.endsWith(".toml") || name.endsWith(".ics")) {
                             String base = name.substring(0, name.lastIndexOf('.'));
-                            out.put(base, calendar(f, base, business));
+                            out.put(base, calendar(path, base, business));
                         }
                     }
                 }
@@ -88,10 +88,10 @@
         private List<Entry> read(long since) throws Malformed, IOException, CronTable.Bad {
             calendars = source.read();
             List<Entry> all = CronTable.parse(base(file), Files.readString(file), since);
-            for (Entry e : all) {
-                if (source.dir != null && e.calendar() != null && !calendars.containsKey(e.calendar())) {
-                    throw new Malformed("line " + e.line() + ": calendar = " + e.calendar() + ": one of those in "
-                            + source.dir + " is expected");
+            for (Entry entry : all) {
+                if (source.dir != null && entry.calendar() != null && !calendars.containsKey(entry.calendar())) {
+                    throw new Malformed("line " + entry.line() + ": calendar = " + entry.calendar()
+                            + ": one of those in " + source.dir + " is expected");
                 }
             }
             return all;
@@ -157,41 +157,41 @@
             LocalDate last = until != null ? until : first.plusDays(7);
             return look(table, 0, lines -> {
                 List<Row> rows = new ArrayList<>();
-                for (Entry e : lines) {
-                    Calendar c = table.calendars.get(e.calendar());
-                    Instant begin = first.atStartOfDay(e.zone()).toInstant();
-                    for (Instant t : Occurrences.between(
-                            e,
-                            c,
+                for (Entry entry : lines) {
+                    Calendar calendar = table.calendars.get(entry.calendar());
+                    Instant begin = first.atStartOfDay(entry.zone()).toInstant();
+                    for (Instant instant : Occurrences.between(
+                            entry,
+                            calendar,
                             begin.minusMillis(1),
-                            last.atStartOfDay(e.zone()).toInstant().minusMillis(1),
+                            last.atStartOfDay(entry.zone()).toInstant().minusMillis(1),
                             MOST_RUNS)) {
-                        ZonedDateTime local = t.atZone(e.zone());
+                        ZonedDateTime local = instant.atZone(entry.zone());
                         rows.add(new Row(
-                                t,
+                                instant,
                                 String.format(
                                         "%s %s UTC%s  line %d  %s  %s",
                                         local.toLocalDate(),
                                         local.toLocalTime(),
                                         local.getOffset().getId().equals("Z") ? "" : local.getOffset(),
-                                        e.line(),
-                                        e.jobName(),
-                                        e.ref(t))));
+                                        entry.line(),
+                                        entry.jobName(),
+                                        entry.ref(instant))));
                     }
                     Occurrences.leftOut(
-                            e,
-                            c,
+                            entry,
+                            calendar,
                             first,
                             last,
                             (day, why) -> rows.add(new Row(
-                                    day.atStartOfDay(e.zone()).toInstant(),
+                                    day.atStartOfDay(entry.zone()).toInstant(),
                                     String.format(
                                             "%s left out        line %d  %s  %s%s",
                                             day,
-                                            e.line(),
-                                            e.jobName(),
+                                            entry.line(),
+                                            entry.jobName(),
                                             why,
-                                            e.nextBusinessDay() ? ", moved to the next open day" : ""))));
+                                            entry.nextBusinessDay() ? ", moved to the next open day" : ""))));
                 }
                 rows.sort(Comparator.comparing(Row::at));
                 rows.forEach(r -> System.out.println(r.text));
--- a/src/main/java/org/beechhoist/cli/Nodes.java
+++ b/src/main/java/org/beechhoist/cli/Nodes.java
@@ -22,11 +22,11 @@
 
     ApiClient client() {
         List<InetSocketAddress> out = new ArrayList<>();
-        for (String a : addresses) {
-            InetSocketAddress parsed = Addresses.parse(a);
+        for (String address : addresses) {
+            InetSocketAddress parsed = Addresses.parse(address);
             if (parsed == null) {
                 throw new CommandLine.ParameterException(
-                        spec.commandLine(), "--node = " + a + ": an IPv4 address and port is expected");
+                        spec.commandLine(), "--node = " + address + ": an IPv4 address and port is expected");
             }
             out.add(parsed);
         }
--- a/src/main/java/org/beechhoist/cli/Region.java
+++ b/src/main/java/org/beechhoist/cli/Region.java
@@ -50,11 +50,11 @@
     }
 
     private InetSocketAddress address(String option, String text) {
-        InetSocketAddress a = Addresses.parse(text);
-        if (a == null) {
+        InetSocketAddress address = Addresses.parse(text);
+        if (address == null) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), option + " = " + text + ": an IPv4 address and port is expected");
         }
-        return a;
+        return address;
     }
 }
--- a/src/main/java/org/beechhoist/cli/ReleaseCommands.java
+++ b/src/main/java/org/beechhoist/cli/ReleaseCommands.java
@@ -74,12 +74,13 @@
             try {
                 JsonNode given = new TomlMapper().readTree(shared.toFile());
                 Map<String, String> dates = ShipDates.read(file, Codec.text(given, "zone"));
-                for (Map.Entry<String, String> e : dates.entrySet()) {
+                for (Map.Entry<String, String> entry : dates.entrySet()) {
                     ObjectNode body = change.to(((ObjectNode) given).deepCopy())
-                            .put("name", e.getKey())
-                            .put("ship", e.getValue());
-                    Release.described(e.getKey(), body);
-                    int code = UserCommands.ask(nodes, "POST", PATH + "/" + e.getKey() + "/put", body, e.getKey());
+                            .put("name", entry.getKey())
+                            .put("ship", entry.getValue());
+                    Release.described(entry.getKey(), body);
+                    int code =
+                            UserCommands.ask(nodes, "POST", PATH + "/" + entry.getKey() + "/put", body, entry.getKey());
                     if (code != 0) {
                         return code;
                     }
--- a/src/main/java/org/beechhoist/cli/Try.java
+++ b/src/main/java/org/beechhoist/cli/Try.java
@@ -130,9 +130,9 @@
         double until = seconds() + READY_MS / 1000.0;
         while (seconds() < until) {
             try {
-                ApiClient.Answer a = client.submit(job);
-                if (a.status() != 503) {
-                    return a;
+                ApiClient.Answer answer = client.submit(job);
+                if (answer.status() != 503) {
+                    return answer;
                 }
             } catch (IOException e) {
                 // not listening yet
@@ -147,9 +147,9 @@
         JsonNode last = null;
         for (ApiClient node : nodes) {
             try {
-                ApiClient.Answer a = node.status(job.ref());
-                if (a.status() == 200) {
-                    last = a.body();
+                ApiClient.Answer answer = node.status(job.ref());
+                if (answer.status() == 200) {
+                    last = answer.body();
                     if (last.has("startsInS") || last.has("endsInS")) {
                         return last;
                     }
@@ -171,35 +171,37 @@
         Double start = null;
         String shown = "";
         while (seconds() < most) {
-            JsonNode s = ask(nodes, job);
-            if (s != null) {
+            JsonNode node = ask(nodes, job);
+            if (node != null) {
                 double now = seconds();
-                if (promisedStart == null && s.has("startsInS")) {
-                    promisedStart = now + s.get("startsInS").doubleValue() - accepted;
-                    say("planned to start in %.1f s", s.get("startsInS").doubleValue());
+                if (promisedStart == null && node.has("startsInS")) {
+                    promisedStart = now + node.get("startsInS").doubleValue() - accepted;
+                    say("planned to start in %.1f s", node.get("startsInS").doubleValue());
                 }
-                if (promisedEnd == null && s.has("endsInS")) {
-                    promisedEnd = now + s.get("endsInS").doubleValue() - accepted;
+                if (promisedEnd == null && node.has("endsInS")) {
+                    promisedEnd = now + node.get("endsInS").doubleValue() - accepted;
                 }
-                String line = s.path("status").asText() + ": " + s.path("done").asInt() + " of " + job.tasks()
-                        + " done, " + s.path("running").asInt() + " placed"
-                        + (s.has("reason") ? ", " + s.get("reason").asText() : "");
+                String line = node.path("status").asText() + ": "
+                        + node.path("done").asInt() + " of " + job.tasks()
+                        + " done, " + node.path("running").asInt() + " placed"
+                        + (node.has("reason") ? ", " + node.get("reason").asText() : "");
                 if (!line.equals(shown)) {
                     say("%s", line);
                     shown = line;
                 }
                 if (start == null
-                        && (s.path("running").asInt() > 0 || s.path("done").asInt() > 0)) {
+                        && (node.path("running").asInt() > 0
+                                || node.path("done").asInt() > 0)) {
                     start = now - accepted;
                 }
-                if (s.path("status").asText().equals("done")
-                        || s.path("status").asText().equals("cancelled")) {
+                if (node.path("status").asText().equals("done")
+                        || node.path("status").asText().equals("cancelled")) {
                     return compare(
                             promisedStart,
                             start,
                             promisedEnd,
                             now - accepted,
-                            s.path("status").asText().equals("done"));
+                            node.path("status").asText().equals("done"));
                 }
             }
             Thread.sleep(POLL_MS);
@@ -215,7 +217,7 @@
         return done ? 0 : ENDED_BADLY;
     }
 
-    private static String after(Double s) {
-        return s == null ? "without a promise" : String.format(Locale.ROOT, "after %.1f s", s);
+    private static String after(Double seconds) {
+        return seconds == null ? "without a promise" : String.format(Locale.ROOT, "after %.1f s", seconds);
     }
 }
--- a/src/main/java/org/beechhoist/cli/UserCommands.java
+++ b/src/main/java/org/beechhoist/cli/UserCommands.java
@@ -33,14 +33,14 @@
 
     static int run(Question question, String what) {
         try {
-            ApiClient.Answer a = question.ask();
-            if (a.status() >= 300) {
-                System.err.println("beechhoist: " + what + ": " + a.status() + " "
-                        + a.body().path("error").asText(""));
+            ApiClient.Answer answer = question.ask();
+            if (answer.status() >= 300) {
+                System.err.println("beechhoist: " + what + ": " + answer.status() + " "
+                        + answer.body().path("error").asText(""));
                 return REFUSED;
             }
             System.out.println(
-                    new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(a.body()));
+                    new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(answer.body()));
             return 0;
         } catch (IOException e) {
             System.err.println("beechhoist: no node answers: " + e);
@@ -168,14 +168,14 @@
 
         @Override
         public Integer call() {
-            ObjectNode n = Codec.map()
+            ObjectNode node = Codec.map()
                     .put("least", how.width != null ? how.width : how.bounds.least)
                     .put("most", how.width != null ? how.width : how.bounds.most)
                     .put("untilS", untilS)
                     .put("number", number);
             Resize resize;
             try {
-                resize = Resize.parse(n);
+                resize = Resize.parse(node);
             } catch (Malformed e) {
                 System.err.println("beechhoist: " + e.getMessage());
                 return USAGE;
--- a/src/main/java/org/beechhoist/cli/Warm.java
+++ b/src/main/java/org/beechhoist/cli/Warm.java
@@ -62,21 +62,21 @@
         for (int i = 0; i < STEPS; i++) {
             now = now.plusMs(500);
             List<Effect> effects = core.drain();
-            for (Effect e : effects) {
-                if (e instanceof Effect.Call c && c.target() == Calls.Target.STATE) {
+            for (Effect effect : effects) {
+                if (effect instanceof Effect.Call call && call.target() == Calls.Target.STATE) {
                     Tick at = now;
                     state.handle(
                             now.ms(),
-                            c.method(),
-                            c.path(),
-                            c.body(),
-                            r -> core.outcome(at, 0, c.id(), Outcome.answered(r.status(), r.body())));
-                } else if (e instanceof Effect.Call c) {
+                            call.method(),
+                            call.path(),
+                            call.body(),
+                            r -> core.outcome(at, 0, call.id(), Outcome.answered(r.status(), r.body())));
+                } else if (effect instanceof Effect.Call outgoing) {
                     core.outcome(
                             now,
                             0,
-                            c.id(),
-                            c.path().equals("/machine_types") ? Outcome.answered(200, types) : Outcome.NOT_SENT);
+                            outgoing.id(),
+                            outgoing.path().equals("/machine_types") ? Outcome.answered(200, types) : Outcome.NOT_SENT);
                 }
             }
             if (i == STEPS / 2) {
--- a/src/main/java/org/beechhoist/config/Addresses.java
+++ b/src/main/java/org/beechhoist/config/Addresses.java
@@ -18,11 +18,11 @@
         try {
             byte[] ip = new byte[4];
             for (int i = 0; i < 4; i++) {
-                int b = Integer.parseInt(parts[i]);
-                if (b < 0 || b > 255) {
+                int part = Integer.parseInt(parts[i]);
+                if (part < 0 || part > 255) {
                     return null;
                 }
-                ip[i] = (byte) b;
+                ip[i] = (byte) part;
             }
             int port = Integer.parseInt(text.substring(colon + 1));
             return port < 1 || port > 65535 ? null : new InetSocketAddress(InetAddress.getByAddress(ip), port);
--- a/src/main/java/org/beechhoist/config/PolicyScript.java
+++ b/src/main/java/org/beechhoist/config/PolicyScript.java
@@ -67,11 +67,11 @@
         private int steps;
 
         @Override
-        public void onInstruction(int pc, Varargs v, int top) {
+        public void onInstruction(int pc, Varargs varargs, int top) {
             if (++steps > MAX_STEPS) {
                 throw new TooLong();
             }
-            super.onInstruction(pc, v, top);
+            super.onInstruction(pc, varargs, top);
         }
     }
 
@@ -92,22 +92,22 @@
     }
 
     static Policy run(String text, String name) throws Bad {
-        Globals g = new Globals();
-        g.load(new BaseLib());
-        g.load(new PackageLib()); // the other libraries register there; the script can't reach it
-        g.load(new TableLib());
-        g.load(new StringLib());
-        g.load(new MathLib());
-        g.load(new StepLimit());
+        Globals globals = new Globals();
+        globals.load(new BaseLib());
+        globals.load(new PackageLib()); // the other libraries register there; the script can't reach it
+        globals.load(new TableLib());
+        globals.load(new StringLib());
+        globals.load(new MathLib());
+        globals.load(new StepLimit());
         for (String f : FORBIDDEN) {
-            g.set(f, LuaValue.NIL);
+            globals.set(f, LuaValue.NIL);
         }
-        g.get("string").set("rep", LuaValue.NIL); // could make texts larger than the heap in one step
-        LoadState.install(g);
-        LuaC.install(g);
+        globals.get("string").set("rep", LuaValue.NIL); // could make texts larger than the heap in one step
+        LoadState.install(globals);
+        LuaC.install(globals);
         LuaValue result;
         try {
-            result = g.load(new StringReader(text), "@" + name).call();
+            result = globals.load(new StringReader(text), "@" + name).call();
         } catch (LuaError e) {
             throw new Bad("script " + name + ": " + e.getMessage());
         } catch (TooLong e) {
@@ -121,46 +121,46 @@
         return read((LuaTable) result, name, text);
     }
 
-    private static Policy read(LuaTable t, String name, String text) throws Bad {
+    private static Policy read(LuaTable luaTable, String name, String text) throws Bad {
         Set<String> known = new HashSet<>();
-        Policy d = Policy.DEFAULT;
-        Reader r = new Reader(t, name, text, known);
-        Policy p = new Policy(
-                (int) r.number("search_iterations", d.searchIterations(), 0, 100_000),
-                r.millis("search_s", d.searchMs(), 0, 10),
-                r.millis("search_every_s", d.searchEveryMs(), 1, 3600),
+        Policy policy = Policy.DEFAULT;
+        Reader reader = new Reader(luaTable, name, text, known);
+        Policy parsed = new Policy(
+                (int) reader.number("search_iterations", policy.searchIterations(), 0, 100_000),
+                reader.millis("search_s", policy.searchMs(), 0, 10),
+                reader.millis("search_every_s", policy.searchEveryMs(), 1, 3600),
                 new Evaluation.Weights(
-                        r.number("weight_wait", d.weights().waiting(), 0, 1e6),
-                        r.number("weight_slowdown", d.weights().slowdown(), 0, 1e6),
-                        r.number("weight_fairness", d.weights().fairness(), 0, 1e6)),
-                r.number("patience", d.patience(), 0, 1),
-                r.number("preempt_cpu_s", d.preemptCpuS(), 0, 1e6),
-                r.millis("idle_spot_s", d.idleSpotMs(), 0, 86_400),
-                r.millis("idle_ordinary_s", d.idleOrdinaryMs(), 0, 86_400),
-                r.millis("silent_s", d.silentMs(), 5, 3600),
+                        reader.number("weight_wait", policy.weights().waiting(), 0, 1e6),
+                        reader.number("weight_slowdown", policy.weights().slowdown(), 0, 1e6),
+                        reader.number("weight_fairness", policy.weights().fairness(), 0, 1e6)),
+                reader.number("patience", policy.patience(), 0, 1),
+                reader.number("preempt_cpu_s", policy.preemptCpuS(), 0, 1e6),
+                reader.millis("idle_spot_s", policy.idleSpotMs(), 0, 86_400),
+                reader.millis("idle_ordinary_s", policy.idleOrdinaryMs(), 0, 86_400),
+                reader.millis("silent_s", policy.silentMs(), 5, 3600),
                 new Policy.Elastic(
-                        r.flag("elastic", d.elastic().on()),
-                        r.millis("elastic_settle_s", d.elastic().settleMs(), 0, 3600),
-                        r.number("elastic_worth", d.elastic().worth(), 0, 1e6)),
+                        reader.flag("elastic", policy.elastic().on()),
+                        reader.millis("elastic_settle_s", policy.elastic().settleMs(), 0, 3600),
+                        reader.number("elastic_worth", policy.elastic().worth(), 0, 1e6)),
                 new Policy.Cron(
-                        r.flag("cron", d.cron().on()),
-                        r.millis("once_keep_s", d.cron().onceKeepMs(), 60, 3.2e7),
-                        r.millisByName("once_keep", 60, 3.2e7)),
-                r.flag("fleet_notes", d.fleetNotes()),
-                r.flag("served_floor", d.servedFloor()),
-                r.flag("triage", d.triage()),
-                r.flag("key_sets", d.keySets()),
-                r.flag("releases", d.releases()),
-                r.flag("packing", d.packing()),
-                r.flag("moves", d.moves()),
-                r.flag("drains", d.drains()));
-        for (LuaValue k : t.keys()) {
-            if (!known.contains(k.tojstring())) {
-                throw new Bad(r.at(k.tojstring()) + "unknown setting " + k.tojstring() + "; known are "
+                        reader.flag("cron", policy.cron().on()),
+                        reader.millis("once_keep_s", policy.cron().onceKeepMs(), 60, 3.2e7),
+                        reader.millisByName("once_keep", 60, 3.2e7)),
+                reader.flag("fleet_notes", policy.fleetNotes()),
+                reader.flag("served_floor", policy.servedFloor()),
+                reader.flag("triage", policy.triage()),
+                reader.flag("key_sets", policy.keySets()),
+                reader.flag("releases", policy.releases()),
+                reader.flag("packing", policy.packing()),
+                reader.flag("moves", policy.moves()),
+                reader.flag("drains", policy.drains()));
+        for (LuaValue value : luaTable.keys()) {
+            if (!known.contains(value.tojstring())) {
+                throw new Bad(reader.at(value.tojstring()) + "unknown setting " + value.tojstring() + "; known are "
                         + String.join(", ", known.stream().sorted().toList()));
             }
         }
-        return p;
+        return parsed;
     }
 
     private record Reader(LuaTable table, String name, String text, Set<String> known) {
@@ -178,28 +178,28 @@
 
         double number(String key, double fallback, double least, double most) throws Bad {
             known.add(key);
-            LuaValue v = table.get(key);
-            if (v.isnil()) {
+            LuaValue value = table.get(key);
+            if (value.isnil()) {
                 return fallback;
             }
-            if (v.type() != LuaValue.TNUMBER || !(v.todouble() >= least && v.todouble() <= most)) {
-                throw new Bad(at(key) + key + " = " + v.tojstring() + ": a number from " + least + " to " + most
+            if (value.type() != LuaValue.TNUMBER || !(value.todouble() >= least && value.todouble() <= most)) {
+                throw new Bad(at(key) + key + " = " + value.tojstring() + ": a number from " + least + " to " + most
                         + " is expected");
             }
-            return v.todouble();
+            return value.todouble();
         }
 
         /** A table of names and seconds. */
         Map<String, Long> millisByName(String key, double least, double most) throws Bad {
             known.add(key);
-            LuaValue v = table.get(key);
+            LuaValue value = table.get(key);
             Map<String, Long> out = new TreeMap<>();
-            if (!v.isnil() && !v.istable()) {
-                throw new Bad(at(key) + key + " = " + v.tojstring() + ": a table of names and seconds is expected");
+            if (!value.isnil() && !value.istable()) {
+                throw new Bad(at(key) + key + " = " + value.tojstring() + ": a table of names and seconds is expected");
             }
-            if (!v.isnil()) {
-                Reader inner = new Reader((LuaTable) v, name, text, new HashSet<>());
-                for (LuaValue k : ((LuaTable) v).keys()) {
+            if (!value.isnil()) {
+                Reader inner = new Reader((LuaTable) value, name, text, new HashSet<>());
+                for (LuaValue k : ((LuaTable) value).keys()) {
                     out.put(k.tojstring(), inner.millis(k.tojstring(), 0, least, most));
                 }
             }
@@ -208,11 +208,11 @@
 
         boolean flag(String key, boolean fallback) throws Bad {
             known.add(key);
-            LuaValue v = table.get(key);
-            if (!v.isnil() && !v.isboolean()) {
-                throw new Bad(at(key) + key + " = " + v.tojstring() + ": true or false is expected");
+            LuaValue value = table.get(key);
+            if (!value.isnil() && !value.isboolean()) {
+                throw new Bad(at(key) + key + " = " + value.tojstring() + ": true or false is expected");
             }
-            return v.isnil() ? fallback : v.toboolean();
+            return value.isnil() ? fallback : value.toboolean();
         }
 
         long millis(String key, long fallbackMs, double least, double most) throws Bad {
--- a/src/main/java/org/beechhoist/config/Settings.java
+++ b/src/main/java/org/beechhoist/config/Settings.java
@@ -140,43 +140,44 @@
         }
         Section top = new Section("", root);
         Map<String, Seed> seeds = new LinkedHashMap<>();
-        for (Section s : top.list("seeds")) {
-            Seed seed = new Seed(s.text("host_name"), s.text("site"), s.address("address"));
+        for (Section stateSection : top.list("seeds")) {
+            Seed seed = new Seed(
+                    stateSection.text("host_name"), stateSection.text("site"), stateSection.address("address"));
             seeds.put(seed.node, seed);
         }
         Section outside = top.section("outside");
-        Section d = top.section("deployment");
+        Section section = top.section("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Section t : d.list("teams")) {
+        for (Section otherTeam : section.list("teams")) {
             Team team = new Team(
-                    t.text("name"),
-                    t.number("cpus", 0, 1e9, 0.0),
-                    limit(t, "cpus_max"),
-                    t.number("gpus", 0, 1e9, 0.0),
-                    limit(t, "gpus_max"));
+                    otherTeam.text("name"),
+                    otherTeam.number("cpus", 0, 1e9, 0.0),
+                    limit(otherTeam, "cpus_max"),
+                    otherTeam.number("gpus", 0, 1e9, 0.0),
+                    limit(otherTeam, "gpus_max"));
             teams.put(team.name, team);
         }
         List<Objective> objectives = new ArrayList<>();
-        for (Section o : d.list("objectives")) {
+        for (Section objective : section.list("objectives")) {
             objectives.add(new Objective(
-                    o.text("kind"),
-                    o.optionalText("class"),
-                    o.number("within_s", 0, 1e9, 0.0),
-                    o.number("share", 0, 1, 1.0),
-                    o.number("times", 0, 1e6, 1.0)));
+                    objective.text("kind"),
+                    objective.optionalText("class"),
+                    objective.number("within_s", 0, 1e9, 0.0),
+                    objective.number("share", 0, 1, 1.0),
+                    objective.number("times", 0, 1e6, 1.0)));
         }
         List<String> zones = new ArrayList<>();
-        for (JsonNode z : d.array("zones")) {
+        for (JsonNode z : section.array("zones")) {
             zones.add(z.asText());
         }
-        Section w = d.section("workers");
-        Section s = d.section("state");
-        Section c = d.section("cloud");
-        Section q = d.section("quota");
+        Section workerSection = section.section("workers");
+        Section stateSection = section.section("state");
+        Section cloudSection = section.section("cloud");
+        Section quotaSection = section.section("quota");
         Workers workers = new Workers(
-                w.number("report_s", 0.1, 3600, null),
-                w.number("lease_s", 1, 86400, null),
-                w.number("cancel_s", 1, 86400, null));
+                workerSection.number("report_s", 0.1, 3600, null),
+                workerSection.number("lease_s", 1, 86400, null),
+                workerSection.number("cancel_s", 1, 86400, null));
         Freshness freshness = new Freshness(workers.cancelMs(), workers.leaseMs());
         if (!freshness.allowsLeading()) {
             throw new Bad(
@@ -195,23 +196,23 @@
                 seeds,
                 outside.address("cloud"),
                 outside.address("state"),
-                (int) d.number("nodes", 1, 1000, null),
+                (int) section.number("nodes", 1, 1000, null),
                 zones,
-                d.number("clock_error_ms", 0, 1e7, 0.0),
+                section.number("clock_error_ms", 0, 1e7, 0.0),
                 teams,
                 objectives,
                 workers,
                 new State(
-                        s.number("rps", 1, 1e9, null),
-                        s.number("write_rps", 1, 1e9, null),
-                        (int) (1024 * s.number("value_kb", 1, 1024, null)),
-                        (int) s.number("txn_ops", 4, 1e6, null)),
-                new Cloud(c.number("rps", 0.1, 1e9, null), c.number("list_lag_s", 0, 3600, null)),
-                (int) q.number("max_sockets", 16, 1e9, 1024.0));
+                        stateSection.number("rps", 1, 1e9, null),
+                        stateSection.number("write_rps", 1, 1e9, null),
+                        (int) (1024 * stateSection.number("value_kb", 1, 1024, null)),
+                        (int) stateSection.number("txn_ops", 4, 1e6, null)),
+                new Cloud(cloudSection.number("rps", 0.1, 1e9, null), cloudSection.number("list_lag_s", 0, 3600, null)),
+                (int) quotaSection.number("max_sockets", 16, 1e9, 1024.0));
     }
 
-    private static double limit(Section t, String field) throws Bad {
-        double v = t.number(field, 0, 1e9, 0.0);
+    private static double limit(Section team, String field) throws Bad {
+        double v = team.number(field, 0, 1e9, 0.0);
         return v == 0 ? Double.POSITIVE_INFINITY : v;
     }
 
@@ -222,19 +223,19 @@
         }
 
         Section section(String field) throws Bad {
-            JsonNode n = node.get(field);
-            if (n == null || !n.isObject()) {
-                throw new Bad(name(field), n, "a table is expected");
+            JsonNode value = node.get(field);
+            if (value == null || !value.isObject()) {
+                throw new Bad(name(field), value, "a table is expected");
             }
-            return new Section(name(field), n);
+            return new Section(name(field), value);
         }
 
         JsonNode array(String field) throws Bad {
-            JsonNode n = node.get(field);
-            if (n == null || !n.isArray()) {
-                throw new Bad(name(field), n, "a list is expected");
+            JsonNode value = node.get(field);
+            if (value == null || !value.isArray()) {
+                throw new Bad(name(field), value, "a list is expected");
             }
-            return n;
+            return value;
         }
 
         List<Section> list(String field) throws Bad {
@@ -242,21 +243,21 @@
             if (node.get(field) == null) {
                 return out;
             }
-            for (JsonNode n : array(field)) {
-                if (!n.isObject()) {
-                    throw new Bad(name(field), n, "a list of tables is expected");
+            for (JsonNode value : array(field)) {
+                if (!value.isObject()) {
+                    throw new Bad(name(field), value, "a list of tables is expected");
                 }
-                out.add(new Section(name(field) + "[" + out.size() + "]", n));
+                out.add(new Section(name(field) + "[" + out.size() + "]", value));
             }
             return out;
         }
 
         String text(String field) throws Bad {
-            JsonNode n = node.get(field);
-            if (n == null || !n.isTextual() || n.textValue().isEmpty()) {
-                throw new Bad(name(field), n, "a non-empty text is expected");
+            JsonNode value = node.get(field);
+            if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
+                throw new Bad(name(field), value, "a non-empty text is expected");
             }
-            return n.textValue();
+            return value.textValue();
         }
 
         String optionalText(String field) throws Bad {
@@ -264,34 +265,35 @@
         }
 
         double number(String field, double least, double most, Double fallback) throws Bad {
-            JsonNode n = node.get(field);
-            if (n == null && fallback != null) {
+            JsonNode value = node.get(field);
+            if (value == null && fallback != null) {
                 return fallback;
             }
-            if (n == null || !n.isNumber() || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
+            if (value == null || !value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
                 throw new Bad(
                         name(field),
-                        n,
+                        value,
                         String.format(
                                 java.util.Locale.ROOT,
                                 "a number from %s to %s is expected",
                                 plain(least),
                                 plain(most)));
             }
-            return n.doubleValue();
+            return value.doubleValue();
         }
 
-        static String plain(double d) {
-            return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
+        static String plain(double value) {
+            return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
         }
 
         InetSocketAddress address(String field) throws Bad {
-            String s = text(field);
-            InetSocketAddress a = Addresses.parse(s);
-            if (a == null) {
-                throw new Bad(name(field), '"' + s + '"', "an IPv4 address and port such as 10.0.0.1:8080 is expected");
+            String text = text(field);
+            InetSocketAddress address = Addresses.parse(text);
+            if (address == null) {
+                throw new Bad(
+                        name(field), '"' + text + '"', "an IPv4 address and port such as 10.0.0.1:8080 is expected");
             }
-            return a;
+            return address;
         }
     }
 }
--- a/src/main/java/org/beechhoist/core/Admission.java
+++ b/src/main/java/org/beechhoist/core/Admission.java
@@ -33,29 +33,29 @@
     }
 
     /** Whether elastic jobs may grow onto the machine: it is well, heard of, and stays; it was not taken back lately. */
-    boolean mayWiden(Host h) {
-        return usable(h)
-                && h.damping.open(turn.now().ms())
-                && !faults.faulty(h)
-                && turn.now().since(book.heard(h)) < settings.workers().reportS() * 1500;
+    boolean mayWiden(Host machine) {
+        return usable(machine)
+                && machine.damping.open(turn.now().ms())
+                && !faults.faulty(machine)
+                && turn.now().since(book.heard(machine)) < settings.workers().reportS() * 1500;
     }
 
-    boolean usable(Host h) {
-        return h.up
-                && h.there
-                && !h.ears.deaf()
-                && !h.going()
-                && h.strangers == 0
-                && types.get(h.type) != null
-                && turn.now().since(book.heard(h)) < settings.workers().reportS() * 3000
-                && h.avoidUntil.before(turn.now())
-                && h.lastHeard != null;
+    boolean usable(Host machine) {
+        return machine.up
+                && machine.there
+                && !machine.ears.deaf()
+                && !machine.going()
+                && machine.strangers == 0
+                && types.get(machine.type) != null
+                && turn.now().since(book.heard(machine)) < settings.workers().reportS() * 3000
+                && machine.avoidUntil.before(turn.now())
+                && machine.lastHeard != null;
     }
 
     /** What would be free on a machine; less than nothing where a task doesn't fit. */
     record Room(double cpus, double gpus, double memGb) {
-        Room plus(JobSpec s, int times) {
-            return new Room(cpus + times * s.cpus(), gpus + times * s.gpus(), memGb + times * s.memGb());
+        Room plus(JobSpec spec, int times) {
+            return new Room(cpus + times * spec.cpus(), gpus + times * spec.gpus(), memGb + times * spec.memGb());
         }
 
         boolean enough() {
@@ -64,26 +64,26 @@
     }
 
     /** What is free on the host, less what is kept there; null where what is on it is not known. */
-    Room free(Host h, HostType t) {
-        Room room = new Room(t.cpus(), t.gpus(), t.memGb());
-        for (Placement p : h.placements.values()) {
-            Job other = book.job(p.task.job());
+    Room free(Host machine, HostType type) {
+        Room room = new Room(type.cpus(), type.gpus(), type.memGb());
+        for (Placement placement : machine.placements.values()) {
+            Job other = book.job(placement.task.job());
             if (other == null) {
                 return null;
             }
             room = room.plus(other.spec(), -1);
         }
-        for (JobSpec kept : moves == null ? List.<JobSpec>of() : moves.keptOn(h.id)) {
+        for (JobSpec kept : moves == null ? List.<JobSpec>of() : moves.keptOn(machine.id)) {
             room = room.plus(kept, -1);
         }
         return room;
     }
 
     /** What is free on the host once such a task is there too; null where what is on it is not known. */
-    Room roomBeside(Host h, HostType t, JobSpec s) {
-        Room room = new Room(t.cpus(), t.gpus(), t.memGb()).plus(s, -1);
-        for (Placement p : h.placements.values()) {
-            Job other = book.job(p.task.job());
+    Room roomBeside(Host machine, HostType type, JobSpec spec) {
+        Room room = new Room(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
+        for (Placement placement : machine.placements.values()) {
+            Job other = book.job(placement.task.job());
             if (other == null) {
                 return null;
             }
@@ -93,46 +93,46 @@
     }
 
     /** Whether the team's limit, not the machines, keeps the job's next task waiting. */
-    boolean overLimit(Job j, Map<String, double[]> used) {
-        JobSpec s = j.spec();
-        Settings.Team team = settings.teams().get(s.team());
-        double[] u = used.getOrDefault(s.team(), new double[2]);
-        return team == null || u[0] + s.cpus() > team.cpusMax() + 1e-6 || u[1] + s.gpus() > team.gpusMax() + 1e-6;
+    boolean overLimit(Job job, Map<String, double[]> used) {
+        JobSpec spec = job.spec();
+        Settings.Team team = settings.teams().get(spec.team());
+        double[] u = used.getOrDefault(spec.team(), new double[2]);
+        return team == null || u[0] + spec.cpus() > team.cpusMax() + 1e-6 || u[1] + spec.gpus() > team.gpusMax() + 1e-6;
     }
 
-    Map<String, Integer> liveByZone(Job j) {
+    Map<String, Integer> liveByZone(Job job) {
         Map<String, Integer> out = new HashMap<>();
-        if (j.spec().sameZone() || j.spec().apart()) {
-            for (Placement p : j.record.live.values()) {
-                Host h = book.host(p.host);
+        if (job.spec().sameZone() || job.spec().apart()) {
+            for (Placement placement : job.record.live.values()) {
+                Host machine = book.host(placement.host);
                 // A host that nobody has described yet may be anywhere: no zone is certain until it is.
-                out.merge(h.zone == null ? "" : h.zone, 1, Integer::sum);
+                out.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
             }
         }
         return out;
     }
 
     /** The rules of placement once more, against what may be running now, whatever the plan says. */
-    boolean admissible(Job j, Host h, Map<String, double[]> used) {
-        JobSpec s = j.spec();
-        HostType t = h == null || j.hold != null || !usable(h) ? null : types.get(h.type);
-        if (t == null || !s.mayRunOn(t, h.zone, h.spot)) {
+    boolean admissible(Job job, Host machine, Map<String, double[]> used) {
+        JobSpec spec = job.spec();
+        HostType type = machine == null || job.hold != null || !usable(machine) ? null : types.get(machine.type);
+        if (type == null || !spec.mayRunOn(type, machine.zone, machine.spot)) {
             return false;
         }
-        Room room = roomBeside(h, t, s);
+        Room room = roomBeside(machine, type, spec);
         if (room == null
                 || !room.enough()
-                || overLimit(j, used)
-                || moves != null && moves.keptFromOthers(h.id, j.ref())) {
+                || overLimit(job, used)
+                || moves != null && moves.keptFromOthers(machine.id, job.ref())) {
             return false;
         }
-        if (s.sameZone() || s.apart()) {
-            Map<String, Integer> zones = liveByZone(j);
-            if (s.sameZone() && !zones.isEmpty() && !zones.keySet().equals(Set.of(h.zone))) {
+        if (spec.sameZone() || spec.apart()) {
+            Map<String, Integer> zones = liveByZone(job);
+            if (spec.sameZone() && !zones.isEmpty() && !zones.keySet().equals(Set.of(machine.zone))) {
                 return false;
             }
             int unknown = zones.getOrDefault("", 0);
-            return !s.apart() || zones.getOrDefault(h.zone, 0) + unknown < (s.tasks() + 1) / 2;
+            return !spec.apart() || zones.getOrDefault(machine.zone, 0) + unknown < (spec.tasks() + 1) / 2;
         }
         return true;
     }
--- a/src/main/java/org/beechhoist/core/Amending.java
+++ b/src/main/java/org/beechhoist/core/Amending.java
@@ -86,14 +86,15 @@
             unknown(answer);
             return;
         }
-        store.get(key, r -> {
-            if (!r.known()) {
+        store.get(key, read -> {
+            if (!read.known()) {
                 unknown(answer);
                 return;
             }
-            Revision version = r.item() == null ? Revision.ABSENT : r.item().version();
+            Revision version =
+                    read.item() == null ? Revision.ABSENT : read.item().version();
             try {
-                edit.of(r.item() == null ? null : r.item().value(), (value, more, shown) -> {
+                edit.of(read.item() == null ? null : read.item().value(), (value, more, shown) -> {
                     if (value != null && Codec.countedBytes(value) > valueBytes) {
                         answer.with(
                                 400,
@@ -110,10 +111,10 @@
                     more.accept(txn);
                     requests.take(turn.now(), 1);
                     writes.take(turn.now(), txn.ops());
-                    store.commit(txn, c -> {
-                        if (c.result() == Commit.Result.DONE) {
+                    store.commit(txn, commit -> {
+                        if (commit.result() == Commit.Result.DONE) {
                             answer.with(200, shown);
-                        } else if (c.result() == Commit.Result.CONFLICT) {
+                        } else if (commit.result() == Commit.Result.CONFLICT) {
                             change(key, edit, answer, races + 1);
                         } else {
                             unknown(answer);
@@ -128,7 +129,7 @@
         });
     }
 
-    static void refuse(CronApi.Answer answer, Refused e) {
-        answer.with(e.status, error(e.getMessage()));
+    static void refuse(CronApi.Answer answer, Refused refused) {
+        answer.with(refused.status, error(refused.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/core/Arrangement.java
+++ b/src/main/java/org/beechhoist/core/Arrangement.java
@@ -28,11 +28,11 @@
     /** A random job to a random place, or a random elastic job to a random width. */
     Arrangement moved(SplittableRandom random) {
         int places = order.size() < 2 ? 0 : order.size();
-        int i = random.nextInt(places + elastic.size());
-        if (i < places) {
-            return new Arrangement(RandomSearch.moved(order, i, random), elastic, widest, fixed);
+        int index = random.nextInt(places + elastic.size());
+        if (index < places) {
+            return new Arrangement(RandomSearch.moved(order, index, random), elastic, widest, fixed);
         }
-        JobRef job = elastic.get(i - places);
+        JobRef job = elastic.get(index - places);
         Map<JobRef, Integer> widths = new HashMap<>(fixed);
         widths.put(job, random.nextInt(widest.get(job) + 1));
         return new Arrangement(order, elastic, widest, widths);
--- a/src/main/java/org/beechhoist/core/Batch.java
+++ b/src/main/java/org/beechhoist/core/Batch.java
@@ -95,27 +95,27 @@
     }
 
     /** Takes the job's news in, if there is room; false where there is none. */
-    boolean take(Job j, Way way) {
-        Part p = new Part(j, way);
-        boolean fits = way == Way.LOG || way == Way.GATHER ? log(p) : record(p);
-        String key = fits && !way.ends() ? holds.guardKey(j) : null;
+    boolean take(Job job, Way way) {
+        Part part = new Part(job, way);
+        boolean fits = way == Way.LOG || way == Way.GATHER ? log(part) : record(part);
+        String key = fits && !way.ends() ? holds.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
-            holds.guard(txn, j);
+            holds.guard(txn, job);
         }
         if (fits) {
-            p.width = j.width();
-            p.failures = j.record.failures;
-            txn.guard(JobRecord.openKey(j.ref()), j.version);
-            parts.add(p);
+            part.width = job.width();
+            part.failures = job.record.failures;
+            txn.guard(JobRecord.openKey(job.ref()), job.version);
+            parts.add(part);
         }
         return fits;
     }
 
     /** Whether the job's news would cost no change more. */
-    boolean free(Job j) {
+    boolean free(Job job) {
         return writer.size() > 0
                 && parts.size() + keyGuards.size() < mostGuards - 1
-                && writer.with(j.ref(), j.stored.until(j.record)) == writer.size();
+                && writer.with(job.ref(), job.stored.until(job.record)) == writer.size();
     }
 
     private boolean room(int ops, int more, int segments) {
@@ -124,60 +124,63 @@
                 && (parts.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MOST_BYTES);
     }
 
-    private boolean log(Part p) {
-        p.delta = p.way == Way.LOG ? p.job.stored.until(p.job.record) : p.job.recorded.allUntil(p.job.record);
-        if (!room(0, GUARD_BYTES, writer.with(p.job.ref(), p.delta))) {
+    private boolean log(Part part) {
+        part.delta = part.way == Way.LOG
+                ? part.job.stored.until(part.job.record)
+                : part.job.recorded.allUntil(part.job.record);
+        if (!room(0, GUARD_BYTES, writer.with(part.job.ref(), part.delta))) {
             return false;
         }
         bytes += GUARD_BYTES;
-        writer.add(p.job.ref(), p.delta);
-        p.stored = p.way == Way.LOG ? null : Stored.of(p.job.record);
+        writer.add(part.job.ref(), part.delta);
+        part.stored = part.way == Way.LOG ? null : Stored.of(part.job.record);
         return true;
     }
 
-    private boolean record(Part p) {
-        Job j = p.job;
-        p.chunks = j.record.chunks();
-        boolean ends = p.way == Way.END;
-        int changed = changedChunks(j, p.chunks);
-        int size = RECORD_BYTES + 30 * sizes.chunk() * changed + (j.record.chunked() ? 0 : 40 * j.record.live.size());
+    private boolean record(Part part) {
+        Job job = part.job;
+        part.chunks = job.record.chunks();
+        boolean ends = part.way == Way.END;
+        int changed = changedChunks(job, part.chunks);
+        int size =
+                RECORD_BYTES + 30 * sizes.chunk() * changed + (job.record.chunked() ? 0 : 40 * job.record.live.size());
         if (!room(1 + (ends ? 1 : 0) + changed, size, writer.size())) {
             return false;
         }
         bytes += size;
-        p.chunks.forEach((k, v) -> {
-            if (!v.equals(j.chunks.get(k))) {
-                txn.put(k, v);
+        part.chunks.forEach((key, array) -> {
+            if (!array.equals(job.chunks.get(key))) {
+                txn.put(key, array);
             }
         });
-        for (String k : j.chunks.keySet()) {
-            if (!p.chunks.containsKey(k)) {
-                txn.delete(k);
+        for (String key : job.chunks.keySet()) {
+            if (!part.chunks.containsKey(key)) {
+                txn.delete(key);
             }
         }
-        String key = JobRecord.openKey(j.ref());
-        if (p.way == Way.END_HERE) {
-            txn.put(key, j.record.endedNode(j.finalState()));
+        String key = JobRecord.openKey(job.ref());
+        if (part.way == Way.END_HERE) {
+            txn.put(key, job.record.endedNode(job.finalState()));
         } else if (ends) {
-            txn.delete(key).put(JobRecord.endedKey(j.ref()), j.record.endedNode(j.finalState()));
+            txn.delete(key).put(JobRecord.endedKey(job.ref()), job.record.endedNode(job.finalState()));
         } else {
-            j.record.folded = log.lastNumber();
-            p.stored = Stored.of(j.record);
-            p.recorded = Stored.of(j.record);
-            txn.put(key, j.record.toNode());
+            job.record.folded = log.lastNumber();
+            part.stored = Stored.of(job.record);
+            part.recorded = Stored.of(job.record);
+            txn.put(key, job.record.toNode());
         }
         return true;
     }
 
-    private static int changedChunks(Job j, Map<String, ArrayNode> now) {
-        int n = 0;
+    private static int changedChunks(Job job, Map<String, ArrayNode> now) {
+        int count = 0;
         for (Map.Entry<String, ArrayNode> c : now.entrySet()) {
-            n += c.getValue().equals(j.chunks.get(c.getKey())) ? 0 : 1;
+            count += c.getValue().equals(job.chunks.get(c.getKey())) ? 0 : 1;
         }
-        for (String key : j.chunks.keySet()) {
-            n += now.containsKey(key) ? 0 : 1;
+        for (String key : job.chunks.keySet()) {
+            count += now.containsKey(key) ? 0 : 1;
         }
-        return n;
+        return count;
     }
 
     /** The whole transaction; nothing more is taken in. */
@@ -195,9 +198,9 @@
     /** Placements that are committed with it. */
     List<Placement> placed() {
         List<Placement> out = new ArrayList<>();
-        for (Part p : parts) {
-            if (!p.way.ends()) {
-                p.job.record.live.values().stream().filter(l -> !l.committed).forEach(out::add);
+        for (Part part : parts) {
+            if (!part.way.ends()) {
+                part.job.record.live.values().stream().filter(l -> !l.committed).forEach(out::add);
             }
         }
         return out;
@@ -210,19 +213,19 @@
 
     /** It was made: what the state service holds now. */
     void made() {
-        for (Part p : parts) {
-            if (p.way == Way.LOG) {
-                p.job.stored.apply(p.delta);
-            } else if (p.way == Way.GATHER) {
-                log.settled(p.job.ref());
-                p.job.stored = p.stored;
+        for (Part part : parts) {
+            if (part.way == Way.LOG) {
+                part.job.stored.apply(part.delta);
+            } else if (part.way == Way.GATHER) {
+                log.settled(part.job.ref());
+                part.job.stored = part.stored;
             } else {
-                log.settled(p.job.ref());
-                p.job.stored = p.stored;
-                p.job.recorded = p.recorded;
-                p.job.chunks = p.chunks;
-                p.job.committedWidth = p.width;
-                p.job.storedFailures = p.failures;
+                log.settled(part.job.ref());
+                part.job.stored = part.stored;
+                part.job.recorded = part.recorded;
+                part.job.chunks = part.chunks;
+                part.job.committedWidth = part.width;
+                part.job.storedFailures = part.failures;
             }
         }
         slots.forEach((number, slot) -> log.holds(number, slot, written.get(number)));
--- a/src/main/java/org/beechhoist/core/Book.java
+++ b/src/main/java/org/beechhoist/core/Book.java
@@ -74,18 +74,18 @@
         return jobs.get(ref);
     }
 
-    void add(Job j) {
-        jobs.put(j.ref(), j);
+    void add(Job job) {
+        jobs.put(job.ref(), job);
     }
 
-    void remove(Job j) {
-        jobs.remove(j.ref());
+    void remove(Job job) {
+        jobs.remove(job.ref());
     }
 
     /** The job's final state is committed: what the watch still brings of it is old. */
-    void ended(Job j) {
-        remove(j);
-        ended.add(j.ref());
+    void ended(Job job) {
+        remove(job);
+        ended.add(job.ref());
     }
 
     /** What is stored of the job can't be read: it is left alone, and so are its tasks. */
@@ -112,11 +112,11 @@
     }
 
     /** The job's record is to be written. */
-    void touch(Job j) {
-        if (!j.dirty) {
-            j.dirty = true;
-            j.dirtySince = turn.now();
-            dirty.add(j);
+    void touch(Job job) {
+        if (!job.dirty) {
+            job.dirty = true;
+            job.dirtySince = turn.now();
+            dirty.add(job);
         }
     }
 
@@ -125,10 +125,10 @@
     }
 
     /** The job's record is on its way to the state service. */
-    void sent(Job j) {
-        j.dirty = false;
-        dirty.remove(j);
-        j.inFlight = true;
+    void sent(Job job) {
+        job.dirty = false;
+        dirty.remove(job);
+        job.inFlight = true;
     }
 
     // ---- machines ----
@@ -152,14 +152,14 @@
     }
 
     /** When the worker's lease has certainly run out, whoever answered it last, and whenever its session began. */
-    Tick lapse(Host h) {
-        Tick last = h.lastAnswered == null || h.lastAnswered.before(wonAt) ? wonAt : h.lastAnswered;
-        last = last.before(h.sessionHeard) ? h.sessionHeard : last;
+    Tick lapse(Host machine) {
+        Tick last = machine.lastAnswered == null || machine.lastAnswered.before(wonAt) ? wonAt : machine.lastAnswered;
+        last = last.before(machine.sessionHeard) ? machine.sessionHeard : last;
         return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
     }
 
-    Tick heard(Host h) {
-        return h.lastHeard == null || h.lastHeard.before(wonAt) ? wonAt : h.lastHeard;
+    Tick heard(Host machine) {
+        return machine.lastHeard == null || machine.lastHeard.before(wonAt) ? wonAt : machine.lastHeard;
     }
 
     // ---- teams ----
@@ -175,10 +175,10 @@
     /** CPUs and accelerators of each team's tasks that may be on machines. */
     Map<String, double[]> usedByTeams() {
         Map<String, double[]> used = new HashMap<>();
-        for (Job j : jobs.values()) {
-            double[] u = used.computeIfAbsent(j.spec().team(), k -> new double[2]);
-            u[0] += j.record.live.size() * j.spec().cpus();
-            u[1] += j.record.live.size() * j.spec().gpus();
+        for (Job job : jobs.values()) {
+            double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
+            usage[0] += job.record.live.size() * job.spec().cpus();
+            usage[1] += job.record.live.size() * job.spec().gpus();
         }
         return used;
     }
--- a/src/main/java/org/beechhoist/core/Committer.java
+++ b/src/main/java/org/beechhoist/core/Committer.java
@@ -63,10 +63,10 @@
         void placed(List<Placement> placed);
 
         /** The job's record is committed as it was sent. */
-        void written(Job j);
+        void written(Job job);
 
         /** The job's final state is committed. */
-        void ended(Job j, JsonNode state);
+        void ended(Job job, JsonNode state);
     }
 
     private final Turn turn;
@@ -194,15 +194,15 @@
         commitInFlight = true;
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
-        long e = loading.epoch();
-        long r = book.reign();
-        store.commit(txn, c -> {
-            if (r != book.reign()) {
+        long expectedEpoch = loading.epoch();
+        long term = book.reign();
+        store.commit(txn, commit -> {
+            if (term != book.reign()) {
                 return;
             }
             commitInFlight = false;
-            if (e == loading.epoch()) {
-                then.accept(c);
+            if (expectedEpoch == loading.epoch()) {
+                then.accept(commit);
             } else {
                 // The book was read anew meanwhile, perhaps without this commit: make sure of its fate. Left alone,
                 // it would be taken for one that never ends, and nothing would be written any more.
@@ -229,15 +229,15 @@
         nextMove = turn.now().plusMs(MOVE_EVERY_MS);
         Txn txn = election.guarded();
         List<StoreClient.Item> moved = loading.over().stream().limit(most).toList();
-        for (StoreClient.Item i : moved) {
-            JobRef ref = new JobRef(i.key().substring(JobRecord.OPEN.length()));
-            txn.guard(i.key(), i.version()).delete(i.key()).put(JobRecord.endedKey(ref), i.value());
+        for (StoreClient.Item item : moved) {
+            JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
+            txn.guard(item.key(), item.version()).delete(item.key()).put(JobRecord.endedKey(ref), item.value());
         }
-        send(txn, c -> {
-            switch (c.result()) {
+        send(txn, commit -> {
+            switch (commit.result()) {
                 case DONE -> loading.over().removeAll(moved);
                 case CONFLICT -> {
-                    if (c.failed().contains(Election.KEY)) {
+                    if (commit.failed().contains(Election.KEY)) {
                         election.lose("the key was rewritten");
                     } else {
                         loading.reload();
@@ -246,7 +246,7 @@
                 case NO_LEASE -> election.lose("the lease ended");
                 case UNCERTAIN -> settle();
                 case REFUSED -> nextCommit = turn.now().plusMs(200);
-                default -> throw new IllegalStateException("commit ended with " + c.result());
+                default -> throw new IllegalStateException("commit ended with " + commit.result());
             }
         });
     }
@@ -257,49 +257,51 @@
     private void gather(Batch batch, boolean spare) {
         List<Due> due = new ArrayList<>();
         List<Job> rest = new ArrayList<>();
-        for (Job j : new ArrayList<>(book.dirty())) {
-            if (j.overtaken()) {
+        for (Job job : new ArrayList<>(book.dirty())) {
+            if (job.overtaken()) {
                 continue; // its record says that it is cancelled, and has not been read: that comes by itself
             }
-            if (!ends(j) && !holds.mayWrite(j)) {
+            if (!ends(job) && !holds.mayWrite(job)) {
                 continue; // its key set has changed: what is placed of it is written, or not, once that is known
             }
-            int rank = commitRank(j);
+            int rank = commitRank(job);
             // A finished task frees its machine without this: the worker's report proves it, to a later leader too.
-            if (rank == GATHERED && !(spare && turn.now().since(j.dirtySince) >= GATHER_MS)) {
-                rest.add(j);
-            } else if (way(j) == Batch.Way.LOG && j.stored.until(j.record).isEmpty()) {
-                book.sent(j); // it was touched, and is as the state service holds it
-                j.inFlight = false;
+            if (rank == GATHERED && !(spare && turn.now().since(job.dirtySince) >= GATHER_MS)) {
+                rest.add(job);
+            } else if (way(job) == Batch.Way.LOG && job.stored.until(job.record).isEmpty()) {
+                book.sent(job); // it was touched, and is as the state service holds it
+                job.inFlight = false;
             } else {
-                due.add(new Due(j, rank));
+                due.add(new Due(job, rank));
             }
         }
         due.sort(Comparator.comparingInt(Due::rank).thenComparing(d -> d.job.dirtySince));
-        for (Due d : due) {
-            if (!take(batch, d.job) && d.rank < GATHERED && turn.now().since(d.job.dirtySince) > STARVED_MS) {
+        for (Due next : due) {
+            if (!take(batch, next.job) && next.rank < GATHERED && turn.now().since(next.job.dirtySince) > STARVED_MS) {
                 break; // let the budget fill up for it instead of spending it on smaller ones for ever
             }
         }
-        for (Job j : batch.logged() == 0 ? List.<Job>of() : rest) {
-            if (way(j) == Batch.Way.LOG && batch.free(j)) {
-                take(batch, j);
+        for (Job job : batch.logged() == 0 ? List.<Job>of() : rest) {
+            if (way(job) == Batch.Way.LOG && batch.free(job)) {
+                take(batch, job);
             }
         }
     }
 
-    private boolean take(Batch batch, Job j) {
-        boolean taken = (ends(j) || holds.mayWrite(j)) && batch.take(j, way(j));
+    private boolean take(Batch batch, Job job) {
+        boolean taken = (ends(job) || holds.mayWrite(job)) && batch.take(job, way(job));
         if (taken) {
-            book.sent(j);
+            book.sent(job);
         }
         return taken;
     }
 
-    private Batch.Way way(Job j) {
-        return ends(j)
+    private Batch.Way way(Job job) {
+        return ends(job)
                 ? tight && logAllowed.getAsBoolean() ? Batch.Way.END_HERE : Batch.Way.END
-                : !logAllowed.getAsBoolean() || j.width() != j.committedWidth || j.record.failures != j.storedFailures
+                : !logAllowed.getAsBoolean()
+                                || job.width() != job.committedWidth
+                                || job.record.failures != job.storedFailures
                         ? Batch.Way.RECORD
                         : Batch.Way.LOG;
     }
@@ -317,39 +319,39 @@
         int before = batch.logged();
         int records = 0;
         for (JobRef ref : log.oldest(gather ? MOST_GATHERED : MOST_RECORDS)) {
-            Job j = book.job(ref);
-            if (j == null
-                    || j.inFlight
-                    || j.overtaken()
-                    || ends(j)
-                    || !holds.mayWrite(j)
-                    || (!gather && turn.now().since(j.submitted) < FOLD_AGE_MS)) {
+            Job job = book.job(ref);
+            if (job == null
+                    || job.inFlight
+                    || job.overtaken()
+                    || ends(job)
+                    || !holds.mayWrite(job)
+                    || (!gather && turn.now().since(job.submitted) < FOLD_AGE_MS)) {
                 continue;
             }
             if (batch.logged() - before > GATHERED_SEGMENTS
                     || records == MOST_RECORDS
-                    || !batch.take(j, gather ? Batch.Way.GATHER : Batch.Way.RECORD)) {
+                    || !batch.take(job, gather ? Batch.Way.GATHER : Batch.Way.RECORD)) {
                 return;
             }
-            book.sent(j);
+            book.sent(job);
             records += gather ? 0 : 1;
         }
     }
 
-    private static boolean ends(Job j) {
-        return j.record.live.isEmpty() && (j.record.cancelled() || j.record.complete());
+    private static boolean ends(Job job) {
+        return job.record.live.isEmpty() && (job.record.cancelled() || job.record.complete());
     }
 
     /**
      * More urgent jobs first; of one urgency those that have ended, for their users wait, then launches. Ended tasks come last. With
      * all ends first, thousands of tiny jobs' ends kept urgent launches waiting for seconds.
      */
-    private static int commitRank(Job j) {
-        if (ends(j)) {
-            return 2 * j.spec().urgency().ordinal();
+    private static int commitRank(Job job) {
+        if (ends(job)) {
+            return 2 * job.spec().urgency().ordinal();
         }
-        return j.uncommitted > 0 || j.width() < j.committedWidth
-                ? 1 + 2 * j.spec().urgency().ordinal()
+        return job.uncommitted > 0 || job.width() < job.committedWidth
+                ? 1 + 2 * job.spec().urgency().ordinal()
                 : GATHERED;
     }
 
@@ -358,57 +360,57 @@
         return loading.active() ? book.dirty().size() : 0;
     }
 
-    private void committed(Commit c, boolean rotating, Batch batch, List<Placement> placed) {
+    private void committed(Commit commit, boolean rotating, Batch batch, List<Placement> placed) {
         batch.parts().forEach(p -> p.job.inFlight = false);
-        result(c, rotating, batch, placed);
+        result(commit, rotating, batch, placed);
         if (loading.complete()) {
             batch.parts().forEach(p -> loading.takeUp(p.job));
         }
     }
 
-    private void result(Commit c, boolean rotating, Batch batch, List<Placement> placed) {
-        switch (c.result()) {
+    private void result(Commit commit, boolean rotating, Batch batch, List<Placement> placed) {
+        switch (commit.result()) {
             case DONE -> {
                 if (rotating) {
-                    election.rotated(c.revision());
+                    election.rotated(commit.revision());
                     LOG.info("baton rewritten: {}", election.baton().value());
                 }
                 batch.made();
-                for (Batch.Part p : batch.parts()) {
-                    if (p.way == Batch.Way.RECORD) {
-                        p.job.version = c.revision();
-                    } else if (p.way.ends()) {
-                        JsonNode state = p.job.record.endedNode(p.job.finalState());
-                        if (p.way == Batch.Way.END_HERE) {
-                            loading.standsOver(
-                                    new StoreClient.Item(JobRecord.openKey(p.job.ref()), state, c.revision(), 0));
+                for (Batch.Part part : batch.parts()) {
+                    if (part.way == Batch.Way.RECORD) {
+                        part.job.version = commit.revision();
+                    } else if (part.way.ends()) {
+                        JsonNode state = part.job.record.endedNode(part.job.finalState());
+                        if (part.way == Batch.Way.END_HERE) {
+                            loading.standsOver(new StoreClient.Item(
+                                    JobRecord.openKey(part.job.ref()), state, commit.revision(), 0));
                         }
-                        book.ended(p.job);
-                        listener.ended(p.job, state);
-                        LOG.info("{} ended: {}", p.job.ref(), p.job.finalState());
+                        book.ended(part.job);
+                        listener.ended(part.job, state);
+                        LOG.info("{} ended: {}", part.job.ref(), part.job.finalState());
                     }
-                    if (!p.way.ends() && ends(p.job)) {
-                        book.touch(p.job); // gathered for the log's sake; written off as clean, it once never ended
+                    if (!part.way.ends() && ends(part.job)) {
+                        book.touch(part.job); // gathered for the log's sake; written off as clean, it once never ended
                     }
                 }
-                for (Placement p : placed) {
-                    p.committed = true;
-                    Job j = book.job(p.task.job());
-                    if (j != null && j.record.live.get(p.task.index()) == p) {
-                        j.uncommitted--;
+                for (Placement placement : placed) {
+                    placement.committed = true;
+                    Job job = book.job(placement.task.job());
+                    if (job != null && job.record.live.get(placement.task.index()) == placement) {
+                        job.uncommitted--;
                     }
                 }
                 listener.placed(placed);
                 batch.parts().forEach(p -> listener.written(p.job));
             }
             case CONFLICT -> {
-                if (c.failed().contains(Election.KEY)) {
+                if (commit.failed().contains(Election.KEY)) {
                     election.lose("the key was rewritten");
-                } else if (holds.overtaken(c.failed())) {
+                } else if (holds.overtaken(commit.failed())) {
                     notMade(batch, rotating);
                 } else {
                     // A cancellation came first, most likely: read the book again and go on from there.
-                    LOG.info("commit overtaken on {}", c.failed());
+                    LOG.info("commit overtaken on {}", commit.failed());
                     loading.reload();
                 }
             }
@@ -421,7 +423,7 @@
                 notMade(batch, rotating);
                 nextCommit = turn.now().plusMs(200);
             }
-            default -> throw new IllegalStateException("commit ended with " + c.result());
+            default -> throw new IllegalStateException("commit ended with " + commit.result());
         }
     }
 
@@ -437,30 +439,30 @@
      */
     private void settle() {
         loading.suspend();
-        long e = loading.epoch();
+        long expectedEpoch = loading.epoch();
         Txn txn = election.guarded();
         election.rotateIn(txn);
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
-        store.commit(txn, c -> {
-            if (e != loading.epoch()) {
+        store.commit(txn, commit -> {
+            if (expectedEpoch != loading.epoch()) {
                 return;
             }
-            switch (c.result()) {
+            switch (commit.result()) {
                 case DONE -> {
-                    election.rotated(c.revision());
+                    election.rotated(commit.revision());
                     loading.reload();
                 }
-                case CONFLICT -> rewritten(e);
+                case CONFLICT -> rewritten(expectedEpoch);
                 case NO_LEASE -> election.lose("the lease ended");
-                default -> again(e, this::settle);
+                default -> again(expectedEpoch, this::settle);
             }
         });
     }
 
-    private void again(long e, Runnable then) {
+    private void again(long expectedEpoch, Runnable then) {
         turn.after(300, () -> {
-            if (e == loading.epoch()) {
+            if (expectedEpoch == loading.epoch()) {
                 then.run();
             }
         });
@@ -470,15 +472,15 @@
      * The key is not as this leader knows it: an earlier rewriting of its own was made and only its answer was lost, or another node's.
      * Its own settles the matter as well, for whatever was guarded by the older revision can't be made any more.
      */
-    private void rewritten(long e) {
+    private void rewritten(long expectedEpoch) {
         election.readOwn(own -> {
-            if (e != loading.epoch()) {
+            if (expectedEpoch != loading.epoch()) {
                 return;
             }
             switch (own) {
                 case STILL -> loading.reload();
                 case GONE -> election.lose("the key was rewritten");
-                default -> again(e, () -> rewritten(e));
+                default -> again(expectedEpoch, () -> rewritten(expectedEpoch));
             }
         });
     }
--- a/src/main/java/org/beechhoist/core/Controller.java
+++ b/src/main/java/org/beechhoist/core/Controller.java
@@ -99,14 +99,14 @@
         this.requests = new Budget(settings.stateLimits().rps());
         this.writes = new Budget(settings.stateLimits().writeRps());
         StoreClient store = new StoreClient((target, address, method, path, body, timeoutMs, then) ->
-                turn.call(target, address, method, path, body, timeoutMs, o -> {
-                    storeUnheard = o.kind() == Outcome.Kind.ANSWERED ? 0 : storeUnheard + 1;
-                    storeHeard = o.kind() == Outcome.Kind.ANSWERED ? turn.now() : storeHeard;
-                    if (o.kind() == Outcome.Kind.ANSWERED && o.status() < 500) {
+                turn.call(target, address, method, path, body, timeoutMs, result -> {
+                    storeUnheard = result.kind() == Outcome.Kind.ANSWERED ? 0 : storeUnheard + 1;
+                    storeHeard = result.kind() == Outcome.Kind.ANSWERED ? turn.now() : storeHeard;
+                    if (result.kind() == Outcome.Kind.ANSWERED && result.status() < 500) {
                         seenStore = true;
                         storeServed = turn.now();
                     }
-                    then.accept(o);
+                    then.accept(result);
                 }));
         this.types = new Types(turn);
         this.keys = policy.keySets()
@@ -349,9 +349,9 @@
         return turn.drain();
     }
 
-    public void outcome(Tick now, long wallMs, long call, Outcome o) {
+    public void outcome(Tick now, long wallMs, long call, Outcome result) {
         begin(now, wallMs);
-        turn.outcome(call, o);
+        turn.outcome(call, result);
         turn.runTimers();
         settleTurn();
     }
--- a/src/main/java/org/beechhoist/core/CronApi.java
+++ b/src/main/java/org/beechhoist/core/CronApi.java
@@ -80,13 +80,13 @@
     /** All of a prefix, or null where it could not be read. */
     private void all(String prefix, String after, List<StoreClient.Item> items, Consumer<List<StoreClient.Item>> then) {
         requests.take(turn.now(), 1);
-        store.list(prefix, after, 500, p -> {
-            if (!p.ok()) {
+        store.list(prefix, after, 500, page -> {
+            if (!page.ok()) {
                 then.accept(null);
                 return;
             }
-            items.addAll(p.items());
-            if (p.more() && !p.items().isEmpty()) {
+            items.addAll(page.items());
+            if (page.more() && !page.items().isEmpty()) {
                 all(prefix, items.get(items.size() - 1).key(), items, then);
             } else {
                 then.accept(items);
@@ -108,15 +108,15 @@
                 return;
             }
             Installed in = new Installed();
-            for (StoreClient.Item i : items) {
+            for (StoreClient.Item item : items) {
                 try {
-                    if (i.key().startsWith(ScheduleKeys.TABLES)) {
-                        in.tables.put(i.key().substring(ScheduleKeys.TABLES.length()), i);
-                    } else if (i.key().startsWith(ScheduleKeys.CALENDARS)) {
-                        String name = i.key().substring(ScheduleKeys.CALENDARS.length());
-                        in.calendars.put(name, Calendar.parse(i.value(), name));
+                    if (item.key().startsWith(ScheduleKeys.TABLES)) {
+                        in.tables.put(item.key().substring(ScheduleKeys.TABLES.length()), item);
+                    } else if (item.key().startsWith(ScheduleKeys.CALENDARS)) {
+                        String name = item.key().substring(ScheduleKeys.CALENDARS.length());
+                        in.calendars.put(name, Calendar.parse(item.value(), name));
                     } else {
-                        in.parts.put(i.key(), i.value());
+                        in.parts.put(item.key(), item.value());
                     }
                 } catch (Malformed e) {
                     // shown to nobody; the leader's log names it
@@ -130,10 +130,10 @@
         List<Entry> out = new ArrayList<>();
         JsonNode meta = in.tables.get(table).value();
         for (int n = 0; n < meta.path("chunks").asInt(); n++) {
-            for (JsonNode e : in.parts.getOrDefault(
+            for (JsonNode node : in.parts.getOrDefault(
                     ScheduleKeys.definition(table, meta.path("gen").asLong(), n), Codec.list())) {
                 try {
-                    out.add(Entry.parse(table, e));
+                    out.add(Entry.parse(table, node));
                 } catch (Malformed m) {
                     // the leader's log names it
                 }
@@ -162,32 +162,37 @@
             if (in.tables.containsKey(table)) {
                 entries(in, table).forEach(e -> before.put(e.id(), e));
             }
-            for (Entry e : parsed) {
-                String bad = judge(e, in);
+            for (Entry entry : parsed) {
+                String bad = judge(entry, in);
                 if (bad != null) {
                     answer.with(
                             bad.equals(UserApi.TYPES)
                                     ? 503
-                                    : e.calendar() != null && !in.calendars.containsKey(e.calendar()) ? 400 : 422,
-                            error("line " + e.line() + ": " + bad));
+                                    : entry.calendar() != null && !in.calendars.containsKey(entry.calendar())
+                                            ? 400
+                                            : 422,
+                            error("line " + entry.line() + ": " + bad));
                     return;
                 }
                 // A line that stays goes on where it was: what is due at this very moment is not lost.
-                all.add(before.containsKey(e.id()) ? e.at(before.get(e.id()).since()) : e);
+                all.add(
+                        before.containsKey(entry.id())
+                                ? entry.at(before.get(entry.id()).since())
+                                : entry);
             }
             write(table, all, in, answer);
         });
     }
 
-    private String judge(Entry e, Installed in) {
-        if (e.calendar() != null && !in.calendars.containsKey(e.calendar())) {
-            return "calendar = " + e.calendar() + ": an installed calendar is expected"
+    private String judge(Entry entry, Installed in) {
+        if (entry.calendar() != null && !in.calendars.containsKey(entry.calendar())) {
+            return "calendar = " + entry.calendar() + ": an installed calendar is expected"
                     + (in.calendars.isEmpty()
                             ? ", there is none"
                             : ": " + String.join(", ", new TreeMap<>(in.calendars).keySet()));
         }
         try {
-            JobSpec job = e.job(Instant.ofEpochMilli(turn.wallMs()));
+            JobSpec job = entry.job(Instant.ofEpochMilli(turn.wallMs()));
             return users.judge(job);
         } catch (Malformed m) {
             return m.getMessage();
@@ -201,15 +206,15 @@
                 .thenComparing(Entry::id));
         List<ArrayNode> out = new ArrayList<>();
         int bytes = PART_BYTES;
-        for (Entry e : sorted) {
-            ObjectNode n = e.toNode();
-            int size = Codec.countedBytes(n);
+        for (Entry entry : sorted) {
+            ObjectNode node = entry.toNode();
+            int size = Codec.countedBytes(node);
             if (bytes + size > PART_BYTES || out.get(out.size() - 1).size() >= PART_LINES) {
                 out.add(Codec.list());
                 bytes = 0;
             }
             bytes += size;
-            out.get(out.size() - 1).add(n);
+            out.get(out.size() - 1).add(node);
         }
         return out;
     }
@@ -233,8 +238,8 @@
             Txn txn = new Txn()
                     .guard(key, old == null ? Revision.ABSENT : old.version())
                     .put(key, meta);
-            send(txn, c -> {
-                switch (c.result()) {
+            send(txn, commit -> {
+                switch (commit.result()) {
                     case DONE -> {
                         answer.with(
                                 old == null ? 201 : 200,
@@ -264,19 +269,19 @@
             then.accept(true);
             return;
         }
-        int n = (int) Math.min(
+        int count = (int) Math.min(
                 Math.min(PUTS_AT_ONCE, settings.stateLimits().txnOps()), Math.floor(writes.available(turn.now())));
-        if (n < 1) {
+        if (count < 1) {
             turn.after(WAIT_MS, () -> writeParts(table, gen, parts, from, then));
             return;
         }
         Txn txn = new Txn();
-        int to = Math.min(parts.size(), from + n);
+        int to = Math.min(parts.size(), from + count);
         for (int i = from; i < to; i++) {
             txn.put(ScheduleKeys.definition(table, gen, i), parts.get(i));
         }
-        send(txn, c -> {
-            if (c.result() == Commit.Result.DONE) {
+        send(txn, commit -> {
+            if (commit.result() == Commit.Result.DONE) {
                 writeParts(table, gen, parts, to, then);
             } else {
                 then.accept(false);
@@ -312,8 +317,8 @@
                 answer.with(404, error("no such table"));
                 return;
             }
-            send(new Txn().guard(old.key(), old.version()).delete(old.key()), c -> {
-                switch (c.result()) {
+            send(new Txn().guard(old.key(), old.version()).delete(old.key()), commit -> {
+                switch (commit.result()) {
                     case DONE -> {
                         answer.with(200, Codec.map().put("table", table).put("lines", 0));
                         List<String> keys = new ArrayList<>(stale(in, table, old));
@@ -333,19 +338,21 @@
         installed(answer, in -> {
             ObjectNode out = Codec.map();
             ArrayNode tables = out.putArray("tables");
-            in.tables.forEach((name, i) -> tables.addObject()
+            in.tables.forEach((name, item) -> tables.addObject()
                     .put("table", name)
-                    .put("lines", i.value().path("lines").asInt())
+                    .put("lines", item.value().path("lines").asInt())
                     .put(
                             "installed",
-                            Instant.ofEpochSecond(i.value().path("installed").asLong())
+                            Instant.ofEpochSecond(item.value().path("installed").asLong())
                                     .toString()));
             ArrayNode calendars = out.putArray("calendars");
-            new TreeMap<>(in.calendars).forEach((name, c) -> calendars
+            new TreeMap<>(in.calendars).forEach((name, calendar) -> calendars
                     .addObject()
                     .put("calendar", name)
-                    .put("version", c.version())
-                    .put("days", c.holidays().size() + c.workdays().size()));
+                    .put("version", calendar.version())
+                    .put(
+                            "days",
+                            calendar.holidays().size() + calendar.workdays().size()));
             answer.with(200, out);
         });
     }
@@ -363,11 +370,11 @@
                     return;
                 }
                 Map<String, JsonNode> byId = new HashMap<>();
-                cursors.forEach(c -> c.value()
+                cursors.forEach(item -> item.value()
                         .fields()
-                        .forEachRemaining(f -> byId.merge(
-                                f.getKey(),
-                                f.getValue(),
+                        .forEachRemaining(entry -> byId.merge(
+                                entry.getKey(),
+                                entry.getValue(),
                                 (a, b) -> a.path(0).asLong() >= b.path(0).asLong() ? a : b)));
                 List<Entry> lines = entries(in, table);
                 lines.removeIf(e -> e.line() <= after);
@@ -381,21 +388,23 @@
     }
 
     private void rows(List<Entry> lines, Installed in, Map<String, JsonNode> cursors, ArrayNode rows) {
-        for (Entry e : lines) {
-            JsonNode cursor = cursors.getOrDefault(e.id(), Codec.list());
-            long at = Math.max(e.since(), cursor.path(0).asLong());
-            Calendar calendar = in.calendars.get(e.calendar());
-            Instant next = e.calendar() != null && calendar == null
+        for (Entry entry : lines) {
+            JsonNode cursor = cursors.getOrDefault(entry.id(), Codec.list());
+            long at = Math.max(entry.since(), cursor.path(0).asLong());
+            Calendar calendar = in.calendars.get(entry.calendar());
+            Instant next = entry.calendar() != null && calendar == null
                     ? null
-                    : Occurrences.next(e, calendar, Instant.ofEpochSecond(at));
+                    : Occurrences.next(entry, calendar, Instant.ofEpochSecond(at));
             ObjectNode row = rows.addObject()
-                    .put("line", e.line())
-                    .put("job", e.jobName())
+                    .put("line", entry.line())
+                    .put("job", entry.jobName())
                     .put(
                             "next",
                             next == null
                                     ? null
-                                    : next.atZone(e.zone()).toOffsetDateTime().toString());
+                                    : next.atZone(entry.zone())
+                                            .toOffsetDateTime()
+                                            .toString());
             if (!cursor.path(1).asText().isEmpty()) {
                 row.put("last", cursor.path(1).asText())
                         .put(
@@ -405,9 +414,9 @@
             if (cursor.path(3).asInt() > 0) {
                 row.put("passedOver", cursor.path(3).asInt());
             }
-            String why = e.calendar() != null && calendar == null
-                    ? "its calendar " + e.calendar() + " is gone"
-                    : held.why(e.table(), e.id());
+            String why = entry.calendar() != null && calendar == null
+                    ? "its calendar " + entry.calendar() + " is gone"
+                    : held.why(entry.table(), entry.id());
             if (why != null) {
                 row.put("held", why);
             }
@@ -416,15 +425,15 @@
 
     /** How the lines' last runs stand, one after the other. */
     private void outcomes(ArrayNode rows, int from, Runnable then) {
-        int i = from;
-        while (i < rows.size() && !rows.get(i).has("last")) {
-            i++;
+        int index = from;
+        while (index < rows.size() && !rows.get(index).has("last")) {
+            index++;
         }
-        if (i >= rows.size()) {
+        if (index >= rows.size()) {
             then.run();
             return;
         }
-        int row = i;
+        int row = index;
         users.peek(new JobRef(rows.get(row).get("last").textValue()), state -> {
             if (state != null) {
                 ((ObjectNode) rows.get(row)).put("outcome", state.path("status").asText());
@@ -440,14 +449,14 @@
     // ---- calendars ----
 
     void installCalendar(String name, JsonNode body, Answer answer) {
-        Calendar c;
+        Calendar calendar;
         try {
-            c = Calendar.parse(body, name);
+            calendar = Calendar.parse(body, name);
         } catch (Malformed e) {
             answer.with(400, error(e.getMessage()));
             return;
         }
-        ObjectNode value = c.toNode();
+        ObjectNode value = calendar.toNode();
         if (Codec.countedBytes(value) > PART_BYTES) {
             answer.with(
                     400,
@@ -455,9 +464,9 @@
                             + " are allowed"));
             return;
         }
-        send(new Txn().put(ScheduleKeys.CALENDARS + name, value), r -> {
-            if (r.result() == Commit.Result.DONE) {
-                answer.with(200, Codec.map().put("calendar", name).put("version", c.version()));
+        send(new Txn().put(ScheduleKeys.CALENDARS + name, value), commit -> {
+            if (commit.result() == Commit.Result.DONE) {
+                answer.with(200, Codec.map().put("calendar", name).put("version", calendar.version()));
             } else {
                 unknown(answer);
             }
@@ -466,13 +475,13 @@
 
     void calendar(String name, Answer answer) {
         requests.take(turn.now(), 1);
-        store.get(ScheduleKeys.CALENDARS + name, r -> {
-            if (!r.known()) {
+        store.get(ScheduleKeys.CALENDARS + name, read -> {
+            if (!read.known()) {
                 unknown(answer);
-            } else if (r.item() == null) {
+            } else if (read.item() == null) {
                 answer.with(404, error("no such calendar"));
             } else {
-                answer.with(200, r.item().value());
+                answer.with(200, read.item().value());
             }
         });
     }
--- a/src/main/java/org/beechhoist/core/Departures.java
+++ b/src/main/java/org/beechhoist/core/Departures.java
@@ -21,56 +21,58 @@
     }
 
     /** Sends a committed placement on its way, unless its job was cancelled meanwhile or its machine is about to go. */
-    void launch(Placement p) {
-        Job j = book.job(p.task.job());
-        if (j == null || j.record.live.get(p.task.index()) != p) {
+    void launch(Placement placement) {
+        Job job = book.job(placement.task.job());
+        if (job == null || job.record.live.get(placement.task.index()) != placement) {
             return;
         }
-        if (j.cancelled() || j.held() || !p.sent && book.host(p.host).going()) {
-            remove(j, p);
+        if (job.cancelled()
+                || job.held()
+                || !placement.sent && book.host(placement.host).going()) {
+            remove(job, placement);
             return;
         }
-        LOG.info("{} try {} goes to {}", p.task, p.attempt, p.host);
-        book.host(p.host).outbox.add(Order.launch(p.task, p.attempt));
+        LOG.info("{} try {} goes to {}", placement.task, placement.attempt, placement.host);
+        book.host(placement.host).outbox.add(Order.launch(placement.task, placement.attempt));
     }
 
     /** The task is certainly not there. */
-    void remove(Job j, Placement p) {
-        j.leaving.remove(p);
-        if (j.record.live.remove(p.task.index(), p) && !p.committed) {
-            j.uncommitted--;
+    void remove(Job job, Placement placement) {
+        job.leaving.remove(placement);
+        if (job.record.live.remove(placement.task.index(), placement) && !placement.committed) {
+            job.uncommitted--;
         }
-        if (j.spec().gang() && !j.record.done.contains(p.task.index())) {
-            j.record.live.values().forEach(stopping::endWithGang);
+        if (job.spec().gang() && !job.record.done.contains(placement.task.index())) {
+            job.record.live.values().forEach(stopping::endWithGang);
         }
-        book.host(p.host).placements.remove(p.task, p);
-        book.touch(j);
+        book.host(placement.host).placements.remove(placement.task, placement);
+        book.touch(job);
         book.replan();
     }
 
     /** The cloud has confirmed that the machine and all on it are gone. */
     void hostGone(HostId id) {
-        Host h = book.drop(id);
-        if (h != null) {
-            clear(h, "the machine is gone");
+        Host machine = book.drop(id);
+        if (machine != null) {
+            clear(machine, "the machine is gone");
         }
     }
 
-    void clear(Host h, String why) {
-        for (Placement p : new ArrayList<>(h.placements.values())) {
-            Job j = book.job(p.task.job());
-            h.placements.remove(p.task);
-            if (j != null && j.record.live.get(p.task.index()) == p) {
-                LOG.info("{} try {} left {}: {}", p.task, p.attempt, h.id, why);
-                j.record.live.remove(p.task.index());
-                recovery.lost(j, p);
-                stopping.lostWithMachine(p);
-                j.leaving.remove(p);
-                j.uncommitted -= p.committed ? 0 : 1;
-                if (j.spec().gang()) {
-                    j.record.live.values().forEach(stopping::endWithGang);
+    void clear(Host machine, String why) {
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            Job job = book.job(placement.task.job());
+            machine.placements.remove(placement.task);
+            if (job != null && job.record.live.get(placement.task.index()) == placement) {
+                LOG.info("{} try {} left {}: {}", placement.task, placement.attempt, machine.id, why);
+                job.record.live.remove(placement.task.index());
+                recovery.lost(job, placement);
+                stopping.lostWithMachine(placement);
+                job.leaving.remove(placement);
+                job.uncommitted -= placement.committed ? 0 : 1;
+                if (job.spec().gang()) {
+                    job.record.live.values().forEach(stopping::endWithGang);
                 }
-                book.touch(j);
+                book.touch(job);
             }
         }
         book.replan();
--- a/src/main/java/org/beechhoist/core/Dispatch.java
+++ b/src/main/java/org/beechhoist/core/Dispatch.java
@@ -32,63 +32,71 @@
         Map<JobRef, ArrayDeque<Integer>> waiting = new HashMap<>();
         Map<JobRef, Integer> due = new HashMap<>();
         Map<JobRef, Long> attempts = new HashMap<>();
-        for (Plan.Reservation r : next.reservations()) {
-            if (r.hostUp() && r.startMs() <= turn.now().ms()) {
-                due.merge(r.job(), 1, Integer::sum);
+        for (Plan.Reservation reservation : next.reservations()) {
+            if (reservation.hostUp() && reservation.startMs() <= turn.now().ms()) {
+                due.merge(reservation.job(), 1, Integer::sum);
             }
         }
-        for (Plan.Reservation r : next.reservations()) {
-            if (!r.hostUp() || r.startMs() > turn.now().ms()) {
+        for (Plan.Reservation reservation : next.reservations()) {
+            if (!reservation.hostUp() || reservation.startMs() > turn.now().ms()) {
                 continue;
             }
-            Job j = book.job(r.job());
-            if (j.spec().gang() && due.get(r.job()) < j.spec().tasks() - j.record.done.size()) {
+            Job job = book.job(reservation.job());
+            if (job.spec().gang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
                 continue; // all of it or nothing
             }
-            Host h = book.known(r.host());
+            Host machine = book.known(reservation.host());
             if (used == null) {
                 used = book.usedByTeams();
             }
-            if (!admission.admissible(j, h, used) || Elastic.mayPlace(j) <= 0 || (r.wide() && !admission.mayWiden(h))) {
+            if (!admission.admissible(job, machine, used)
+                    || Elastic.mayPlace(job) <= 0
+                    || (reservation.wide() && !admission.mayWiden(machine))) {
                 continue;
             }
             ArrayDeque<Integer> free =
-                    waiting.computeIfAbsent(r.job(), k -> new ArrayDeque<>(j.record.waiting(due.get(k))));
-            if (free.isEmpty() || j.notBefore.ms() > turn.now().ms()) {
+                    waiting.computeIfAbsent(reservation.job(), k -> new ArrayDeque<>(job.record.waiting(due.get(k))));
+            if (free.isEmpty() || job.notBefore.ms() > turn.now().ms()) {
                 continue;
             }
-            TaskId id = new TaskId(r.job(), free.poll());
+            TaskId id = new TaskId(reservation.job(), free.poll());
             // A gang's tasks find one another by their common attempt.
-            long attempt = j.spec().gang()
-                    ? attempts.computeIfAbsent(r.job(), k -> j.record.nextAttempt++)
-                    : j.record.nextAttempt++;
-            enter(j, id, attempt, h, r.fetchMs());
-            double[] u = used.computeIfAbsent(j.spec().team(), k -> new double[2]);
-            u[0] += j.spec().cpus();
-            u[1] += j.spec().gpus();
+            long attempt = job.spec().gang()
+                    ? attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
+                    : job.record.nextAttempt++;
+            enter(job, id, attempt, machine, reservation.fetchMs());
+            double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
+            usage[0] += job.spec().cpus();
+            usage[1] += job.spec().gpus();
         }
     }
 
     /** Places one task on this machine, if the rules allow it now, whatever the plan says. */
-    boolean place(Job j, int index, Host h) {
-        if (j.spec().gang() || !admission.admissible(j, h, book.usedByTeams())) {
+    boolean place(Job job, int index, Host machine) {
+        if (job.spec().gang() || !admission.admissible(job, machine, book.usedByTeams())) {
             return false;
         }
-        enter(j, new TaskId(j.ref(), index), j.record.nextAttempt++, h, h.fetchMs(j.spec(), types.get(h.type)));
+        enter(
+                job,
+                new TaskId(job.ref(), index),
+                job.record.nextAttempt++,
+                machine,
+                machine.fetchMs(job.spec(), types.get(machine.type)));
         return true;
     }
 
-    private void enter(Job j, TaskId id, long attempt, Host h, long fetchMs) {
-        Placement p = new Placement(id, attempt, h.id);
-        p.since = turn.now();
-        p.placedS = (int) Math.max(0, Math.min(Integer.MAX_VALUE, (turn.wallMs() - j.record.submittedWallMs) / 1000));
-        p.fetchMs = fetchMs;
-        p.expectedMs = estimates.lengthMs(j.spec());
-        j.record.live.put(id.index(), p);
-        h.placements.put(id, p);
-        j.uncommitted++;
-        elastic.placed(j);
-        h.idleSince = null;
-        book.touch(j);
+    private void enter(Job job, TaskId id, long attempt, Host machine, long fetchMs) {
+        Placement placement = new Placement(id, attempt, machine.id);
+        placement.since = turn.now();
+        placement.placedS =
+                (int) Math.max(0, Math.min(Integer.MAX_VALUE, (turn.wallMs() - job.record.submittedWallMs) / 1000));
+        placement.fetchMs = fetchMs;
+        placement.expectedMs = estimates.lengthMs(job.spec());
+        job.record.live.put(id.index(), placement);
+        machine.placements.put(id, placement);
+        job.uncommitted++;
+        elastic.placed(job);
+        machine.idleSince = null;
+        book.touch(job);
     }
 }
--- a/src/main/java/org/beechhoist/core/Disruptions.java
+++ b/src/main/java/org/beechhoist/core/Disruptions.java
@@ -107,26 +107,31 @@
     // ---- charging ----
 
     /** CPU seconds that stopping it now throws away. */
-    static double lostCpuS(JobSpec s, Placement p, Tick now) {
-        if (s.service() || p.running == null) {
+    static double lostCpuS(JobSpec spec, Placement placement, Tick now) {
+        if (spec.service() || placement.running == null) {
             return 0;
         }
-        double ran = Math.max(0, now.since(p.running) / 1000.0);
-        return s.cpus() * (s.checkpointS() > 0 ? ran % s.checkpointS() : ran);
+        double ran = Math.max(0, now.since(placement.running) / 1000.0);
+        return spec.cpus() * (spec.checkpointS() > 0 ? ran % spec.checkpointS() : ran);
     }
 
     /** A task had to leave; what was done on purpose was charged before. */
-    void happened(Placement p, Cause cause) {
-        Job j = on && !cause.onPurpose() ? book.job(p.task.job()) : null;
-        if (j == null || j.cancelled() || !read) {
+    void happened(Placement placement, Cause cause) {
+        Job job = on && !cause.onPurpose() ? book.job(placement.task.job()) : null;
+        if (job == null || job.cancelled() || !read) {
             return;
         }
-        JobSpec s = j.spec();
-        accounts.computeIfAbsent(s.team(), k -> new Account())
+        JobSpec spec = job.spec();
+        accounts.computeIfAbsent(spec.team(), k -> new Account())
                 .charge(
-                        p.task,
-                        new Account.Away(p.attempt, s.jobClass(), cause, lostCpuS(s, p, turn.now()), turn.wallMs()));
-        dirty.add(s.team());
+                        placement.task,
+                        new Account.Away(
+                                placement.attempt,
+                                spec.jobClass(),
+                                cause,
+                                lostCpuS(spec, placement, turn.now()),
+                                turn.wallMs()));
+        dirty.add(spec.team());
     }
 
     /** What a decision may charge on, and hand back with {@link #into} and {@link #adopt} once it is committed. */
@@ -137,28 +142,28 @@
     }
 
     /** Whether the account is of the size that a value may have; it is made smaller first where that helps. */
-    boolean fits(Account a) {
-        if (Codec.countedBytes(a.toNode()) > settings.stateLimits().valueBytes()) {
-            a.shrink();
+    boolean fits(Account account) {
+        if (Codec.countedBytes(account.toNode()) > settings.stateLimits().valueBytes()) {
+            account.shrink();
         }
-        return Codec.countedBytes(a.toNode()) <= settings.stateLimits().valueBytes();
+        return Codec.countedBytes(account.toNode()) <= settings.stateLimits().valueBytes();
     }
 
-    void into(Txn txn, String team, Account a) {
-        txn.put(PREFIX + team, a.toNode());
+    void into(Txn txn, String team, Account account) {
+        txn.put(PREFIX + team, account.toNode());
     }
 
     /** The commit that charged it is made. */
-    void adopt(String team, Account a) {
-        accounts.put(team, a);
+    void adopt(String team, Account account) {
+        accounts.put(team, account);
         dirty.remove(team);
     }
 
     /** Whether this very attempt was charged to be stopped on purpose, by whichever leader. */
-    boolean isCharged(String team, Placement p) {
-        Account a = accounts.get(team);
-        Account.Away away = a == null ? null : a.away().get(p.task);
-        return away != null && away.attempt() == p.attempt;
+    boolean isCharged(String team, Placement placement) {
+        Account account = accounts.get(team);
+        Account.Away away = account == null ? null : account.away().get(placement.task);
+        return away != null && away.attempt() == placement.attempt;
     }
 
     // ---- what is over ----
@@ -168,9 +173,9 @@
             return;
         }
         next = turn.now().plusMs(EVERY_MS);
-        accounts.forEach((team, a) -> {
-            a.fold(turn.wallMs());
-            a.away().forEach((t, away) -> settle(team, a, t, away));
+        accounts.forEach((team, account) -> {
+            account.fold(turn.wallMs());
+            account.away().forEach((t, away) -> settle(team, account, t, away));
         });
         if (!dirty.isEmpty()
                 && !turn.now().before(nextWrite)
@@ -180,21 +185,21 @@
         }
     }
 
-    private void settle(String team, Account a, TaskId t, Account.Away away) {
-        Job j = book.job(t.job());
-        Placement p = j == null ? null : j.record.live.get(t.index());
-        boolean over = j == null && !book.unreadable(t.job())
-                || j != null && (j.cancelled() || j.record.done.contains(t.index()));
-        if (over || p != null && p.attempt > away.attempt() && p.running != null) {
-            a.back(t);
+    private void settle(String team, Account account, TaskId task, Account.Away away) {
+        Job job = book.job(task.job());
+        Placement placement = job == null ? null : job.record.live.get(task.index());
+        boolean over = job == null && !book.unreadable(task.job())
+                || job != null && (job.cancelled() || job.record.done.contains(task.index()));
+        if (over || placement != null && placement.attempt > away.attempt() && placement.running != null) {
+            account.back(task);
             dirty.add(team);
-        } else if (p != null
-                && p.attempt == away.attempt()
-                && !p.killSent
+        } else if (placement != null
+                && placement.attempt == away.attempt()
+                && !placement.killSent
                 && turn.wallMs() - away.atMs() > NEVER_STOPPED_MS
-                && neverLeaves(j, p)) {
-            LOG.info("{} was to leave {} and never had to: its charge is given back", t, p.host);
-            a.undo(t);
+                && neverLeaves(job, placement)) {
+            LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.host);
+            account.undo(task);
             dirty.add(team);
         }
     }
@@ -203,14 +208,14 @@
      * Nobody stops it any more: its machine is not emptied, or it is a replica that lost the place it was to move to. And a report since
      * this leadership began shows it there: an earlier leader's stop can't come any more.
      */
-    private boolean neverLeaves(Job j, Placement p) {
-        Host h = book.known(p.host);
-        return h != null
-                && (h.cordonedBy == null || j.spec().service())
-                && !moving.test(h.id)
-                && p.seen
-                && h.lastCheckin != null
-                && h.lastCheckin.baton().compareTo(election.firstBaton()) >= 0;
+    private boolean neverLeaves(Job job, Placement placement) {
+        Host machine = book.known(placement.host);
+        return machine != null
+                && (machine.cordonedBy == null || job.spec().service())
+                && !moving.test(machine.id)
+                && placement.seen
+                && machine.lastCheckin != null
+                && machine.lastCheckin.baton().compareTo(election.firstBaton()) >= 0;
     }
 
     private void write() {
@@ -226,8 +231,8 @@
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
         long reign = book.reign();
-        store.commit(txn, c -> {
-            if (reign == book.reign() && c.result() != Commit.Result.DONE) {
+        store.commit(txn, commit -> {
+            if (reign == book.reign() && commit.result() != Commit.Result.DONE) {
                 dirty.addAll(teams);
             }
         });
@@ -242,34 +247,34 @@
         Map<String, DisruptionBudget> all = new HashMap<>();
         teams.forEach(t -> all.put(t, budgets.ofTeam(t)));
         budgets.all().stream().filter(b -> b.jobClass() != null).forEach(b -> all.put(b.key(), b));
-        new TreeMap<>(all).forEach((key, b) -> {
+        new TreeMap<>(all).forEach((key, budget) -> {
             if (rows.size() == MOST_ROWS) {
                 out.put("more", all.size() - MOST_ROWS);
                 return;
             }
-            String team = b.jobClass() == null ? key : b.team();
-            Account a = accounts.getOrDefault(team, new Account());
-            Account.Sum hour = a.lastHour(b.jobClass(), turn.wallMs());
-            ObjectNode n = rows.addObject()
+            String team = budget.jobClass() == null ? key : budget.team();
+            Account account = accounts.getOrDefault(team, new Account());
+            Account.Sum hour = account.lastHour(budget.jobClass(), turn.wallMs());
+            ObjectNode node = rows.addObject()
                     .put("team", team)
-                    .put("class", b.jobClass())
-                    .put("of", b.key())
-                    .put("atOnce", b.atOnce())
+                    .put("class", budget.jobClass())
+                    .put("of", budget.key())
+                    .put("atOnce", budget.atOnce())
                     .put(
                             "away",
-                            a.away().values().stream()
-                                    .filter(w ->
-                                            b.jobClass() == null || b.jobClass().equals(w.jobClass()))
+                            account.away().values().stream()
+                                    .filter(w -> budget.jobClass() == null
+                                            || budget.jobClass().equals(w.jobClass()))
                                     .count())
-                    .put("lostCpuSPerHour", b.lostCpuSPerHour())
+                    .put("lostCpuSPerHour", budget.lostCpuSPerHour())
                     .put("lostCpuSLastHour", Math.round(hour.cpuS()))
                     .put("tasksLastHour", hour.tasks())
-                    .put("leastUp", b.leastUp())
-                    .put("againS", b.againS());
-            ObjectNode causes = n.putObject("sums");
-            a.sums().forEach((row, s) -> {
-                if (b.jobClass() == null || row.startsWith(b.jobClass() + " ")) {
-                    causes.putArray(row).add(s.tasks()).add(Math.round(s.cpuS()));
+                    .put("leastUp", budget.leastUp())
+                    .put("againS", budget.againS());
+            ObjectNode causes = node.putObject("sums");
+            account.sums().forEach((row, sum) -> {
+                if (budget.jobClass() == null || row.startsWith(budget.jobClass() + " ")) {
+                    causes.putArray(row).add(sum.tasks()).add(Math.round(sum.cpuS()));
                 }
             });
         });
--- a/src/main/java/org/beechhoist/core/DrainApi.java
+++ b/src/main/java/org/beechhoist/core/DrainApi.java
@@ -58,29 +58,29 @@
         String name = slash < 0 ? rest : rest.substring(0, slash);
         String verb = slash < 0 ? "" : rest.substring(slash + 1);
         try {
-            JsonNode n = method.equals("POST") ? Codec.decodeMap(body) : null;
+            JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
             if (!drains.read()) {
                 Amending.unknown(answer);
-            } else if (n == null && verb.isEmpty()) {
+            } else if (node == null && verb.isEmpty()) {
                 show(budgets, name, desk, answer);
-            } else if (n == null) {
+            } else if (node == null) {
                 answer.with(404, Amending.error("no such path"));
             } else if (budgets) {
-                budget(name, verb, n, answer);
+                budget(name, verb, node, answer);
             } else {
-                drain(name, verb, n, desk, answer);
+                drain(name, verb, node, desk, answer);
             }
         } catch (Malformed e) {
             answer.with(400, Amending.error(e.getMessage()));
         }
     }
 
-    private static String text(JsonNode n, String field) throws Malformed {
-        String s = Codec.text(n, field);
-        if (s.isBlank() || s.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + s + ": 1 to " + MOST_TEXT + " characters are expected");
+    private static String text(JsonNode node, String field) throws Malformed {
+        String text = Codec.text(node, field);
+        if (text.isBlank() || text.length() > MOST_TEXT) {
+            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
-        return s;
+        return text;
     }
 
     private void show(boolean budgets, String name, DrainDesk desk, CronApi.Answer answer) {
@@ -97,9 +97,10 @@
 
     // ---- drains ----
 
-    private void drain(String name, String verb, JsonNode n, DrainDesk desk, CronApi.Answer answer) throws Malformed {
+    private void drain(String name, String verb, JsonNode node, DrainDesk desk, CronApi.Answer answer)
+            throws Malformed {
         if (verb.equals("plan")) {
-            Drain described = described(name, n);
+            Drain described = described(name, node);
             answer.with(
                     desk == null ? 421 : 200,
                     desk == null
@@ -107,10 +108,10 @@
                             : desk.foresee(described));
             return;
         }
-        String who = text(n, "who");
-        String why = text(n, "why");
+        String who = text(node, "who");
+        String why = text(node, "why");
         switch (verb) {
-            case "put" -> put(name, n, who, why, answer);
+            case "put" -> put(name, node, who, why, answer);
             case "pause" -> change(name, Drain.State.PAUSED, "paused", who, why, answer);
             case "resume" -> change(name, Drain.State.RUNNING, "resumed", who, why, answer);
             case "abort" -> change(name, Drain.State.ABORTED, "aborted", who, why, answer);
@@ -142,24 +143,25 @@
                     if (before == null) {
                         throw new Amending.Refused(404, "name = " + name + ": the name of a drain is expected");
                     }
-                    Drain d = Drain.parse(before);
-                    if (d.state() == Drain.State.ABORTED) {
+                    Drain drain = Drain.parse(before);
+                    if (drain.state() == Drain.State.ABORTED) {
                         throw new Amending.Refused(409, "name = " + name + ": it was aborted; put it again");
                     }
-                    return d.to(to, what, who, turn.wallMs(), why).toNode();
+                    return drain.to(to, what, who, turn.wallMs(), why).toNode();
                 },
                 answer);
     }
 
-    private Drain described(String name, JsonNode n) throws Malformed {
-        Drain d = Drain.described(name, n, turn.wallMs());
-        if (d.which().zone() != null && !settings.zones().contains(d.which().zone())) {
+    private Drain described(String name, JsonNode node) throws Malformed {
+        Drain drain = Drain.described(name, node, turn.wallMs());
+        if (drain.which().zone() != null
+                && !settings.zones().contains(drain.which().zone())) {
             throw new Malformed(
-                    "zone = " + d.which().zone() + ": one of " + new TreeSet<>(settings.zones()) + " is expected");
+                    "zone = " + drain.which().zone() + ": one of " + new TreeSet<>(settings.zones()) + " is expected");
         }
-        type("type", d.which().type());
-        type("with", d.with());
-        return d;
+        type("type", drain.which().type());
+        type("with", drain.with());
+        return drain;
     }
 
     private void type(String field, String name) throws Malformed {
@@ -169,8 +171,8 @@
         }
     }
 
-    private void put(String name, JsonNode n, String who, String why, CronApi.Answer answer) throws Malformed {
-        Drain described = described(name, n);
+    private void put(String name, JsonNode node, String who, String why, CronApi.Answer answer) throws Malformed {
+        Drain described = described(name, node);
         if (drains.known(name) == null && drains.drains().size() >= MOST_DRAINS) {
             throw new Malformed(
                     "name = " + name + ": at most " + MOST_DRAINS + " drains are allowed; remove some that are over");
@@ -199,9 +201,9 @@
 
     // ---- budgets ----
 
-    private void budget(String key, String verb, JsonNode n, CronApi.Answer answer) throws Malformed {
-        String who = text(n, "who");
-        String why = text(n, "why");
+    private void budget(String key, String verb, JsonNode node, CronApi.Answer answer) throws Malformed {
+        String who = text(node, "who");
+        String why = text(node, "why");
         if (verb.equals("remove")) {
             amending.now(
                     DrainBook.BUDGETS + key,
@@ -219,7 +221,7 @@
             answer.with(404, Amending.error("no such path"));
             return;
         }
-        DisruptionBudget described = DisruptionBudget.described(n, who, turn.wallMs(), why, 1);
+        DisruptionBudget described = DisruptionBudget.described(node, who, turn.wallMs(), why, 1);
         Set<String> teams = new TreeSet<>(settings.teams().keySet());
         if (!described.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(described.team())) {
             throw new Malformed("team = " + described.team() + ": " + DisruptionBudget.DEFAULT + ", or one of " + teams
@@ -231,7 +233,7 @@
         amending.now(
                 DrainBook.BUDGETS + key,
                 before -> DisruptionBudget.described(
-                                n,
+                                node,
                                 who,
                                 turn.wallMs(),
                                 why,
--- a/src/main/java/org/beechhoist/core/DrainBook.java
+++ b/src/main/java/org/beechhoist/core/DrainBook.java
@@ -69,31 +69,31 @@
         return budgets;
     }
 
-    private void take(StoreClient.Item i) {
+    private void take(StoreClient.Item item) {
         try {
-            if (i.key().startsWith(DRAINS)) {
-                String name = i.key().substring(DRAINS.length());
-                if (i.value() == null) {
+            if (item.key().startsWith(DRAINS)) {
+                String name = item.key().substring(DRAINS.length());
+                if (item.value() == null) {
                     drains.remove(name);
                 } else {
-                    Drain d = Drain.parse(i.value());
-                    if (!d.name().equals(name)) {
-                        throw new Malformed("name = " + d.name() + ": it stands at " + i.key());
+                    Drain drain = Drain.parse(item.value());
+                    if (!drain.name().equals(name)) {
+                        throw new Malformed("name = " + drain.name() + ": it stands at " + item.key());
                     }
-                    drains.put(name, d);
+                    drains.put(name, drain);
                 }
-            } else if (i.key().startsWith(BUDGETS)) {
-                String key = i.key().substring(BUDGETS.length());
-                if (i.value() == null) {
+            } else if (item.key().startsWith(BUDGETS)) {
+                String key = item.key().substring(BUDGETS.length());
+                if (item.value() == null) {
                     declared.remove(key);
                 } else {
-                    declared.put(key, DisruptionBudget.parse(i.value()));
+                    declared.put(key, DisruptionBudget.parse(item.value()));
                 }
             }
         } catch (Malformed | RuntimeException e) {
             // A drain that can't be read empties nothing; a budget that can't be read is as it was before.
-            LOG.error("{} can't be read: {}", i.key(), e.getMessage());
-            drains.remove(i.key().startsWith(DRAINS) ? i.key().substring(DRAINS.length()) : "");
+            LOG.error("{} can't be read: {}", item.key(), e.getMessage());
+            drains.remove(item.key().startsWith(DRAINS) ? item.key().substring(DRAINS.length()) : "");
         }
     }
 
--- a/src/main/java/org/beechhoist/core/DrainDesk.java
+++ b/src/main/java/org/beechhoist/core/DrainDesk.java
@@ -141,21 +141,21 @@
 
     // ---- which machines ----
 
-    Selector.Machine machine(Host h) {
+    Selector.Machine machine(Host machine) {
         return new Selector.Machine(
-                h.id,
-                h.type,
-                h.zone,
-                h.spot,
-                h.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(h.rentedAt));
+                machine.id,
+                machine.type,
+                machine.zone,
+                machine.spot,
+                machine.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(machine.rentedAt));
     }
 
     /** Machines that the drain speaks of and that are still there. */
-    private List<Host> matched(Drain d) {
+    private List<Host> matched(Drain drain) {
         List<Host> out = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (h.known() && !h.returning && d.which().matches(machine(h), d.atMs())) {
-                out.add(h);
+        for (Host machine : book.hosts()) {
+            if (machine.known() && !machine.returning && drain.which().matches(machine(machine), drain.atMs())) {
+                out.add(machine);
             }
         }
         return out;
@@ -164,23 +164,23 @@
     /** Says of each machine who empties it; the first drain, where several would. */
     private void cordon() {
         Map<HostId, String> by = new HashMap<>();
-        for (Drain d : drains.drains()) {
-            Progress p = runs.get(d.name());
-            if (!d.holds(turn.wallMs())) {
+        for (Drain drain : drains.drains()) {
+            Progress progress = runs.get(drain.name());
+            if (!drain.holds(turn.wallMs())) {
                 continue;
             }
-            for (Host h : matched(d)) {
-                if (!d.replace() || p != null && p.begun.containsKey(h.id)) {
-                    by.putIfAbsent(h.id, d.name());
+            for (Host machine : matched(drain)) {
+                if (!drain.replace() || progress != null && progress.begun.containsKey(machine.id)) {
+                    by.putIfAbsent(machine.id, drain.name());
                 }
             }
         }
         boolean changed = false;
-        for (Host h : book.hosts()) {
-            String now = by.get(h.id);
-            changed |= now == null ? h.cordonedBy != null : !now.equals(h.cordonedBy);
-            h.cordonedBy = now;
-            h.spareOf = null; // whose spare it is, if anybody's, is said anew below
+        for (Host machine : book.hosts()) {
+            String now = by.get(machine.id);
+            changed |= now == null ? machine.cordonedBy != null : !now.equals(machine.cordonedBy);
+            machine.cordonedBy = now;
+            machine.spareOf = null; // whose spare it is, if anybody's, is said anew below
         }
         if (changed) {
             book.replan();
@@ -211,10 +211,10 @@
                 .forEach(h -> doomed.add(h.id)));
         FreeRooms rooms = new FreeRooms(
                 book, types, admission, h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
-        for (Drain d : drains.drains()) {
-            Progress p = runs.computeIfAbsent(d.name(), k -> new Progress());
-            if (d.holds(turn.wallMs())) {
-                goOn(d, p, planner, rooms, candidates, places);
+        for (Drain drain : drains.drains()) {
+            Progress progress = runs.computeIfAbsent(drain.name(), k -> new Progress());
+            if (drain.holds(turn.wallMs())) {
+                goOn(drain, progress, planner, rooms, candidates, places);
             }
         }
         for (String gone :
@@ -238,154 +238,166 @@
     }
 
     private void goOn(
-            Drain d,
-            Progress p,
+            Drain drain,
+            Progress progress,
             Planner planner,
             FreeRooms rooms,
             List<Evictions.Candidate> out,
             Map<TaskId, HostId> places) {
-        List<Host> matched = matched(d);
-        if (p.number != d.number()) {
-            boolean first = p.number == 0;
-            p.number = d.number();
-            p.overMs = 0;
+        List<Host> matched = matched(drain);
+        if (progress.number != drain.number()) {
+            boolean first = progress.number == 0;
+            progress.number = drain.number();
+            progress.overMs = 0;
             if (first) {
-                Foresight.Cost c = foresight(d, matched);
-                p.tasksForeseen = c.tasks();
-                p.cpuSForeseen = c.cpuS();
-                p.endForeseenMs = turn.wallMs() + c.lastsMs();
+                Foresight.Cost cost = foresight(drain, matched);
+                progress.tasksForeseen = cost.tasks();
+                progress.cpuSForeseen = cost.cpuS();
+                progress.endForeseenMs = turn.wallMs() + cost.lastsMs();
                 LOG.info(
                         "drain {} begins: {} machines, {} tasks and {} CPU s are thought to be lost, over in {} s",
-                        d.name(),
+                        drain.name(),
                         matched.size(),
-                        c.tasks(),
-                        Math.round(c.cpuS()),
-                        c.lastsMs() / 1000);
+                        cost.tasks(),
+                        Math.round(cost.cpuS()),
+                        cost.lastsMs() / 1000);
             }
-            write(d.name());
+            write(drain.name());
         }
-        if (p.overMs > 0 && matched.isEmpty()) {
+        if (progress.overMs > 0 && matched.isEmpty()) {
             return;
         }
-        p.overMs = 0; // the cloud's list lags: one of its machines may come up after all
-        count(d, p);
-        if (rollouts.spares(d, p)) {
-            dirty.add(d.name());
+        progress.overMs = 0; // the cloud's list lags: one of its machines may come up after all
+        count(drain, progress);
+        if (rollouts.spares(drain, progress)) {
+            dirty.add(drain.name());
         }
-        boolean works = d.state() == Drain.State.RUNNING && !d.rest().rests(turn.wallMs());
-        if (d.replace() && rollouts.step(d, p, matched, works, planner)) {
-            write(d.name());
+        boolean works = drain.state() == Drain.State.RUNNING && !drain.rest().rests(turn.wallMs());
+        if (drain.replace() && rollouts.step(drain, progress, matched, works, planner)) {
+            write(drain.name());
         }
-        blocked.remove(d.name());
+        blocked.remove(drain.name());
         boolean left = false;
         Map<String, Integer> lacking = new HashMap<>();
-        for (Host h : matched) {
-            if (!d.name().equals(h.cordonedBy)) {
+        for (Host machine : matched) {
+            if (!drain.name().equals(machine.cordonedBy)) {
                 left = true;
                 continue;
             }
-            boolean empty = h.placements.isEmpty() && h.strangers == 0;
-            left |= !empty || !d.keep();
-            if (empty && h.up && !d.keep()) {
-                provisioner.giveBack(h, "it is emptied: drain " + d.name());
-            } else if (!empty && works && p.paused == null && !moves.moves(h.id)) {
-                if (candidates(d, p, h, rooms, out, places)) {
-                    lacking.merge(Rollouts.kind(h), 1, Integer::sum);
+            boolean empty = machine.placements.isEmpty() && machine.strangers == 0;
+            left |= !empty || !drain.keep();
+            if (empty && machine.up && !drain.keep()) {
+                provisioner.giveBack(machine, "it is emptied: drain " + drain.name());
+            } else if (!empty && works && progress.paused == null && !moves.moves(machine.id)) {
+                if (candidates(drain, progress, machine, rooms, out, places)) {
+                    lacking.merge(Rollouts.kind(machine), 1, Integer::sum);
                 }
             }
         }
         if (!lacking.isEmpty()) {
-            rollouts.makePlace(d, p, lacking);
+            rollouts.makePlace(drain, progress, lacking);
         }
         boolean told = provisioner.listed()
-                && turn.wallMs() - d.atMs()
+                && turn.wallMs() - drain.atMs()
                         > Math.round(1000 * LAGS * settings.cloudLimits().listLagS());
-        if (!left && !d.keep() && p.begun.isEmpty() && told) {
-            p.overMs = turn.wallMs();
+        if (!left && !drain.keep() && progress.begun.isEmpty() && told) {
+            progress.overMs = turn.wallMs();
             LOG.info(
                     "drain {} is over: {} machines gone, {} tasks and {} CPU s lost ({} and {} foreseen)",
-                    d.name(),
-                    p.gone,
-                    p.tasks,
-                    Math.round(p.cpuS),
-                    p.tasksForeseen,
-                    Math.round(p.cpuSForeseen));
-            rollouts.over(d, p);
-            write(d.name());
+                    drain.name(),
+                    progress.gone,
+                    progress.tasks,
+                    Math.round(progress.cpuS),
+                    progress.tasksForeseen,
+                    Math.round(progress.cpuSForeseen));
+            rollouts.over(drain, progress);
+            write(drain.name());
         }
     }
 
     /** Which of its machines are gone since the last look. */
-    private void count(Drain d, Progress p) {
+    private void count(Drain drain, Progress progress) {
         Set<HostId> now = new HashSet<>();
-        book.hosts().stream().filter(h -> d.name().equals(h.cordonedBy)).forEach(h -> now.add(h.id));
-        Set<HostId> before = cordoned.put(d.name(), now);
+        book.hosts().stream().filter(h -> drain.name().equals(h.cordonedBy)).forEach(h -> now.add(h.id));
+        Set<HostId> before = cordoned.put(drain.name(), now);
         Set<HostId> gone = new HashSet<>(before == null ? Set.of() : before);
-        gone.addAll(p.begun.keySet());
+        gone.addAll(progress.begun.keySet());
         gone.removeIf(h -> book.known(h) != null && !book.known(h).returning);
         if (!gone.isEmpty()) {
-            p.gone += gone.size();
-            gone.forEach(p.begun::remove);
-            dirty.add(d.name());
+            progress.gone += gone.size();
+            gone.forEach(progress.begun::remove);
+            dirty.add(drain.name());
         }
     }
 
     // ---- which tasks ----
 
-    private Ending.Need need(Drain d, long sinceMs) {
-        long by = sinceMs + 1000 * d.pace().waitS();
-        by = d.byMs() > 0 ? Math.min(by, d.byMs()) : by;
+    private Ending.Need need(Drain drain, long sinceMs) {
+        long by = sinceMs + 1000 * drain.pace().waitS();
+        by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
         return new Ending.Need(turn.now().ms() + by - turn.wallMs(), true);
     }
 
     /** Tasks that may leave; whether one of them has no place to go to. */
     private boolean candidates(
-            Drain d, Progress run, Host h, FreeRooms rooms, List<Evictions.Candidate> out, Map<TaskId, HostId> places) {
+            Drain drain,
+            Progress run,
+            Host machine,
+            FreeRooms rooms,
+            List<Evictions.Candidate> out,
+            Map<TaskId, HostId> places) {
         boolean lacks = false;
-        for (Placement p : new ArrayList<>(h.placements.values())) {
-            Job j = book.job(p.task.job());
-            if (j == null || !p.sent || p.killSent || j.cancelled() || j.held()) {
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            Job job = book.job(placement.task.job());
+            if (job == null || !placement.sent || placement.killSent || job.cancelled() || job.held()) {
                 continue;
             }
-            if (disruptions.isCharged(j.spec().team(), p) && !j.spec().service()) {
-                stopping.stop(p, d.cause()); // an earlier leader charged it, and fell before the stop
-                orders.direct(h);
+            if (disruptions.isCharged(job.spec().team(), placement)
+                    && !job.spec().service()) {
+                stopping.stop(placement, drain.cause()); // an earlier leader charged it, and fell before the stop
+                orders.direct(machine);
                 continue;
             }
-            Evictions.Candidate c = candidate(d, run, h, j, p, rooms, places);
-            lacks |= !c.mayLeave();
-            out.add(c);
+            Evictions.Candidate candidate = candidate(drain, run, machine, job, placement, rooms, places);
+            lacks |= !candidate.mayLeave();
+            out.add(candidate);
         }
         return lacks;
     }
 
     private Evictions.Candidate candidate(
-            Drain d, Progress run, Host h, Job j, Placement p, FreeRooms rooms, Map<TaskId, HostId> places) {
-        JobSpec s = j.spec();
-        long since = d.replace() ? run.begun.getOrDefault(h.id, turn.wallMs()) : d.atMs();
-        Ending e = elastic.ending(j, p, need(d, since));
-        boolean due = e.way() != Ending.Way.AT_END
-                && e.way() != Ending.Way.WITHDRAW
-                && e.atMs() <= turn.now().ms() + EVERY_MS;
+            Drain drain,
+            Progress run,
+            Host machine,
+            Job job,
+            Placement placement,
+            FreeRooms rooms,
+            Map<TaskId, HostId> places) {
+        JobSpec spec = job.spec();
+        long since = drain.replace() ? run.begun.getOrDefault(machine.id, turn.wallMs()) : drain.atMs();
+        Ending ending = elastic.ending(job, placement, need(drain, since));
+        boolean due = ending.way() != Ending.Way.AT_END
+                && ending.way() != Ending.Way.WITHDRAW
+                && ending.atMs() <= turn.now().ms() + EVERY_MS;
         boolean placed = true;
-        if (s.service() && due) {
-            Host to = rooms.take(s);
+        if (spec.service() && due) {
+            Host to = rooms.take(spec);
             placed = to != null;
             if (placed) {
-                places.put(p.task, to.id);
+                places.put(placement.task, to.id);
             }
         }
         return new Evictions.Candidate(
-                p.task,
-                p.attempt,
-                h.id,
-                s.team(),
-                s.jobClass(),
-                d.cause(),
-                s.gang() ? j.record.live.size() : 0,
-                s.service() ? s.tasks() : 0,
+                placement.task,
+                placement.attempt,
+                machine.id,
+                spec.team(),
+                spec.jobClass(),
+                drain.cause(),
+                spec.gang() ? job.record.live.size() : 0,
+                spec.service() ? spec.tasks() : 0,
                 due,
-                e.lostCpuS(),
+                ending.lostCpuS(),
                 placed);
     }
 
@@ -396,10 +408,11 @@
         }
         Map<String, Account> accounts = disruptions.copies();
         Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, turn.wallMs(), MOST_LEAVE);
-        decision.blocked().forEach((why, n) -> {
-            Host h = book.known(why.host());
-            if (h != null && h.cordonedBy != null) {
-                blocked.computeIfAbsent(h.cordonedBy, k -> new TreeMap<>()).merge(why.text(), n, Integer::sum);
+        decision.blocked().forEach((why, count) -> {
+            Host machine = book.known(why.host());
+            if (machine != null && machine.cordonedBy != null) {
+                blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
+                        .merge(why.text(), count, Integer::sum);
             }
         });
         int ops = settings.stateLimits().txnOps() - 1;
@@ -409,31 +422,35 @@
         Set<String> teams = new HashSet<>();
         Set<String> names = new HashSet<>();
         Map<String, List<Evictions.Candidate>> taken = new HashMap<>();
-        for (Evictions.Candidate c : decision.leave()) {
-            Host h = book.known(c.host());
-            boolean moves = places.containsKey(c.task());
-            int more = (teams.contains(c.team()) ? 0 : 1)
-                    + (names.contains(h.cordonedBy) ? 0 : 1)
-                    + (moves && !moving.containsKey(c.host()) ? 1 : 0);
+        for (Evictions.Candidate candidate : decision.leave()) {
+            Host machine = book.known(candidate.host());
+            boolean moves = places.containsKey(candidate.task());
+            int more = (teams.contains(candidate.team()) ? 0 : 1)
+                    + (names.contains(machine.cordonedBy) ? 0 : 1)
+                    + (moves && !moving.containsKey(candidate.host()) ? 1 : 0);
             boolean room = teams.size() + names.size() + moving.size() + more <= Math.max(LEAST_OPS, ops)
-                    && (!moves || moving.containsKey(c.host()) || moving.size() < MOST_MOVES);
-            boolean fits = disruptions.fits(accounts.get(c.team()));
+                    && (!moves || moving.containsKey(candidate.host()) || moving.size() < MOST_MOVES);
+            boolean fits = disruptions.fits(accounts.get(candidate.team()));
             if (!room || !fits) {
-                accounts.get(c.team()).undo(c.task()); // in the next round
+                accounts.get(candidate.team()).undo(candidate.task()); // in the next round
                 if (!fits) {
-                    blocked.computeIfAbsent(h.cordonedBy, k -> new TreeMap<>())
-                            .merge("account of " + c.team() + ": it is as large as a value may be", 1, Integer::sum);
+                    blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
+                            .merge(
+                                    "account of " + candidate.team() + ": it is as large as a value may be",
+                                    1,
+                                    Integer::sum);
                 }
                 continue;
             }
-            teams.add(c.team());
-            names.add(h.cordonedBy);
+            teams.add(candidate.team());
+            names.add(machine.cordonedBy);
             if (moves) {
-                moving.computeIfAbsent(c.host(), k -> new HashMap<>()).put(c.task(), places.get(c.task()));
+                moving.computeIfAbsent(candidate.host(), k -> new HashMap<>())
+                        .put(candidate.task(), places.get(candidate.task()));
             } else {
-                stopped.add(c);
+                stopped.add(candidate);
             }
-            taken.computeIfAbsent(h.cordonedBy, k -> new ArrayList<>()).add(c);
+            taken.computeIfAbsent(machine.cordonedBy, k -> new ArrayList<>()).add(candidate);
         }
         if (teams.isEmpty()) {
             return;
@@ -446,9 +463,9 @@
             if (done) {
                 teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
                 moving.forEach((host, to) -> {
-                    Host h = book.known(host);
-                    if (h != null && h.cordonedBy != null) {
-                        moves.relocated(host, h.cordonedBy, to);
+                    Host machine = book.known(host);
+                    if (machine != null && machine.cordonedBy != null) {
+                        moves.relocated(host, machine.cordonedBy, to);
                     }
                 });
                 stopped.forEach(this::stop);
@@ -458,30 +475,30 @@
         });
     }
 
-    private static Progress counted(Progress p, List<Evictions.Candidate> left, int sign) {
-        for (Evictions.Candidate c : left) {
-            p.tasks += sign * Math.max(1, c.gang());
-            p.cpuS += sign * c.lostCpuS();
+    private static Progress counted(Progress progress, List<Evictions.Candidate> left, int sign) {
+        for (Evictions.Candidate candidate : left) {
+            progress.tasks += sign * Math.max(1, candidate.gang());
+            progress.cpuS += sign * candidate.lostCpuS();
         }
-        return p;
+        return progress;
     }
 
-    private void stop(Evictions.Candidate c) {
-        Host h = book.known(c.host());
-        Placement p = h == null ? null : h.placements.get(c.task());
-        if (p != null
-                && p.attempt == c.attempt()
-                && !p.killSent
-                && book.job(c.task().job()) != null) {
+    private void stop(Evictions.Candidate candidate) {
+        Host machine = book.known(candidate.host());
+        Placement placement = machine == null ? null : machine.placements.get(candidate.task());
+        if (placement != null
+                && placement.attempt == candidate.attempt()
+                && !placement.killSent
+                && book.job(candidate.task().job()) != null) {
             LOG.info(
                     "{} try {} leaves {}: drain {}, {} CPU s",
-                    p.task,
-                    p.attempt,
-                    h.id,
-                    h.cordonedBy,
-                    Math.round(c.lostCpuS()));
-            stopping.stop(p, c.cause());
-            orders.direct(h);
+                    placement.task,
+                    placement.attempt,
+                    machine.id,
+                    machine.cordonedBy,
+                    Math.round(candidate.lostCpuS()));
+            stopping.stop(placement, candidate.cause());
+            orders.direct(machine);
         }
     }
 
@@ -503,10 +520,10 @@
         writing = true;
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
-        store.commit(txn, c -> {
+        store.commit(txn, commit -> {
             if (reign == book.reign()) {
                 writing = false;
-                then.accept(c.result() == Commit.Result.DONE);
+                then.accept(commit.result() == Commit.Result.DONE);
             }
         });
     }
@@ -514,19 +531,20 @@
     // ---- what is told ----
 
     /** What it would cost and how long it would take, were it put now. */
-    private Foresight.Cost foresight(Drain d, List<Host> hosts) {
+    private Foresight.Cost foresight(Drain drain, List<Host> hosts) {
         return Foresight.of(
-                d,
+                drain,
                 hosts,
                 book,
                 types,
-                (j, p) -> elastic.ending(j, p, need(d, turn.wallMs())),
+                (j, p) -> elastic.ending(j, p, need(drain, turn.wallMs())),
                 turn.now().ms());
     }
 
-    ObjectNode foresee(Drain d) {
-        List<Host> hosts = matched(d);
-        return foresight(d, hosts).into(Codec.map().put("name", d.name()).put("machines", hosts.size()));
+    ObjectNode foresee(Drain drain) {
+        List<Host> hosts = matched(drain);
+        return foresight(drain, hosts)
+                .into(Codec.map().put("name", drain.name()).put("machines", hosts.size()));
     }
 
     boolean over(String name) {
@@ -547,10 +565,11 @@
         return out;
     }
 
-    ObjectNode view(Drain d) {
-        Progress p = runs.getOrDefault(d.name(), new Progress());
-        List<Host> matched = p.overMs > 0 ? List.of() : matched(d);
-        Foresight.Cost left = p.overMs == 0 && d.holds(turn.wallMs()) ? foresight(d, matched) : null;
-        return DrainViews.row(d, p, matched, left, blocked.getOrDefault(d.name(), Map.of()), turn.wallMs());
+    ObjectNode view(Drain drain) {
+        Progress progress = runs.getOrDefault(drain.name(), new Progress());
+        List<Host> matched = progress.overMs > 0 ? List.of() : matched(drain);
+        Foresight.Cost left = progress.overMs == 0 && drain.holds(turn.wallMs()) ? foresight(drain, matched) : null;
+        return DrainViews.row(
+                drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), turn.wallMs());
     }
 }
--- a/src/main/java/org/beechhoist/core/DrainViews.java
+++ b/src/main/java/org/beechhoist/core/DrainViews.java
@@ -15,12 +15,12 @@
     private DrainViews() {}
 
     /** What a person asks about a job some of whose tasks are on machines that are emptied, or null. */
-    static String told(Job j, Book book) {
+    static String told(Job job, Book book) {
         Map<String, Integer> by = new TreeMap<>();
-        for (Placement p : j.record.live.values()) {
-            Host h = book.known(p.host);
-            if (h != null && h.cordonedBy != null) {
-                by.merge(h.cordonedBy, 1, Integer::sum);
+        for (Placement placement : job.record.live.values()) {
+            Host machine = book.known(placement.host);
+            if (machine != null && machine.cordonedBy != null) {
+                by.merge(machine.cordonedBy, 1, Integer::sum);
             }
         }
         return by.entrySet().stream()
@@ -29,15 +29,17 @@
                 .orElse(null);
     }
 
-    private static String now(Drain d, Progress p, long wallMs) {
-        if (p.overMs > 0) {
+    private static String now(Drain drain, Progress progress, long wallMs) {
+        if (progress.overMs > 0) {
             return "over";
         }
-        return !d.holds(wallMs)
+        return !drain.holds(wallMs)
                 ? "undone"
-                : d.state() == Drain.State.PAUSED
+                : drain.state() == Drain.State.PAUSED
                         ? "paused"
-                        : d.rest().rests(wallMs) ? "rests" : p.paused != null ? "paused: " + p.paused : "works";
+                        : drain.rest().rests(wallMs)
+                                ? "rests"
+                                : progress.paused != null ? "paused: " + progress.paused : "works";
     }
 
     /**
@@ -46,37 +48,45 @@
      * @param left what the rest would cost by what is known now, or null
      */
     static ObjectNode row(
-            Drain d, Progress p, List<Host> matched, Foresight.Cost left, Map<String, Integer> blocked, long wallMs) {
-        ObjectNode n = d.toNode();
+            Drain drain,
+            Progress progress,
+            List<Host> matched,
+            Foresight.Cost left,
+            Map<String, Integer> blocked,
+            long wallMs) {
+        ObjectNode node = drain.toNode();
         int hand = 0;
         int empty = 0;
         int tasks = 0;
-        for (Host h : matched) {
-            boolean mine = d.name().equals(h.cordonedBy);
+        for (Host machine : matched) {
+            boolean mine = drain.name().equals(machine.cordonedBy);
             hand += mine ? 1 : 0;
-            empty += mine && h.placements.isEmpty() ? 1 : 0;
-            tasks += mine ? h.placements.size() : 0;
+            empty += mine && machine.placements.isEmpty() ? 1 : 0;
+            tasks += mine ? machine.placements.size() : 0;
         }
-        n.put("now", now(d, p, wallMs))
+        node.put("now", now(drain, progress, wallMs))
                 .put("machinesLeft", matched.size())
                 .put("inHand", hand)
                 .put("empty", empty)
                 .put("tasksThere", tasks)
-                .put("gone", p.gone)
-                .put("steps", p.steps)
-                .put("pauses", p.pauses)
-                .put("spares", p.spares.size())
-                .put("sparesAsked", p.sparesAsked)
-                .put("sparesFailed", p.sparesFailed);
-        n.putObject("foreseen")
-                .put("tasks", p.tasksForeseen)
-                .put("cpuS", Math.round(p.cpuSForeseen))
-                .put("end", p.endForeseenMs);
-        n.putObject("was").put("tasks", p.tasks).put("cpuS", Math.round(p.cpuS)).put("end", p.overMs);
+                .put("gone", progress.gone)
+                .put("steps", progress.steps)
+                .put("pauses", progress.pauses)
+                .put("spares", progress.spares.size())
+                .put("sparesAsked", progress.sparesAsked)
+                .put("sparesFailed", progress.sparesFailed);
+        node.putObject("foreseen")
+                .put("tasks", progress.tasksForeseen)
+                .put("cpuS", Math.round(progress.cpuSForeseen))
+                .put("end", progress.endForeseenMs);
+        node.putObject("was")
+                .put("tasks", progress.tasks)
+                .put("cpuS", Math.round(progress.cpuS))
+                .put("end", progress.overMs);
         if (left != null) {
-            left.into(n.putObject("left"));
+            left.into(node.putObject("left"));
         }
-        ObjectNode why = n.putObject("blocked");
+        ObjectNode why = node.putObject("blocked");
         blocked.entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
                 .limit(MOST_WHY)
@@ -84,6 +94,6 @@
         if (blocked.size() > MOST_WHY) {
             why.put("and more", blocked.size() - MOST_WHY);
         }
-        return n;
+        return node;
     }
 }
--- a/src/main/java/org/beechhoist/core/Elastic.java
+++ b/src/main/java/org/beechhoist/core/Elastic.java
@@ -61,193 +61,199 @@
     // ---- what the plan may place ----
 
     /** Tasks that count against the width: those live, less those that are on their way out. */
-    static int staying(Job j) {
-        return j.record.live.size() - j.leaving.size();
+    static int staying(Job job) {
+        return job.record.live.size() - job.leaving.size();
     }
 
     /** How many of the job's waiting tasks are planned like any other work. */
-    int sure(Job j) {
-        WidthRecord w = j.record.width;
-        int waiting = j.record.waitingCount();
-        if (w == null) {
+    int sure(Job job) {
+        WidthRecord width = job.record.width;
+        int waiting = job.record.waitingCount();
+        if (width == null) {
             return waiting;
         }
-        if (j.spec().service()) {
-            return Math.max(0, Math.min(waiting, w.allowed().most() - j.record.live.size()));
+        if (job.spec().service()) {
+            return Math.max(0, Math.min(waiting, width.allowed().most() - job.record.live.size()));
         }
-        int unfinished = j.spec().tasks() - j.record.done.size();
+        int unfinished = job.spec().tasks() - job.record.done.size();
         int sure = Sure.width(
-                w.allowed(),
+                width.allowed(),
                 unfinished,
-                estimates.lengthMs(j.spec()),
-                untilMs(j),
+                estimates.lengthMs(job.spec()),
+                untilMs(job),
                 turn.now().ms());
         // Those on their way out hold their places in the width until they are gone.
-        return Math.max(0, Math.min(waiting, sure - j.record.live.size()));
+        return Math.max(0, Math.min(waiting, sure - job.record.live.size()));
     }
 
     /** When an elastic job should be done. */
-    long untilMs(Job j) {
-        Double until = j.record.width.allowed().untilS();
-        return until == null ? Ending.NEVER : j.submitted.ms() + Math.round(1000 * until);
+    long untilMs(Job job) {
+        Double until = job.record.width.allowed().untilS();
+        return until == null ? Ending.NEVER : job.submitted.ms() + Math.round(1000 * until);
     }
 
     /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
-    Plan.Wish wish(Job j, int sure, Integer fixed) {
-        WidthRecord w = j.record.width;
-        int from = j.record.live.size() + sure;
-        int most = w == null || j.spec().service() || j.spec().gang() || j.cancelled()
+    Plan.Wish wish(Job job, int sure, Integer fixed) {
+        WidthRecord width = job.record.width;
+        int from = job.record.live.size() + sure;
+        int most = width == null || job.spec().service() || job.spec().gang() || job.cancelled()
                 ? 0
-                : w.allowed().most();
+                : width.allowed().most();
         if (most <= from
-                || j.record.waitingCount() <= sure
-                || j.notBefore.ms() > turn.now().ms()) {
+                || job.record.waitingCount() <= sure
+                || job.notBefore.ms() > turn.now().ms()) {
             return null;
         }
-        return new Plan.Wish(from, most, untilMs(j), policy.worth(), lowestCostPerCpu(j.spec()), fixed);
+        return new Plan.Wish(from, most, untilMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
     }
 
-    private double lowestCostPerCpu(JobSpec s) {
+    private double lowestCostPerCpu(JobSpec spec) {
         double lowest = Double.POSITIVE_INFINITY;
-        for (HostType t : types.all()) {
-            if (s.allows(t)) {
-                lowest = Math.min(lowest, t.priceOf(s.spot()) / Math.max(0.01, t.cpus()));
+        for (HostType type : types.all()) {
+            if (spec.allows(type)) {
+                lowest = Math.min(lowest, type.priceOf(spec.spot()) / Math.max(0.01, type.cpus()));
             }
         }
         return Double.isInfinite(lowest) ? 0 : lowest;
     }
 
     /** How many more of the job's tasks may be placed, whatever the plan says. */
-    static int mayPlace(Job j) {
-        WidthRecord w = j.record.width;
-        return w == null ? Integer.MAX_VALUE : w.allowed().most() - j.record.live.size();
+    static int mayPlace(Job job) {
+        WidthRecord w = job.record.width;
+        return w == null ? Integer.MAX_VALUE : w.allowed().most() - job.record.live.size();
     }
 
     /** The job's tasks were placed: its record says the width that they make, in the same commit. */
-    void placed(Job j) {
-        WidthRecord w = j.record.width;
-        if (w != null && staying(j) > w.target()) {
-            if (w.target() > 0) {
+    void placed(Job job) {
+        WidthRecord width = job.record.width;
+        if (width != null && staying(job) > width.target()) {
+            if (width.target() > 0) {
                 widened++;
             }
-            LOG.info("{} widens from {} to {}", j.ref(), w.target(), staying(j));
-            j.record.width = w.withTarget(staying(j));
+            LOG.info("{} widens from {} to {}", job.ref(), width.target(), staying(job));
+            job.record.width = width.withTarget(staying(job));
         }
     }
 
     /** Whether a committed placement must not be launched any more: its machine has begun to go. */
-    boolean withdraws(Job j, Placement p, Host h) {
-        boolean going = h.going() || (j != null && j.leaving.containsKey(p));
-        if (j == null || j.record.width == null || p.sent || !going) {
+    boolean withdraws(Job job, Placement placement, Host machine) {
+        boolean going = machine.going() || (job != null && job.leaving.containsKey(placement));
+        if (job == null || job.record.width == null || placement.sent || !going) {
             return false;
         }
-        LOG.info("{} try {} is withdrawn from {}, it or its machine is about to go", p.task, p.attempt, h.id);
+        LOG.info(
+                "{} try {} is withdrawn from {}, it or its machine is about to go",
+                placement.task,
+                placement.attempt,
+                machine.id);
         withdrawn++;
         return true;
     }
 
     // ---- narrowing ----
 
-    Ending ending(Job j, Placement p, Ending.Need need) {
-        JobSpec s = j.spec();
+    Ending ending(Job job, Placement placement, Ending.Need need) {
+        JobSpec spec = job.spec();
         // Reports come late: what should have its image by now, or soon, may be running when the stop arrives.
-        boolean running = p.running != null || turn.now().since(p.since) > p.fetchMs - REPORT_LATE_MS;
-        long ran = p.running != null ? Math.max(0, turn.now().since(p.running)) : 0;
-        long left = s.service()
+        boolean running =
+                placement.running != null || turn.now().since(placement.since) > placement.fetchMs - REPORT_LATE_MS;
+        long ran = placement.running != null ? Math.max(0, turn.now().since(placement.running)) : 0;
+        long left = spec.service()
                 ? Ending.NEVER
-                : Math.max(0, estimates.endOf(p, turn.now()).since(turn.now()));
+                : Math.max(0, estimates.endOf(placement, turn.now()).since(turn.now()));
         return Ending.choose(
                 new Ending.Task(
-                        p.sent,
+                        placement.sent,
                         running,
                         ran,
                         left,
-                        s.cpus(),
-                        Math.round(1000 * s.checkpointS()),
-                        Math.round(1000 * s.saveS())),
+                        spec.cpus(),
+                        Math.round(1000 * spec.checkpointS()),
+                        Math.round(1000 * spec.saveS())),
                 turn.now().ms(),
                 need);
     }
 
     /** Whether the task may still be chosen to go. */
-    static boolean mayGo(Job j, Placement p) {
-        return !p.killSent && !j.leaving.containsKey(p);
+    static boolean mayGo(Job job, Placement placement) {
+        return !placement.killSent && !job.leaving.containsKey(placement);
     }
 
     /** The task is to go. Nothing is sent before the narrower width is committed. */
-    void leave(Job j, Placement p, Ending e, String why) {
-        if (j.leaving.isEmpty() || staying(j) == j.record.width.target()) {
+    void leave(Job job, Placement placement, Ending ending, String why) {
+        if (job.leaving.isEmpty() || staying(job) == job.record.width.target()) {
             narrowed++;
         }
-        j.leaving.put(p, e);
-        p.leavesAt = e.freesAtMs();
-        WidthRecord w = j.record.width;
-        j.record.width = w.withTarget(Math.min(w.target(), staying(j)));
+        job.leaving.put(placement, ending);
+        placement.leavesAt = ending.freesAtMs();
+        WidthRecord width = job.record.width;
+        job.record.width = width.withTarget(Math.min(width.target(), staying(job)));
         LOG.info(
                 "{} narrows to {}: {} try {} goes, {}, {}",
-                j.ref(),
-                j.record.width.target(),
-                p.task,
-                p.attempt,
-                e.way(),
+                job.ref(),
+                job.record.width.target(),
+                placement.task,
+                placement.attempt,
+                ending.way(),
                 why);
-        book.touch(j);
+        book.touch(job);
     }
 
     /** Holds the job's live tasks against its width: after a resize, a take-over, and every now and then. */
-    void look(Job j) {
-        WidthRecord w = j.record.width;
-        if (w == null || j.cancelled()) {
+    void look(Job job) {
+        WidthRecord width = job.record.width;
+        if (width == null || job.cancelled()) {
             return;
         }
-        int surplus = staying(j) - w.target();
+        int surplus = staying(job) - width.target();
         if (surplus > 0) {
             Ending.Need need = new Ending.Need(turn.now().ms() + NEAR_MS, false);
             List<Placement> live = new ArrayList<>();
-            for (Placement p : j.record.live.values()) {
-                if (mayGo(j, p)) {
-                    live.add(p);
+            for (Placement placement : job.record.live.values()) {
+                if (mayGo(job, placement)) {
+                    live.add(placement);
                 }
             }
-            for (Surplus.Choice<Placement> c : Surplus.choose(live, surplus, p -> ending(j, p, need))) {
-                leave(j, c.task(), c.ending(), "its width is " + w.target());
+            for (Surplus.Choice<Placement> c : Surplus.choose(live, surplus, p -> ending(job, p, need))) {
+                leave(job, c.task(), c.ending(), "its width is " + width.target());
             }
         }
-        carryOut(j);
+        carryOut(job);
     }
 
     /** Stops what is to go and due, as far as the committed width leaves tasks over. */
-    private void carryOut(Job j) {
-        for (Map.Entry<Placement, Ending> e : new ArrayList<>(j.leaving.entrySet())) {
-            Placement p = e.getKey();
-            Ending end = e.getValue();
-            if (j.record.live.size() - stopped(j) <= j.committedWidth
-                    || p.killSent
+    private void carryOut(Job job) {
+        for (Map.Entry<Placement, Ending> entry : new ArrayList<>(job.leaving.entrySet())) {
+            Placement placement = entry.getKey();
+            Ending end = entry.getValue();
+            if (job.record.live.size() - stopped(job) <= job.committedWidth
+                    || placement.killSent
                     || end.atMs() > turn.now().ms()) {
                 continue;
             }
-            if (!p.sent) {
+            if (!placement.sent) {
                 ended.merge(Ending.Way.WITHDRAW, 1, Integer::sum);
-                departures.remove(j, p);
+                departures.remove(job, placement);
             } else if (end.way() == Ending.Way.AT_END) {
                 // It runs longer than expected: where it can save, it does so now.
                 Ending.Need need = new Ending.Need(turn.now().ms() + NEAR_MS, false);
-                Ending again = ending(j, p, need);
-                j.leaving.put(p, again);
-                p.leavesAt = again.freesAtMs();
+                Ending again = ending(job, placement, need);
+                job.leaving.put(placement, again);
+                placement.leavesAt = again.freesAtMs();
             } else {
                 ended.merge(end.way(), 1, Integer::sum);
-                stopping.stop(p, end.way() == Ending.Way.KILL ? 0 : j.spec().saveS(), Cause.NARROWING);
+                stopping.stop(
+                        placement, end.way() == Ending.Way.KILL ? 0 : job.spec().saveS(), Cause.NARROWING);
             }
         }
     }
 
-    private static int stopped(Job j) {
-        int n = 0;
-        for (Placement p : j.leaving.keySet()) {
-            n += p.killSent ? 1 : 0;
+    private static int stopped(Job job) {
+        int count = 0;
+        for (Placement p : job.leaving.keySet()) {
+            count += p.killSent ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     void tick() {
@@ -267,7 +273,7 @@
     }
 
     /** Why nothing of the job may start, or null. */
-    static String held(Job j) {
-        return j.record.width != null && j.record.width.paused() ? "paused: its width is 0" : null;
+    static String held(Job job) {
+        return job.record.width != null && job.record.width.paused() ? "paused: its width is 0" : null;
     }
 }
--- a/src/main/java/org/beechhoist/core/Election.java
+++ b/src/main/java/org/beechhoist/core/Election.java
@@ -111,8 +111,8 @@
         txn.put(KEY, value(), lease);
     }
 
-    void rotated(Revision r) {
-        baton = new Baton(r.value());
+    void rotated(Revision revision) {
+        baton = new Baton(revision.value());
     }
 
     /** What a leader finds when it reads its key. */
@@ -126,13 +126,13 @@
     void readOwn(Consumer<Own> then) {
         requests.take(turn.now(), 1);
         long held = lease;
-        store.get(KEY, r -> {
-            if (!r.known() || !leading || held != lease) {
+        store.get(KEY, read -> {
+            if (!read.known() || !leading || held != lease) {
                 then.accept(Own.NOT_KNOWN);
-            } else if (r.item() == null || r.item().lease() != held) {
+            } else if (read.item() == null || read.item().lease() != held) {
                 then.accept(Own.GONE);
             } else {
-                rotated(r.item().version());
+                rotated(read.item().version());
                 then.accept(Own.STILL);
             }
         });
@@ -142,24 +142,24 @@
         readKey(++round);
     }
 
-    private void later(long ms, long r) {
+    private void later(long ms, long expectedRound) {
         turn.after(ms, () -> {
-            if (r == round && !leading) {
-                readKey(r);
+            if (expectedRound == round && !leading) {
+                readKey(expectedRound);
             }
         });
     }
 
-    private void readKey(long r) {
+    private void readKey(long expectedRound) {
         requests.take(turn.now(), 1);
         // A listing, for it tells the store's revision too: the key's own may be older than any change the store still
         // keeps, and a watch from there would be answered 410 at once, for ever.
         store.list(KEY, null, 10, page -> {
-            if (r != round || leading) {
+            if (expectedRound != round || leading) {
                 return;
             }
             if (!page.ok()) {
-                later(700, r);
+                later(700, expectedRound);
                 return;
             }
             StoreClient.Item item = null;
@@ -169,18 +169,18 @@
             leader = item == null ? null : item.value().path("node").asText(null);
             told = turn.now();
             if (item == null && turn.now().before(standFrom)) {
-                later(700, r);
+                later(700, expectedRound);
             } else if (item == null) {
-                stand(r, Revision.ABSENT);
+                stand(expectedRound, Revision.ABSENT);
             } else if (node.equals(leader) && endsAgainAndAgain(item)) {
                 store.revoke(item.lease());
-                later(700, r);
+                later(700, expectedRound);
             } else if (node.equals(leader)) {
                 // An earlier life of this process held it; that process is dead, so its key may be replaced.
                 leader = null;
-                stand(r, item.version());
+                stand(expectedRound, item.version());
             } else {
-                watch(r, page.revision());
+                watch(expectedRound, page.revision());
             }
         });
     }
@@ -202,58 +202,58 @@
         return true;
     }
 
-    private void watch(long r, Revision after) {
+    private void watch(long expectedRound, Revision after) {
         requests.take(turn.now(), 1);
-        store.changes(KEY, after, 4000, c -> {
-            if (r != round || leading) {
+        store.changes(KEY, after, 4000, changes -> {
+            if (expectedRound != round || leading) {
                 return;
             }
-            if (c.status() != 200) {
-                later(c.status() == 410 ? 100 : 500, r);
+            if (changes.status() != 200) {
+                later(changes.status() == 410 ? 100 : 500, expectedRound);
                 return;
             }
             told = turn.now();
             StoreClient.Item last = null;
-            for (StoreClient.Item i : c.log()) {
+            for (StoreClient.Item i : changes.log()) {
                 last = i.key().equals(KEY) ? i : last;
             }
             if (last == null) {
                 // Nothing for a while; read the key instead of trusting the watch for ever.
-                later(0, r);
+                later(0, expectedRound);
             } else if (last.value() == null) {
                 leader = null;
                 if (turn.now().before(standFrom)) {
-                    later(700, r);
+                    later(700, expectedRound);
                 } else {
-                    stand(r, Revision.ABSENT);
+                    stand(expectedRound, Revision.ABSENT);
                 }
             } else {
                 leader = last.value().path("node").asText(null);
-                watch(r, c.revision());
+                watch(expectedRound, changes.revision());
             }
         });
     }
 
-    private void stand(long r, Revision expected) {
+    private void stand(long expectedRound, Revision expected) {
         Tick sent = turn.now();
         requests.take(turn.now(), 2);
         store.grant(ttlMs, hold -> {
-            if (r != round || hold == 0) {
-                later(500, r);
+            if (expectedRound != round || hold == 0) {
+                later(500, expectedRound);
                 return;
             }
             wonWallMs = turn.wallMs();
             Txn txn = new Txn().guard(KEY, expected).put(KEY, value(), hold);
-            store.commit(txn, c -> {
-                if (r != round) {
+            store.commit(txn, commit -> {
+                if (expectedRound != round) {
                     return;
                 }
-                if (c.result() == Commit.Result.DONE) {
-                    win(hold, c.revision(), sent);
+                if (commit.result() == Commit.Result.DONE) {
+                    win(hold, commit.revision(), sent);
                 } else {
                     // Ending the lease also ends a transaction that may still be on its way.
                     store.revoke(hold);
-                    later(c.result() == Commit.Result.CONFLICT ? 20 : 500, r);
+                    later(commit.result() == Commit.Result.CONFLICT ? 20 : 500, expectedRound);
                 }
             });
         });
@@ -267,8 +267,8 @@
         validUntil = Tick.ZERO;
         vouch(sent);
         LOG.info("leader from now on, baton {}", baton.value());
-        long r = ++round;
-        turn.after(ttlMs / 5, () -> extend(r));
+        long expectedRound = ++round;
+        turn.after(ttlMs / 5, () -> extend(expectedRound));
         listener.won(baton);
     }
 
@@ -279,26 +279,26 @@
         }
     }
 
-    private void extend(long r) {
-        if (r != round || !leading) {
+    private void extend(long expectedRound) {
+        if (expectedRound != round || !leading) {
             return;
         }
         Tick sent = turn.now();
         requests.take(turn.now(), 1);
-        store.extend(lease, o -> {
-            if (r != round || !leading) {
+        store.extend(lease, result -> {
+            if (expectedRound != round || !leading) {
                 return;
             }
-            if (o.is(200)) {
+            if (result.is(200)) {
                 vouch(sent);
-                turn.after(Math.max(100, ttlMs / 5 - turn.now().since(sent)), () -> extend(r));
-            } else if (o.is(404)) {
+                turn.after(Math.max(100, ttlMs / 5 - turn.now().since(sent)), () -> extend(expectedRound));
+            } else if (result.is(404)) {
                 lose("the lease ended");
-            } else if (o.kind() == Outcome.Kind.UNKNOWN && !valid()) {
+            } else if (result.kind() == Outcome.Kind.UNKNOWN && !valid()) {
                 // Its requests may arrive all the same, and would keep the key from all others for as long as they do.
                 lose("the state service has not answered for a lease");
             } else {
-                turn.after(300, () -> extend(r));
+                turn.after(300, () -> extend(expectedRound));
             }
         });
     }
--- a/src/main/java/org/beechhoist/core/Estimates.java
+++ b/src/main/java/org/beechhoist/core/Estimates.java
@@ -28,14 +28,14 @@
     }
 
     /** When the task is expected to be over. */
-    Tick endOf(Placement p, Tick now) {
-        Tick begin = p.running != null ? p.running : p.since.plusMs(p.fetchMs);
-        Tick end = begin.plusMs(p.expectedMs);
-        if (p.killSent) {
+    Tick endOf(Placement placement, Tick now) {
+        Tick begin = placement.running != null ? placement.running : placement.since.plusMs(placement.fetchMs);
+        Tick end = begin.plusMs(placement.expectedMs);
+        if (placement.killSent) {
             return now.plusMs(300);
         }
-        if (p.leavesAt > 0) {
-            return new Tick(Math.max(now.ms() + 300, p.leavesAt));
+        if (placement.leavesAt > 0) {
+            return new Tick(Math.max(now.ms() + 300, placement.leavesAt));
         }
         long late = now.since(end);
         // Past its estimate: the end moves ahead, further the longer it has run.
--- a/src/main/java/org/beechhoist/core/Faults.java
+++ b/src/main/java/org/beechhoist/core/Faults.java
@@ -21,36 +21,36 @@
     }
 
     /** A task of the job has failed on the machine. */
-    void failed(Host h, Job j, Placement p) {
-        j.failedOn.add(h.id);
-        j.record.failures++;
-        j.record.reason = "task " + p.task.index() + " failed on " + h.id + "; " + j.record.failures + " failures on "
-                + j.failedOn.size() + " machines so far";
-        LOG.info("{}: {}", j.ref(), j.record.reason);
-        if (toBlame(j)) {
+    void failed(Host machine, Job job, Placement placement) {
+        job.failedOn.add(machine.id);
+        job.record.failures++;
+        job.record.reason = "task " + placement.task.index() + " failed on " + machine.id + "; " + job.record.failures
+                + " failures on " + job.failedOn.size() + " machines so far";
+        LOG.info("{}: {}", job.ref(), job.record.reason);
+        if (toBlame(job)) {
             // It fails everywhere: the job's own mistake. It goes on trying, ever more rarely, until it is cancelled.
-            j.notBefore = turn.now().plusMs(Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(5, j.trials++)));
+            job.notBefore = turn.now().plusMs(Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(5, job.trials++)));
         }
-        h.failedJobs.merge(j.ref(), 1, Integer::sum);
-        h.avoidUntil = turn.now().plusMs(5000);
+        machine.failedJobs.merge(job.ref(), 1, Integer::sum);
+        machine.avoidUntil = turn.now().plusMs(5000);
     }
 
     /** Whether the job fails everywhere, by all that is known: what is done of it was done on a machine. */
-    private static boolean toBlame(Job j) {
-        return j.record.done.size() == 0 && (j.suspect() || j.failedOn.size() >= 3);
+    private static boolean toBlame(Job job) {
+        return job.record.done.size() == 0 && (job.suspect() || job.failedOn.size() >= 3);
     }
 
     /**
      * A host is suspect once tasks of several jobs fail on it that did not fail everywhere else, or several of one job of which
      * others were done. Counted from the last task that was done on it.
      */
-    boolean faulty(Host h) {
-        int n = 0;
-        for (Map.Entry<JobRef, Integer> e : h.failedJobs.entrySet()) {
-            Job j = book.job(e.getKey());
-            boolean others = j != null && j.record.done.size() > 0;
-            n += j != null && toBlame(j) ? 0 : others ? e.getValue() : 1;
+    boolean faulty(Host machine) {
+        int failures = 0;
+        for (Map.Entry<JobRef, Integer> entry : machine.failedJobs.entrySet()) {
+            Job job = book.job(entry.getKey());
+            boolean others = job != null && job.record.done.size() > 0;
+            failures += job != null && toBlame(job) ? 0 : others ? entry.getValue() : 1;
         }
-        return n >= 2;
+        return failures >= 2;
     }
 }
--- a/src/main/java/org/beechhoist/core/FleetNotes.java
+++ b/src/main/java/org/beechhoist/core/FleetNotes.java
@@ -105,16 +105,16 @@
                 return;
             }
             int bad = unread;
-            for (StoreClient.Item i : page.items()) {
+            for (StoreClient.Item item : page.items()) {
                 try {
-                    FleetSnapshot s = FleetSnapshot.parse(i.value());
-                    if (!FleetSnapshot.key(s.part()).equals(i.key())) {
-                        throw new Malformed("part: it stands at " + i.key());
+                    FleetSnapshot snapshot = FleetSnapshot.parse(item.value());
+                    if (!FleetSnapshot.key(snapshot.part()).equals(item.key())) {
+                        throw new Malformed("part: it stands at " + item.key());
                     }
-                    whole.add(s);
-                    beyond.add(s.part());
+                    whole.add(snapshot);
+                    beyond.add(snapshot.part());
                 } catch (Malformed e) {
-                    LOG.debug("{}: {}", i.key(), e.getMessage());
+                    LOG.debug("{}: {}", item.key(), e.getMessage());
                     bad++;
                 }
             }
@@ -147,21 +147,21 @@
     }
 
     /** Whether it was not known yet. */
-    private boolean enter(FleetSnapshot.Machine m) {
-        Host h = book.host(m.id());
-        if (h.known()) {
+    private boolean enter(FleetSnapshot.Machine machine) {
+        Host known = book.host(machine.id());
+        if (known.known()) {
             return false; // it has spoken, or the list was quicker
         }
-        h.type = m.type();
-        h.zone = m.zone();
-        h.spot = m.spot();
-        h.address = m.address();
-        h.imagesShift = m.shift();
-        h.listedUp = true;
-        if (m.rentedWallMs() > 0) {
-            h.rentedAt = turn.now().plusMs(Math.min(0, m.rentedWallMs() - turn.wallMs()));
+        known.type = machine.type();
+        known.zone = machine.zone();
+        known.spot = machine.spot();
+        known.address = machine.address();
+        known.imagesShift = machine.shift();
+        known.listedUp = true;
+        if (machine.rentedWallMs() > 0) {
+            known.rentedAt = turn.now().plusMs(Math.min(0, machine.rentedWallMs() - turn.wallMs()));
         }
-        h.images.putAll(m.images());
+        known.images.putAll(machine.images());
         return true;
     }
 
@@ -175,11 +175,11 @@
         int count = (int) book.hosts().stream().filter(FleetNotes::noted).count();
         parts = FleetSnapshot.parts(count, largest, settings.stateLimits().valueBytes());
         int part = cursor++ % parts;
-        FleetSnapshot s = new FleetSnapshot(part, parts, turn.wallMs(), machines(part));
+        FleetSnapshot snapshot = new FleetSnapshot(part, parts, turn.wallMs(), machines(part));
         Written old = written.get(part);
-        long content = s.content();
+        long content = snapshot.content();
         if (old == null || old.content != content || turn.now().since(old.at) > RENEW_MS) {
-            ObjectNode value = s.toNode();
+            ObjectNode value = snapshot.toNode();
             if (Codec.countedBytes(value) <= settings.stateLimits().valueBytes()) {
                 write(part, value, new Written(content, turn.now()));
             }
@@ -189,34 +189,41 @@
         beyond.stream().filter(p -> p >= parts).findFirst().ifPresent(p -> write(p, null, null));
     }
 
-    private static boolean noted(Host h) {
-        return h.lastCheckin != null && h.known() && !h.returning;
+    private static boolean noted(Host known) {
+        return known.lastCheckin != null && known.known() && !known.returning;
     }
 
     private List<FleetSnapshot.Machine> machines(int part) {
         List<FleetSnapshot.Machine> out = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (noted(h) && FleetSnapshot.partOf(h.id, parts) == part) {
-                FleetSnapshot.Machine m = machine(h);
-                largest = Math.max(largest, FleetSnapshot.bytes(m));
-                out.add(m);
+        for (Host known : book.hosts()) {
+            if (noted(known) && FleetSnapshot.partOf(known.id, parts) == part) {
+                FleetSnapshot.Machine machine = machine(known);
+                largest = Math.max(largest, FleetSnapshot.bytes(machine));
+                out.add(machine);
             }
         }
         return out;
     }
 
-    private FleetSnapshot.Machine machine(Host h) {
+    private FleetSnapshot.Machine machine(Host known) {
         Map<String, Double> images = new LinkedHashMap<>();
-        int skip = Math.max(0, h.images.size() - MOST_IMAGES); // the least recently used come first
-        for (Map.Entry<String, Double> e : h.images.entrySet()) {
+        int skip = Math.max(0, known.images.size() - MOST_IMAGES); // the least recently used come first
+        for (Map.Entry<String, Double> entry : known.images.entrySet()) {
             if (skip-- <= 0) {
-                images.put(e.getKey(), e.getValue());
+                images.put(entry.getKey(), entry.getValue());
             }
         }
-        long rented = h.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(h.rentedAt);
+        long rented = known.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(known.rentedAt);
         // To the minute: the clocks' wander would make every part differ every time.
         return new FleetSnapshot.Machine(
-                h.id, h.address, h.type, h.zone, h.spot, h.shift, rented / 60_000 * 60_000, images);
+                known.id,
+                known.address,
+                known.type,
+                known.zone,
+                known.spot,
+                known.shift,
+                rented / 60_000 * 60_000,
+                images);
     }
 
     private void write(int part, ObjectNode value, Written now) {
@@ -233,15 +240,15 @@
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         long reign = book.reign();
-        store.commit(txn, c -> {
+        store.commit(txn, commit -> {
             if (reign != book.reign()) {
                 return;
             }
             inFlight = false;
-            if (c.result() == StoreClient.Commit.Result.DONE && now != null) {
+            if (commit.result() == StoreClient.Commit.Result.DONE && now != null) {
                 written.put(part, now);
                 beyond.add(part);
-            } else if (c.result() == StoreClient.Commit.Result.DONE) {
+            } else if (commit.result() == StoreClient.Commit.Result.DONE) {
                 written.remove(part);
                 beyond.remove(part);
             }
--- a/src/main/java/org/beechhoist/core/Following.java
+++ b/src/main/java/org/beechhoist/core/Following.java
@@ -51,47 +51,50 @@
         page(++round, null, null);
     }
 
-    private void again(long ms, long r, Runnable then) {
+    private void again(long ms, long expectedRound, Runnable then) {
         turn.after(ms, () -> {
-            if (r == round) {
+            if (expectedRound == round) {
                 then.run();
             }
         });
     }
 
-    private void page(long r, String after, Revision start) {
+    private void page(long expectedRound, String after, Revision start) {
         requests.take(turn.now(), 1);
-        store.list(prefix, after, PAGE, p -> {
-            if (r != round) {
+        store.list(prefix, after, PAGE, page -> {
+            if (expectedRound != round) {
                 return;
             }
-            if (!p.ok()) {
-                again(AGAIN_MS, r, this::start);
+            if (!page.ok()) {
+                again(AGAIN_MS, expectedRound, this::start);
                 return;
             }
-            p.items().forEach(found);
-            Revision first = start == null ? p.revision() : start;
-            if (p.more() && !p.items().isEmpty()) {
-                page(r, p.items().get(p.items().size() - 1).key(), first);
+            page.items().forEach(found);
+            Revision first = start == null ? page.revision() : start;
+            if (page.more() && !page.items().isEmpty()) {
+                page(expectedRound, page.items().get(page.items().size() - 1).key(), first);
             } else {
-                watch(r, first, 0);
+                watch(expectedRound, first, 0);
             }
         });
     }
 
-    private void watch(long r, Revision after, long holdMs) {
+    private void watch(long expectedRound, Revision after, long holdMs) {
         requests.take(turn.now(), 1);
-        store.changes(prefix, after, holdMs, c -> {
-            if (r != round) {
+        store.changes(prefix, after, holdMs, news -> {
+            if (expectedRound != round) {
                 return;
             }
-            if (c.status() == 410) {
+            if (news.status() == 410) {
                 start();
-            } else if (c.status() != 200) {
-                again(AGAIN_MS, r, () -> watch(r, after, holdMs));
+            } else if (news.status() != 200) {
+                again(AGAIN_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
             } else {
-                changes.accept(c.log());
-                again(c.log().isEmpty() ? 0 : PAUSE_MS, r, () -> watch(r, c.revision(), HOLD_MS));
+                changes.accept(news.log());
+                again(
+                        news.log().isEmpty() ? 0 : PAUSE_MS,
+                        expectedRound,
+                        () -> watch(expectedRound, news.revision(), HOLD_MS));
             }
         });
     }
--- a/src/main/java/org/beechhoist/core/Foresight.java
+++ b/src/main/java/org/beechhoist/core/Foresight.java
@@ -20,52 +20,57 @@
      * @param lastsMs until the last machine is gone
      */
     record Cost(int tasks, double cpuS, Map<String, double[]> byGroup, long lastsMs) {
-        ObjectNode into(ObjectNode n) {
-            n.put("tasks", tasks).put("cpuS", Math.round(cpuS)).put("endsInS", lastsMs / 1000.0);
-            ObjectNode groups = n.putObject("byTeamAndClass");
+        ObjectNode into(ObjectNode node) {
+            node.put("tasks", tasks).put("cpuS", Math.round(cpuS)).put("endsInS", lastsMs / 1000.0);
+            ObjectNode groups = node.putObject("byTeamAndClass");
             byGroup.forEach((g, s) -> groups.putArray(g).add(Math.round(s[0])).add(Math.round(s[1])));
-            return n;
+            return node;
         }
     }
 
     private Foresight() {}
 
     static Cost of(
-            Drain d, List<Host> hosts, Book book, Types types, BiFunction<Job, Placement, Ending> ending, long nowMs) {
+            Drain drain,
+            List<Host> hosts,
+            Book book,
+            Types types,
+            BiFunction<Job, Placement, Ending> ending,
+            long nowMs) {
         int tasks = 0;
         double cpuS = 0;
         long longest = 0;
         long sum = 0;
         long boot = 0;
         Map<String, double[]> groups = new TreeMap<>();
-        for (Host h : hosts) {
+        for (Host machine : hosts) {
             long frees = LEAST_MACHINE_MS;
-            HostType t = types.get(h.type);
-            boot = Math.max(boot, t == null ? 0 : Math.round(1000 * t.startupS()));
-            for (Placement p : h.placements.values()) {
-                Job j = book.job(p.task.job());
-                if (j == null) {
+            HostType type = types.get(machine.type);
+            boot = Math.max(boot, type == null ? 0 : Math.round(1000 * type.startupS()));
+            for (Placement placement : machine.placements.values()) {
+                Job job = book.job(placement.task.job());
+                if (job == null) {
                     continue;
                 }
-                Ending e = ending.apply(j, p);
-                frees = Math.max(frees, e.freesAtMs() - nowMs);
-                if (e.way() != Ending.Way.AT_END && e.way() != Ending.Way.WITHDRAW) {
+                Ending how = ending.apply(job, placement);
+                frees = Math.max(frees, how.freesAtMs() - nowMs);
+                if (how.way() != Ending.Way.AT_END && how.way() != Ending.Way.WITHDRAW) {
                     tasks++;
-                    cpuS += e.lostCpuS();
-                    double[] g = groups.computeIfAbsent(
-                            j.spec().team() + " " + j.spec().jobClass(), k -> new double[2]);
-                    g[0]++;
-                    g[1] += e.lostCpuS();
+                    cpuS += how.lostCpuS();
+                    double[] gains = groups.computeIfAbsent(
+                            job.spec().team() + " " + job.spec().jobClass(), k -> new double[2]);
+                    gains[0]++;
+                    gains[1] += how.lostCpuS();
                 }
             }
             longest = Math.max(longest, frees);
             sum += frees;
         }
-        long lasts = !d.replace()
+        long lasts = !drain.replace()
                 ? longest
                 : hosts.isEmpty()
                         ? 0
-                        : Waves.lastsMs(d.pace(), hosts.size(), 0, (longest + sum / hosts.size()) / 2, boot);
+                        : Waves.lastsMs(drain.pace(), hosts.size(), 0, (longest + sum / hosts.size()) / 2, boot);
         return new Cost(tasks, cpuS, groups, lasts);
     }
 }
--- a/src/main/java/org/beechhoist/core/FreeRooms.java
+++ b/src/main/java/org/beechhoist/core/FreeRooms.java
@@ -28,29 +28,29 @@
 
     /** @param serves whether a machine counts, beside that it takes work */
     FreeRooms(Book book, Types types, Admission admission, Predicate<Host> serves) {
-        for (Host h : book.hosts()) {
-            HostType t = admission.usable(h) && serves.test(h) ? types.get(h.type) : null;
-            Admission.Room room = t == null ? null : admission.free(h, t);
+        for (Host machine : book.hosts()) {
+            HostType type = admission.usable(machine) && serves.test(machine) ? types.get(machine.type) : null;
+            Admission.Room room = type == null ? null : admission.free(machine, type);
             if (room != null && room.cpus() > 0) {
-                all.add(new Free(h, t, room));
+                all.add(new Free(machine, type, room));
             }
         }
     }
 
     /** A machine with a place for such a task, which is taken from then on; null: there is none. What must lie together or apart has none. */
-    Host take(JobSpec s) {
-        if (s.gang() || s.sameZone() || s.apart()) {
+    Host take(JobSpec spec) {
+        if (spec.gang() || spec.sameZone() || spec.apart()) {
             return null;
         }
-        String shape =
-                s.cpus() + "/" + s.gpus() + "/" + s.memGb() + "/" + s.hostTypes() + "/" + s.zone() + "/" + s.spot();
+        String shape = spec.cpus() + "/" + spec.gpus() + "/" + spec.memGb() + "/" + spec.hostTypes() + "/" + spec.zone()
+                + "/" + spec.spot();
         for (int i = tried.getOrDefault(shape, 0); i < all.size(); i++) {
-            Free f = all.get(i);
-            Admission.Room left = f.room.plus(s, -1);
-            if (left.enough() && s.mayRunOn(f.type, f.host.zone, f.host.spot)) {
-                f.room = left;
+            Free free = all.get(i);
+            Admission.Room left = free.room.plus(spec, -1);
+            if (left.enough() && spec.mayRunOn(free.type, free.host.zone, free.host.spot)) {
+                free.room = left;
                 tried.put(shape, i);
-                return f.host;
+                return free.host;
             }
         }
         tried.put(shape, all.size());
--- a/src/main/java/org/beechhoist/core/Host.java
+++ b/src/main/java/org/beechhoist/core/Host.java
@@ -110,10 +110,10 @@
     }
 
     /** A newer message of its worker has come. */
-    void newest(HostReport r, Tick now) {
-        sessionHeard = r.shift() == shift && sessionHeard != Tick.ZERO ? sessionHeard : now;
-        shift = r.shift();
-        counter = r.counter();
+    void newest(HostReport heartbeat, Tick now) {
+        sessionHeard = heartbeat.shift() == shift && sessionHeard != Tick.ZERO ? sessionHeard : now;
+        shift = heartbeat.shift();
+        counter = heartbeat.counter();
         newestAt = now;
         answeredNewest = false;
         callsLost = false;
@@ -144,8 +144,8 @@
     }
 
     /** How long a task of the job would wait for its image here. */
-    long fetchMs(JobSpec s, HostType t) {
-        return images.containsKey(s.image()) ? 0 : Math.round(1000 * s.imageGb() / t.fetchGbPerS());
+    long fetchMs(JobSpec spec, HostType type) {
+        return images.containsKey(spec.image()) ? 0 : Math.round(1000 * spec.imageGb() / type.fetchGbPerS());
     }
 
     void cached(String image, double gb, double cacheGb) {
--- a/src/main/java/org/beechhoist/core/JobStates.java
+++ b/src/main/java/org/beechhoist/core/JobStates.java
@@ -18,13 +18,13 @@
     }
 
     static ObjectNode endedState(JobRef ref, JsonNode value) {
-        ObjectNode n = state(ref, value.path("status").asText())
+        ObjectNode node = state(ref, value.path("status").asText())
                 .put("done", value.path("done").asInt())
                 .put("running", 0);
         if (value.hasNonNull("origin")) {
-            n.put("origin", value.get("origin").asText());
+            node.put("origin", value.get("origin").asText());
         }
-        return n;
+        return node;
     }
 
     static ObjectNode openState(JobRef ref, JsonNode value) {
@@ -35,22 +35,22 @@
         }
         int running = value.path("running").asInt();
         String status = value.path("cancel").asLong() > 0 ? "cancelled" : running > 0 ? "running" : "queued";
-        ObjectNode n = state(ref, status).put("done", done).put("running", running);
+        ObjectNode node = state(ref, status).put("done", done).put("running", running);
         if (value.path("spec").hasNonNull("origin")) {
-            n.put("origin", value.get("spec").get("origin").asText());
+            node.put("origin", value.get("spec").get("origin").asText());
         }
         if (value.path("spec").hasNonNull("pin")) {
-            n.set("keySet", value.get("spec").get("pin"));
+            node.set("keySet", value.get("spec").get("pin"));
         }
         if (value.hasNonNull("reason")) {
-            n.put("reason", value.get("reason").asText());
+            node.put("reason", value.get("reason").asText());
         }
         if (value.hasNonNull("width")) {
-            n.set("width", value.get("width"));
+            node.set("width", value.get("width"));
             if (value.get("width").path("most").asInt() == 0) {
-                n.put("reason", "paused: its width is 0");
+                node.put("reason", "paused: its width is 0");
             }
         }
-        return n;
+        return node;
     }
 }
