--- a/src/main/java/org/beechhoist/core/KeyBook.java
+++ b/src/main/java/org/beechhoist/core/KeyBook.java
@@ -78,8 +78,8 @@
     // ---- what follows from it ----
 
     /** What the job is bound to, or null: nothing is known yet. */
-    KeySets.Binding bind(JobSpec s) {
-        return known ? snapshot.bind(s.team(), s.jobClass(), s.keySet()) : null;
+    KeySets.Binding bind(JobSpec spec) {
+        return known ? snapshot.bind(spec.team(), spec.jobClass(), spec.keySet()) : null;
     }
 
     Verdict verdict(KeyPin pin) {
@@ -119,17 +119,17 @@
     private void refresh(String set, Runnable then) {
         behind.add(set);
         requests.take(turn.now(), 1);
-        store.get(SETS + set, r -> {
-            if (!r.known()) {
+        store.get(SETS + set, read -> {
+            if (!read.known()) {
                 turn.after(AGAIN_MS, () -> refresh(set, then));
                 return;
             }
             // The change is not judged by this one read: its number comes with the watch.
-            if (r.item() == null) {
+            if (read.item() == null) {
                 sets.remove(set);
             } else if (sets.get(set) == null
-                    || sets.get(set).revision().compareTo(r.item().version()) < 0) {
-                sets.put(set, new KeySets.Known(read(r.item()), r.item().version()));
+                    || sets.get(set).revision().compareTo(read.item().version()) < 0) {
+                sets.put(set, new KeySets.Known(read(read.item()), read.item().version()));
             }
             behind.remove(set);
             renew();
@@ -144,17 +144,17 @@
             return;
         }
         try {
-            Verdict v = verdict(KeyPin.parse(pin));
-            if (!v.mayRun()) {
+            Verdict verdict = verdict(KeyPin.parse(pin));
+            if (!verdict.mayRun()) {
                 ObjectNode held = state.putObject("held");
                 held.put("set", pin.path("set").asText())
                         .put("version", pin.path("version").asLong())
-                        .put("by", v.by())
-                        .put("why", v.why());
-                if (v.sinceMs() > 0) {
-                    held.put("since", v.sinceMs());
+                        .put("by", verdict.by())
+                        .put("why", verdict.why());
+                if (verdict.sinceMs() > 0) {
+                    held.put("since", verdict.sinceMs());
                 }
-                state.put("reason", "held: key set " + pin.path("set").asText() + ": " + v.why());
+                state.put("reason", "held: key set " + pin.path("set").asText() + ": " + verdict.why());
             }
         } catch (Malformed e) {
             LOG.debug("{}", e.getMessage());
@@ -186,32 +186,32 @@
         mark();
     }
 
-    private static KeySet read(StoreClient.Item i) {
+    private static KeySet read(StoreClient.Item item) {
         try {
-            return KeySet.parse(i.value());
+            return KeySet.parse(item.value());
         } catch (Malformed e) {
-            LOG.error("{} can't be read, jobs that are bound to it are held: {}", i.key(), e.getMessage());
+            LOG.error("{} can't be read, jobs that are bound to it are held: {}", item.key(), e.getMessage());
             return null;
         }
     }
 
-    private void take(StoreClient.Item i) {
-        String key = i.key();
-        boolean gone = i.value() == null;
+    private void take(StoreClient.Item item) {
+        String key = item.key();
+        boolean gone = item.value() == null;
         if (key.startsWith(SETS)) {
             String name = key.substring(SETS.length());
             KeySets.Known old = sets.get(name);
             if (gone) {
                 sets.remove(name);
-            } else if (old == null || old.revision().compareTo(i.version()) < 0) {
-                sets.put(name, new KeySets.Known(read(i), i.version()));
+            } else if (old == null || old.revision().compareTo(item.version()) < 0) {
+                sets.put(name, new KeySets.Known(read(item), item.version()));
             }
         } else if (key.startsWith(NUMBERS)) {
             String name = key.substring(NUMBERS.length());
             if (gone) {
                 numbers.remove(name);
             } else {
-                numbers.put(name, new Number(i.value().path("number").asLong(), i.version()));
+                numbers.put(name, new Number(item.value().path("number").asLong(), item.version()));
             }
         } else if (key.startsWith(MARKS)) {
             String name = key.substring(MARKS.length());
@@ -222,32 +222,32 @@
                 marks.put(
                         name,
                         new KeySets.Mark(
-                                i.value().path("at").asLong(),
-                                i.value().path("node").asText(),
-                                i.value().path("saw").asText(),
-                                i.value().path("known").asText()));
+                                item.value().path("at").asLong(),
+                                item.value().path("node").asText(),
+                                item.value().path("saw").asText(),
+                                item.value().path("known").asText()));
             }
         } else if (key.equals(REQUIRED)) {
             classes.clear();
             teams.clear();
             if (!gone) {
-                i.value().path("classes").forEach(c -> classes.add(c.asText()));
-                i.value().path("teams").forEach(t -> teams.add(t.asText()));
+                item.value().path("classes").forEach(c -> classes.add(c.asText()));
+                item.value().path("teams").forEach(t -> teams.add(t.asText()));
             }
         }
     }
 
     /** Whether somebody has written over the set: every change of ours moves its number in the same transaction. */
     private void look(String name, KeySets.Known before, KeySets.Known now) {
-        Number n = numbers.get(name);
+        Number number = numbers.get(name);
         if (now.set() == null
                 || marks.containsKey(name)
                 || before != null && before.revision().equals(now.revision())) {
             return;
         }
         KeySet old = before == null ? null : before.set();
-        String saw = KeySets.tampered(old, now.set(), n == null ? null : n.number);
-        if (saw == null && (n == null || !n.revision.equals(now.revision()))) {
+        String saw = KeySets.tampered(old, now.set(), number == null ? null : number.number);
+        if (saw == null && (number == null || !number.revision.equals(now.revision()))) {
             saw = "change " + now.set().number() + " of another hand";
         }
         if (saw == null) {
@@ -255,35 +255,36 @@
         }
         String should = old != null && old.approved() != null
                 ? old.approved().digest()
-                : "change " + (n == null ? "?" : String.valueOf(n.number));
+                : "change " + (number == null ? "?" : String.valueOf(number.number));
         LOG.error(
                 "key set {}: mismatch: {} stands there, {} is what was known; jobs that are bound to it are held",
                 name,
                 saw,
                 should);
-        KeySets.Mark m = new KeySets.Mark(turn.wallMs(), node, saw, should);
-        marks.put(name, m);
-        toMark.put(name, m);
+        KeySets.Mark mark = new KeySets.Mark(turn.wallMs(), node, saw, should);
+        marks.put(name, mark);
+        toMark.put(name, mark);
     }
 
     /** Tells all nodes, those to come too. */
     private void mark() {
-        for (Map.Entry<String, KeySets.Mark> e : List.copyOf(toMark.entrySet())) {
-            KeySets.Mark m = e.getValue();
+        for (Map.Entry<String, KeySets.Mark> entry : List.copyOf(toMark.entrySet())) {
+            KeySets.Mark mark = entry.getValue();
             Txn txn = new Txn()
-                    .guard(MARKS + e.getKey(), Revision.ABSENT)
+                    .guard(MARKS + entry.getKey(), Revision.ABSENT)
                     .put(
-                            MARKS + e.getKey(),
+                            MARKS + entry.getKey(),
                             Codec.map()
-                                    .put("at", m.atMs())
-                                    .put("node", m.node())
-                                    .put("saw", m.saw())
-                                    .put("known", m.known()));
+                                    .put("at", mark.atMs())
+                                    .put("node", mark.node())
+                                    .put("saw", mark.saw())
+                                    .put("known", mark.known()));
             requests.take(turn.now(), 1);
             writes.take(turn.now(), 1);
-            store.commit(txn, c -> {
-                if (c.result() == StoreClient.Commit.Result.DONE || c.result() == StoreClient.Commit.Result.CONFLICT) {
-                    toMark.remove(e.getKey(), m);
+            store.commit(txn, commit -> {
+                if (commit.result() == StoreClient.Commit.Result.DONE
+                        || commit.result() == StoreClient.Commit.Result.CONFLICT) {
+                    toMark.remove(entry.getKey(), mark);
                 } else {
                     turn.after(AGAIN_MS, this::mark);
                 }
--- a/src/main/java/org/beechhoist/core/KeyHolds.java
+++ b/src/main/java/org/beechhoist/core/KeyHolds.java
@@ -47,9 +47,9 @@
 
     /** Before each plan: who may not run, by what is known of the sets now. */
     void look() {
-        for (Job j : book.jobs()) {
-            if (j.spec().pin() != null && !j.cancelled() && (due || j.hold == Verdict.NOT_KNOWN)) {
-                look(j);
+        for (Job job : book.jobs()) {
+            if (job.spec().pin() != null && !job.cancelled() && (due || job.hold == Verdict.NOT_KNOWN)) {
+                look(job);
             }
         }
         due = false;
@@ -61,46 +61,46 @@
         look();
     }
 
-    private void look(Job j) {
-        Verdict v = keys == null ? OFF : keys.verdict(j.spec().pin());
-        boolean was = j.held();
-        j.hold = v.mayRun() ? null : v;
-        if (j.held() && !was) {
-            j.heldSinceMs = Math.max(v.sinceMs(), 0) == 0 ? turn.wallMs() : v.sinceMs();
+    private void look(Job job) {
+        Verdict verdict = keys == null ? OFF : keys.verdict(job.spec().pin());
+        boolean was = job.held();
+        job.hold = verdict.mayRun() ? null : verdict;
+        if (job.held() && !was) {
+            job.heldSinceMs = Math.max(verdict.sinceMs(), 0) == 0 ? turn.wallMs() : verdict.sinceMs();
             LOG.warn(
                     "{} is held, {} tasks may be running: key set {}: {}, by {}",
-                    j.ref(),
-                    j.record.live.size(),
-                    j.spec().pin(),
-                    v.why(),
-                    v.by());
+                    job.ref(),
+                    job.record.live.size(),
+                    job.spec().pin(),
+                    verdict.why(),
+                    verdict.by());
             book.replan();
-        } else if (was && !j.held()) {
-            LOG.info("{} goes on: key set {}", j.ref(), j.spec().pin());
-            j.lastProgress = turn.now();
+        } else if (was && !job.held()) {
+            LOG.info("{} goes on: key set {}", job.ref(), job.spec().pin());
+            job.lastProgress = turn.now();
             book.replan();
         }
-        if (j.held()) {
-            pursue(j, !was);
+        if (job.held()) {
+            pursue(job, !was);
         }
     }
 
     /** What was not sent waits again; what was is ended. What is on its way to the state service is looked at when that is over. */
-    private void pursue(Job j, boolean first) {
-        for (Placement p : new ArrayList<>(j.record.live.values())) {
-            if (!p.sent && (p.committed || !j.inFlight)) {
-                departures.remove(j, p);
-            } else if (p.sent && first) {
-                Host h = book.host(p.host);
-                h.outbox.add(Order.kill(p.task, p.attempt, 0));
-                orders.direct(h);
+    private void pursue(Job job, boolean first) {
+        for (Placement placement : new ArrayList<>(job.record.live.values())) {
+            if (!placement.sent && (placement.committed || !job.inFlight)) {
+                departures.remove(job, placement);
+            } else if (placement.sent && first) {
+                Host machine = book.host(placement.host);
+                machine.outbox.add(Order.kill(placement.task, placement.attempt, 0));
+                orders.direct(machine);
             }
         }
     }
 
     /** By when all of it must be gone, by the time of day. */
-    long goneByMs(Job j) {
-        return j.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
+    long goneByMs(Job job) {
+        return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
 
     // ---- with the commits ----
@@ -109,23 +109,23 @@
      * Whether what is placed of the job may be written now. It is decided anew by the very content that the guard then names: what
      * was decided for the plan may rest on an older one, and a guard by the newer would let it pass.
      */
-    boolean mayWrite(Job j) {
-        return j.uncommitted == 0
-                || j.spec().pin() == null
+    boolean mayWrite(Job job) {
+        return job.uncommitted == 0
+                || job.spec().pin() == null
                 || keys != null
-                        && keys.sure(j.spec().pin().set())
-                        && keys.verdict(j.spec().pin()).mayRun();
+                        && keys.sure(job.spec().pin().set())
+                        && keys.verdict(job.spec().pin()).mayRun();
     }
 
     /** The guard that a job's new placements need; null: none. */
-    String guardKey(Job j) {
-        return j.uncommitted == 0 || j.spec().pin() == null
+    String guardKey(Job job) {
+        return job.uncommitted == 0 || job.spec().pin() == null
                 ? null
-                : KeyBook.SETS + j.spec().pin().set();
+                : KeyBook.SETS + job.spec().pin().set();
     }
 
-    void guard(Txn txn, Job j) {
-        keys.guard(txn, j.spec().pin().set());
+    void guard(Txn txn, Job job) {
+        keys.guard(txn, job.spec().pin().set());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
--- a/src/main/java/org/beechhoist/core/KeySetApi.java
+++ b/src/main/java/org/beechhoist/core/KeySetApi.java
@@ -58,33 +58,34 @@
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         try {
-            JsonNode n = post ? Codec.decodeMap(body) : null;
+            JsonNode node = post ? Codec.decodeMap(body) : null;
             int slash = rest.lastIndexOf('/');
             String name = slash < 0 ? rest : rest.substring(0, slash);
             String verb = slash < 0 ? "" : rest.substring(slash + 1);
             if (rest.isEmpty() && !post) {
                 list(answer);
             } else if (rest.equals("required") && post) {
-                require(n, answer);
+                require(node, answer);
             } else if (slash < 0 && !post) {
                 show(name, answer);
             } else if (verb.equals("jobs") && !post) {
                 jobs(name, book, answer);
             } else if (verb.equals("propose") && post) {
-                propose(name, n, answer);
+                propose(name, node, answer);
             } else if (verb.equals("approve") && post) {
-                KeySet.Change by = by(n);
-                long version = Codec.count(n, "version", 1, Integer.MAX_VALUE);
-                String digest = Codec.text(n, "digest");
-                long drainS = Codec.absent(n, "drainS") ? USUAL_DRAIN_S : Codec.count(n, "drainS", 0, LONGEST_DRAIN_S);
+                KeySet.Change by = by(node);
+                long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
+                String digest = Codec.text(node, "digest");
+                long drainS =
+                        Codec.absent(node, "drainS") ? USUAL_DRAIN_S : Codec.count(node, "drainS", 0, LONGEST_DRAIN_S);
                 change(
                         name,
                         true,
                         before -> known(name, before).approve(version, digest, turn.wallMs() + 1000 * drainS, by),
                         answer);
             } else if (verb.equals("revoke") && post) {
-                KeySet.Change by = by(n);
-                long version = Codec.count(n, "version", 1, Integer.MAX_VALUE);
+                KeySet.Change by = by(node);
+                long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
                 change(name, false, before -> known(name, before).revoke(version, by), answer);
             } else {
                 answer.with(404, Amending.error("no such path"));
@@ -94,9 +95,9 @@
         }
     }
 
-    private KeySet.Change by(JsonNode n) throws Malformed {
+    private KeySet.Change by(JsonNode node) throws Malformed {
         try {
-            return new KeySet.Change(Codec.text(n, "who"), turn.wallMs(), Codec.text(n, "why"));
+            return new KeySet.Change(Codec.text(node, "who"), turn.wallMs(), Codec.text(node, "why"));
         } catch (IllegalArgumentException e) {
             throw new Malformed(e.getMessage());
         }
@@ -111,15 +112,15 @@
 
     // ---- changes ----
 
-    private void propose(String name, JsonNode n, CronApi.Answer answer) throws Malformed {
-        KeySet.Change by = by(n);
-        String owner = Codec.text(n, "owner");
+    private void propose(String name, JsonNode node, CronApi.Answer answer) throws Malformed {
+        KeySet.Change by = by(node);
+        String owner = Codec.text(node, "owner");
         if (!settings.teams().containsKey(owner)) {
             throw new Malformed("owner = " + owner + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
-        List<String> classes = Codec.absent(n, "classes") ? List.of() : Codec.texts(n.get("classes"), "classes");
-        List<String> fingerprints = Codec.texts(n.get("fingerprints"), "fingerprints");
+        List<String> classes = Codec.absent(node, "classes") ? List.of() : Codec.texts(node.get("classes"), "classes");
+        List<String> fingerprints = Codec.texts(node.get("fingerprints"), "fingerprints");
         if (keys.known() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
             throw new Malformed("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
         }
@@ -157,10 +158,10 @@
     }
 
     /** Which classes and teams need a set. */
-    private void require(JsonNode n, CronApi.Answer answer) throws Malformed {
+    private void require(JsonNode node, CronApi.Answer answer) throws Malformed {
         ObjectNode value = Codec.map();
         for (String field : new String[] {"classes", "teams"}) {
-            List<String> names = Codec.absent(n, field) ? List.of() : Codec.texts(n.get(field), field);
+            List<String> names = Codec.absent(node, field) ? List.of() : Codec.texts(node.get(field), field);
             if (names.size() > MOST_REQUIRED) {
                 throw new Malformed(field + ": at most " + MOST_REQUIRED + " are allowed");
             }
@@ -175,8 +176,8 @@
         }
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
-        store.commit(new Txn().put(KeyBook.REQUIRED, value), c -> {
-            if (c.result() == Commit.Result.DONE) {
+        store.commit(new Txn().put(KeyBook.REQUIRED, value), commit -> {
+            if (commit.result() == Commit.Result.DONE) {
                 answer.with(200, value);
             } else {
                 Amending.unknown(answer);
@@ -186,17 +187,17 @@
 
     // ---- what is known ----
 
-    private ObjectNode shown(KeySet s) {
-        ObjectNode n = s.toNode();
-        KeySets.Mark m = keys.snapshot().marks().get(s.name());
-        if (m != null) {
-            n.putObject("mismatch")
-                    .put("saw", m.saw())
-                    .put("known", m.known())
-                    .put("since", m.atMs())
-                    .put("by", m.node());
+    private ObjectNode shown(KeySet keySet) {
+        ObjectNode node = keySet.toNode();
+        KeySets.Mark mark = keys.snapshot().marks().get(keySet.name());
+        if (mark != null) {
+            node.putObject("mismatch")
+                    .put("saw", mark.saw())
+                    .put("known", mark.known())
+                    .put("since", mark.atMs())
+                    .put("by", mark.node());
         }
-        return n;
+        return node;
     }
 
     private void list(CronApi.Answer answer) {
@@ -206,15 +207,17 @@
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("keysets");
-        for (KeySets.Known k : keys.snapshot().sets().values()) {
-            if (k.set() != null) {
-                KeySet.Version v = k.set().approved();
+        for (KeySets.Known known : keys.snapshot().sets().values()) {
+            if (known.set() != null) {
+                KeySet.Version version = known.set().approved();
                 ObjectNode row = rows.addObject()
-                        .put("name", k.set().name())
-                        .put("owner", k.set().owner())
-                        .put("versions", k.set().versions().size());
-                row.put("approved", v == null ? null : v.version());
-                row.put("mismatch", keys.snapshot().marks().containsKey(k.set().name()));
+                        .put("name", known.set().name())
+                        .put("owner", known.set().owner())
+                        .put("versions", known.set().versions().size());
+                row.put("approved", version == null ? null : version.version());
+                row.put(
+                        "mismatch",
+                        keys.snapshot().marks().containsKey(known.set().name()));
             }
         }
         ArrayNode classes = out.putObject("required").putArray("classes");
@@ -225,13 +228,13 @@
     }
 
     private void show(String name, CronApi.Answer answer) {
-        KeySets.Known k = keys.snapshot().sets().get(name);
+        KeySets.Known known = keys.snapshot().sets().get(name);
         if (!keys.known()) {
             Amending.unknown(answer);
-        } else if (k == null || k.set() == null) {
+        } else if (known == null || known.set() == null) {
             answer.with(404, Amending.error("no such key set"));
         } else {
-            answer.with(200, shown(k.set()));
+            answer.with(200, shown(known.set()));
         }
     }
 
@@ -243,8 +246,8 @@
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
         int more = 0;
-        for (Job j : book.jobs()) {
-            KeyPin pin = j.spec().pin();
+        for (Job job : book.jobs()) {
+            KeyPin pin = job.spec().pin();
             if (pin == null || !pin.set().equals(name)) {
                 continue;
             }
@@ -253,12 +256,12 @@
                 continue;
             }
             ObjectNode row = rows.addObject()
-                    .put("ref", j.ref().text())
+                    .put("ref", job.ref().text())
                     .put("version", pin.version())
                     .put("digest", pin.digest())
-                    .put("held", j.hold == null ? null : j.hold.why());
+                    .put("held", job.hold == null ? null : job.hold.why());
             List<String> hosts = new ArrayList<>();
-            for (Placement p : j.record.live.values()) {
+            for (Placement p : job.record.live.values()) {
                 hosts.add(p.task.index() + " on " + p.host.text());
             }
             ArrayNode on = row.putArray("tasks");
--- a/src/main/java/org/beechhoist/core/Leader.java
+++ b/src/main/java/org/beechhoist/core/Leader.java
@@ -109,8 +109,8 @@
                     }
 
                     @Override
-                    public void resized(Job j) {
-                        elastic.look(j);
+                    public void resized(Job job) {
+                        elastic.look(job);
                     }
                 });
         this.starting = new Starting(turn, settings, book);
@@ -118,8 +118,8 @@
         this.orders =
                 new Orders(turn, settings, election, book, loading, starting, cancellations, new Orders.Listener() {
                     @Override
-                    public void reported(Host h, HostReport report) {
-                        reports.evaluate(h, report, false);
+                    public void reported(Host machine, HostReport report) {
+                        reports.evaluate(machine, report, false);
                     }
 
                     @Override
@@ -159,18 +159,18 @@
                     }
 
                     @Override
-                    public void written(Job j) {
-                        elastic.look(j);
+                    public void written(Job job) {
+                        elastic.look(job);
                     }
 
                     @Override
-                    public void ended(Job j, JsonNode state) {
-                        users.ended(j.ref(), state);
-                        recovery.over(j.ref());
+                    public void ended(Job job, JsonNode state) {
+                        users.ended(job.ref(), state);
+                        recovery.over(job.ref());
                         if (floor != null) {
-                            floor.ended(j);
+                            floor.ended(job);
                         }
-                        releases.ended(j);
+                        releases.ended(job);
                     }
                 });
         Faults faults = new Faults(turn, book);
@@ -342,8 +342,8 @@
     }
 
     /** Answers a worker's report. */
-    void checkin(long request, HostReport r) {
-        reports.checkin(request, r);
+    void checkin(long request, HostReport heartbeat) {
+        reports.checkin(request, heartbeat);
     }
 
     /**
@@ -351,19 +351,19 @@
      * nothing. What was on it is gone with that; but commands for its first session, which may still be on their way, would be
      * carried out. So what the new one does not hold is gone once it has seen a newer token.
      */
-    private void beganAnew(Host h, HostReport r) {
-        LOG.info("{} began anew: session {}, message {}", h.id, r.shift(), r.counter());
-        h.newest(r, turn.now());
-        h.sessionHeard = turn.now();
-        h.lastCheckin = null;
-        h.images.clear();
-        h.limbo = election.baton();
-        h.ghosts = election.baton();
+    private void beganAnew(Host machine, HostReport heartbeat) {
+        LOG.info("{} began anew: session {}, message {}", machine.id, heartbeat.shift(), heartbeat.counter());
+        machine.newest(heartbeat, turn.now());
+        machine.sessionHeard = turn.now();
+        machine.lastCheckin = null;
+        machine.images.clear();
+        machine.limbo = election.baton();
+        machine.ghosts = election.baton();
         committer.wantRotation();
-        for (Placement p : h.placements.values()) {
-            if (p.sent) {
-                p.sentShift = r.shift();
-                p.sentCounter = r.counter();
+        for (Placement placement : machine.placements.values()) {
+            if (placement.sent) {
+                placement.sentShift = heartbeat.shift();
+                placement.sentCounter = heartbeat.counter();
             }
         }
         book.replan();
@@ -372,14 +372,14 @@
     private void launch(List<Placement> placed) {
         placed.forEach(recovery::placed);
         Set<Host> reached = new LinkedHashSet<>();
-        for (Placement p : placed) {
-            Job j = book.job(p.task.job());
-            if (elastic.withdraws(j, p, book.host(p.host))) {
-                departures.remove(j, p);
+        for (Placement placement : placed) {
+            Job job = book.job(placement.task.job());
+            if (elastic.withdraws(job, placement, book.host(placement.host))) {
+                departures.remove(job, placement);
             } else {
-                departures.launch(p);
+                departures.launch(placement);
             }
-            reached.add(book.host(p.host));
+            reached.add(book.host(placement.host));
         }
         reached.forEach(orders::direct);
     }
@@ -467,13 +467,13 @@
             return;
         }
         starting.tick();
-        for (Host h : new ArrayList<>(book.hosts())) {
-            if (!h.placements.isEmpty()
-                    && book.lapse(h).before(turn.now())
-                    && h.placements.values().stream().allMatch(p -> p.committed)) {
-                departures.clear(h, "its lease ran out");
+        for (Host machine : new ArrayList<>(book.hosts())) {
+            if (!machine.placements.isEmpty()
+                    && book.lapse(machine).before(turn.now())
+                    && machine.placements.values().stream().allMatch(p -> p.committed)) {
+                departures.clear(machine, "its lease ran out");
             }
-            orders.direct(h);
+            orders.direct(machine);
         }
         holds.tick();
         notices.tick();
@@ -507,11 +507,11 @@
         int up = 0;
         int heard = 0;
         int unhearing = 0;
-        for (Host h : book.hosts()) {
-            if (h.known() && h.there && !h.returning && (h.up || h.listedUp)) {
+        for (Host machine : book.hosts()) {
+            if (machine.known() && machine.there && !machine.returning && (machine.up || machine.listedUp)) {
                 up++;
-                heard += h.lastHeard != null && turn.now().since(h.lastHeard) < window ? 1 : 0;
-                unhearing += h.ears.speaksOn() ? 1 : 0;
+                heard += machine.lastHeard != null && turn.now().since(machine.lastHeard) < window ? 1 : 0;
+                unhearing += machine.ears.speaksOn() ? 1 : 0;
             }
         }
         if (Hearing.mute(up, unhearing)) {
@@ -533,23 +533,23 @@
     }
 
     private void logStalled() {
-        for (Job j : book.jobs()) {
-            boolean serves = j.spec().service() && elastic.sure(j) == 0;
-            if (!serves && turn.now().since(j.lastProgress) > STALLED_MS) {
-                j.lastProgress = turn.now();
+        for (Job job : book.jobs()) {
+            boolean serves = job.spec().service() && elastic.sure(job) == 0;
+            if (!serves && turn.now().since(job.lastProgress) > STALLED_MS) {
+                job.lastProgress = turn.now();
                 Plan plan = planner.current();
-                Long start = plan == null ? null : plan.plannedStart(j.ref());
+                Long start = plan == null ? null : plan.plannedStart(job.ref());
                 LOG.warn(
                         "{} makes no progress: {} waiting, {} placed, {}",
-                        j.ref(),
-                        j.record.waitingCount(),
-                        j.record.live.size(),
-                        j.hold != null
-                                ? "held: " + j.hold.why()
-                                : Elastic.held(j) != null
-                                        ? Elastic.held(j)
-                                        : j.record.reason != null
-                                                ? j.record.reason
+                        job.ref(),
+                        job.record.waitingCount(),
+                        job.record.live.size(),
+                        job.hold != null
+                                ? "held: " + job.hold.why()
+                                : Elastic.held(job) != null
+                                        ? Elastic.held(job)
+                                        : job.record.reason != null
+                                                ? job.record.reason
                                                 : start == null
                                                         ? "no place in the plan"
                                                         : "planned in "
--- a/src/main/java/org/beechhoist/core/Loading.java
+++ b/src/main/java/org/beechhoist/core/Loading.java
@@ -53,7 +53,7 @@
         void cancelled(JobRef ref);
 
         /** Its user allows a job another width. */
-        void resized(Job j);
+        void resized(Job job);
     }
 
     private final Turn turn;
@@ -101,8 +101,8 @@
         return over;
     }
 
-    void standsOver(StoreClient.Item i) {
-        over.add(i);
+    void standsOver(StoreClient.Item item) {
+        over.add(item);
     }
 
     long epoch() {
@@ -159,7 +159,7 @@
     }
 
     private void loadPage(
-            long e,
+            long expectedEpoch,
             String prefix,
             String after,
             List<StoreClient.Item> items,
@@ -167,7 +167,7 @@
             Consumer<Revision> then) {
         requests.take(turn.now(), 1);
         store.list(prefix, after, 200, page -> {
-            if (e != epoch) {
+            if (expectedEpoch != epoch) {
                 return;
             }
             if (!page.ok()) {
@@ -177,7 +177,7 @@
             items.addAll(page.items());
             Revision start = first == null ? page.revision() : first;
             if (page.more() && !page.items().isEmpty()) {
-                loadPage(e, prefix, items.get(items.size() - 1).key(), items, start, then);
+                loadPage(expectedEpoch, prefix, items.get(items.size() - 1).key(), items, start, then);
             } else {
                 then.accept(start);
             }
@@ -185,9 +185,9 @@
     }
 
     private void again(long ms) {
-        long e = epoch;
+        long expectedEpoch = epoch;
         turn.after(ms, () -> {
-            if (e == epoch) {
+            if (expectedEpoch == epoch) {
                 load();
             }
         });
@@ -195,55 +195,61 @@
 
     private void loaded(List<StoreClient.Item> items, List<StoreClient.Item> segments, Revision start, Tick asked) {
         Map<TaskId, Placement> before = new HashMap<>();
-        for (Host h : book.hosts()) {
-            before.putAll(h.placements);
-            h.placements.clear();
+        for (Host machine : book.hosts()) {
+            before.putAll(machine.placements);
+            machine.placements.clear();
         }
         Map<JobRef, Job> old = book.dropJobs();
         over.clear();
-        for (StoreClient.Item i : items) {
+        for (StoreClient.Item item : items) {
             try {
-                takeRecord(i, old);
+                takeRecord(item, old);
             } catch (Malformed e) {
-                LOG.error("record {} can't be read, the job and its tasks are left alone: {}", i.key(), e.getMessage());
-                book.leaveAlone(jobOf(i.key()));
+                LOG.error(
+                        "record {} can't be read, the job and its tasks are left alone: {}",
+                        item.key(),
+                        e.getMessage());
+                book.leaveAlone(jobOf(item.key()));
             }
         }
         if (!takeLog(segments)) {
             again(LOG_AGAIN_MS);
             return;
         }
-        for (Job j : book.jobs()) {
-            Job known = old.get(j.ref());
-            for (Map.Entry<Integer, Placement> en : j.record.live.entrySet()) {
-                Placement p = en.getValue();
-                Placement kept = before.get(p.task);
-                if (kept != null && kept.attempt == p.attempt && kept.host.equals(p.host) && kept.committed) {
-                    en.setValue(kept);
-                    p = kept;
+        for (Job job : book.jobs()) {
+            Job known = old.get(job.ref());
+            for (Map.Entry<Integer, Placement> live : job.record.live.entrySet()) {
+                Placement placement = live.getValue();
+                Placement kept = before.get(placement.task);
+                if (kept != null
+                        && kept.attempt == placement.attempt
+                        && kept.host.equals(placement.host)
+                        && kept.committed) {
+                    live.setValue(kept);
+                    placement = kept;
                 } else {
                     // Some leader, perhaps this one, may have launched it: only a worker that has seen this
                     // leadership's newest token can prove that it isn't there.
-                    p.committed = true;
-                    p.sent = true;
-                    p.provenFrom = election.baton();
-                    p.recovered = true;
-                    long ago = turn.wallMs() - j.record.submittedWallMs - 1000L * p.placedS;
-                    p.since = turn.now().plusMs(-Math.max(0, Math.min(ago, LONGEST_AGO_MS)));
-                    p.expectedMs = estimates.lengthMs(j.spec());
+                    placement.committed = true;
+                    placement.sent = true;
+                    placement.provenFrom = election.baton();
+                    placement.recovered = true;
+                    long ago = turn.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
+                    placement.since = turn.now().plusMs(-Math.max(0, Math.min(ago, LONGEST_AGO_MS)));
+                    placement.expectedMs = estimates.lengthMs(job.spec());
                 }
-                book.host(p.host).placements.put(p.task, p);
-                Ending leaves = known == null ? null : known.leaving.get(p);
+                book.host(placement.host).placements.put(placement.task, placement);
+                Ending leaves = known == null ? null : known.leaving.get(placement);
                 if (leaves != null) {
-                    j.leaving.put(p, leaves);
+                    job.leaving.put(placement, leaves);
                 }
             }
-            if (known == null && !j.record.live.isEmpty()) {
-                j.lastProgress =
+            if (known == null && !job.record.live.isEmpty()) {
+                job.lastProgress =
                         turn.now(); // when it last moved is not in the records; each take-over called all jobs stalled
             }
-            if (j.record.cancelled() || j.record.complete()) {
-                book.touch(j);
+            if (job.record.cancelled() || job.record.complete()) {
+                book.touch(job);
             }
         }
         phase = Phase.ACTIVE;
@@ -264,18 +270,18 @@
         book.jobs().forEach(j -> j.recorded = Stored.of(j.record));
         Map<LogSegment, Integer> segments = new TreeMap<>(Comparator.comparingLong(LogSegment::number));
         Set<JobRef> unreadable = new HashSet<>();
-        for (StoreClient.Item i : items) {
+        for (StoreClient.Item item : items) {
             try {
                 segments.put(
                         LogSegment.parse(
-                                i.value(),
+                                item.value(),
                                 r -> book.job(r) == null
                                         ? -1
                                         : book.job(r).spec().tasks(),
                                 unreadable),
-                        Integer.parseInt(i.key().substring(LogSegment.PREFIX.length())));
+                        Integer.parseInt(item.key().substring(LogSegment.PREFIX.length())));
             } catch (Malformed | NumberFormatException e) {
-                LOG.error("log segment {} can't be read, so nothing is started: {}", i.key(), e.getMessage());
+                LOG.error("log segment {} can't be read, so nothing is started: {}", item.key(), e.getMessage());
                 return false;
             }
         }
@@ -284,26 +290,28 @@
             book.leaveAlone(ref);
         }
         Map<JobRef, Long> from = new HashMap<>();
-        segments.forEach((s, slot) -> s.jobs().forEach((ref, delta) -> {
+        segments.forEach((segment, slot) -> segment.jobs().forEach((ref, delta) -> {
             if (delta.begins()) {
-                from.put(ref, s.number());
+                from.put(ref, segment.number());
             }
         }));
-        segments.forEach((s, slot) -> {
-            log.numbered(s.number());
+        segments.forEach((segment, slot) -> {
+            log.numbered(segment.number());
             Set<JobRef> holds = new HashSet<>();
-            s.jobs().forEach((ref, delta) -> {
-                Job j = book.job(ref);
-                if (j != null && s.number() > j.record.folded && s.number() >= from.getOrDefault(ref, 0L)) {
-                    delta.apply(j.record);
+            segment.jobs().forEach((ref, delta) -> {
+                Job job = book.job(ref);
+                if (job != null
+                        && segment.number() > job.record.folded
+                        && segment.number() >= from.getOrDefault(ref, 0L)) {
+                    delta.apply(job.record);
                     holds.add(ref);
                 }
             });
-            log.holds(s.number(), slot, holds);
+            log.holds(segment.number(), slot, holds);
         });
-        for (Job j : book.jobs()) {
-            log.numbered(j.record.folded);
-            j.stored = Stored.of(j.record);
+        for (Job job : book.jobs()) {
+            log.numbered(job.record.folded);
+            job.stored = Stored.of(job.record);
         }
         return true;
     }
@@ -313,91 +321,91 @@
         return new JobRef(key.substring(JobRecord.OPEN.length(), slash < 0 ? key.length() : slash));
     }
 
-    private void takeRecord(StoreClient.Item i, Map<JobRef, Job> old) throws Malformed {
-        String rest = i.key().substring(JobRecord.OPEN.length());
+    private void takeRecord(StoreClient.Item item, Map<JobRef, Job> old) throws Malformed {
+        String rest = item.key().substring(JobRecord.OPEN.length());
         int slash = rest.indexOf('/');
         if (slash >= 0) {
-            Job j = book.job(new JobRef(rest.substring(0, slash)));
-            if (j != null) {
-                j.record.addLive(i.value());
-                j.chunks.put(i.key(), (ArrayNode) i.value());
+            Job job = book.job(new JobRef(rest.substring(0, slash)));
+            if (job != null) {
+                job.record.addLive(item.value());
+                job.chunks.put(item.key(), (ArrayNode) item.value());
             }
             return;
         }
-        if (JobRecord.isOver(i.value())) {
-            over.add(i);
+        if (JobRecord.isOver(item.value())) {
+            over.add(item);
             return;
         }
-        JobRecord r = record(i);
-        Job j = entered(r, i.version());
-        Job known = old.get(j.ref());
+        JobRecord record = record(item);
+        Job job = entered(record, item.version());
+        Job known = old.get(job.ref());
         if (known != null) {
-            j.notBefore = known.notBefore;
-            j.failedOn.addAll(known.failedOn);
-            j.lastProgress = known.lastProgress;
+            job.notBefore = known.notBefore;
+            job.failedOn.addAll(known.failedOn);
+            job.lastProgress = known.lastProgress;
         }
-        book.add(j);
+        book.add(job);
     }
 
-    private Job entered(JobRecord r, Revision version) {
-        Job j = new Job(r, version, turn.now().plusMs(Math.min(0, r.submittedWallMs - turn.wallMs())));
-        if (r.cancelled()) {
-            cancellations.heard(j.ref(), r.cancelWallMs);
+    private Job entered(JobRecord record, Revision version) {
+        Job job = new Job(record, version, turn.now().plusMs(Math.min(0, record.submittedWallMs - turn.wallMs())));
+        if (record.cancelled()) {
+            cancellations.heard(job.ref(), record.cancelWallMs);
         } else {
-            j.cancelHeardMs = cancellations.at(j.ref());
+            job.cancelHeardMs = cancellations.at(job.ref());
         }
-        return j;
+        return job;
     }
 
-    private JobRecord record(StoreClient.Item i) throws Malformed {
-        JobRecord r = JobRecord.parse(i.value());
-        r.sizes = sizes;
-        return r;
+    private JobRecord record(StoreClient.Item item) throws Malformed {
+        JobRecord record = JobRecord.parse(item.value());
+        record.sizes = sizes;
+        return record;
     }
 
     /**
      * Follows the changes of open records. It goes on while the book is not to be trusted, for cancellations alone: a commit without
      * an answer may take long to settle, and nothing of what is cancelled may wait for that.
      */
-    private void watch(long w, Revision after) {
+    private void watch(long expectedWatch, Revision after) {
         requests.take(turn.now(), 1);
         Tick asked = turn.now();
-        store.changes(JobRecord.OPEN, after, cancellations.holdMs(), c -> {
-            if (w != watching) {
+        store.changes(JobRecord.OPEN, after, cancellations.holdMs(), changes -> {
+            if (expectedWatch != watching) {
                 return;
             }
-            if (c.status() == 410 && phase == Phase.ACTIVE) {
+            if (changes.status() == 410 && phase == Phase.ACTIVE) {
                 reload();
             }
-            if (c.status() != 200) {
-                again(w, 300, after);
+            if (changes.status() != 200) {
+                again(expectedWatch, 300, after);
                 return;
             }
-            c.log().forEach(this::cancelled);
+            changes.log().forEach(this::cancelled);
             if (phase == Phase.ACTIVE) {
-                c.log().forEach(this::changed);
+                changes.log().forEach(this::changed);
             }
             cancellations.knownAsOf(asked);
             // Own commits come back here too; a short pause keeps a busy day from spending the request limit on it.
-            again(w, c.log().isEmpty() ? 0 : 40, c.revision());
+            again(expectedWatch, changes.log().isEmpty() ? 0 : 40, changes.revision());
         });
     }
 
-    private void again(long w, long ms, Revision after) {
+    private void again(long expectedWatch, long ms, Revision after) {
         turn.after(ms, () -> {
-            if (w == watching) {
-                watch(w, after);
+            if (expectedWatch == watching) {
+                watch(expectedWatch, after);
             }
         });
     }
 
     /** A change says that a job is cancelled: that counts at once, whatever is on its way of the job. */
-    private void cancelled(StoreClient.Item i) {
-        long at = i.value() == null || JobRecord.isOver(i.value())
+    private void cancelled(StoreClient.Item item) {
+        long at = item.value() == null || JobRecord.isOver(item.value())
                 ? 0
-                : i.value().path("cancel").longValue();
-        if (at > 0 && i.key().indexOf('/', JobRecord.OPEN.length()) < 0) {
-            JobRef ref = new JobRef(i.key().substring(JobRecord.OPEN.length()));
+                : item.value().path("cancel").longValue();
+        if (at > 0 && item.key().indexOf('/', JobRecord.OPEN.length()) < 0) {
+            JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
             if (cancellations.heard(ref, at)) {
                 listener.cancelled(ref);
             }
@@ -405,72 +413,74 @@
     }
 
     /** The job's commit is over: what came of its record meanwhile counts now, if it is not our own. */
-    void takeUp(Job j) {
-        StoreClient.Item i = j.news;
-        j.news = null;
-        if (i != null && book.job(j.ref()) == j) {
-            changed(i);
+    void takeUp(Job job) {
+        StoreClient.Item item = job.news;
+        job.news = null;
+        if (item != null && book.job(job.ref()) == job) {
+            changed(item);
         }
     }
 
-    private void changed(StoreClient.Item i) {
-        if (i.value() == null || JobRecord.isOver(i.value()) || i.key().indexOf('/', JobRecord.OPEN.length()) >= 0) {
+    private void changed(StoreClient.Item item) {
+        if (item.value() == null
+                || JobRecord.isOver(item.value())
+                || item.key().indexOf('/', JobRecord.OPEN.length()) >= 0) {
             return;
         }
-        JobRef ref = new JobRef(i.key().substring(JobRecord.OPEN.length()));
-        Job j = book.job(ref);
-        if (j == null ? book.hasEnded(ref) : i.version().compareTo(j.version) <= 0) {
+        JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
+        Job job = book.job(ref);
+        if (job == null ? book.hasEnded(ref) : item.version().compareTo(job.version) <= 0) {
             return; // our own
         }
-        if (j != null && j.inFlight) {
+        if (job != null && job.inFlight) {
             // Either our own, or our commit will conflict, or it was made just before this. In the last case nothing
             // else
             // would tell. Only the record waits: what is cancelled is pursued already.
-            j.news = i;
+            job.news = item;
             return;
         }
         try {
-            if (j == null) {
-                JobRecord r = record(i);
-                if (r.live.isEmpty() && r.done.size() == 0) { // else it is our own ended job's echo
-                    j = entered(r, i.version());
-                    book.add(j);
+            if (job == null) {
+                JobRecord record = record(item);
+                if (record.live.isEmpty() && record.done.size() == 0) { // else it is our own ended job's echo
+                    job = entered(record, item.version());
+                    book.add(job);
                     LOG.info(
                             "{} enters: {} {} x {}",
-                            j.ref(),
-                            j.spec().jobClass(),
-                            j.spec().tasks(),
-                            j.spec().cpus());
-                    if (r.cancelled()) {
-                        book.touch(j);
+                            job.ref(),
+                            job.spec().jobClass(),
+                            job.spec().tasks(),
+                            job.spec().cpus());
+                    if (record.cancelled()) {
+                        book.touch(job);
                     }
                 }
             } else {
                 // Other nodes change nothing but the cancellation and what width the user allows.
-                j.version = i.version();
-                WidthRecord width = Codec.absent(i.value(), "width")
+                job.version = item.version();
+                WidthRecord width = Codec.absent(item.value(), "width")
                         ? null
-                        : WidthRecord.parse(i.value().get("width"));
-                if (width != null && (j.record.width == null || width.number() > j.record.width.number())) {
-                    j.record.width = width.withTarget(j.record.width == null ? width.target() : j.width());
-                    j.committedWidth = width.target();
+                        : WidthRecord.parse(item.value().get("width"));
+                if (width != null && (job.record.width == null || width.number() > job.record.width.number())) {
+                    job.record.width = width.withTarget(job.record.width == null ? width.target() : job.width());
+                    job.committedWidth = width.target();
                     LOG.info(
                             "{} may be {} to {} wide from now on",
-                            j.ref(),
+                            job.ref(),
                             width.allowed().least(),
                             width.allowed().most());
-                    listener.resized(j);
+                    listener.resized(job);
                 }
-                long cancel = i.value().path("cancel").longValue();
-                if (cancel > 0 && !j.record.cancelled()) {
-                    j.record.cancelWallMs = cancel;
-                    LOG.info("{} is cancelled, {} tasks may be running", j.ref(), j.record.live.size());
-                    book.touch(j);
+                long cancel = item.value().path("cancel").longValue();
+                if (cancel > 0 && !job.record.cancelled()) {
+                    job.record.cancelWallMs = cancel;
+                    LOG.info("{} is cancelled, {} tasks may be running", job.ref(), job.record.live.size());
+                    book.touch(job);
                 }
             }
             book.replan();
         } catch (Malformed e) {
-            LOG.error("record {} can't be read: {}", i.key(), e.getMessage());
+            LOG.error("record {} can't be read: {}", item.key(), e.getMessage());
         }
     }
 }
--- a/src/main/java/org/beechhoist/core/MoveDesk.java
+++ b/src/main/java/org/beechhoist/core/MoveDesk.java
@@ -71,28 +71,28 @@
         }
 
         private ObjectNode toNode() {
-            ObjectNode n = Codec.map()
+            ObjectNode node = Codec.map()
                     .put("for", forJob == null ? null : forJob.text())
                     .put("drain", drain)
                     .put("at", sinceMs);
-            ArrayNode rows = n.putArray("moves");
+            ArrayNode rows = node.putArray("moves");
             to.forEach((t, h) -> rows.add(t.toString()).add(h.text()));
-            return n;
+            return node;
         }
 
-        private static Making parse(String key, JsonNode n) {
-            Making m = new Making(
+        private static Making parse(String key, JsonNode node) {
+            Making making = new Making(
                     new HostId(key.substring(PREFIX.length())),
-                    n.hasNonNull("for") ? new JobRef(n.path("for").asText()) : null,
-                    n.hasNonNull("drain") ? n.path("drain").asText() : null,
-                    n.path("at").asLong());
-            for (int i = 0; i + 1 < n.path("moves").size(); i += 2) {
-                TaskId t = TaskId.parse(n.get("moves").get(i).asText());
-                if (t != null) {
-                    m.to.put(t, new HostId(n.get("moves").get(i + 1).asText()));
+                    node.hasNonNull("for") ? new JobRef(node.path("for").asText()) : null,
+                    node.hasNonNull("drain") ? node.path("drain").asText() : null,
+                    node.path("at").asLong());
+            for (int i = 0; i + 1 < node.path("moves").size(); i += 2) {
+                TaskId task = TaskId.parse(node.get("moves").get(i).asText());
+                if (task != null) {
+                    making.to.put(task, new HostId(node.get("moves").get(i + 1).asText()));
                 }
             }
-            return m;
+            return making;
         }
 
         private String why() {
@@ -161,18 +161,22 @@
     }
 
     /** Whether the budgets that somebody declared for its team and class allow that it is moved. */
-    private boolean mayDisturb(Budgets budgets, Job j, Placement p) {
-        JobSpec s = j.spec();
-        if (!budgets.declared(s.team(), s.jobClass())) {
+    private boolean mayDisturb(Budgets budgets, Job job, Placement placement) {
+        JobSpec spec = job.spec();
+        if (!budgets.declared(spec.team(), spec.jobClass())) {
             return true;
         }
-        Account a = disruptions.copies().getOrDefault(s.team(), new Account());
+        Account account = disruptions.copies().getOrDefault(spec.team(), new Account());
         Account.Ask ask = new Account.Ask(
-                p.task, s.jobClass(), s.service(), s.service() ? s.tasks() : 0, Disruptions.lostCpuS(s, p, turn.now()));
-        DisruptionBudget own = budgets.ofClass(s.team(), s.jobClass());
+                placement.task,
+                spec.jobClass(),
+                spec.service(),
+                spec.service() ? spec.tasks() : 0,
+                Disruptions.lostCpuS(spec, placement, turn.now()));
+        DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
         return disruptions.known()
-                && a.refuses(budgets.ofTeam(s.team()), ask, turn.wallMs()) == null
-                && (own == null || a.refuses(own, ask, turn.wallMs()) == null);
+                && account.refuses(budgets.ofTeam(spec.team()), ask, turn.wallMs()) == null
+                && (own == null || account.refuses(own, ask, turn.wallMs()) == null);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is moved. */
@@ -202,10 +206,10 @@
         asking = true;
         reading.read(
                 PREFIX,
-                i -> {
-                    Making m = Making.parse(i.key(), i.value());
-                    making.put(m.host, m);
-                    LOG.info("{}, {}: it is gone on with, {} moves", m.host, m.why(), m.to.size());
+                item -> {
+                    Making move = Making.parse(item.key(), item.value());
+                    making.put(move.host, move);
+                    LOG.info("{}, {}: it is gone on with, {} moves", move.host, move.why(), move.to.size());
                 },
                 () -> recent(reign));
     }
@@ -224,10 +228,10 @@
                 return;
             }
             if (recent.item() != null) {
-                recent.item().value().properties().forEach(e -> {
-                    TaskId t = TaskId.parse(e.getKey());
-                    if (t != null) {
-                        moved.put(t, e.getValue().asLong());
+                recent.item().value().properties().forEach(entry -> {
+                    TaskId task = TaskId.parse(entry.getKey());
+                    if (task != null) {
+                        moved.put(task, entry.getValue().asLong());
                     }
                 });
             }
@@ -244,9 +248,12 @@
             return Sizes.NONE;
         }
         Map<Double, Double> now = new HashMap<>();
-        for (Job j : book.jobs()) {
-            if (j.spec().gpus() > 0 && !j.cancelled()) {
-                now.merge(j.spec().gpus(), (double) Math.min(64, j.spec().tasks() - j.record.done.size()), Double::sum);
+        for (Job job : book.jobs()) {
+            if (job.spec().gpus() > 0 && !job.cancelled()) {
+                now.merge(
+                        job.spec().gpus(),
+                        (double) Math.min(64, job.spec().tasks() - job.record.done.size()),
+                        Double::sum);
             }
         }
         asked.replaceAll((g, n) -> n * 0.999);
@@ -255,23 +262,23 @@
     }
 
     /** For how many tasks of the job room is being made: they come first, and hold what comes free for them. */
-    int roomsFor(Job j) {
-        int n = 0;
+    int roomsFor(Job job) {
+        int count = 0;
         for (Making m : making.values()) {
-            n += j.ref().equals(m.forJob) && !there(m) ? 1 : 0;
+            count += job.ref().equals(m.forJob) && !there(m) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
     /** Tasks of the job that wait for the place that is kept for them: no other is planned. */
-    int underWay(Job j) {
-        int n = 0;
-        for (Making m : making.values()) {
-            for (TaskId t : m.to.keySet()) {
-                n += t.job().equals(j.ref()) && waits(t) ? 1 : 0;
+    int underWay(Job job) {
+        int count = 0;
+        for (Making move : making.values()) {
+            for (TaskId t : move.to.keySet()) {
+                count += t.job().equals(job.ref()) && waits(t) ? 1 : 0;
             }
         }
-        return n;
+        return count;
     }
 
     /** Places that are kept on the machine for tasks on their way to it. */
@@ -280,12 +287,12 @@
             return List.of();
         }
         List<JobSpec> out = new ArrayList<>();
-        for (Making m : making.values()) {
-            m.to.forEach((t, to) -> {
-                Job j = book.job(t.job());
-                if (to.equals(host) && j != null && !j.record.live.containsKey(t.index())
-                        || to.equals(host) && onItsWay(m, t)) {
-                    out.add(j.spec());
+        for (Making move : making.values()) {
+            move.to.forEach((task, to) -> {
+                Job job = book.job(task.job());
+                if (to.equals(host) && job != null && !job.record.live.containsKey(task.index())
+                        || to.equals(host) && onItsWay(move, task)) {
+                    out.add(job.spec());
                 }
             });
         }
@@ -298,39 +305,39 @@
         return m != null && !job.equals(m.forJob);
     }
 
-    private boolean onItsWay(Making m, TaskId t) {
-        Job j = book.job(t.job());
-        Placement p = j == null ? null : j.record.live.get(t.index());
-        return p != null && p.host.equals(m.host);
+    private boolean onItsWay(Making making, TaskId task) {
+        Job job = book.job(task.job());
+        Placement p = job == null ? null : job.record.live.get(task.index());
+        return p != null && p.host.equals(making.host);
     }
 
-    private boolean waits(TaskId t) {
-        Job j = book.job(t.job());
-        return j != null
-                && !j.cancelled()
-                && j.hold == null
-                && !j.record.live.containsKey(t.index())
-                && !j.record.done.contains(t.index());
+    private boolean waits(TaskId task) {
+        Job job = book.job(task.job());
+        return job != null
+                && !job.cancelled()
+                && job.hold == null
+                && !job.record.live.containsKey(task.index())
+                && !job.record.done.contains(task.index());
     }
 
     /** Whether the one that room was made for is there. */
-    private boolean there(Making m) {
-        Job j = m.forJob == null ? null : book.job(m.forJob);
-        return j != null && j.record.live.values().stream().anyMatch(p -> p.host.equals(m.host));
+    private boolean there(Making making) {
+        Job j = making.forJob == null ? null : book.job(making.forJob);
+        return j != null && j.record.live.values().stream().anyMatch(p -> p.host.equals(making.host));
     }
 
     // ---- going on ----
 
     /** Before a plan is carried out: what is gone from the old machine begins in its place. */
     void startMoved() {
-        for (Making m : making.values()) {
-            for (Map.Entry<TaskId, HostId> e : m.to.entrySet()) {
-                Host to = book.known(e.getValue());
-                if (waits(e.getKey()) && to != null) {
-                    Job j = book.job(e.getKey().job());
-                    if (dispatch.place(j, e.getKey().index(), to)) {
-                        moved.put(e.getKey(), turn.wallMs());
-                        LOG.info("{} goes on on {}, moved from {}", e.getKey(), to.id, m.host);
+        for (Making move : making.values()) {
+            for (Map.Entry<TaskId, HostId> entry : move.to.entrySet()) {
+                Host to = book.known(entry.getValue());
+                if (waits(entry.getKey()) && to != null) {
+                    Job job = book.job(entry.getKey().job());
+                    if (dispatch.place(job, entry.getKey().index(), to)) {
+                        moved.put(entry.getKey(), turn.wallMs());
+                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.host);
                     }
                 }
             }
@@ -355,56 +362,64 @@
         }
     }
 
-    private void goOn(Making m) {
-        Job large = m.forJob == null ? null : book.job(m.forJob);
-        Host from = book.known(m.host);
-        boolean senseless = m.drain != null
-                ? from == null || !m.drain.equals(from.cordonedBy) || turn.wallMs() - m.sinceMs > LONGEST_MS
+    private void goOn(Making making) {
+        Job large = making.forJob == null ? null : book.job(making.forJob);
+        Host from = book.known(making.host);
+        boolean senseless = making.drain != null
+                ? from == null || !making.drain.equals(from.cordonedBy) || turn.wallMs() - making.sinceMs > LONGEST_MS
                 : large == null
                         || large.cancelled()
                         || large.hold != null
-                        || turn.wallMs() - m.sinceMs > LONGEST_MS
-                        || large.record.waitingCount() == 0 && !there(m);
+                        || turn.wallMs() - making.sinceMs > LONGEST_MS
+                        || large.record.waitingCount() == 0 && !there(making);
         boolean over = true;
-        for (Map.Entry<TaskId, HostId> e : List.copyOf(m.to.entrySet())) {
-            Job j = book.job(e.getKey().job());
-            Placement p = j == null ? null : j.record.live.get(e.getKey().index());
-            if (p != null && p.host.equals(m.host)) {
-                if (senseless && !p.killSent) {
-                    m.to.remove(e.getKey()); // it stays where it is
-                } else if (!p.killSent && p.sent && mayLeave(j)) {
-                    LOG.info("{} is moved from {} to {}: {}", e.getKey(), m.host, e.getValue(), m.why());
-                    stopping.stop(p, m.drain != null ? Cause.DRAIN : Cause.MOVE);
-                    orders.direct(book.host(m.host));
+        for (Map.Entry<TaskId, HostId> entry : List.copyOf(making.to.entrySet())) {
+            Job job = book.job(entry.getKey().job());
+            Placement placement =
+                    job == null ? null : job.record.live.get(entry.getKey().index());
+            if (placement != null && placement.host.equals(making.host)) {
+                if (senseless && !placement.killSent) {
+                    making.to.remove(entry.getKey()); // it stays where it is
+                } else if (!placement.killSent && placement.sent && mayLeave(job)) {
+                    LOG.info(
+                            "{} is moved from {} to {}: {}",
+                            entry.getKey(),
+                            making.host,
+                            entry.getValue(),
+                            making.why());
+                    stopping.stop(placement, making.drain != null ? Cause.DRAIN : Cause.MOVE);
+                    orders.direct(book.host(making.host));
                     over = false;
                 } else {
                     over = false;
                 }
-            } else if (waits(e.getKey())) {
-                Host to = book.known(e.getValue());
+            } else if (waits(entry.getKey())) {
+                Host to = book.known(entry.getValue());
                 if (to == null || !admission.usable(to)) {
-                    m.to.remove(e.getKey()); // its place is lost: it is planned like any other
+                    making.to.remove(entry.getKey()); // its place is lost: it is planned like any other
                 } else {
                     over = false;
                 }
             }
         }
-        boolean taken = there(m);
-        if (over && (taken || senseless || m.drain != null)) {
-            finish(m, m.drain != null ? "all have left" : taken ? "it is taken" : "it is not needed any more");
+        boolean taken = there(making);
+        if (over && (taken || senseless || making.drain != null)) {
+            finish(
+                    making,
+                    making.drain != null ? "all have left" : taken ? "it is taken" : "it is not needed any more");
         }
     }
 
-    private void finish(Making m, String why) {
+    private void finish(Making move, String why) {
         if (writing) {
             return;
         }
-        LOG.info("{}, {}: {}", m.host, m.why(), why);
+        LOG.info("{}, {}: {}", move.host, move.why(), why);
         ObjectNode recent = Codec.map();
         moved.forEach((t, at) -> recent.put(t.toString(), at));
-        write(election.guarded().delete(PREFIX + m.host.text()).put(RECENT, recent), c -> {
-            if (c.result() == Commit.Result.DONE) {
-                making.remove(m.host, m);
+        write(election.guarded().delete(PREFIX + move.host.text()).put(RECENT, recent), commit -> {
+            if (commit.result() == Commit.Result.DONE) {
+                making.remove(move.host, move);
                 book.replan();
             }
         });
@@ -415,10 +430,10 @@
         writing = true;
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
-        store.commit(txn, c -> {
+        store.commit(txn, commit -> {
             if (reign == book.reign()) {
                 writing = false;
-                then.accept(c);
+                then.accept(commit);
             }
         });
     }
@@ -426,13 +441,13 @@
     // ---- looking ----
 
     private void look(Plan plan) {
-        MoveSearch.Wish w = search.look(
+        MoveSearch.Wish wish = search.look(
                 plan,
                 new MoveSearch.InHand(
                         tasksInHand(), making.keySet(), moved.keySet(), this::roomsFor, this::zoneOfRooms),
                 sizes());
-        if (w != null) {
-            make(w.large(), w.found());
+        if (wish != null) {
+            make(wish.large(), wish.found());
         }
     }
 
@@ -443,62 +458,62 @@
     }
 
     /** Where room is being made for the job, or null. */
-    private String zoneOfRooms(Job j) {
+    private String zoneOfRooms(Job job) {
         return making.values().stream()
-                .filter(m -> m.forJob.equals(j.ref()) && book.known(m.host) != null)
+                .filter(m -> m.forJob.equals(job.ref()) && book.known(m.host) != null)
                 .map(m -> book.known(m.host).zone)
                 .findFirst()
                 .orElse(null);
     }
 
     /** Of a service one replica leaves at a time: the next once that one runs in its place. */
-    private static boolean mayLeave(Job j) {
-        return !j.spec().service() || MoveSearch.allThere(j);
+    private static boolean mayLeave(Job job) {
+        return !job.spec().service() || MoveSearch.allThere(job);
     }
 
-    private void make(Job large, Moves.Found f) {
-        Making m = new Making(f.host(), large.ref(), null, turn.wallMs());
-        f.moves().forEach(o -> m.to.put(o.task(), o.to()));
-        Txn txn = election.guarded().put(PREFIX + m.host.text(), m.toNode());
-        Map<String, Account> charged = charge(m);
+    private void make(Job large, Moves.Found found) {
+        Making move = new Making(found.host(), large.ref(), null, turn.wallMs());
+        found.moves().forEach(o -> move.to.put(o.task(), o.to()));
+        Txn txn = election.guarded().put(PREFIX + move.host.text(), move.toNode());
+        Map<String, Account> charged = charge(move);
         charged.forEach((team, a) -> disruptions.into(txn, team, a));
         // Nothing is stopped before it is written.
-        write(txn, c -> {
-            if (c.result() == Commit.Result.DONE) {
+        write(txn, commit -> {
+            if (commit.result() == Commit.Result.DONE) {
                 charged.forEach(disruptions::adopt);
-                making.put(m.host, m);
+                making.put(move.host, move);
                 LOG.info(
                         "room on {} for {}: {} tasks are moved, {} GPU s",
-                        m.host,
-                        m.forJob,
-                        m.to.size(),
-                        Math.round(f.cost()));
+                        move.host,
+                        move.forJob,
+                        move.to.size(),
+                        Math.round(found.cost()));
                 book.replan();
             }
         });
     }
 
     /** What moving costs their teams, where accounts are kept. */
-    private Map<String, Account> charge(Making m) {
+    private Map<String, Account> charge(Making making) {
         Map<String, Account> out = new TreeMap<>();
         if (!policy.drains()) {
             return out;
         }
         Map<String, Account> all = disruptions.copies();
-        for (TaskId t : m.to.keySet()) {
-            Job j = book.job(t.job());
-            Placement p = j == null ? null : j.record.live.get(t.index());
-            if (p != null) {
-                Account a = all.computeIfAbsent(j.spec().team(), k -> new Account());
-                a.charge(
-                        t,
+        for (TaskId task : making.to.keySet()) {
+            Job job = book.job(task.job());
+            Placement placement = job == null ? null : job.record.live.get(task.index());
+            if (placement != null) {
+                Account account = all.computeIfAbsent(job.spec().team(), k -> new Account());
+                account.charge(
+                        task,
                         new Account.Away(
-                                p.attempt,
-                                j.spec().jobClass(),
+                                placement.attempt,
+                                job.spec().jobClass(),
                                 Cause.MOVE,
-                                Disruptions.lostCpuS(j.spec(), p, turn.now()),
+                                Disruptions.lostCpuS(job.spec(), placement, turn.now()),
                                 turn.wallMs()));
-                out.put(j.spec().team(), a);
+                out.put(job.spec().team(), account);
             }
         }
         return out;
@@ -518,16 +533,16 @@
 
     /** Tasks leave a machine that is emptied, each for a place that is kept: written with the rest of the transaction. */
     void relocate(Txn txn, HostId host, String drain, Map<TaskId, HostId> to) {
-        Making m = new Making(host, null, drain, turn.wallMs());
-        m.to.putAll(to);
-        txn.put(PREFIX + host.text(), m.toNode());
+        Making making = new Making(host, null, drain, turn.wallMs());
+        making.to.putAll(to);
+        txn.put(PREFIX + host.text(), making.toNode());
     }
 
     /** That transaction is made. */
     void relocated(HostId host, String drain, Map<TaskId, HostId> to) {
-        Making m = new Making(host, null, drain, turn.wallMs());
-        m.to.putAll(to);
-        making.put(host, m);
+        Making move = new Making(host, null, drain, turn.wallMs());
+        move.to.putAll(to);
+        making.put(host, move);
         book.replan();
     }
 }
--- a/src/main/java/org/beechhoist/core/MoveSearch.java
+++ b/src/main/java/org/beechhoist/core/MoveSearch.java
@@ -74,51 +74,51 @@
             if (!lacksRoom(large, plan, used, hand)) {
                 continue;
             }
-            Moves.Found f = Moves.cheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
+            Moves.Found found = Moves.cheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
             long waits = plan.plannedStart(large.ref()) == null
                     ? LONGEST_GAIN_MS
                     : Math.min(
                             LONGEST_GAIN_MS,
                             plan.plannedStart(large.ref()) - turn.now().ms());
-            if (f != null && f.cost() <= WORTH * large.spec().gpus() * waits / 1000) {
-                return new Wish(large, f);
+            if (found != null && found.cost() <= WORTH * large.spec().gpus() * waits / 1000) {
+                return new Wish(large, found);
             }
         }
         return null;
     }
 
-    private boolean lacksRoom(Job j, Plan plan, Map<String, double[]> used, InHand hand) {
-        JobSpec s = j.spec();
-        boolean plain = s.gpus() > 1 && !s.gang() && !s.apart();
+    private boolean lacksRoom(Job job, Plan plan, Map<String, double[]> used, InHand hand) {
+        JobSpec spec = job.spec();
+        boolean plain = spec.gpus() > 1 && !spec.gang() && !spec.apart();
         if (!plain
-                || j.cancelled()
-                || j.hold != null
-                || j.suspect()
-                || j.behind
-                || j.record.waitingCount() <= hand.roomsFor.applyAsInt(j)
-                || j.notBefore.ms() > turn.now().ms()
-                || turn.now().since(j.submitted) < LEAST_WAIT_MS
-                || admission.overLimit(j, used)) {
+                || job.cancelled()
+                || job.hold != null
+                || job.suspect()
+                || job.behind
+                || job.record.waitingCount() <= hand.roomsFor.applyAsInt(job)
+                || job.notBefore.ms() > turn.now().ms()
+                || turn.now().since(job.submitted) < LEAST_WAIT_MS
+                || admission.overLimit(job, used)) {
             return false;
         }
-        Long start = plan.plannedStart(j.ref());
-        return start == null || start > turn.now().ms() + SOON_MS || s.sameZone() && plan.unplaced(j.ref()) > 0;
+        Long start = plan.plannedStart(job.ref());
+        return start == null || start > turn.now().ms() + SOON_MS || spec.sameZone() && plan.unplaced(job.ref()) > 0;
     }
 
-    private static Moves.Room room(JobSpec s) {
-        return new Moves.Room(s.cpus(), s.gpus(), s.memGb());
+    private static Moves.Room room(JobSpec spec) {
+        return new Moves.Room(spec.cpus(), spec.gpus(), spec.memGb());
     }
 
-    private boolean allowed(TaskId t, HostId id) {
-        Host h = book.known(id);
-        JobSpec s = book.job(t.job()).spec();
-        return h != null && s.mayRunOn(types.get(h.type), h.zone, h.spot);
+    private boolean allowed(TaskId task, HostId id) {
+        Host machine = book.known(id);
+        JobSpec s = book.job(task.job()).spec();
+        return machine != null && s.mayRunOn(types.get(machine.type), machine.zone, machine.spot);
     }
 
     /** The only zone that room may be made in; null: any; {@link #NOWHERE}: none has what all of the job's tasks need. */
     private String onlyZone(Job large, InHand hand) {
-        JobSpec s = large.spec();
-        if (!s.sameZone()) {
+        JobSpec spec = large.spec();
+        if (!spec.sameZone()) {
             return null;
         }
         Map<String, Integer> live = admission.liveByZone(large);
@@ -133,19 +133,19 @@
         }
         // What can be made free counts whole: the zone with the most of it, if that is enough for all.
         Map<String, Integer> fit = new HashMap<>();
-        for (Host h : book.hosts()) {
-            HostType t = h.known() ? types.get(h.type) : null;
-            if (t != null && s.mayRunOn(t, h.zone, h.spot) && admission.usable(h)) {
-                double gpus = t.gpus();
-                for (Placement p : h.placements.values()) {
-                    Job j = book.job(p.task.job());
-                    gpus -= j == null
-                            ? t.gpus()
-                            : mayMove(j, p, large, Map.of(), hand)
+        for (Host machine : book.hosts()) {
+            HostType type = machine.known() ? types.get(machine.type) : null;
+            if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
+                double gpus = type.gpus();
+                for (Placement placement : machine.placements.values()) {
+                    Job job = book.job(placement.task.job());
+                    gpus -= job == null
+                            ? type.gpus()
+                            : mayMove(job, placement, large, Map.of(), hand)
                                     ? 0
-                                    : j.spec().gpus();
+                                    : job.spec().gpus();
                 }
-                fit.merge(h.zone, (int) Math.max(0, Math.floor(gpus / s.gpus() + EPSILON)), Integer::sum);
+                fit.merge(machine.zone, (int) Math.max(0, Math.floor(gpus / spec.gpus() + EPSILON)), Integer::sum);
             }
         }
         return fit.entrySet().stream()
@@ -161,61 +161,67 @@
                 book.job(t.job()) == null ? "" : book.job(t.job()).spec().team(), 1, Integer::sum));
         String only = onlyZone(large, hand);
         List<Moves.Machine> out = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            HostType t = h.known() ? types.get(h.type) : null;
-            Admission.Room free = t == null || t.gpus() == 0 || !admission.usable(h) || hand.rooms.contains(h.id)
-                    ? null
-                    : admission.free(h, t);
+        for (Host machine : book.hosts()) {
+            HostType type = machine.known() ? types.get(machine.type) : null;
+            Admission.Room free =
+                    type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
+                            ? null
+                            : admission.free(machine, type);
             if (free == null) {
                 continue;
             }
             List<Moves.Movable> movable = new ArrayList<>();
-            boolean may = large.spec().mayRunOn(t, h.zone, h.spot) && (only == null || only.equals(h.zone));
-            for (Placement p : may ? h.placements.values() : List.<Placement>of()) {
-                Job j = book.job(p.task.job());
-                if (j != null && j != large && !hand.tasks.contains(p.task) && mayMove(j, p, large, ofTeam, hand)) {
-                    movable.add(new Moves.Movable(p.task, room(j.spec()), cost(j, p)));
+            boolean may = large.spec().mayRunOn(type, machine.zone, machine.spot)
+                    && (only == null || only.equals(machine.zone));
+            for (Placement placement : may ? machine.placements.values() : List.<Placement>of()) {
+                Job job = book.job(placement.task.job());
+                if (job != null
+                        && job != large
+                        && !hand.tasks.contains(placement.task)
+                        && mayMove(job, placement, large, ofTeam, hand)) {
+                    movable.add(new Moves.Movable(placement.task, room(job.spec()), cost(job, placement)));
                 }
             }
-            out.add(new Moves.Machine(h.id, new Moves.Room(free.cpus(), free.gpus(), free.memGb()), may, movable));
+            out.add(new Moves.Machine(
+                    machine.id, new Moves.Room(free.cpus(), free.gpus(), free.memGb()), may, movable));
         }
         return out;
     }
 
     /** Equal urgency may be moved, more urgent work is left alone; and what needs others, a place, or has done much that it can't save. */
-    private boolean mayMove(Job j, Placement p, Job large, Map<String, Integer> ofTeam, InHand hand) {
-        JobSpec s = j.spec();
-        if (!p.sent
-                || p.killSent
-                || p.running == null
-                || s.gang()
-                || s.sameZone()
-                || s.apart()
-                || j.cancelled()
-                || s.gpus() >= large.spec().gpus()
-                || s.urgency().compareTo(large.spec().urgency()) < 0
-                || hand.lately.contains(p.task)
-                || ofTeam.getOrDefault(s.team(), 0) >= MOST_OF_TEAM
-                || !allowed.test(j, p)) {
+    private boolean mayMove(Job job, Placement placement, Job large, Map<String, Integer> ofTeam, InHand hand) {
+        JobSpec spec = job.spec();
+        if (!placement.sent
+                || placement.killSent
+                || placement.running == null
+                || spec.gang()
+                || spec.sameZone()
+                || spec.apart()
+                || job.cancelled()
+                || spec.gpus() >= large.spec().gpus()
+                || spec.urgency().compareTo(large.spec().urgency()) < 0
+                || hand.lately.contains(placement.task)
+                || ofTeam.getOrDefault(spec.team(), 0) >= MOST_OF_TEAM
+                || !allowed.test(job, placement)) {
             return false;
         }
-        if (s.service()) {
+        if (spec.service()) {
             // One replica away at a time, and never the only one.
-            return s.tasks() > 1 && allThere(j);
+            return spec.tasks() > 1 && allThere(job);
         }
-        return s.checkpointS() > 0 || turn.now().since(p.running) < 1000 * HARDLY_BEGUN_S;
+        return spec.checkpointS() > 0 || turn.now().since(placement.running) < 1000 * HARDLY_BEGUN_S;
     }
 
-    static boolean allThere(Job j) {
-        return j.record.live.size() == j.spec().tasks()
-                && j.record.live.values().stream().allMatch(o -> o.running != null && !o.killSent);
+    static boolean allThere(Job job) {
+        return job.record.live.size() == job.spec().tasks()
+                && job.record.live.values().stream().allMatch(o -> o.running != null && !o.killSent);
     }
 
-    private double cost(Job j, Placement p) {
-        JobSpec s = j.spec();
-        double ran = turn.now().since(p.running) / 1000.0;
-        double lost = s.service() || s.checkpointS() > 0 ? 0 : ran;
-        HostType t = types.get(book.host(p.host).type);
-        return s.gpus() * (s.saveS() + PROVED_GONE_S + s.imageGb() / t.fetchGbPerS() + lost);
+    private double cost(Job job, Placement placement) {
+        JobSpec spec = job.spec();
+        double ran = turn.now().since(placement.running) / 1000.0;
+        double lost = spec.service() || spec.checkpointS() > 0 ? 0 : ran;
+        HostType t = types.get(book.host(placement.host).type);
+        return spec.gpus() * (spec.saveS() + PROVED_GONE_S + spec.imageGb() / t.fetchGbPerS() + lost);
     }
 }
--- a/src/main/java/org/beechhoist/core/Narrowing.java
+++ b/src/main/java/org/beechhoist/core/Narrowing.java
@@ -45,8 +45,8 @@
 
     /** Work that begins late: how many tasks, the latest of them, and whether more than a rental is at stake. */
     private record Late(int tasks, long lastBegin, boolean atStake) {
-        Late and(Late o) {
-            return new Late(tasks + o.tasks, Math.max(lastBegin, o.lastBegin), atStake || o.atStake);
+        Late and(Late late) {
+            return new Late(tasks + late.tasks, Math.max(lastBegin, late.lastBegin), atStake || late.atStake);
         }
     }
 
@@ -71,19 +71,19 @@
 
     void run(Plan plan, Map<String, double[]> used) {
         List<Job> givers = new ArrayList<>();
-        for (Job j : book.jobs()) {
-            if (spare(j) > 0) {
-                givers.add(j);
+        for (Job job : book.jobs()) {
+            if (spare(job) > 0) {
+                givers.add(job);
             }
         }
         if (givers.isEmpty()) {
             return;
         }
         int asked = 0;
-        for (Map.Entry<Job, Late> e : late(plan).entrySet()) {
-            Job j = e.getKey();
+        for (Map.Entry<Job, Late> entry : late(plan).entrySet()) {
+            Job job = entry.getKey();
             List<Job> mine = givers.stream()
-                    .filter(g -> g != j && spare(g) > 0 && gives(g, j))
+                    .filter(g -> g != job && spare(g) > 0 && gives(g, job))
                     .toList();
             if (mine.isEmpty()) {
                 continue;
@@ -91,18 +91,18 @@
             if (asked++ == MAX_JOBS) {
                 return;
             }
-            if (serve(j, e.getValue(), mine, admission.overLimit(j, used))) {
-                j.nextNarrowing = turn.now().plusMs(PAUSE_MS);
+            if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
+                job.nextNarrowing = turn.now().plusMs(PAUSE_MS);
                 renting.wait(turn.now());
             }
         }
     }
 
     /** How many tasks the job could do without. */
-    private static int spare(Job j) {
-        return j.record.width == null || j.spec().service() || j.cancelled()
+    private static int spare(Job job) {
+        return job.record.width == null || job.spec().service() || job.cancelled()
                 ? 0
-                : Elastic.staying(j) - j.record.width.allowed().least();
+                : Elastic.staying(job) - job.record.width.allowed().least();
     }
 
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
@@ -117,119 +117,126 @@
     private Map<Job, Late> late(Plan plan) {
         Map<JobRef, Long> bounds = new HashMap<>();
         Map<Job, Late> out = new LinkedHashMap<>();
-        for (Plan.Reservation r : plan.reservations()) {
-            long bound = bounds.computeIfAbsent(r.job(), ref -> bound(book.job(ref)));
-            if (!r.wide() && r.beginMs() > bound) {
-                Job j = book.job(r.job());
-                out.merge(j, new Late(1, r.beginMs(), atStake(j, r.beginMs())), Late::and);
+        for (Plan.Reservation reservation : plan.reservations()) {
+            long bound = bounds.computeIfAbsent(reservation.job(), ref -> bound(book.job(ref)));
+            if (!reservation.wide() && reservation.beginMs() > bound) {
+                Job j = book.job(reservation.job());
+                out.merge(j, new Late(1, reservation.beginMs(), atStake(j, reservation.beginMs())), Late::and);
             }
         }
-        for (Job j : book.jobs()) {
-            if (plan.unplaced(j.ref()) > 0 && bound(j) < Long.MAX_VALUE) {
-                out.merge(j, new Late(plan.unplaced(j.ref()), Long.MAX_VALUE, atStake(j, Long.MAX_VALUE)), Late::and);
+        for (Job job : book.jobs()) {
+            if (plan.unplaced(job.ref()) > 0 && bound(job) < Long.MAX_VALUE) {
+                out.merge(
+                        job,
+                        new Late(plan.unplaced(job.ref()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
+                        Late::and);
             }
         }
         return out;
     }
 
     /** Work may be thrown away for what is promised, not to save a rental. */
-    private boolean atStake(Job j, long begin) {
-        return j.guaranteed
-                || (ordering.objectiveOpen(j)
-                        && begin > Math.max(ordering.latestStart(j), turn.now().ms() + SOON_MS));
+    private boolean atStake(Job job, long begin) {
+        return job.guaranteed
+                || (ordering.objectiveOpen(job)
+                        && begin
+                                > Math.max(ordering.latestStart(job), turn.now().ms() + SOON_MS));
     }
 
-    private long bound(Job j) {
-        boolean asks = j != null
-                && !j.spec().gang()
-                && !j.spec().sameZone()
-                && !j.spec().apart()
-                && j.notBefore.ms() <= turn.now().ms()
-                && !turn.now().before(j.nextNarrowing);
+    private long bound(Job job) {
+        boolean asks = job != null
+                && !job.spec().gang()
+                && !job.spec().sameZone()
+                && !job.spec().apart()
+                && job.notBefore.ms() <= turn.now().ms()
+                && !turn.now().before(job.nextNarrowing);
         if (!asks) {
             return Long.MAX_VALUE;
         }
         long now = turn.now().ms();
-        long bound = Math.min(now + renting.rentAfterMs(j), Math.max(ordering.latestStart(j), now));
-        return Math.max(now + SOON_MS, j.guaranteed ? Math.min(bound, now + SOON_MS) : bound);
+        long bound = Math.min(now + renting.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
+        return Math.max(now + SOON_MS, job.guaranteed ? Math.min(bound, now + SOON_MS) : bound);
     }
 
-    private long neededBy(Job j) {
+    private long neededBy(Job job) {
         long now = turn.now().ms();
-        long latest = ordering.latestStart(j);
-        return ordering.objectiveOpen(j) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
+        long latest = ordering.latestStart(job);
+        return ordering.objectiveOpen(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
     }
 
-    private boolean serve(Job j, Late late, List<Job> givers, boolean limited) {
+    private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         List<Offer> offers = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (!h.placements.isEmpty() && admission.usable(h)) {
-                Offer o = offer(h, j, late, givers, limited);
+        for (Host machine : book.hosts()) {
+            if (!machine.placements.isEmpty() && admission.usable(machine)) {
+                Offer offer = offer(machine, job, late, givers, limited);
                 // What may be thrown away for one task's sake is the same whoever gives the room.
-                if (o != null
-                        && o.lostEach()
-                                <= policy.preemptCpuS() * Math.max(1, j.spec().cpus())) {
-                    offers.add(o);
+                if (offer != null
+                        && offer.lostEach()
+                                <= policy.preemptCpuS() * Math.max(1, job.spec().cpus())) {
+                    offers.add(offer);
                 }
             }
         }
         offers.sort(Comparator.comparingDouble(Offer::lostEach).thenComparingLong(Offer::freesAtMs));
         int served = 0;
-        for (Offer o : offers) {
+        for (Offer offer : offers) {
             if (served >= tasks) {
                 break;
             }
             Map<Job, Integer> wanted = new HashMap<>();
-            o.going.forEach(c -> wanted.merge(book.job(c.task().task.job()), 1, Integer::sum));
+            offer.going.forEach(c -> wanted.merge(book.job(c.task().task.job()), 1, Integer::sum));
             if (wanted.entrySet().stream().anyMatch(w -> spare(w.getKey()) < w.getValue())) {
                 continue; // given away to an earlier offer
             }
-            for (Surplus.Choice<Placement> c : o.going) {
-                elastic.leave(book.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + j.ref());
+            for (Surplus.Choice<Placement> c : offer.going) {
+                elastic.leave(book.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + job.ref());
             }
-            o.host.damping =
-                    o.host.damping.narrowed(turn.now().ms(), policy.elastic().settleMs());
-            served += o.tasks;
+            offer.host.damping = offer.host.damping.narrowed(
+                    turn.now().ms(), policy.elastic().settleMs());
+            served += offer.tasks;
         }
         return served > 0;
     }
 
     /** The tasks that would go so that some of the job's fit on the host; null where that can't be. */
-    private Offer offer(Host h, Job j, Late late, List<Job> givers, boolean limited) {
+    private Offer offer(Host machine, Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
-        JobSpec s = j.spec();
-        HostType t = types.get(h.type);
-        Admission.Room room = s.mayRunOn(t, h.zone, h.spot) ? admission.roomBeside(h, t, s) : null;
+        JobSpec spec = job.spec();
+        HostType type = types.get(machine.type);
+        Admission.Room room =
+                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null) {
             return null;
         }
-        long fetch = h.fetchMs(s, t);
-        Ending.Need need = new Ending.Need(neededBy(j) - fetch, late.atStake);
+        long fetch = machine.fetchMs(spec, type);
+        Ending.Need need = new Ending.Need(neededBy(job) - fetch, late.atStake);
         List<Surplus.Choice<Placement>> could = new ArrayList<>();
-        for (Placement p : h.placements.values()) {
-            Job g = book.job(p.task.job());
-            boolean counts = givers.contains(g) && (!limited || g.spec().team().equals(s.team()));
-            if (counts && Elastic.mayGo(g, p)) {
-                could.add(new Surplus.Choice<>(p, elastic.ending(g, p, need)));
+        for (Placement placement : machine.placements.values()) {
+            Job giver = book.job(placement.task.job());
+            boolean counts =
+                    givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
+            if (counts && Elastic.mayGo(giver, placement)) {
+                could.add(new Surplus.Choice<>(placement, elastic.ending(giver, placement, need)));
             }
         }
         could.sort(Surplus.LEAST_LOSS);
         List<Surplus.Choice<Placement>> going = new ArrayList<>();
-        int fits = limited ? 0 : fits(room, s, tasks);
+        int fits = limited ? 0 : fits(room, spec, tasks);
         if (fits > 0) {
             return null; // there is room already; something else keeps it waiting
         }
         double given = 0;
-        for (Surplus.Choice<Placement> c : could) {
+        for (Surplus.Choice<Placement> choice : could) {
             if (fits >= tasks) {
                 break;
             }
-            JobSpec gone = book.job(c.task().task.job()).spec();
+            JobSpec gone = book.job(choice.task().task.job()).spec();
             room = room.plus(gone, 1);
             given += gone.cpus();
-            going.add(c);
-            fits = Math.min(fits(room, s, tasks), limited ? (int) ((given + 1e-6) / Math.max(1e-6, s.cpus())) : tasks);
+            going.add(choice);
+            fits = Math.min(
+                    fits(room, spec, tasks), limited ? (int) ((given + 1e-6) / Math.max(1e-6, spec.cpus())) : tasks);
         }
         if (fits == 0) {
             return null;
@@ -237,15 +244,15 @@
         long frees = going.stream().mapToLong(c -> c.ending().freesAtMs()).max().orElse(0);
         double lost = going.stream().mapToDouble(c -> c.ending().lostCpuS()).sum();
         boolean gains = late.lastBegin == Long.MAX_VALUE || frees + fetch + SOON_MS < late.lastBegin;
-        return gains ? new Offer(h, going, fits, frees, lost) : null;
+        return gains ? new Offer(machine, going, fits, frees, lost) : null;
     }
 
     /** How many of the job's tasks fit; {@code room} is what is left once one is there. */
-    private static int fits(Admission.Room room, JobSpec s, int most) {
-        int n = 0;
-        for (Admission.Room left = room; n < most && left.enough(); left = left.plus(s, -1)) {
-            n++;
+    private static int fits(Admission.Room room, JobSpec spec, int most) {
+        int count = 0;
+        for (Admission.Room left = room; count < most && left.enough(); left = left.plus(spec, -1)) {
+            count++;
         }
-        return n;
+        return count;
     }
 }
--- a/src/main/java/org/beechhoist/core/Notices.java
+++ b/src/main/java/org/beechhoist/core/Notices.java
@@ -30,42 +30,42 @@
 
     private List<Host> going() {
         List<Host> out = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (h.noticeEnds != null && !h.returning && !h.placements.isEmpty()) {
-                out.add(h);
+        for (Host machine : book.hosts()) {
+            if (machine.noticeEnds != null && !machine.returning && !machine.placements.isEmpty()) {
+                out.add(machine);
             }
         }
         return out;
     }
 
     /** Whether it goes on for now, and will not be over before its machine is taken. */
-    private boolean cutShort(Host h, Placement p, Job j) {
-        return j != null
-                && p.sent
-                && !p.killSent
-                && !j.cancelled()
-                && h.noticeEnds.before(estimates.endOf(p, turn.now()));
+    private boolean cutShort(Host machine, Placement placement, Job job) {
+        return job != null
+                && placement.sent
+                && !placement.killSent
+                && !job.cancelled()
+                && machine.noticeEnds.before(estimates.endOf(placement, turn.now()));
     }
 
     void tick() {
-        for (Host h : going()) {
-            long left = h.noticeEnds.since(turn.now());
+        for (Host machine : going()) {
+            long left = machine.noticeEnds.since(turn.now());
             boolean stopped = false;
-            for (Placement p : new ArrayList<>(h.placements.values())) {
-                if (cutShort(h, p, book.job(p.task.job()))) {
-                    stopping.stop(p, Math.max(0, left / 1000.0 - WAY_S), Cause.NOTICE);
+            for (Placement placement : new ArrayList<>(machine.placements.values())) {
+                if (cutShort(machine, placement, book.job(placement.task.job()))) {
+                    stopping.stop(placement, Math.max(0, left / 1000.0 - WAY_S), Cause.NOTICE);
                     stopped = true;
                 }
             }
             if (stopped) {
-                orders.direct(h);
+                orders.direct(machine);
             }
         }
     }
 
     /** By when what is on the machine is over, or is stopped. */
-    Tick endOf(Host h, Placement p) {
-        Tick end = estimates.endOf(p, turn.now());
-        return h.noticeEnds != null && h.noticeEnds.before(end) ? h.noticeEnds : end;
+    Tick endOf(Host machine, Placement placement) {
+        Tick end = estimates.endOf(placement, turn.now());
+        return machine.noticeEnds != null && machine.noticeEnds.before(end) ? machine.noticeEnds : end;
     }
 }
--- a/src/main/java/org/beechhoist/core/OnceKeys.java
+++ b/src/main/java/org/beechhoist/core/OnceKeys.java
@@ -26,32 +26,35 @@
     }
 
     /** The key's place in the state service, or null for a job without one. */
-    static String place(JobSpec s) {
-        return s.onceKey() == null
+    static String place(JobSpec spec) {
+        return spec.onceKey() == null
                 ? null
-                : "once/" + Entry.hash(s.team() + "\n" + s.onceKey()).toString().replaceAll("[^0-9a-zA-Z]", "");
+                : "once/"
+                        + Entry.hash(spec.team() + "\n" + spec.onceKey())
+                                .toString()
+                                .replaceAll("[^0-9a-zA-Z]", "");
     }
 
     /** Adds what makes a job enter: its record, guarded against one of its name, and its key where it has one. */
-    void enter(Txn txn, JobSpec s, Revision keyVersion, long wallMs) {
-        String key = JobRecord.openKey(s.ref());
+    void enter(Txn txn, JobSpec spec, Revision keyVersion, long wallMs) {
+        String key = JobRecord.openKey(spec.ref());
         txn.guard(key, Revision.ABSENT)
-                .guard(JobRecord.endedKey(s.ref()), Revision.ABSENT)
-                .put(key, new JobRecord(s, wallMs).toNode());
-        if (s.pin() != null) {
-            keys.guard(txn, s.pin().set()); // a submission that races a revocation is decided by the store
+                .guard(JobRecord.endedKey(spec.ref()), Revision.ABSENT)
+                .put(key, new JobRecord(spec, wallMs).toNode());
+        if (spec.pin() != null) {
+            keys.guard(txn, spec.pin().set()); // a submission that races a revocation is decided by the store
         }
-        if (s.onceKey() != null) {
+        if (spec.onceKey() != null) {
             ObjectNode value = Codec.map()
-                    .put("ref", s.ref().text())
-                    .put("key", s.onceKey())
-                    .put("until", wallMs + policy.keepMs(s.jobClass()));
-            txn.guard(place(s), keyVersion).put(place(s), value);
+                    .put("ref", spec.ref().text())
+                    .put("key", spec.onceKey())
+                    .put("until", wallMs + policy.keepMs(spec.jobClass()));
+            txn.guard(place(spec), keyVersion).put(place(spec), value);
         }
     }
 
-    static int puts(JobSpec s) {
-        return s.onceKey() == null ? 1 : 2;
+    static int puts(JobSpec spec) {
+        return spec.onceKey() == null ? 1 : 2;
     }
 
     /** Whose work the key is, or null where that is long enough ago. */
--- a/src/main/java/org/beechhoist/core/OpenDays.java
+++ b/src/main/java/org/beechhoist/core/OpenDays.java
@@ -32,16 +32,16 @@
             return;
         }
         requests.take(turn.now(), 1);
-        store.get(ScheduleKeys.CALENDARS + name, r -> {
-            if (!r.known()) {
+        store.get(ScheduleKeys.CALENDARS + name, read -> {
+            if (!read.known()) {
                 Amending.unknown(answer);
                 return;
             }
             try {
-                if (r.item() == null) {
+                if (read.item() == null) {
                     throw new Malformed("calendar = " + name + ": an installed calendar is expected");
                 }
-                Calendar c = Calendar.parse(r.item().value(), name);
+                Calendar c = Calendar.parse(read.item().value(), name);
                 use(d -> c.closed(d) == null, answer, use);
             } catch (Malformed e) {
                 answer.with(400, Amending.error(e.getMessage()));
--- a/src/main/java/org/beechhoist/core/OpenReads.java
+++ b/src/main/java/org/beechhoist/core/OpenReads.java
@@ -88,21 +88,22 @@
     private void listed(String first, Set<Waiting> asked, StoreClient.Page page) {
         Map<String, StoreClient.Item> items = new HashMap<>();
         String end = first;
-        for (StoreClient.Item i : page.items()) {
-            items.put(i.key(), i);
-            end = i.key();
+        for (StoreClient.Item item : page.items()) {
+            items.put(item.key(), item);
+            end = item.key();
         }
         List<Waiting> before = waiting;
         List<Waiting> out = new ArrayList<>();
         waiting = new ArrayList<>();
-        for (Waiting w : before) {
-            String key = JobRecord.openKey(w.ref);
+        for (Waiting read : before) {
+            String key = JobRecord.openKey(read.ref);
             boolean within = key.compareTo(first) >= 0 && (!page.more() || key.compareTo(end) <= 0);
-            if (within && asked.contains(w)) {
-                out.add(w);
+            if (within && asked.contains(read)) {
+                out.add(read);
             } else {
                 waiting.add(
-                        w); // also who came while the listing was on its way: it may be older than what they were told
+                        read); // also who came while the listing was on its way: it may be older than what they were
+                // told
             }
         }
         out.forEach(w -> w.then.accept(new Read(true, items.get(JobRecord.openKey(w.ref)))));
--- a/src/main/java/org/beechhoist/core/Ordering.java
+++ b/src/main/java/org/beechhoist/core/Ordering.java
@@ -50,54 +50,56 @@
     }
 
     /** Its place among jobs of its rank, for its release's sake. */
-    long shipKey(Job j) {
-        return releases == null ? ShipOrder.NONE : releases.key(j);
+    long shipKey(Job job) {
+        return releases == null ? ShipOrder.NONE : releases.key(job);
     }
 
     /** When the job's waiting tasks should begin, for the first of its objectives that can still be met; the largest too begin in four minutes. */
-    long latestStart(Job j) {
-        long latest = objective(j);
-        Long ships = releases == null ? null : releases.dueMs(j);
+    long latestStart(Job job) {
+        long latest = objective(job);
+        Long ships = releases == null ? null : releases.dueMs(job);
         if (ships != null) {
-            latest = stillOpen(latest, turn.now().ms() + ships - turn.wallMs() - estimates.lengthMs(j.spec()));
+            latest = stillOpen(latest, turn.now().ms() + ships - turn.wallMs() - estimates.lengthMs(job.spec()));
         }
-        return j.begun() ? latest : stillOpen(latest, j.submitted.ms() + Aged.BEGUN_MS - BEGIN_MARGIN_MS);
+        return job.begun() ? latest : stillOpen(latest, job.submitted.ms() + Aged.BEGUN_MS - BEGIN_MARGIN_MS);
     }
 
-    private long objective(Job j) {
-        long length = estimates.lengthMs(j.spec());
-        long from = j.submitted.ms();
+    private long objective(Job job) {
+        long length = estimates.lengthMs(job.spec());
+        long from = job.submitted.ms();
         long latest = Math.max(from, turn.now().ms()) + NO_OBJECTIVE_MS;
-        if (j.spec().deadlineS() != null) {
-            latest = stillOpen(latest, from + Math.round(1000 * j.spec().deadlineS()) - length);
+        if (job.spec().deadlineS() != null) {
+            latest = stillOpen(latest, from + Math.round(1000 * job.spec().deadlineS()) - length);
         }
-        for (Settings.Objective o : settings.objectives()) {
-            if (j.spec().jobClass().equals(o.jobClass())) {
-                switch (o.kind()) {
-                    case "finished" -> latest = stillOpen(latest, from + Math.round(1000 * o.withinS()) - length);
-                    case "wait" -> latest = stillOpen(latest, from + Math.round(1000 * o.withinS()));
+        for (Settings.Objective objective : settings.objectives()) {
+            if (job.spec().jobClass().equals(objective.jobClass())) {
+                switch (objective.kind()) {
+                    case "finished" ->
+                        latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()) - length);
+                    case "wait" -> latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()));
                     case "deadline" -> {
-                        if (j.spec().deadlineS() != null) {
+                        if (job.spec().deadlineS() != null) {
                             latest = stillOpen(
                                     latest,
                                     from
-                                            + Math.round(
-                                                    1000 * o.times() * j.spec().deadlineS())
+                                            + Math.round(1000
+                                                    * objective.times()
+                                                    * job.spec().deadlineS())
                                             - length);
                         }
                     }
                     default -> {}
                 }
-            } else if (o.kind().equals("guarantee") && j.guaranteed) {
-                latest = stillOpen(latest, from + Math.round(1000 * o.withinS()));
+            } else if (objective.kind().equals("guarantee") && job.guaranteed) {
+                latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()));
             }
         }
         return latest;
     }
 
-    boolean objectiveOpen(Job j) {
-        return shipKey(j) != ShipOrder.NONE
-                || objective(j) < Math.max(j.submitted.ms(), turn.now().ms()) + NO_OBJECTIVE_MS;
+    boolean objectiveOpen(Job job) {
+        return shipKey(job) != ShipOrder.NONE
+                || objective(job) < Math.max(job.submitted.ms(), turn.now().ms()) + NO_OBJECTIVE_MS;
     }
 
     private long stillOpen(long latest, long candidate) {
@@ -105,43 +107,45 @@
     }
 
     /** By when the job counts as served, from its submission on: the last of what its class is promised, or 1.5 times its deadline. */
-    long servedWithinMs(JobSpec s) {
-        double most = s.deadlineS() == null ? 0 : SERVED_TIMES * s.deadlineS();
-        for (Settings.Objective o : settings.objectives()) {
-            if (o.kind().equals("finished") && s.jobClass().equals(o.jobClass())) {
-                most = Math.max(most, o.withinS());
+    long servedWithinMs(JobSpec spec) {
+        double most = spec.deadlineS() == null ? 0 : SERVED_TIMES * spec.deadlineS();
+        for (Settings.Objective objective : settings.objectives()) {
+            if (objective.kind().equals("finished") && spec.jobClass().equals(objective.jobClass())) {
+                most = Math.max(most, objective.withinS());
             }
         }
         return most == 0 ? NO_OBJECTIVE_MS : Math.round(1000 * most);
     }
 
     /** The first moment by which the job is to be over that it can still meet, or null: all are missed, or there is none. */
-    Long overBy(Job j) {
-        long least = turn.now().ms() + estimates.lengthMs(j.spec()) - GUESSED_MS;
+    Long overBy(Job job) {
+        long least = turn.now().ms() + estimates.lengthMs(job.spec()) - GUESSED_MS;
         Long first = null;
-        for (long within : overWithinMs(j.spec())) {
-            long due = j.submitted.ms() + within;
+        for (long within : overWithinMs(job.spec())) {
+            long due = job.submitted.ms() + within;
             first = due >= least && (first == null || due < first) ? Long.valueOf(due) : first;
         }
         return first;
     }
 
     /** Whether it is promised at all by when the job is over. */
-    boolean hasEnd(JobSpec s) {
-        return !overWithinMs(s).isEmpty();
+    boolean hasEnd(JobSpec spec) {
+        return !overWithinMs(spec).isEmpty();
     }
 
-    private List<Long> overWithinMs(JobSpec s) {
+    private List<Long> overWithinMs(JobSpec spec) {
         List<Long> out = new ArrayList<>();
-        if (s.deadlineS() != null) {
-            out.add(Math.round(1000 * s.deadlineS()));
-            out.add(Math.round(1000 * SERVED_TIMES * s.deadlineS()));
+        if (spec.deadlineS() != null) {
+            out.add(Math.round(1000 * spec.deadlineS()));
+            out.add(Math.round(1000 * SERVED_TIMES * spec.deadlineS()));
         }
-        for (Settings.Objective o : settings.objectives()) {
-            if (s.jobClass().equals(o.jobClass()) && o.kind().equals("finished")) {
-                out.add(Math.round(1000 * o.withinS()));
-            } else if (s.jobClass().equals(o.jobClass()) && o.kind().equals("deadline") && s.deadlineS() != null) {
-                out.add(Math.round(1000 * o.times() * s.deadlineS()));
+        for (Settings.Objective objective : settings.objectives()) {
+            if (spec.jobClass().equals(objective.jobClass()) && objective.kind().equals("finished")) {
+                out.add(Math.round(1000 * objective.withinS()));
+            } else if (spec.jobClass().equals(objective.jobClass())
+                    && objective.kind().equals("deadline")
+                    && spec.deadlineS() != null) {
+                out.add(Math.round(1000 * objective.times() * spec.deadlineS()));
             }
         }
         return out;
@@ -151,9 +155,9 @@
      * Under overload a promise of a start would have every job begun and none ended, the newest first: what counts is by when
      * it must begin to be over in time.
      */
-    private long beginBy(Job j) {
-        Long due = overloaded ? overBy(j) : null;
-        return due == null ? latestStart(j) : due - estimates.lengthMs(j.spec());
+    private long beginBy(Job job) {
+        Long due = overloaded ? overBy(job) : null;
+        return due == null ? latestStart(job) : due - estimates.lengthMs(job.spec());
     }
 
     void overloaded(boolean is) {
@@ -161,24 +165,24 @@
     }
 
     /** How long it waits for a machine at the lowest price; for a release not at all: one of a later date would begin in its place. */
-    long patience(Job j) {
-        return shipKey(j) != ShipOrder.NONE
+    long patience(Job job) {
+        return shipKey(job) != ShipOrder.NONE
                 ? 0
                 : Math.round(policy.patience()
-                        * Math.max(0, latestStart(j) - turn.now().ms()));
+                        * Math.max(0, latestStart(job) - turn.now().ms()));
     }
 
     private void markGuaranteed() {
         Map<String, double[]> sums = new HashMap<>();
         List<Job> all = new ArrayList<>(book.jobs());
         all.sort(Comparator.comparing((Job j) -> j.submitted).thenComparing(Job::ref));
-        for (Job j : all) {
-            Settings.Team team = settings.teams().get(j.spec().team());
-            if (team != null && !j.cancelled() && (j.hold == null || !j.record.live.isEmpty())) {
+        for (Job job : all) {
+            Settings.Team team = settings.teams().get(job.spec().team());
+            if (team != null && !job.cancelled() && (job.hold == null || !job.record.live.isEmpty())) {
                 double[] sum = sums.computeIfAbsent(team.name(), k -> new double[2]);
-                sum[0] += j.spec().tasks() * j.spec().cpus();
-                sum[1] += j.spec().tasks() * j.spec().gpus();
-                j.guaranteed = sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
+                sum[0] += job.spec().tasks() * job.spec().cpus();
+                sum[1] += job.spec().tasks() * job.spec().gpus();
+                job.guaranteed = sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
             }
         }
     }
@@ -188,9 +192,9 @@
         record Ranked(Job job, long ships, long latest) {}
         markGuaranteed();
         List<Ranked> ranked = new ArrayList<>();
-        for (Job j : book.jobs()) {
-            if (!j.cancelled() && j.hold == null && j.record.waitingCount() > 0) {
-                ranked.add(new Ranked(j, shipKey(j), beginBy(j)));
+        for (Job job : book.jobs()) {
+            if (!job.cancelled() && job.hold == null && job.record.waitingCount() > 0) {
+                ranked.add(new Ranked(job, shipKey(job), beginBy(job)));
             }
         }
         ranked.sort(Comparator.comparingInt((Ranked r) -> rank(r.job))
@@ -221,17 +225,17 @@
      * for its class's or team's half comes before all; {@link ServedFloor} lifts nothing over another team's guarantee. What is
      * left behind under overload comes after all.
      */
-    static int rank(Job j) {
-        if (j.lifted) {
+    static int rank(Job job) {
+        if (job.lifted) {
             return FIRST;
         }
-        if (j.behind) {
+        if (job.behind) {
             return LAST;
         }
-        return usualRank(j);
+        return usualRank(job);
     }
 
-    static int usualRank(Job j) {
-        return 2 * j.spec().urgency().ordinal() + (j.guaranteed ? 0 : 1);
+    static int usualRank(Job job) {
+        return 2 * job.spec().urgency().ordinal() + (job.guaranteed ? 0 : 1);
     }
 }
--- a/src/main/java/org/beechhoist/core/Orders.java
+++ b/src/main/java/org/beechhoist/core/Orders.java
@@ -27,7 +27,7 @@
     /** What answers to commands tell. */
     interface Listener {
         /** The worker's report after the commands. */
-        void reported(Host h, HostReport report);
+        void reported(Host machine, HostReport report);
 
         /** A launch sent with this token may be executed minutes late. */
         void unanswered(Baton baton);
@@ -64,42 +64,43 @@
         this.listener = listener;
     }
 
-    private boolean reachable(Host h) {
-        return h.up
-                && h.address != null
-                && h.lastHeard != null
-                && !h.returning
-                && !h.ears.deaf()
-                && turn.now().since(h.lastHeard) < settings.workers().reportS() * 2500;
+    private boolean reachable(Host machine) {
+        return machine.up
+                && machine.address != null
+                && machine.lastHeard != null
+                && !machine.returning
+                && !machine.ears.deaf()
+                && turn.now().since(machine.lastHeard) < settings.workers().reportS() * 2500;
     }
 
     /** Also a worker that can't report, and answers when it is asked. */
-    private boolean killable(Host h) {
-        return reachable(h)
-                || h.address != null
-                        && !h.returning
-                        && !h.ears.deaf()
-                        && h.answersAt != Tick.ZERO
-                        && h.unanswered == 0
-                        && turn.now().since(h.answersAt) < settings.workers().reportS() * 2500;
+    private boolean killable(Host machine) {
+        return reachable(machine)
+                || machine.address != null
+                        && !machine.returning
+                        && !machine.ears.deaf()
+                        && machine.answersAt != Tick.ZERO
+                        && machine.unanswered == 0
+                        && turn.now().since(machine.answersAt)
+                                < settings.workers().reportS() * 2500;
     }
 
     /** Kills the task where it may be, unless that is waiting to be sent already. */
-    void kill(Host h, Placement p) {
-        if (h.outbox.stream()
-                .noneMatch(o -> o.verb() == Order.Verb.KILL && o.task().equals(p.task))) {
-            h.outbox.add(Order.kill(p.task, p.attempt, 0));
-            direct(h);
+    void kill(Host machine, Placement placement) {
+        if (machine.outbox.stream()
+                .noneMatch(o -> o.verb() == Order.Verb.KILL && o.task().equals(placement.task))) {
+            machine.outbox.add(Order.kill(placement.task, placement.attempt, 0));
+            direct(machine);
         }
     }
 
     /** Whether a task of the job was launched by a command that has no answer yet. */
-    boolean launchUnanswered(Job j) {
-        return j.record.live.values().stream().anyMatch(this::launchUnanswered);
+    boolean launchUnanswered(Job job) {
+        return job.record.live.values().stream().anyMatch(this::launchUnanswered);
     }
 
-    private boolean launchUnanswered(Placement p) {
-        return p.sent && !p.seen && book.host(p.host).ordersInFlight > 0;
+    private boolean launchUnanswered(Placement placement) {
+        return placement.sent && !placement.seen && book.host(placement.host).ordersInFlight > 0;
     }
 
     Baton token() {
@@ -112,138 +113,146 @@
     }
 
     /** Kills what was launched without an answer so far; unlike other commands these do not wait for that answer. */
-    void killUnanswered(Job j) {
-        for (Placement p : new ArrayList<>(j.record.live.values())) {
-            Host h = book.host(p.host);
-            if (launchUnanswered(p)
-                    && h.ordersInFlight <= MOST_UNANSWERED
-                    && killable(h)
+    void killUnanswered(Job job) {
+        for (Placement placement : new ArrayList<>(job.record.live.values())) {
+            Host machine = book.host(placement.host);
+            if (launchUnanswered(placement)
+                    && machine.ordersInFlight <= MOST_UNANSWERED
+                    && killable(machine)
                     && election.valid()
-                    && starting.mayCommand(h)) {
-                send(h, List.of(Order.kill(p.task, p.attempt, 0)), List.of());
+                    && starting.mayCommand(machine)) {
+                send(machine, List.of(Order.kill(placement.task, placement.attempt, 0)), List.of());
             }
         }
     }
 
     /** Sends waiting orders straight to the worker; one call at a time, so that each report is easy to judge. */
-    void direct(Host h) {
-        if (h.outbox.isEmpty() || h.ordersInFlight > 0 || !election.valid()) {
+    void direct(Host machine) {
+        if (machine.outbox.isEmpty() || machine.ordersInFlight > 0 || !election.valid()) {
             return;
         }
-        if (!reachable(h)) {
-            boolean kills = killable(h);
-            h.outbox.removeIf(o ->
+        if (!reachable(machine)) {
+            boolean kills = killable(machine);
+            machine.outbox.removeIf(o ->
                     !kills || o.verb() != Order.Verb.KILL); // launches not sent go with the next reply to its report
         }
         // While the book is not certain, or a cancellation may not be known, nothing is begun; what is to be ended is
         // ended.
         boolean all = loading.active() && cancellations.mayRenew();
-        List<Order> orders = new ArrayList<>(h.outbox.stream()
+        List<Order> orders = new ArrayList<>(machine.outbox.stream()
                 .filter(o -> all || o.verb() == Order.Verb.KILL)
                 .limit(MAX_ORDERS)
                 .toList());
-        if (orders.isEmpty() || !starting.mayCommand(h)) {
+        if (orders.isEmpty() || !starting.mayCommand(machine)) {
             return; // they wait for a moment, or go with that reply
         }
-        h.outbox.removeAll(orders);
+        machine.outbox.removeAll(orders);
         List<Placement> launches = new ArrayList<>();
-        orders.removeIf(o -> {
-            if (o.verb() != Order.Verb.LAUNCH) {
+        orders.removeIf(command -> {
+            if (command.verb() != Order.Verb.LAUNCH) {
                 return false;
             }
-            Placement p = h.placements.get(o.task());
-            if (p == null
-                    || p.attempt != o.attempt()
-                    || !p.committed
-                    || p.sent
-                    || h.going()
-                    || cancellations.knows(o.task().job())) {
+            Placement placement = machine.placements.get(command.task());
+            if (placement == null
+                    || placement.attempt != command.attempt()
+                    || !placement.committed
+                    || placement.sent
+                    || machine.going()
+                    || cancellations.knows(command.task().job())) {
                 return true;
             }
-            launches.add(p);
-            p.sent = true;
-            p.sentShift = h.shift;
-            p.sentCounter = h.counter;
+            launches.add(placement);
+            placement.sent = true;
+            placement.sentShift = machine.shift;
+            placement.sentCounter = machine.counter;
             return false;
         });
         if (orders.isEmpty()) {
             starting.answered();
             return;
         }
-        send(h, orders, launches);
+        send(machine, orders, launches);
     }
 
-    private void send(Host h, List<Order> orders, List<Placement> launches) {
+    private void send(Host machine, List<Order> orders, List<Placement> launches) {
         Baton baton = election.baton();
-        long shift = h.shift;
+        long shift = machine.shift;
         ObjectNode body = Codec.map().put("baton", baton.value()).put("shift", shift);
         body.set("orders", Order.toNode(orders));
-        h.ordersInFlight++;
-        long r = book.reign();
+        machine.ordersInFlight++;
+        long term = book.reign();
         turn.command(
-                election.validUntil(), Calls.Target.HOST, h.address, "POST", "/orders", body, DIRECT_TIMEOUT_MS, o -> {
-                    if (r != book.reign()) {
+                election.validUntil(),
+                Calls.Target.HOST,
+                machine.address,
+                "POST",
+                "/orders",
+                body,
+                DIRECT_TIMEOUT_MS,
+                result -> {
+                    if (term != book.reign()) {
                         return;
                     }
                     starting.answered();
-                    if (book.known(h.id) == h) {
-                        h.ordersInFlight--;
-                        ordersDone(h, o, launches, baton);
+                    if (book.known(machine.id) == machine) {
+                        machine.ordersInFlight--;
+                        ordersDone(machine, result, launches, baton);
                     }
                 });
     }
 
     /** Its address belongs to another machine now, which has been given its launches: they are ended there, and count as on their way here. */
-    private void anotherAnswered(Host h, HostReport report, List<Placement> launches) {
-        LOG.warn("{}: {} answers at its address", h.id, report.host());
-        h.address = null;
+    private void anotherAnswered(Host machine, HostReport report, List<Placement> launches) {
+        LOG.warn("{}: {} answers at its address", machine.id, report.host());
+        machine.address = null;
         Host there = book.known(report.host());
         for (Placement p : there == null ? List.<Placement>of() : launches) {
             there.outbox.add(Order.kill(p.task, p.attempt, 0));
         }
     }
 
-    private void ordersDone(Host h, Outcome o, List<Placement> launches, Baton baton) {
+    private void ordersDone(Host machine, Outcome result, List<Placement> launches, Baton baton) {
         HostReport report = null;
-        if (o.kind() == Outcome.Kind.ANSWERED && o.body() != null) {
+        if (result.kind() == Outcome.Kind.ANSWERED && result.body() != null) {
             try {
-                report = HostReport.parse(o.body());
+                report = HostReport.parse(result.body());
             } catch (Malformed e) {
-                LOG.debug("{}: strange report: {}", h.id, e.getMessage());
+                LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
             }
         }
-        boolean other = report != null && !report.host().equals(h.id);
+        boolean other = report != null && !report.host().equals(machine.id);
         if (other) {
-            anotherAnswered(h, report, launches);
+            anotherAnswered(machine, report, launches);
             report = null;
         }
         if (report != null) {
-            h.answers(turn.now());
-        } else if (o.kind() != Outcome.Kind.NOT_SENT) {
-            h.missed(turn.now(), turn.late());
+            machine.answers(turn.now());
+        } else if (result.kind() != Outcome.Kind.NOT_SENT) {
+            machine.missed(turn.now(), turn.late());
         }
-        boolean refused = o.kind() == Outcome.Kind.NOT_SENT || (report != null && o.is(409)) || o.is(400);
+        boolean refused =
+                result.kind() == Outcome.Kind.NOT_SENT || (report != null && result.is(409)) || result.is(400);
         if (refused) {
             launches.forEach(p -> p.sent = false);
-        } else if (!(o.is(200) && report != null) && !launches.isEmpty()) {
+        } else if (!(result.is(200) && report != null) && !launches.isEmpty()) {
             // The launch may be executed minutes late, until the worker has seen a higher token.
-            LOG.info("{}: launch without an answer, baton {}", h.id, baton.value());
-            h.limbo = baton;
+            LOG.info("{}: launch without an answer, baton {}", machine.id, baton.value());
+            machine.limbo = baton;
             listener.unanswered(baton);
         }
-        if (report != null && report.host().equals(h.id) && report.newerThan(h.shift, h.counter)) {
-            boolean sameShift = report.shift() == h.shift;
-            h.newest(report, turn.now());
-            if (o.is(200)) {
-                for (Placement p : launches) {
-                    p.sentShift = report.shift();
-                    p.sentCounter = report.counter();
+        if (report != null && report.host().equals(machine.id) && report.newerThan(machine.shift, machine.counter)) {
+            boolean sameShift = report.shift() == machine.shift;
+            machine.newest(report, turn.now());
+            if (result.is(200)) {
+                for (Placement placement : launches) {
+                    placement.sentShift = report.shift();
+                    placement.sentCounter = report.counter();
                 }
             }
             if (sameShift && loading.complete()) {
-                listener.reported(h, report);
+                listener.reported(machine, report);
             }
         }
-        direct(h);
+        direct(machine);
     }
 }
--- a/src/main/java/org/beechhoist/core/Overload.java
+++ b/src/main/java/org/beechhoist/core/Overload.java
@@ -75,37 +75,38 @@
         List<Demand> demands = new ArrayList<>();
         List<Job> missed = new ArrayList<>();
         boolean overloaded = false;
-        for (Job j : book.jobs()) {
-            if (j.cancelled()
-                    || j.hold != null
-                    || j.spec().service()
-                    || j.record.waitingCount() == 0
-                    || !j.notBefore.before(turn.now())) {
+        for (Job job : book.jobs()) {
+            if (job.cancelled()
+                    || job.hold != null
+                    || job.spec().service()
+                    || job.record.waitingCount() == 0
+                    || !job.notBefore.before(turn.now())) {
                 continue;
             }
-            JobSpec s = j.spec();
+            JobSpec spec = job.spec();
             boolean more = grows.computeIfAbsent(
-                    s.hostTypes() + "/" + s.zone() + "/" + s.spot() + "/" + s.cpus() + "/" + s.gpus() + "/" + s.memGb(),
-                    k -> renting.mayGrow(s));
-            Long due = ordering.overBy(j);
-            boolean late = due == null && ordering.hasEnd(s);
-            if (late && !more && ordering.shipKey(j) == ShipOrder.NONE) {
-                missed.add(j);
+                    spec.hostTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
+                            + "/" + spec.memGb(),
+                    k -> renting.mayGrow(spec));
+            Long due = ordering.overBy(job);
+            boolean late = due == null && ordering.hasEnd(spec);
+            if (late && !more && ordering.shipKey(job) == ShipOrder.NONE) {
+                missed.add(job);
             }
             overloaded |= !more;
-            boolean begun = j.begun();
-            long length = estimates.lengthMs(s);
+            boolean begun = job.begun();
+            long length = estimates.lengthMs(spec);
             demands.add(new Demand(
-                    j.ref(),
-                    groups.apply(j),
-                    j.lifted ? -1 : Ordering.usualRank(j),
-                    s.team(),
-                    s.cpus() * length * j.record.waitingCount(),
-                    s.gpus() * length * j.record.waitingCount(),
+                    job.ref(),
+                    groups.apply(job),
+                    job.lifted ? -1 : Ordering.usualRank(job),
+                    spec.team(),
+                    spec.cpus() * length * job.record.waitingCount(),
+                    spec.gpus() * length * job.record.waitingCount(),
                     length,
                     due == null ? Demand.NO_DUE : due,
                     late,
-                    more || begun || j.lifted || ordering.shipKey(j) != ShipOrder.NONE));
+                    more || begun || job.lifted || ordering.shipKey(job) != ShipOrder.NONE));
         }
         Set<JobRef> now = !overloaded ? Set.of() : Triage.behind(demands, means());
         if (!now.isEmpty()) {
@@ -134,30 +135,31 @@
         double gpus = 0;
         double busyGpus = 0;
         Map<String, Double> busyTeams = new HashMap<>();
-        for (Host h : book.hosts()) {
-            HostType t = h.known() && !h.returning ? types.get(h.type) : null;
-            if (t == null || h.up && !admission.usable(h)) {
+        for (Host machine : book.hosts()) {
+            HostType type = machine.known() && !machine.returning ? types.get(machine.type) : null;
+            if (type == null || machine.up && !admission.usable(machine)) {
                 continue;
             }
-            cpus += t.cpus();
-            gpus += t.gpus();
-            for (Placement p : h.placements.values()) {
-                Job j = book.job(p.task.job());
-                if (j != null && j.spec().service()) {
-                    cpus -= j.spec().cpus();
-                    gpus -= j.spec().gpus();
-                } else if (j != null) {
-                    long left = Math.max(0, estimates.endOf(p, turn.now()).since(turn.now()));
-                    busy += left * j.spec().cpus();
-                    busyGpus += left * j.spec().gpus();
-                    busyTeams.merge(j.spec().team(), left * j.spec().cpus(), Double::sum);
+            cpus += type.cpus();
+            gpus += type.gpus();
+            for (Placement placement : machine.placements.values()) {
+                Job job = book.job(placement.task.job());
+                if (job != null && job.spec().service()) {
+                    cpus -= job.spec().cpus();
+                    gpus -= job.spec().gpus();
+                } else if (job != null) {
+                    long left =
+                            Math.max(0, estimates.endOf(placement, turn.now()).since(turn.now()));
+                    busy += left * job.spec().cpus();
+                    busyGpus += left * job.spec().gpus();
+                    busyTeams.merge(job.spec().team(), left * job.spec().cpus(), Double::sum);
                 }
             }
         }
         Map<String, Means.Team> teams = new HashMap<>();
-        for (Settings.Team t : settings.teams().values()) {
-            if (t.cpusMax() < Double.POSITIVE_INFINITY && t.cpusMax() > 0) {
-                teams.put(t.name(), new Means.Team(t.cpusMax(), busyTeams.getOrDefault(t.name(), 0.0)));
+        for (Settings.Team team : settings.teams().values()) {
+            if (team.cpusMax() < Double.POSITIVE_INFINITY && team.cpusMax() > 0) {
+                teams.put(team.name(), new Means.Team(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
             }
         }
         return new Means(turn.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
--- a/src/main/java/org/beechhoist/core/Peers.java
+++ b/src/main/java/org/beechhoist/core/Peers.java
@@ -26,14 +26,14 @@
         this.seeds = seeds;
     }
 
-    void heard(PeerState s, Tick now) {
-        if (seeds.contains(s.node())) {
-            heard.put(s.node(), new Heard(s, now));
+    void heard(PeerState state, Tick now) {
+        if (seeds.contains(state.node())) {
+            heard.put(state.node(), new Heard(state, now));
         }
     }
 
-    private boolean fresh(Heard h, Tick now) {
-        return now.since(h.at) < FRESH_MS;
+    private boolean fresh(Heard message, Tick now) {
+        return now.since(message.at) < FRESH_MS;
     }
 
     /** Whether every other node has been heard since this one began: they are of a version that speaks as this one does. */
@@ -45,9 +45,9 @@
     List<Shares.Want> wants(Tick now, ToDoubleFunction<PeerState> of) {
         List<Shares.Want> out = new ArrayList<>();
         for (String node : seeds) {
-            Heard h = heard.get(node);
-            boolean fresh = h != null && fresh(h, now);
-            out.add(new Shares.Want(fresh && h.state.leading(), fresh ? of.applyAsDouble(h.state) : -1));
+            Heard message = heard.get(node);
+            boolean fresh = message != null && fresh(message, now);
+            out.add(new Shares.Want(fresh && message.state.leading(), fresh ? of.applyAsDouble(message.state) : -1));
         }
         return out;
     }
@@ -55,9 +55,9 @@
     /** How many workers' reports have lately reached each of the others that is heard of. */
     List<Integer> reportsElsewhere(Tick now) {
         List<Integer> out = new ArrayList<>();
-        for (Heard h : heard.values()) {
-            if (fresh(h, now)) {
-                out.add(h.state.reportsHeard());
+        for (Heard message : heard.values()) {
+            if (fresh(message, now)) {
+                out.add(message.state.reportsHeard());
             }
         }
         return out;
@@ -66,11 +66,11 @@
     /** Who says that it leads, or null; of two the one with the newer baton. */
     String leader(Tick now) {
         PeerState best = null;
-        for (Heard h : heard.values()) {
-            if (fresh(h, now)
-                    && h.state.leading()
-                    && (best == null || h.state.baton().compareTo(best.baton()) > 0)) {
-                best = h.state;
+        for (Heard message : heard.values()) {
+            if (fresh(message, now)
+                    && message.state.leading()
+                    && (best == null || message.state.baton().compareTo(best.baton()) > 0)) {
+                best = message.state;
             }
         }
         return best == null ? null : best.node();
@@ -83,8 +83,8 @@
 
     /** Whether the state service serves some other node that users can turn to. */
     boolean servedElsewhere(Tick now) {
-        for (Heard h : heard.values()) {
-            if (fresh(h, now) && h.state.ready() && h.state.storeAnswersMs() < SERVED_MS) {
+        for (Heard message : heard.values()) {
+            if (fresh(message, now) && message.state.ready() && message.state.storeAnswersMs() < SERVED_MS) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/core/Planner.java
+++ b/src/main/java/org/beechhoist/core/Planner.java
@@ -122,22 +122,25 @@
     }
 
     /** When the newest plan has all of the job's tasks over; null where it doesn't reach that far, or has no end. */
-    Long plannedEnd(Job j) {
-        if (plan == null || j.spec().service() || plan.unplaced(j.ref()) > 0) {
+    Long plannedEnd(Job job) {
+        if (plan == null || job.spec().service() || plan.unplaced(job.ref()) > 0) {
             return null;
         }
         long end = 0;
         int waiting = 0;
-        for (Plan.Reservation r : plan.reservations()) {
-            if (r.job().equals(j.ref())) {
+        for (Plan.Reservation reservation : plan.reservations()) {
+            if (reservation.job().equals(job.ref())) {
                 waiting++;
-                end = Math.max(end, r.endMs());
+                end = Math.max(end, reservation.endMs());
             }
         }
-        for (Placement p : j.record.live.values()) {
+        for (Placement p : job.record.live.values()) {
             end = Math.max(end, estimates.endOf(p, turn.now()).ms());
         }
-        return waiting + j.record.live.size() + j.record.done.size() < j.spec().tasks() ? null : end;
+        return waiting + job.record.live.size() + job.record.done.size()
+                        < job.spec().tasks()
+                ? null
+                : end;
     }
 
     /** Whether a plan or a step of the search is to follow, at {@link #next}. */
@@ -162,56 +165,70 @@
         long now = turn.now().ms();
         List<PlanHost> planHosts = new ArrayList<>();
         Set<HostId> planned = new HashSet<>();
-        for (Host h : book.hosts()) {
-            HostType t = h.known() ? types.get(h.type) : null;
-            if (t == null || (!admission.usable(h) && (h.up || h.returning)) || starting.doubted(h)) {
+        for (Host machine : book.hosts()) {
+            HostType type = machine.known() ? types.get(machine.type) : null;
+            if (type == null
+                    || (!admission.usable(machine) && (machine.up || machine.returning))
+                    || starting.doubted(machine)) {
                 continue;
             }
-            PlanHost ph = new PlanHost(h.id, t, h.zone, h.spot, h.up, h.up ? now : provisioner.readyAt(h, t));
-            ph.holds(h.images.keySet());
-            for (Placement p : h.placements.values()) {
-                Job j = book.job(p.task.job());
-                if (j != null) {
-                    JobSpec s = j.spec();
-                    ph.occupy(estimates.endOf(p, turn.now()).ms(), s.cpus(), s.gpus(), s.memGb());
-                    ph.image(s.image(), p.running != null ? now : Math.max(now + 500, p.since.ms() + p.fetchMs));
+            PlanHost planMachine = new PlanHost(
+                    machine.id,
+                    type,
+                    machine.zone,
+                    machine.spot,
+                    machine.up,
+                    machine.up ? now : provisioner.readyAt(machine, type));
+            planMachine.holds(machine.images.keySet());
+            for (Placement placement : machine.placements.values()) {
+                Job job = book.job(placement.task.job());
+                if (job != null) {
+                    JobSpec spec = job.spec();
+                    planMachine.occupy(
+                            estimates.endOf(placement, turn.now()).ms(), spec.cpus(), spec.gpus(), spec.memGb());
+                    planMachine.image(
+                            spec.image(),
+                            placement.running != null
+                                    ? now
+                                    : Math.max(now + 500, placement.since.ms() + placement.fetchMs));
                 }
             }
-            for (JobSpec kept : moves.keptOn(h.id)) {
-                ph.occupy(now + 3_600_000, kept.cpus(), kept.gpus(), kept.memGb());
+            for (JobSpec kept : moves.keptOn(machine.id)) {
+                planMachine.occupy(now + 3_600_000, kept.cpus(), kept.gpus(), kept.memGb());
             }
-            if (h.up && admission.mayWiden(h)) {
-                ph.mayWiden();
+            if (machine.up && admission.mayWiden(machine)) {
+                planMachine.mayWiden();
             }
-            planHosts.add(ph);
-            planned.add(h.id);
+            planHosts.add(planMachine);
+            planned.add(machine.id);
         }
         Plan next = new Plan(now, planHosts);
         next.sizes(moves.sizes());
         for (Settings.Team t : settings.teams().values()) {
             next.limit(t.name(), t.cpusMax(), t.gpusMax());
         }
-        for (Job j : book.jobs()) {
-            for (Placement p : j.record.live.values()) {
-                Host h = book.known(p.host);
-                long end = planned.contains(p.host) || h != null && (h.noticeEnds != null || h.cordonedBy != null)
-                        ? notices.endOf(h, p).ms()
+        for (Job job : book.jobs()) {
+            for (Placement placement : job.record.live.values()) {
+                Host machine = book.known(placement.host);
+                long end = planned.contains(placement.host)
+                                || machine != null && (machine.noticeEnds != null || machine.cordonedBy != null)
+                        ? notices.endOf(machine, placement).ms()
                         : now + 3_600_000;
-                next.use(j.spec().team(), end, j.spec().cpus(), j.spec().gpus());
+                next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
             }
         }
-        for (Job j : order) {
-            if (first(j) > 0) {
-                next.place(entry(j, Math.min(first(j), j.mayTry(elastic.sure(j))), 0));
+        for (Job job : order) {
+            if (first(job) > 0) {
+                next.place(entry(job, Math.min(first(job), job.mayTry(elastic.sure(job))), 0));
             }
         }
-        for (Job j : order) {
-            if (j.spec().gang() && !j.record.live.isEmpty()) {
+        for (Job job : order) {
+            if (job.spec().gang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int sure = j.mayTry(elastic.sure(j)) - first(j) - moves.underWay(j);
+            int sure = job.mayTry(elastic.sure(job)) - first(job) - moves.underWay(job);
             if (sure > 0) {
-                next.place(entry(j, sure, ordering.patience(j)));
+                next.place(entry(job, sure, ordering.patience(job)));
             }
         }
         widen(next, order, widths);
@@ -219,45 +236,47 @@
     }
 
     /** Tasks of it that come before all others: what has waited for long, and whom room is made for. */
-    private int first(Job j) {
-        return Math.max(j.firstPart(), moves.roomsFor(j));
+    private int first(Job job) {
+        return Math.max(job.firstPart(), moves.roomsFor(job));
     }
 
-    private Plan.Entry entry(Job j, int waiting, long patienceMs) {
+    private Plan.Entry entry(Job job, int waiting, long patienceMs) {
         return new Plan.Entry(
-                j.ref(),
-                j.spec(),
+                job.ref(),
+                job.spec(),
                 waiting,
-                estimates.lengthMs(j.spec()),
-                admission.liveByZone(j),
-                j.notBefore.ms(),
+                estimates.lengthMs(job.spec()),
+                admission.liveByZone(job),
+                job.notBefore.ms(),
                 patienceMs);
     }
 
     /** After all others, elastic jobs onto what would stand idle. */
     private void widen(Plan next, List<Job> order, Map<JobRef, Integer> widths) {
         int weighed = 0;
-        for (Job j : order) {
-            if (j.record.width == null) {
+        for (Job job : order) {
+            if (job.record.width == null) {
                 continue;
             }
-            int sure = elastic.sure(j);
-            Plan.Wish wish = elastic.wish(j, sure, widths.get(j.ref()));
+            int sure = elastic.sure(job);
+            Plan.Wish wish = elastic.wish(job, sure, widths.get(job.ref()));
             if (wish == null) {
                 continue;
             }
             if (wish.fixed() == null && weighed++ >= MAX_WEIGHED) {
-                wish = wish.fixedAt(j.width()); // it stays as wide as it is
+                wish = wish.fixedAt(job.width()); // it stays as wide as it is
             }
             List<Long> busyUntil = new ArrayList<>();
-            for (Placement p : j.record.live.values()) {
+            for (Placement p : job.record.live.values()) {
                 busyUntil.add(estimates.endOf(p, turn.now()).ms());
             }
             long slack = wish.untilMs() == Ending.NEVER
                     ? NO_HURRY_MS
                     : Math.max(0, wish.untilMs() - turn.now().ms());
             next.widen(
-                    entry(j, j.record.waitingCount() - sure, Math.round(policy.patience() * slack)), busyUntil, wish);
+                    entry(job, job.record.waitingCount() - sure, Math.round(policy.patience() * slack)),
+                    busyUntil,
+                    wish);
         }
     }
 
@@ -304,25 +323,28 @@
     private Arrangement arrangement(List<JobRef> free) {
         List<JobRef> wide = new ArrayList<>();
         Map<JobRef, Integer> widest = new HashMap<>();
-        for (Job j : book.jobs()) {
-            if (j.record.width != null && elastic.wish(j, elastic.sure(j), null) != null) {
-                wide.add(j.ref());
+        for (Job job : book.jobs()) {
+            if (job.record.width != null && elastic.wish(job, elastic.sure(job), null) != null) {
+                wide.add(job.ref());
                 widest.put(
-                        j.ref(),
-                        Math.min(j.record.width.allowed().most(), j.spec().tasks()));
+                        job.ref(),
+                        Math.min(job.record.width.allowed().most(), job.spec().tasks()));
             }
         }
         return new Arrangement(free, wide, widest, Map.of());
     }
 
-    private Evaluation evaluate(Arrangement a) {
-        List<Job> list = Ordering.arranged(ordering.byObjective(), a.order());
+    private Evaluation evaluate(Arrangement arrangement) {
+        List<Job> list = Ordering.arranged(ordering.byObjective(), arrangement.order());
         Map<JobRef, Evaluation.Facts> facts = new HashMap<>();
-        for (Job j : list) {
+        for (Job job : list) {
             facts.put(
-                    j.ref(),
+                    job.ref(),
                     new Evaluation.Facts(
-                            j.spec().team(), j.submitted.ms(), ordering.latestStart(j), estimates.lengthMs(j.spec())));
+                            job.spec().team(),
+                            job.submitted.ms(),
+                            ordering.latestStart(job),
+                            estimates.lengthMs(job.spec())));
         }
         Map<String, Double> usage = new HashMap<>();
         double all = Math.max(
@@ -333,12 +355,12 @@
         for (String team : settings.teams().keySet()) {
             usage.put(team, USAGE_FLOOR + book.teamCpuMs().getOrDefault(team, 0.0) / all);
         }
-        return Evaluation.of(build(list, a.fixed()), facts, usage);
+        return Evaluation.of(build(list, arrangement.fixed()), facts, usage);
     }
 
     /** How long a plan must serve before the next: the larger it is, and the further this node is behind, the longer. */
-    private long pause(Plan p) {
-        return PLAN_EVERY_MS + p.fits() / FITS_PER_MS + Math.min(MOST_BEHIND_MS, turn.lateMs());
+    private long pause(Plan plan) {
+        return PLAN_EVERY_MS + plan.fits() / FITS_PER_MS + Math.min(MOST_BEHIND_MS, turn.lateMs());
     }
 
     /** The newest plan, or null. */
--- a/src/main/java/org/beechhoist/core/Preemption.java
+++ b/src/main/java/org/beechhoist/core/Preemption.java
@@ -58,48 +58,48 @@
     void run(Plan plan, Map<String, double[]> used) {
         Map<JobRef, List<Long>> late = new LinkedHashMap<>();
         Map<JobRef, Long> bounds = new LinkedHashMap<>();
-        for (Plan.Reservation r : plan.reservations()) {
-            Long bound = bounds.computeIfAbsent(r.job(), this::lateFrom);
-            if (!r.wide() && r.beginMs() > bound) {
-                late.computeIfAbsent(r.job(), k -> new ArrayList<>()).add(r.beginMs());
+        for (Plan.Reservation reservation : plan.reservations()) {
+            Long bound = bounds.computeIfAbsent(reservation.job(), this::lateFrom);
+            if (!reservation.wide() && reservation.beginMs() > bound) {
+                late.computeIfAbsent(reservation.job(), k -> new ArrayList<>()).add(reservation.beginMs());
             }
         }
         int jobs = 0;
-        for (Map.Entry<JobRef, List<Long>> e : late.entrySet()) {
-            Job j = book.job(e.getKey());
-            if (!mayAsk(j) || admission.overLimit(j, used) || jobs++ == MAX_JOBS) {
+        for (Map.Entry<JobRef, List<Long>> entry : late.entrySet()) {
+            Job job = book.job(entry.getKey());
+            if (!mayAsk(job) || admission.overLimit(job, used) || jobs++ == MAX_JOBS) {
                 continue;
             }
-            if (serve(j, e.getValue())) {
-                j.nextPreemption = turn.now().plusMs(PAUSE_MS);
+            if (serve(job, entry.getValue())) {
+                job.nextPreemption = turn.now().plusMs(PAUSE_MS);
             }
         }
     }
 
     /** Work that begins by then, or that may stop nobody, is not late. */
     private long lateFrom(JobRef ref) {
-        Job j = book.job(ref);
-        return j == null || !mayAsk(j)
+        Job job = book.job(ref);
+        return job == null || !mayAsk(job)
                 ? Long.MAX_VALUE
-                : Math.max(ordering.latestStart(j), turn.now().ms() + SOON_MS);
+                : Math.max(ordering.latestStart(job), turn.now().ms() + SOON_MS);
     }
 
-    private boolean mayAsk(Job j) {
-        JobSpec s = j.spec();
-        return !j.behind
-                && !j.suspect()
-                && !s.gang()
-                && !s.sameZone()
-                && !s.apart()
-                && j.notBefore.ms() <= turn.now().ms()
-                && !turn.now().before(j.nextPreemption)
-                && !turn.now().before(j.nextNarrowing)
-                && outranksSome(j);
+    private boolean mayAsk(Job job) {
+        JobSpec spec = job.spec();
+        return !job.behind
+                && !job.suspect()
+                && !spec.gang()
+                && !spec.sameZone()
+                && !spec.apart()
+                && job.notBefore.ms() <= turn.now().ms()
+                && !turn.now().before(job.nextPreemption)
+                && !turn.now().before(job.nextNarrowing)
+                && outranksSome(job);
     }
 
-    private boolean outranksSome(Job j) {
+    private boolean outranksSome(Job job) {
         for (Job other : book.jobs()) {
-            if (!other.record.live.isEmpty() && j.outranks(other)) {
+            if (!other.record.live.isEmpty() && job.outranks(other)) {
                 return true;
             }
         }
@@ -107,68 +107,69 @@
     }
 
     /** Makes room for as many of the job's late tasks as there are machines where that costs little enough. */
-    private boolean serve(Job j, List<Long> begins) {
-        double most = policy.preemptCpuS() * Math.max(1, j.spec().cpus());
+    private boolean serve(Job job, List<Long> begins) {
+        double most = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
         long last = begins.stream().mapToLong(Long::longValue).max().orElse(0);
         List<Offer> offers = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (h.placements.isEmpty() || h.ordersInFlight > 0 || !admission.usable(h)) {
+        for (Host machine : book.hosts()) {
+            if (machine.placements.isEmpty() || machine.ordersInFlight > 0 || !admission.usable(machine)) {
                 continue;
             }
             // Room that must first fetch the image may begin later than what is planned already. Made all the
             // same, it is filled by the next in line, who is then stopped for it again, and again.
-            long roomAt = roomBegins(h, j);
+            long roomAt = roomBegins(machine, job);
             if (roomAt + LEAST_GAIN_MS > last) {
                 continue;
             }
-            Offer o = offer(h, j, begins.size(), roomAt);
-            if (o != null && o.cost() < most) {
-                offers.add(o);
+            Offer offer = offer(machine, job, begins.size(), roomAt);
+            if (offer != null && offer.cost() < most) {
+                offers.add(offer);
             }
         }
         offers.sort(Comparator.comparingDouble(Offer::costEach));
         List<Long> waiting = new ArrayList<>(begins);
         waiting.sort(Comparator.reverseOrder());
         int served = 0;
-        for (Offer o : offers) {
+        for (Offer offer : offers) {
             if (served >= waiting.size()) {
                 break;
             }
-            if (o.beginsMs() + LEAST_GAIN_MS <= waiting.get(served)) {
-                o.victims().forEach(v -> stopping.makeRoom(v, j));
-                served += o.tasks();
+            if (offer.beginsMs() + LEAST_GAIN_MS <= waiting.get(served)) {
+                offer.victims().forEach(v -> stopping.makeRoom(v, job));
+                served += offer.tasks();
             }
         }
         return served > 0;
     }
 
     /** When a task of the job would begin on the host if room were made there now. */
-    private long roomBegins(Host h, Job j) {
-        return turn.now().ms() + SOON_MS / 2 + h.fetchMs(j.spec(), types.get(h.type));
+    private long roomBegins(Host machine, Job job) {
+        return turn.now().ms() + SOON_MS / 2 + machine.fetchMs(job.spec(), types.get(machine.type));
     }
 
     /** The tasks to stop so that the job's fit on the host, youngest first; null where that can't be. */
-    private Offer offer(Host h, Job j, int waiting, long beginsMs) {
-        JobSpec s = j.spec();
-        HostType t = types.get(h.type);
-        Admission.Room room = s.mayRunOn(t, h.zone, h.spot) ? admission.roomBeside(h, t, s) : null;
+    private Offer offer(Host machine, Job job, int waiting, long beginsMs) {
+        JobSpec spec = job.spec();
+        HostType type = types.get(machine.type);
+        Admission.Room room =
+                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null || room.enough()) {
             return null;
         }
         List<Placement> lower = new ArrayList<>();
-        for (Placement p : h.placements.values()) {
-            if (p.sent && !p.killSent && j.outranks(book.job(p.task.job()))) {
-                lower.add(p);
+        for (Placement placement : machine.placements.values()) {
+            if (placement.sent && !placement.killSent && job.outranks(book.job(placement.task.job()))) {
+                lower.add(placement);
             }
         }
         lower.sort(Comparator.comparing((Placement p) -> p.since).reversed());
         List<Placement> out = new ArrayList<>();
-        for (Placement p : lower) {
+        for (Placement placement : lower) {
             if (room.enough()) {
                 break;
             }
-            room = room.plus(book.job(p.task.job()).spec(), 1);
-            out.add(p);
+            room = room.plus(book.job(placement.task.job()).spec(), 1);
+            out.add(placement);
         }
         if (!room.enough()) {
             return null;
@@ -176,28 +177,28 @@
         // One large task stopped makes room for several small ones; taken for one each, a job of thirty small tasks
         // once had thirty large ones stopped.
         int tasks = 1;
-        for (Admission.Room more = room.plus(s, -1); tasks < waiting && more.enough(); more = more.plus(s, -1)) {
+        for (Admission.Room more = room.plus(spec, -1); tasks < waiting && more.enough(); more = more.plus(spec, -1)) {
             tasks++;
         }
-        return new Offer(out, tasks, lost(out) + fetchCost(h, j), beginsMs);
+        return new Offer(out, tasks, lost(out) + fetchCost(machine, job), beginsMs);
     }
 
     /** CPU seconds of work that stopping them throws away. */
     private double lost(List<Placement> set) {
         double sum = 0;
-        for (Placement p : set) {
-            JobSpec s = book.job(p.task.job()).spec();
+        for (Placement placement : set) {
+            JobSpec spec = book.job(placement.task.job()).spec();
             // The time it waited for its image has held its share of the machine too.
-            double ran = turn.now().since(p.since) / 1000.0;
-            double kept = s.checkpointS() > 0 ? Math.min(ran, s.checkpointS()) : ran;
-            sum += (1 + kept) * s.cpus();
+            double ran = turn.now().since(placement.since) / 1000.0;
+            double kept = spec.checkpointS() > 0 ? Math.min(ran, spec.checkpointS()) : ran;
+            sum += (1 + kept) * spec.cpus();
         }
         return sum;
     }
 
-    private static double fetchCost(Host h, Job j) {
-        return h.images.containsKey(j.spec().image())
+    private static double fetchCost(Host machine, Job job) {
+        return machine.images.containsKey(job.spec().image())
                 ? 0
-                : j.spec().imageGb() * j.spec().cpus();
+                : job.spec().imageGb() * job.spec().cpus();
     }
 }
--- a/src/main/java/org/beechhoist/core/Progress.java
+++ b/src/main/java/org/beechhoist/core/Progress.java
@@ -29,11 +29,11 @@
     /** What this node, leading, told last. */
     private final Map<JobRef, JobCount> told = new LinkedHashMap<>();
 
-    void heard(PeerState s, Tick now) {
-        if (s.leading() && s.baton().compareTo(baton) >= 0) {
-            baton = s.baton();
+    void heard(PeerState state, Tick now) {
+        if (state.leading() && state.baton().compareTo(baton) >= 0) {
+            baton = state.baton();
             heardAt = now;
-            s.counts().forEach(c -> heard.put(c.job(), c));
+            state.counts().forEach(c -> heard.put(c.job(), c));
         }
     }
 
@@ -45,35 +45,35 @@
     /** What a leader tells the others now. */
     List<JobCount> toTell(Book book) {
         List<JobCount> out = new ArrayList<>();
-        for (Job j : book.jobs()) {
-            JobCount now = count(j);
-            if (out.size() < MOST_TOLD && !now.equals(told.get(j.ref()))) {
-                told.remove(j.ref());
-                told.put(j.ref(), now); // last again: the others are told in turn
+        for (Job job : book.jobs()) {
+            JobCount now = count(job);
+            if (out.size() < MOST_TOLD && !now.equals(told.get(job.ref()))) {
+                told.remove(job.ref());
+                told.put(job.ref(), now); // last again: the others are told in turn
                 out.add(now);
             }
         }
         Iterator<JobCount> all = told.values().iterator();
         List<JobCount> again = new ArrayList<>();
         while (all.hasNext() && again.size() < MOST_OTHERS) {
-            JobCount c = all.next();
-            if (book.job(c.job()) == null) {
+            JobCount jobCount = all.next();
+            if (book.job(jobCount.job()) == null) {
                 all.remove();
-            } else if (!out.contains(c)) {
-                again.add(c);
+            } else if (!out.contains(jobCount)) {
+                again.add(jobCount);
             }
         }
-        again.forEach(c -> {
-            told.remove(c.job());
-            told.put(c.job(), c);
+        again.forEach(jobCount -> {
+            told.remove(jobCount.job());
+            told.put(jobCount.job(), jobCount);
         });
         out.addAll(again);
         return out;
     }
 
-    static JobCount count(Job j) {
-        return new JobCount(j.ref(), j.record.done.size(), (int)
-                j.record.live.values().stream().filter(p -> p.committed).count());
+    static JobCount count(Job job) {
+        return new JobCount(job.ref(), job.record.done.size(), (int)
+                job.record.live.values().stream().filter(p -> p.committed).count());
     }
 
     /** Leadership has ended. */
--- a/src/main/java/org/beechhoist/core/Provisioner.java
+++ b/src/main/java/org/beechhoist/core/Provisioner.java
@@ -119,11 +119,12 @@
         return gone.contains(id);
     }
 
-    long readyAt(Host h, HostType t) {
-        if (h.listedUp) {
+    long readyAt(Host machine, HostType type) {
+        if (machine.listedUp) {
             return turn.now().ms() + SOON_HEARD_MS; // it runs, and only has to find this node
         }
-        long expected = (h.rentedAt == null ? turn.now().ms() : h.rentedAt.ms()) + Math.round(1100 * t.startupS());
+        long expected = (machine.rentedAt == null ? turn.now().ms() : machine.rentedAt.ms())
+                + Math.round(1100 * type.startupS());
         long late = turn.now().ms() - expected;
         return late > -2000 ? turn.now().ms() + Math.max(3000, late / 2) : expected;
     }
@@ -161,25 +162,25 @@
     }
 
     private void list(String after, Map<HostId, JsonNode> found, Tick asked) {
-        long r = book.reign();
+        long term = book.reign();
         String path = "/machines?limit=500" + (after == null ? "" : "&after=" + after);
-        turn.call(Calls.Target.CLOUD, null, "GET", path, null, 5000, o -> {
-            if (r != book.reign()) {
+        turn.call(Calls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
+            if (term != book.reign()) {
                 return;
             }
             listing = false;
             nextList = turn.now().plusMs(6000);
-            if (!o.ok() || !o.body().path("hosts").isArray()) {
+            if (!result.ok() || !result.body().path("hosts").isArray()) {
                 return;
             }
             String last = null;
-            for (JsonNode n : o.body().get("hosts")) {
-                last = n.path("ref").asText("");
+            for (JsonNode node : result.body().get("hosts")) {
+                last = node.path("ref").asText("");
                 if (!last.isEmpty()) {
-                    found.put(new HostId(last), n);
+                    found.put(new HostId(last), node);
                 }
             }
-            if (o.body().path("more").asBoolean() && last != null) {
+            if (result.body().path("more").asBoolean() && last != null) {
                 listing = true;
                 calls.take(turn.now(), 1);
                 list(last, found, asked);
@@ -192,82 +193,86 @@
     private void listed(Map<HostId, JsonNode> found, Tick asked) {
         listed = true;
         starting.listed();
-        found.forEach((id, n) -> {
+        found.forEach((id, node) -> {
             if (gone.contains(id)) {
                 return; // the list lags
             }
-            Host h = book.host(id);
-            if (!h.known()) {
-                h.type = n.path("hosttype").asText(null);
-                h.zone = n.path("yard").asText(null);
-                h.spot = n.path("loaner").asBoolean();
-                h.address = n.path("address").asText(null);
+            Host machine = book.host(id);
+            if (!machine.known()) {
+                machine.type = node.path("hosttype").asText(null);
+                machine.zone = node.path("yard").asText(null);
+                machine.spot = node.path("loaner").asBoolean();
+                machine.address = node.path("address").asText(null);
             }
-            if (h.rentedAt == null) {
-                h.rentedAt = asked.plusMs(-Math.round(1000 * n.path("ageS").asDouble(0)));
+            if (machine.rentedAt == null) {
+                machine.rentedAt =
+                        asked.plusMs(-Math.round(1000 * node.path("ageS").asDouble(0)));
             }
-            h.listedUp = n.path("status").asText().equals("running");
-            h.there = true;
-            if (n.path("status").asText().equals("failed")) {
-                giveBack(h, "it failed");
+            machine.listedUp = node.path("status").asText().equals("running");
+            machine.there = true;
+            if (node.path("status").asText().equals("failed")) {
+                giveBack(machine, "it failed");
             }
         });
         long blind = Math.round(1000 * (2 * settings.cloudLimits().listLagS() + 5));
-        for (Host h : book.hosts()) {
-            Tick since = h.rentedAt != null ? h.rentedAt : h.placements.isEmpty() ? asked : book.wonAt();
+        for (Host machine : book.hosts()) {
+            Tick since =
+                    machine.rentedAt != null ? machine.rentedAt : machine.placements.isEmpty() ? asked : book.wonAt();
             boolean old = asked.since(since) > blind;
-            if (!found.containsKey(h.id) && old && turn.now().since(book.heard(h)) > 6000) {
-                giveBack(h, "the cloud doesn't list it any more");
+            if (!found.containsKey(machine.id) && old && turn.now().since(book.heard(machine)) > 6000) {
+                giveBack(machine, "the cloud doesn't list it any more");
             }
         }
     }
 
     // ---- returning ----
 
-    void giveBack(Host h, String why) {
-        if (!h.returning) {
-            h.returning = true;
-            LOG.info("{} is returned: {}", h.id, why);
+    void giveBack(Host machine, String why) {
+        if (!machine.returning) {
+            machine.returning = true;
+            LOG.info("{} is returned: {}", machine.id, why);
         }
     }
 
     private void lookAfterHosts(Plan plan) {
         Set<HostId> planned = plan == null ? Set.of() : plan.plannedHosts();
         silence.look();
-        for (Host h : book.hosts()) {
-            if (h.returning) {
+        for (Host machine : book.hosts()) {
+            if (machine.returning) {
                 continue;
             }
-            HostType t = types.get(h.type);
-            if (!h.up && !h.placements.isEmpty() && silence.gone(h)) {
-                giveBack(h, "it holds tasks and has not reported to this leader");
-            } else if (!h.up) {
-                Tick since = h.rentedAt == null ? book.heard(h) : h.rentedAt;
-                double allowed = t == null ? 120 : Math.max(3 * t.startupS(), t.startupS() + 45);
-                if (turn.now().since(since) > 1000 * allowed && turn.now().since(book.heard(h)) > silence.missedMs()) {
-                    giveBack(h, "it never came up");
+            HostType type = types.get(machine.type);
+            if (!machine.up && !machine.placements.isEmpty() && silence.gone(machine)) {
+                giveBack(machine, "it holds tasks and has not reported to this leader");
+            } else if (!machine.up) {
+                Tick since = machine.rentedAt == null ? book.heard(machine) : machine.rentedAt;
+                double allowed = type == null ? 120 : Math.max(3 * type.startupS(), type.startupS() + 45);
+                if (turn.now().since(since) > 1000 * allowed
+                        && turn.now().since(book.heard(machine)) > silence.missedMs()) {
+                    giveBack(machine, "it never came up");
                 }
-            } else if (silence.gone(h)) {
-                giveBack(h, "it is silent");
-            } else if (silence.deaf(h)) {
-                giveBack(h, "it speaks but does not hear");
-            } else if (h.noticeEnds != null && h.placements.isEmpty() && h.strangers == 0) {
-                giveBack(h, "it is about to be taken and empty");
-            } else if (h.noticeEnds != null && turn.now().since(h.noticeEnds) > NOTICE_OVER_MS) {
-                giveBack(h, "its notice has run out");
-            } else if (faults.faulty(h)) {
-                giveBack(h, "jobs of several users failed on it");
-            } else if (!h.placements.isEmpty()
-                    || h.strangers > 0
-                    || planned.contains(h.id)
-                    || h.cordonedBy != null
-                    || h.spareOf != null
-                    || kept.test(h.id)) {
-                h.idleSince = null;
-            } else if (h.idleSince == null) {
-                h.idleSince = turn.now();
-            } else if (turn.now().since(h.idleSince) > (h.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
-                giveBack(h, "it idles");
+            } else if (silence.gone(machine)) {
+                giveBack(machine, "it is silent");
+            } else if (silence.deaf(machine)) {
+                giveBack(machine, "it speaks but does not hear");
+            } else if (machine.noticeEnds != null && machine.placements.isEmpty() && machine.strangers == 0) {
+                giveBack(machine, "it is about to be taken and empty");
+            } else if (machine.noticeEnds != null && turn.now().since(machine.noticeEnds) > NOTICE_OVER_MS) {
+                giveBack(machine, "its notice has run out");
+            } else if (faults.faulty(machine)) {
+                giveBack(machine, "jobs of several users failed on it");
+            } else if (!machine.placements.isEmpty()
+                    || machine.strangers > 0
+                    || planned.contains(machine.id)
+                    || machine.cordonedBy != null
+                    || machine.spareOf != null
+                    || kept.test(machine.id)) {
+                machine.idleSince = null;
+            } else if (machine.idleSince == null) {
+                machine.idleSince = turn.now();
+            } else if (turn.now().since(machine.idleSince)
+                    > (machine.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
+                giveBack(machine, "it idles");
             }
         }
     }
@@ -286,24 +291,25 @@
     private void sendReturn(List<Host> hosts) {
         ObjectNode body = Codec.map();
         ArrayNode list = body.putArray("hosts");
-        for (Host h : hosts) {
-            h.returnAsked = true;
-            list.add(h.id.text());
+        for (Host machine : hosts) {
+            machine.returnAsked = true;
+            list.add(machine.id.text());
         }
         returnCalls++;
-        long r = book.reign();
-        turn.command(election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines/return", body, 5000, o -> {
-            if (r != book.reign()) {
-                return;
-            }
-            returnCalls--;
-            for (Host h : hosts) {
-                h.returnAsked = false;
-                if (o.is(200)) {
-                    gone.add(h.id);
-                    departures.hostGone(h.id);
-                }
-            }
-        });
+        long term = book.reign();
+        turn.command(
+                election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines/return", body, 5000, result -> {
+                    if (term != book.reign()) {
+                        return;
+                    }
+                    returnCalls--;
+                    for (Host machine : hosts) {
+                        machine.returnAsked = false;
+                        if (result.is(200)) {
+                            gone.add(machine.id);
+                            departures.hostGone(machine.id);
+                        }
+                    }
+                });
     }
 }
--- a/src/main/java/org/beechhoist/core/Pursuit.java
+++ b/src/main/java/org/beechhoist/core/Pursuit.java
@@ -63,24 +63,24 @@
 
     /** The job's cancellation is committed, whether its record has been read again or not. */
     void cancelled(JobRef ref) {
-        Job j = book.job(ref);
-        if (j == null) {
+        Job job = book.job(ref);
+        if (job == null) {
             return;
         }
-        if (!j.cancelled()) {
-            j.cancelHeardMs = cancellations.at(ref);
+        if (!job.cancelled()) {
+            job.cancelHeardMs = cancellations.at(ref);
             LOG.info(
                     "{} is cancelled, as is heard before its record is read: {} tasks may be running",
                     ref,
-                    j.record.live.size());
+                    job.record.live.size());
         }
         recovery.over(ref);
-        for (Placement p : new ArrayList<>(j.record.live.values())) {
-            if (p.committed && !p.sent) {
-                departures.remove(j, p);
+        for (Placement placement : new ArrayList<>(job.record.live.values())) {
+            if (placement.committed && !placement.sent) {
+                departures.remove(job, placement);
             }
         }
-        kill(j);
+        kill(job);
         book.replan();
         Fence fence = new Fence(ref, book.reign(), orders.token(), turn.now().plusMs(FENCED_WITHIN_MS));
         turn.after(UNANSWERED_MS, () -> fenceOff(fence));
@@ -94,16 +94,16 @@
      * kill that does not wait for the launch's answer brings that token to the worker.
      */
     private void fenceOff(Fence fence) {
-        Job j = book.job(fence.ref);
+        Job job = book.job(fence.ref);
         if (fence.term != book.reign()
-                || j == null
-                || !orders.launchUnanswered(j)
+                || job == null
+                || !orders.launchUnanswered(job)
                 || !turn.now().before(fence.until)) {
             return;
         }
         if (orders.token().compareTo(fence.token) > 0) {
             LOG.info("{} is cancelled and a launch of it has no answer: its worker is told a newer token", fence.ref);
-            orders.killUnanswered(j);
+            orders.killUnanswered(job);
             turn.after(KILL_LOST_MS, () -> fenceOff(fence));
         } else {
             orders.wantToken();
@@ -111,10 +111,10 @@
         }
     }
 
-    private void kill(Job j) {
-        for (Placement p : j.record.live.values()) {
-            if (p.sent) {
-                orders.kill(book.host(p.host), p);
+    private void kill(Job job) {
+        for (Placement placement : job.record.live.values()) {
+            if (placement.sent) {
+                orders.kill(book.host(placement.host), placement);
             }
         }
     }
@@ -125,36 +125,36 @@
         if (again) {
             nextKills = turn.now().plusMs(KILL_AGAIN_MS);
         }
-        for (Job j : book.jobs()) {
-            if (j.cancelled()) {
+        for (Job job : book.jobs()) {
+            if (job.cancelled()) {
                 if (again) {
-                    kill(j);
+                    kill(job);
                 }
                 overdue(
-                        j,
-                        j.cancelledAtMs() + settings.workers().cancelMs() - (long) settings.clockErrorMs(),
+                        job,
+                        job.cancelledAtMs() + settings.workers().cancelMs() - (long) settings.clockErrorMs(),
                         "cancelled");
-            } else if (j.held()) {
-                overdue(j, holds.goneByMs(j), "held");
+            } else if (job.held()) {
+                overdue(job, holds.goneByMs(job), "held");
             }
         }
     }
 
     /** A task on a machine that can't be reached: the machine is returned while there is time. */
-    private void overdue(Job j, long deadlineWallMs, String is) {
+    private void overdue(Job job, long deadlineWallMs, String is) {
         long left = deadlineWallMs - turn.wallMs();
         if (left >= RETURN_MS) {
             return;
         }
-        for (Placement p : j.record.live.values()) {
-            Host h = book.host(p.host);
-            boolean lapsesInTime = book.lapse(h).since(turn.now()) < left - SPARE_MS
-                    && turn.now().since(book.heard(h)) > SPARE_MS;
-            if (!lapsesInTime && !h.returning) {
-                LOG.info("{} is {} but still on {}: returning the machine", p.task, is, h.id);
-                provisioner.giveBack(h, "a " + is + " task can't be reached");
+        for (Placement placement : job.record.live.values()) {
+            Host machine = book.host(placement.host);
+            boolean lapsesInTime = book.lapse(machine).since(turn.now()) < left - SPARE_MS
+                    && turn.now().since(book.heard(machine)) > SPARE_MS;
+            if (!lapsesInTime && !machine.returning) {
+                LOG.info("{} is {} but still on {}: returning the machine", placement.task, is, machine.id);
+                provisioner.giveBack(machine, "a " + is + " task can't be reached");
             }
-            h.goneByMs = Math.min(h.goneByMs, deadlineWallMs);
+            machine.goneByMs = Math.min(machine.goneByMs, deadlineWallMs);
         }
     }
 }
--- a/src/main/java/org/beechhoist/core/Recovery.java
+++ b/src/main/java/org/beechhoist/core/Recovery.java
@@ -63,8 +63,8 @@
         falls.clear();
     }
 
-    static boolean urgent(Job j) {
-        return j.spec().urgency().compareTo(Urgency.URGENT) <= 0;
+    static boolean urgent(Job job) {
+        return job.spec().urgency().compareTo(Urgency.URGENT) <= 0;
     }
 
     // ---- what comes first ----
@@ -72,9 +72,9 @@
     /** Machines on their way out that the cloud has not been asked to end yet, those first on which something must be gone soon, then those whose tasks wait for it. */
     List<Host> toReturn(boolean withTasks) {
         List<Host> out = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (h.returning && !h.returnAsked && withTasks != h.placements.isEmpty()) {
-                out.add(h);
+        for (Host machine : book.hosts()) {
+            if (machine.returning && !machine.returnAsked && withTasks != machine.placements.isEmpty()) {
+                out.add(machine);
             }
         }
         if (withTasks) {
@@ -86,10 +86,10 @@
     }
 
     /** The most urgent work on it; beyond all urgencies where there is none. */
-    int firstUrgency(Host h) {
+    int firstUrgency(Host machine) {
         int least = Urgency.values().length;
-        for (Placement p : h.placements.values()) {
-            Job j = book.job(p.task.job());
+        for (Placement placement : machine.placements.values()) {
+            Job j = book.job(placement.task.job());
             least = j == null ? least : Math.min(least, j.spec().urgency().ordinal());
         }
         return least;
@@ -98,69 +98,69 @@
     // ---- how far it has come ----
 
     /** The task was lost with its machine. */
-    void lost(Job j, Placement p) {
-        if (j.cancelled() || j.record.done.contains(p.task.index())) {
+    void lost(Job job, Placement placement) {
+        if (job.cancelled() || job.record.done.contains(placement.task.index())) {
             return;
         }
-        Fall f = falls.peekLast();
-        if (f == null || turn.now().since(f.last) > TOGETHER_MS) {
-            if (f != null && f.tasks < LEAST_TASKS) {
+        Fall loss = falls.peekLast();
+        if (loss == null || turn.now().since(loss.last) > TOGETHER_MS) {
+            if (loss != null && loss.tasks < LEAST_TASKS) {
                 falls.removeLast();
             }
-            f = new Fall(turn.now());
-            falls.addLast(f);
+            loss = new Fall(turn.now());
+            falls.addLast(loss);
             if (falls.size() > REMEMBERED) {
                 falls.removeFirst();
             }
         }
-        f.last = turn.now();
-        f.machines.add(p.host);
-        if (f.open.add(p.task)) {
-            f.tasks++;
-            f.allAgain = null;
-            if (urgent(j)) {
-                f.urgentTasks++;
-                f.urgent.add(p.task);
-                f.urgentAgain = null;
+        loss.last = turn.now();
+        loss.machines.add(placement.host);
+        if (loss.open.add(placement.task)) {
+            loss.tasks++;
+            loss.allAgain = null;
+            if (urgent(job)) {
+                loss.urgentTasks++;
+                loss.urgent.add(placement.task);
+                loss.urgentAgain = null;
             }
         }
     }
 
     /** The task is placed again, and that is committed. */
-    void placed(Placement p) {
-        falls.forEach(f -> back(f, p.task));
+    void placed(Placement placement) {
+        falls.forEach(f -> back(f, placement.task));
     }
 
     /** Nothing of the job is wanted any more. */
     void over(JobRef job) {
-        for (Fall f : falls) {
-            for (TaskId t : f.open.stream().filter(t -> t.job().equals(job)).toList()) {
-                back(f, t);
+        for (Fall loss : falls) {
+            for (TaskId t : loss.open.stream().filter(t -> t.job().equals(job)).toList()) {
+                back(loss, t);
             }
         }
     }
 
-    private void back(Fall f, TaskId t) {
-        if (!f.open.remove(t)) {
+    private void back(Fall loss, TaskId task) {
+        if (!loss.open.remove(task)) {
             return;
         }
-        if (f.urgent.remove(t) && f.urgent.isEmpty()) {
-            f.urgentAgain = turn.now();
-            tell(f, f.urgentTasks + " urgent ones placed again");
+        if (loss.urgent.remove(task) && loss.urgent.isEmpty()) {
+            loss.urgentAgain = turn.now();
+            tell(loss, loss.urgentTasks + " urgent ones placed again");
         }
-        if (f.open.isEmpty()) {
-            f.allAgain = turn.now();
-            tell(f, "all placed again");
+        if (loss.open.isEmpty()) {
+            loss.allAgain = turn.now();
+            tell(loss, "all placed again");
         }
     }
 
-    private void tell(Fall f, String what) {
-        if (f.tasks >= LEAST_TASKS) {
+    private void tell(Fall loss, String what) {
+        if (loss.tasks >= LEAST_TASKS) {
             LOG.info(
                     "{} tasks lost on {} machines from {} s ago on: {}",
-                    f.tasks,
-                    f.machines.size(),
-                    turn.now().since(f.began) / 1000,
+                    loss.tasks,
+                    loss.machines.size(),
+                    turn.now().since(loss.began) / 1000,
                     what);
         }
     }
@@ -177,22 +177,22 @@
     ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("falls");
-        for (Fall f : falls) {
-            if (f.tasks < LEAST_TASKS) {
+        for (Fall loss : falls) {
+            if (loss.tasks < LEAST_TASKS) {
                 continue;
             }
-            ObjectNode n = rows.addObject()
-                    .put("agoS", turn.now().since(f.began) / 1000.0)
-                    .put("machines", f.machines.size())
-                    .put("tasks", f.tasks)
-                    .put("urgentTasks", f.urgentTasks)
-                    .put("waiting", f.open.size())
-                    .put("urgentWaiting", f.urgent.size());
-            if (f.urgentAgain != null) {
-                n.put("urgentAgainAfterS", f.urgentAgain.since(f.began) / 1000.0);
+            ObjectNode node = rows.addObject()
+                    .put("agoS", turn.now().since(loss.began) / 1000.0)
+                    .put("machines", loss.machines.size())
+                    .put("tasks", loss.tasks)
+                    .put("urgentTasks", loss.urgentTasks)
+                    .put("waiting", loss.open.size())
+                    .put("urgentWaiting", loss.urgent.size());
+            if (loss.urgentAgain != null) {
+                node.put("urgentAgainAfterS", loss.urgentAgain.since(loss.began) / 1000.0);
             }
-            if (f.allAgain != null) {
-                n.put("allAgainAfterS", f.allAgain.since(f.began) / 1000.0);
+            if (loss.allAgain != null) {
+                node.put("allAgainAfterS", loss.allAgain.since(loss.began) / 1000.0);
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/core/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/core/ReleaseApi.java
@@ -52,17 +52,17 @@
         String name = slash < 0 ? rest : rest.substring(0, slash);
         String verb = slash < 0 ? "" : rest.substring(slash + 1);
         try {
-            JsonNode n = post ? Codec.decodeMap(body) : null;
+            JsonNode node = post ? Codec.decodeMap(body) : null;
             if (rest.isEmpty() && !post) {
                 list(leader, path.endsWith("/"), answer);
             } else if (slash < 0 && !post) {
                 show(name, answer);
             } else if (verb.equals("put") && post) {
-                put(name, n, answer);
+                put(name, node, answer);
             } else if (verb.equals("move") && post) {
-                String who = text(n, "who");
-                String why = text(n, "why");
-                var ship = Release.time("ship", Codec.text(n, "ship"));
+                String who = text(node, "who");
+                String why = text(node, "why");
+                var ship = Release.time("ship", Codec.text(node, "ship"));
                 change(
                         name,
                         null,
@@ -74,8 +74,8 @@
                                 why),
                         answer);
             } else if (verb.equals("remove") && post) {
-                String who = text(n, "who");
-                String why = text(n, "why");
+                String who = text(node, "who");
+                String why = text(node, "why");
                 change(name, null, (before, open) -> before.remove(who, turn.wallMs(), why), answer);
             } else {
                 answer.with(404, Amending.error("no such path"));
@@ -85,12 +85,12 @@
         }
     }
 
-    private static String text(JsonNode n, String field) throws Malformed {
-        String s = Codec.text(n, field);
-        if (s.isBlank() || s.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + s + ": 1 to " + MOST_TEXT + " characters are expected");
+    private static String text(JsonNode node, String field) throws Malformed {
+        String text = Codec.text(node, field);
+        if (text.isBlank() || text.length() > MOST_TEXT) {
+            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
-        return s;
+        return text;
     }
 
     private long inTime(String ship, long due) throws Malformed {
@@ -101,10 +101,10 @@
         return due;
     }
 
-    private void put(String name, JsonNode n, CronApi.Answer answer) throws Malformed {
-        String who = text(n, "who");
-        String why = text(n, "why");
-        Release described = Release.described(name, n);
+    private void put(String name, JsonNode node, CronApi.Answer answer) throws Malformed {
+        String who = text(node, "who");
+        String why = text(node, "why");
+        Release described = Release.described(name, node);
         if (described.team() != null && !settings.teams().containsKey(described.team())) {
             throw new Malformed("team = " + described.team() + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
@@ -166,31 +166,31 @@
         List<Release> all = releases.snapshot().all().stream()
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList();
-        all.forEach(r -> rows.addObject()
-                .put("name", r.name())
-                .put("maker", r.maker())
-                .put("ship", r.ship().toString())
-                .put("zone", r.zone().getId())
-                .put("due", r.dueMs())
-                .put("dueInS", (r.dueMs() - turn.wallMs()) / 1000.0));
+        all.forEach(release -> rows.addObject()
+                .put("name", release.name())
+                .put("maker", release.maker())
+                .put("ship", release.ship().toString())
+                .put("zone", release.zone().getId())
+                .put("due", release.dueMs())
+                .put("dueInS", (release.dueMs() - turn.wallMs()) / 1000.0));
         answer.with(
                 orderAlone ? 200 : 421, orderAlone ? out : out.put("error", "this node does not lead: no forecast"));
     }
 
     private void show(String name, CronApi.Answer answer) {
-        Release r = releases.known(name);
+        Release release = releases.known(name);
         if (!releases.read()) {
             Amending.unknown(answer);
-        } else if (r == null) {
+        } else if (release == null) {
             answer.with(404, Amending.error("no such release"));
         } else {
             requests.take(turn.now(), 1);
-            store.get(ReleaseDesk.REORDERED + name, m -> {
-                ObjectNode n = r.toNode();
-                if (m.item() != null) {
-                    n.set("reordered", m.item().value());
+            store.get(ReleaseDesk.REORDERED + name, read -> {
+                ObjectNode node = release.toNode();
+                if (read.item() != null) {
+                    node.set("reordered", read.item().value());
                 }
-                answer.with(200, n);
+                answer.with(200, node);
             });
         }
     }
--- a/src/main/java/org/beechhoist/core/ReleaseBook.java
+++ b/src/main/java/org/beechhoist/core/ReleaseBook.java
@@ -57,27 +57,27 @@
         return known.size();
     }
 
-    private void take(StoreClient.Item i) {
-        String name = i.key().substring(SETS.length());
+    private void take(StoreClient.Item item) {
+        String name = item.key().substring(SETS.length());
         try {
-            if (i.value() == null) {
+            if (item.value() == null) {
                 known.remove(name);
             } else {
-                Release r = Release.parse(i.value());
+                Release release = Release.parse(item.value());
                 Release old = known.get(name);
-                if (old != null && old.number() > r.number()) {
+                if (old != null && old.number() > release.number()) {
                     LOG.error(
                             "release {}: change {} stands after change {}: somebody else has written it; {} is kept",
                             name,
-                            r.number(),
+                            release.number(),
                             old.number(),
                             old.ship());
                     return;
                 }
-                known.put(name, r);
+                known.put(name, release);
             }
         } catch (Malformed e) {
-            LOG.error("{} can't be read, its jobs go as those without a release: {}", i.key(), e.getMessage());
+            LOG.error("{} can't be read, its jobs go as those without a release: {}", item.key(), e.getMessage());
             known.remove(name);
         }
     }
@@ -95,8 +95,8 @@
             listener.changed(null, null);
             return;
         }
-        for (StoreClient.Item i : log) {
-            String name = i.key().substring(SETS.length());
+        for (StoreClient.Item item : log) {
+            String name = item.key().substring(SETS.length());
             listener.changed(before.get(name), known.get(name));
         }
     }
