--- a/src/main/java/org/beechhoist/core/ReleaseDesk.java
+++ b/src/main/java/org/beechhoist/core/ReleaseDesk.java
@@ -118,29 +118,29 @@
 
     private Map<JobRef, Long> keys(Releases of) {
         List<ShipOrder.Open> open = new ArrayList<>();
-        for (Job j : book.jobs()) {
-            if (!j.cancelled()) {
-                j.release = of.of(j.spec());
+        for (Job job : book.jobs()) {
+            if (!job.cancelled()) {
+                job.release = of.of(job.spec());
                 open.add(new ShipOrder.Open(
-                        j.ref(),
-                        j.release,
-                        j.record.submittedWallMs,
-                        j.spec().tasks()
-                                * j.spec().cpus()
-                                * Math.max(1, j.spec().estimateS())));
+                        job.ref(),
+                        job.release,
+                        job.record.submittedWallMs,
+                        job.spec().tasks()
+                                * job.spec().cpus()
+                                * Math.max(1, job.spec().estimateS())));
             }
         }
         return ShipOrder.keys(open, turn.wallMs());
     }
 
     /** The smaller the earlier; {@link ShipOrder#NONE} for a job that no release speaks for. */
-    long key(Job j) {
-        return keys.getOrDefault(j.ref(), ShipOrder.NONE);
+    long key(Job job) {
+        return keys.getOrDefault(job.ref(), ShipOrder.NONE);
     }
 
     /** The factory moment of what it counts for, by the time of day, or null. */
-    Long dueMs(Job j) {
-        return j.release == null || !on() ? null : Long.valueOf(j.release.dueMs());
+    Long dueMs(Job job) {
+        return job.release == null || !on() ? null : Long.valueOf(job.release.dueMs());
     }
 
     /** A release has changed: who moved it is in its history; which jobs go in another order for it is written beside it. */
@@ -148,28 +148,28 @@
         Map<JobRef, Long> old = keys;
         look();
         book.replan();
-        Release r = now != null ? now : before;
-        if (r == null) {
+        Release release = now != null ? now : before;
+        if (release == null) {
             return;
         }
         List<JobRef> moved = new ArrayList<>();
-        for (Job j : book.jobs()) {
-            if (j.record.waitingCount() > 0
-                    && !old.getOrDefault(j.ref(), ShipOrder.NONE).equals(key(j))) {
-                moved.add(j.ref());
+        for (Job job : book.jobs()) {
+            if (job.record.waitingCount() > 0
+                    && !old.getOrDefault(job.ref(), ShipOrder.NONE).equals(key(job))) {
+                moved.add(job.ref());
             }
         }
         LOG.info(
                 "release {}: {} at {} {}, {} waiting jobs go in another order",
-                r.name(),
+                release.name(),
                 now == null || now.removed() ? "removed" : "stands",
-                r.ship(),
-                r.zone(),
+                release.ship(),
+                release.zone(),
                 moved.size());
-        ObjectNode value = Codec.map().put("number", r.number()).put("jobs", moved.size());
+        ObjectNode value = Codec.map().put("number", release.number()).put("jobs", moved.size());
         ArrayNode names = value.putArray("first");
         moved.stream().sorted().limit(MOST_TOLD).forEach(m -> names.add(m.text()));
-        write(election.guarded().put(REORDERED + r.name(), value));
+        write(election.guarded().put(REORDERED + release.name(), value));
     }
 
     private void write(Txn txn) {
@@ -181,16 +181,17 @@
     // ---- what is done, and whether it will be met ----
 
     /** The job is over, by its tasks. */
-    void ended(Job j) {
-        Release r = on() && !j.cancelled() ? releases.snapshot().of(j.spec()) : null;
-        if (r != null) {
-            Tally t = tallies.getOrDefault(r.name(), new Tally(0, 0, 0, 0));
+    void ended(Job job) {
+        Release release = on() && !job.cancelled() ? releases.snapshot().of(job.spec()) : null;
+        if (release != null) {
+            Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
             tallies.put(
-                    r.name(),
+                    release.name(),
                     new Tally(
-                            t.jobs + 1,
-                            t.tasks + j.spec().tasks(),
-                            t.cpuS + j.spec().tasks() * j.spec().cpus() * estimates.lengthMs(j.spec()) / 1000.0,
+                            tally.jobs + 1,
+                            tally.tasks + job.spec().tasks(),
+                            tally.cpuS
+                                    + job.spec().tasks() * job.spec().cpus() * estimates.lengthMs(job.spec()) / 1000.0,
                             turn.wallMs()));
             tallyDirty = true;
         }
@@ -206,18 +207,18 @@
         if (turn.now().ms() >= next.lookMs) {
             next.lookMs = turn.now().ms() + LOOK_EVERY_MS;
             Map<String, List<Job>> jobs = jobsOf();
-            for (Release r : releases.snapshot().all()) {
-                List<Job> open = jobs.getOrDefault(r.name(), List.of());
-                remember(r, open, plannedEnd(open, planner));
-                Forecast f = forecast(r, open, planner);
-                String old = risks.put(r.name(), f.risk() == null ? "" : f.risk());
-                if (f.risk() != null && (old == null || old.isEmpty())) {
+            for (Release release : releases.snapshot().all()) {
+                List<Job> open = jobs.getOrDefault(release.name(), List.of());
+                remember(release, open, plannedEnd(open, planner));
+                Forecast forecast = forecast(release, open, planner);
+                String old = risks.put(release.name(), forecast.risk() == null ? "" : forecast.risk());
+                if (forecast.risk() != null && (old == null || old.isEmpty())) {
                     LOG.warn(
                             "release {} of {} is at risk: {}; {} s left to its factory moment",
-                            r.name(),
-                            r.maker(),
-                            f.risk(),
-                            (r.dueMs() - turn.wallMs()) / 1000);
+                            release.name(),
+                            release.maker(),
+                            forecast.risk(),
+                            (release.dueMs() - turn.wallMs()) / 1000);
                 }
             }
         }
@@ -232,12 +233,12 @@
     }
 
     /** What the plan says now is kept until the release's last job is over, and then held against that. */
-    private void remember(Release r, List<Job> open, long saidMs) {
-        List<long[]> before = said.computeIfAbsent(r.name(), k -> new ArrayList<>());
+    private void remember(Release release, List<Job> open, long saidMs) {
+        List<long[]> before = said.computeIfAbsent(release.name(), k -> new ArrayList<>());
         if (open.isEmpty()) {
-            Tally t = tallies.get(r.name());
-            if (t != null && !before.isEmpty()) {
-                before.forEach(s -> calibration.seen(s[0], s[1], t.lastMs));
+            Tally tally = tallies.get(release.name());
+            if (tally != null && !before.isEmpty()) {
+                before.forEach(s -> calibration.seen(s[0], s[1], tally.lastMs));
                 tallyDirty = true;
             }
             before.clear();
@@ -249,47 +250,47 @@
     }
 
     private ObjectNode tallyNode() {
-        ObjectNode n = Codec.map();
-        ArrayNode ratios = n.putArray(RATIOS);
+        ObjectNode node = Codec.map();
+        ArrayNode ratios = node.putArray(RATIOS);
         calibration.ratios().forEach(x -> ratios.add(Math.round(100 * x)));
         tallies.entrySet().stream()
                 .sorted(Comparator.comparingLong(e -> -e.getValue().lastMs))
                 .limit(MOST_TALLIED)
-                .forEach(e -> n.putArray(e.getKey())
-                        .add(e.getValue().jobs)
-                        .add(e.getValue().tasks)
-                        .add(Math.round(e.getValue().cpuS))
-                        .add(e.getValue().lastMs));
-        return n;
+                .forEach(entry -> node.putArray(entry.getKey())
+                        .add(entry.getValue().jobs)
+                        .add(entry.getValue().tasks)
+                        .add(Math.round(entry.getValue().cpuS))
+                        .add(entry.getValue().lastMs));
+        return node;
     }
 
     private void readTally() {
         tallied = true;
         long reign = book.reign();
         requests.take(turn.now(), 1);
-        store.get(TALLY, r -> {
+        store.get(TALLY, read -> {
             if (reign != book.reign()) {
                 return;
             }
-            if (!r.known()) {
+            if (!read.known()) {
                 tallied = false;
                 return;
             }
-            if (r.item() != null) {
-                for (Map.Entry<String, JsonNode> e : r.item().value().properties()) {
-                    JsonNode row = e.getValue();
-                    if (e.getKey().equals(RATIOS)) {
+            if (read.item() != null) {
+                for (Map.Entry<String, JsonNode> entry : read.item().value().properties()) {
+                    JsonNode row = entry.getValue();
+                    if (entry.getKey().equals(RATIOS)) {
                         row.forEach(x -> calibration.add(x.asDouble() / 100));
                         continue;
                     }
-                    Tally t = tallies.getOrDefault(e.getKey(), new Tally(0, 0, 0, 0));
+                    Tally tally = tallies.getOrDefault(entry.getKey(), new Tally(0, 0, 0, 0));
                     tallies.put(
-                            e.getKey(),
+                            entry.getKey(),
                             new Tally(
-                                    t.jobs + row.path(0).asInt(),
-                                    t.tasks + row.path(1).asInt(),
-                                    t.cpuS + row.path(2).asDouble(),
-                                    Math.max(t.lastMs, row.path(3).asLong())));
+                                    tally.jobs + row.path(0).asInt(),
+                                    tally.tasks + row.path(1).asInt(),
+                                    tally.cpuS + row.path(2).asDouble(),
+                                    Math.max(tally.lastMs, row.path(3).asLong())));
                 }
             }
         });
@@ -297,10 +298,10 @@
 
     private Map<String, List<Job>> jobsOf() {
         Map<String, List<Job>> out = new LinkedHashMap<>();
-        for (Job j : book.jobs()) {
-            Release r = j.cancelled() ? null : releases.snapshot().of(j.spec());
-            if (r != null) {
-                out.computeIfAbsent(r.name(), k -> new ArrayList<>()).add(j);
+        for (Job job : book.jobs()) {
+            Release release = job.cancelled() ? null : releases.snapshot().of(job.spec());
+            if (release != null) {
+                out.computeIfAbsent(release.name(), k -> new ArrayList<>()).add(job);
             }
         }
         return out;
@@ -309,8 +310,8 @@
     /** When the last of those that are planned is over by the plan, by the time of day; 0: none is planned. */
     private long plannedEnd(List<Job> jobs, Planner planner) {
         long end = 0;
-        for (Job j : jobs) {
-            Long planned = j.hold != null ? null : planner.plannedEnd(j);
+        for (Job job : jobs) {
+            Long planned = job.hold != null ? null : planner.plannedEnd(job);
             end = planned == null
                     ? end
                     : Math.max(end, turn.wallMs() + planned - turn.now().ms());
@@ -318,72 +319,74 @@
         return end;
     }
 
-    private Forecast forecast(Release r, List<Job> jobs, Planner planner) {
+    private Forecast forecast(Release release, List<Job> jobs, Planner planner) {
         int held = 0;
         int unplanned = 0;
         boolean limited = false;
         long longest = 0;
         Map<String, double[]> used = book.usedByTeams();
-        for (Job j : jobs) {
-            held += j.hold != null ? 1 : 0;
-            longest = Math.max(longest, estimates.lengthMs(j.spec()));
-            limited |= j.record.waitingCount() > 0 && admission.overLimit(j, used);
-            Long planned = j.hold != null ? null : planner.plannedEnd(j);
+        for (Job job : jobs) {
+            held += job.hold != null ? 1 : 0;
+            longest = Math.max(longest, estimates.lengthMs(job.spec()));
+            limited |= job.record.waitingCount() > 0 && admission.overLimit(job, used);
+            Long planned = job.hold != null ? null : planner.plannedEnd(job);
             if (planned == null) {
-                unplanned += j.hold != null
+                unplanned += job.hold != null
                         ? 0
                         : Math.max(
                                 1,
                                 planner.current() == null
-                                        ? j.record.waitingCount()
-                                        : planner.current().unplaced(j.ref()));
+                                        ? job.record.waitingCount()
+                                        : planner.current().unplaced(job.ref()));
             }
         }
         long said = plannedEnd(jobs, planner);
         long end = said == 0 ? 0 : calibration.middle(turn.wallMs(), said);
         return Forecast.of(
-                new Forecast.Facts(jobs.size(), held, unplanned, limited, end, longest), r.dueMs(), turn.wallMs());
+                new Forecast.Facts(jobs.size(), held, unplanned, limited, end, longest),
+                release.dueMs(),
+                turn.wallMs());
     }
 
     /** For each release what is asked, done, running and waiting, and when it will be over: by the plan as it is. */
     ArrayNode view(Planner planner) {
         ArrayNode rows = Codec.list();
         Map<String, List<Job>> jobs = jobsOf();
-        for (Release r : releases.snapshot().all().stream()
+        for (Release release : releases.snapshot().all().stream()
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList()) {
-            rows.add(row(r, jobs.getOrDefault(r.name(), List.of()), planner));
+            rows.add(row(release, jobs.getOrDefault(release.name(), List.of()), planner));
         }
         return rows;
     }
 
-    private ObjectNode row(Release r, List<Job> jobs, Planner planner) {
-        Tally t = tallies.getOrDefault(r.name(), new Tally(0, 0, 0, 0));
-        int done = t.tasks;
+    private ObjectNode row(Release release, List<Job> jobs, Planner planner) {
+        Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
+        int done = tally.tasks;
         int running = 0;
         int waiting = 0;
-        double doneS = t.cpuS;
+        double doneS = tally.cpuS;
         double runningS = 0;
         double waitingS = 0;
-        for (Job j : jobs) {
-            double each = j.spec().cpus() * estimates.lengthMs(j.spec()) / 1000.0;
-            done += j.record.done.size();
-            doneS += each * j.record.done.size();
-            running += j.record.live.size();
-            runningS += each * j.record.live.size();
-            waiting += j.record.waitingCount();
-            waitingS += each * j.record.waitingCount();
+        for (Job job : jobs) {
+            double each = job.spec().cpus() * estimates.lengthMs(job.spec()) / 1000.0;
+            done += job.record.done.size();
+            doneS += each * job.record.done.size();
+            running += job.record.live.size();
+            runningS += each * job.record.live.size();
+            waiting += job.record.waitingCount();
+            waitingS += each * job.record.waitingCount();
         }
-        Forecast f = forecast(r, jobs, planner);
-        ObjectNode n = Codec.map()
-                .put("name", r.name())
-                .put("maker", r.maker())
-                .put("ship", r.ship().toString())
-                .put("zone", r.zone().getId())
-                .put("due", r.dueMs())
-                .put("dueInS", (r.dueMs() - turn.wallMs()) / 1000.0)
+        Forecast forecast = forecast(release, jobs, planner);
+        ObjectNode node = Codec.map()
+                .put("name", release.name())
+                .put("maker", release.maker())
+                .put("ship", release.ship().toString())
+                .put("zone", release.zone().getId())
+                .put("due", release.dueMs())
+                .put("dueInS", (release.dueMs() - turn.wallMs()) / 1000.0)
                 .put("jobsOpen", jobs.size())
-                .put("jobsDone", t.jobs)
+                .put("jobsDone", tally.jobs)
                 .put("tasksAsked", done + running + waiting)
                 .put("tasksDone", done)
                 .put("tasksRunning", running)
@@ -392,17 +395,17 @@
                 .put("cpuSDone", Math.round(doneS))
                 .put("cpuSRunning", Math.round(runningS))
                 .put("cpuSWaiting", Math.round(waitingS));
-        if (f.endMs() > 0) {
+        if (forecast.endMs() > 0) {
             long said = plannedEnd(jobs, planner);
-            n.put("endsInS", (f.endMs() - turn.wallMs()) / 1000.0)
-                    .put("slackS", f.slackMs() / 1000.0)
+            node.put("endsInS", (forecast.endMs() - turn.wallMs()) / 1000.0)
+                    .put("slackS", forecast.slackMs() / 1000.0)
                     .put("endsInSByPlan", (said - turn.wallMs()) / 1000.0)
                     .put("nineOfTenInS", (calibration.late(turn.wallMs(), said) - turn.wallMs()) / 1000.0)
                     .put("forecastsSeen", calibration.size());
         }
-        if (jobs.isEmpty() && t.lastMs > 0) {
-            n.put("lastEnded", t.lastMs).put("met", t.lastMs <= r.dueMs());
+        if (jobs.isEmpty() && tally.lastMs > 0) {
+            node.put("lastEnded", tally.lastMs).put("met", tally.lastMs <= release.dueMs());
         }
-        return n.put("atRisk", f.risk());
+        return node.put("atRisk", forecast.risk());
     }
 }
--- a/src/main/java/org/beechhoist/core/Renting.java
+++ b/src/main/java/org/beechhoist/core/Renting.java
@@ -65,12 +65,12 @@
         }
 
         /** Of what the job needs and fewest have: GPUs, where it needs some. */
-        double costFor(JobSpec s) {
-            return type.priceOf(spot) / Math.max(0.01, s.gpus() > 0 ? type.gpus() : type.cpus());
+        double costFor(JobSpec spec) {
+            return type.priceOf(spot) / Math.max(0.01, spec.gpus() > 0 ? type.gpus() : type.cpus());
         }
 
-        boolean suits(JobSpec s) {
-            return s.mayRunOn(type, zone, spot);
+        boolean suits(JobSpec spec) {
+            return spec.mayRunOn(type, zone, spot);
         }
     }
 
@@ -88,13 +88,13 @@
             memGb = offer.type.memGb();
         }
 
-        boolean take(JobSpec s) {
-            if (cpus < s.cpus() || gpus < s.gpus() || memGb < s.memGb()) {
+        boolean take(JobSpec spec) {
+            if (cpus < spec.cpus() || gpus < spec.gpus() || memGb < spec.memGb()) {
                 return false;
             }
-            cpus -= s.cpus();
-            gpus -= s.gpus();
-            memGb -= s.memGb();
+            cpus -= spec.cpus();
+            gpus -= spec.gpus();
+            memGb -= spec.memGb();
             return true;
         }
     }
@@ -142,19 +142,19 @@
 
     private List<Offer> offers() {
         List<Offer> out = new ArrayList<>();
-        for (HostType t : types.all()) {
-            for (String zone : t.zones()) {
+        for (HostType type : types.all()) {
+            for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Offer o = new Offer(t, zone, spot);
-                    Offer old = offers.get(o.key());
-                    if (old == null || old.type != t) { // prices move
+                    Offer offer = new Offer(type, zone, spot);
+                    Offer old = offers.get(offer.key());
+                    if (old == null || old.type != type) { // prices move
                         if (old != null) {
-                            o.renting = old.renting;
-                            o.refusedUntil = old.refusedUntil;
-                            o.shortAt = old.shortAt;
+                            offer.renting = old.renting;
+                            offer.refusedUntil = old.refusedUntil;
+                            offer.shortAt = old.shortAt;
                         }
-                        offers.put(o.key(), o);
-                        old = o;
+                        offers.put(offer.key(), offer);
+                        old = offer;
                     }
                     old.wanted = 0;
                     out.add(old);
@@ -165,9 +165,9 @@
     }
 
     /** Whether more machines for such a task may be had: none of the kind was refused lately, by all that is known. */
-    boolean mayGrow(JobSpec s) {
-        for (Offer o : offers.values()) {
-            if (o.suits(s) && (o.shortAt == null || turn.now().since(o.shortAt) > SHORT_MS)) {
+    boolean mayGrow(JobSpec spec) {
+        for (Offer offer : offers.values()) {
+            if (offer.suits(spec) && (offer.shortAt == null || turn.now().since(offer.shortAt) > SHORT_MS)) {
                 return true;
             }
         }
@@ -187,52 +187,54 @@
         long now = turn.now().ms();
         List<Offer> all = offers();
         List<Space> spaces = new ArrayList<>();
-        for (Offer o : all) {
-            for (int i = 0; i < o.renting; i++) {
-                spaces.add(new Space(o));
+        for (Offer offer : all) {
+            for (int i = 0; i < offer.renting; i++) {
+                spaces.add(new Space(offer));
             }
         }
         // Room on machines that boot counts, as far as this plan has not given it away.
         Map<HostId, Space> booting = new LinkedHashMap<>();
-        for (Host h : book.hosts()) {
-            if (!h.up && !h.returning && h.known() && !h.listedUp) {
-                HostType t = types.get(h.type);
-                if (t != null) {
-                    booting.put(h.id, new Space(new Offer(t, h.zone, h.spot)));
+        for (Host machine : book.hosts()) {
+            if (!machine.up && !machine.returning && machine.known() && !machine.listedUp) {
+                HostType type = types.get(machine.type);
+                if (type != null) {
+                    booting.put(machine.id, new Space(new Offer(type, machine.zone, machine.spot)));
                 }
             }
         }
         Map<Job, Long> rentAfter = new HashMap<>();
         Map<Job, List<Long>> late = new LinkedHashMap<>();
-        for (Plan.Reservation r : plan.reservations()) {
-            Job j = book.job(r.job());
-            long begin = j == null ? now : r.beginMs();
-            if (!r.hostUp()) {
-                Space space = booting.get(r.host());
+        for (Plan.Reservation reservation : plan.reservations()) {
+            Job job = book.job(reservation.job());
+            long begin = job == null ? now : reservation.beginMs();
+            if (!reservation.hostUp()) {
+                Space space = booting.get(reservation.host());
                 if (space != null) {
-                    space.take(r.spec());
+                    space.take(reservation.spec());
                 }
             }
-            if (j != null
-                    && !r.wide()
-                    && !j.suspect()
-                    && begin - now >= rentAfter.computeIfAbsent(j, this::rentAfterMs)) {
-                late.computeIfAbsent(j, k -> new ArrayList<>()).add(begin);
+            if (job != null
+                    && !reservation.wide()
+                    && !job.suspect()
+                    && begin - now >= rentAfter.computeIfAbsent(job, this::rentAfterMs)) {
+                late.computeIfAbsent(job, k -> new ArrayList<>()).add(begin);
             }
         }
         spaces.addAll(booting.values());
         late.forEach((j, begins) -> want(j, begins, all, spaces));
-        for (Job j : book.jobs()) {
-            int unplaced = j.cancelled() || j.suspect() || !j.notBefore.before(turn.now()) ? 0 : plan.unplaced(j.ref());
+        for (Job job : book.jobs()) {
+            int unplaced = job.cancelled() || job.suspect() || !job.notBefore.before(turn.now())
+                    ? 0
+                    : plan.unplaced(job.ref());
             if (unplaced > 0) {
-                want(j, Collections.nCopies(Math.min(MAX_UNPLACED, unplaced), Long.MAX_VALUE), all, spaces);
+                want(job, Collections.nCopies(Math.min(MAX_UNPLACED, unplaced), Long.MAX_VALUE), all, spaces);
             }
         }
-        for (Offer o : all) {
-            for (int i = 0; i < MAX_CALLS && o.wanted > 0 && calls.tryTake(turn.now(), 1); i++) {
-                int n = Math.min(MAX_RENTAL, o.wanted);
-                o.wanted -= n;
-                rent(o, n, "r-" + baton.value() + "-" + ++sequence);
+        for (Offer offer : all) {
+            for (int i = 0; i < MAX_CALLS && offer.wanted > 0 && calls.tryTake(turn.now(), 1); i++) {
+                int count = Math.min(MAX_RENTAL, offer.wanted);
+                offer.wanted -= count;
+                rent(offer, count, "r-" + baton.value() + "-" + ++sequence);
             }
         }
     }
@@ -242,39 +244,39 @@
      * that machine is up, others wait behind it; rented for only when that gained something for the task itself, the
      * machines were always busy and every task waited about as long as one takes to boot.
      */
-    long rentAfterMs(Job j) {
-        if (j.record.width != null) {
+    long rentAfterMs(Job job) {
+        if (job.record.width != null) {
             return LEAST_LATE_MS; // its sure part is wanted at once, not one round of tasks after the other
         }
         double share = policy.patience()
-                * Math.max(0, ordering.latestStart(j) - turn.now().ms());
+                * Math.max(0, ordering.latestStart(job) - turn.now().ms());
         return Math.max(LEAST_LATE_MS, Math.min(LATE_MS, Math.round(share)));
     }
 
     /** A spot machine is worth renting to begin sooner; an ordinary one only where an objective is at stake. */
-    private void want(Job j, List<Long> begins, List<Offer> all, List<Space> spaces) {
-        JobSpec s = j.spec();
-        long latest = ordering.latestStart(j);
+    private void want(Job job, List<Long> begins, List<Offer> all, List<Space> spaces) {
+        JobSpec spec = job.spec();
+        long latest = ordering.latestStart(job);
         int tried = 0; // a space too small for one of the job's tasks is too small for the next
         for (long begin : begins) {
             boolean fitted = false;
             while (!fitted && tried < spaces.size()) {
                 Space space = spaces.get(tried);
-                fitted = space.offer.suits(s) && space.take(s);
+                fitted = space.offer.suits(spec) && space.take(spec);
                 tried += fitted ? 0 : 1;
             }
             if (fitted) {
                 continue;
             }
             Offer best = null;
-            for (Offer o : all) {
-                boolean allowed = o.spot || begin > latest || !s.spot();
+            for (Offer offer : all) {
+                boolean allowed = offer.spot || begin > latest || !spec.spot();
                 if (allowed
-                        && o.refusedUntil.before(turn.now())
-                        && worth(o, j, begin)
-                        && o.suits(s)
-                        && (best == null || cheaper(o, best, s))) {
-                    best = o;
+                        && offer.refusedUntil.before(turn.now())
+                        && worth(offer, job, begin)
+                        && offer.suits(spec)
+                        && (best == null || cheaper(offer, best, spec))) {
+                    best = offer;
                 }
             }
             if (best == null) {
@@ -282,23 +284,23 @@
             }
             best.wanted++;
             Space space = new Space(best);
-            space.take(s);
+            space.take(spec);
             spaces.add(space);
         }
     }
 
-    private boolean worth(Offer o, Job j, long beginMs) {
+    private boolean worth(Offer offer, Job job, long beginMs) {
         long ready = turn.now().ms()
-                + Math.round(1000 * (o.type.startupS() + j.spec().imageGb() / o.type.fetchGbPerS()));
+                + Math.round(1000 * (offer.type.startupS() + job.spec().imageGb() / offer.type.fetchGbPerS()));
         if (beginMs == Long.MAX_VALUE || ready + WORTH_MS <= beginMs) {
             return true;
         }
-        return o.spot && ready <= beginMs + estimates.lengthMs(j.spec());
+        return offer.spot && ready <= beginMs + estimates.lengthMs(job.spec());
     }
 
-    private static boolean cheaper(Offer o, Offer than, JobSpec s) {
-        int cost = Double.compare(o.costFor(s), than.costFor(s));
-        return cost < 0 || (cost == 0 && o.wanted < than.wanted);
+    private static boolean cheaper(Offer offer, Offer than, JobSpec spec) {
+        int cost = Double.compare(offer.costFor(spec), than.costFor(spec));
+        return cost < 0 || (cost == 0 && offer.wanted < than.wanted);
     }
 
     /**
@@ -307,14 +309,14 @@
      * @param then told which were had, none perhaps
      */
     boolean spare(String type, String zone, boolean spot, int number, Consumer<List<HostId>> then) {
-        Offer o = offers().stream()
+        Offer offer = offers().stream()
                 .filter(x -> x.type.name().equals(type) && x.zone.equals(zone) && x.spot == spot)
                 .findFirst()
                 .orElse(null);
-        if (o == null || turn.now().before(o.refusedUntil) || !calls.tryTake(turn.now(), 1)) {
+        if (offer == null || turn.now().before(offer.refusedUntil) || !calls.tryTake(turn.now(), 1)) {
             return false;
         }
-        rent(o, Math.min(MAX_RENTAL, number), "r-" + baton.value() + "-" + ++sequence, then);
+        rent(offer, Math.min(MAX_RENTAL, number), "r-" + baton.value() + "-" + ++sequence, then);
         return true;
     }
 
@@ -336,24 +338,24 @@
 
     private void attempt(
             Offer asked, int number, String name, ObjectNode body, Tick first, Consumer<List<HostId>> then) {
-        long r = book.reign();
-        turn.command(election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines", body, 5000, o -> {
-            if (r != book.reign()) {
+        long term = book.reign();
+        turn.command(election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines", body, 5000, result -> {
+            if (term != book.reign()) {
                 return;
             }
             Offer offer = offers.get(asked.key());
-            if (o.ok() && o.body().path("hosts").isArray()) {
+            if (result.ok() && result.body().path("hosts").isArray()) {
                 offer.renting -= number;
                 lastRented = turn.now();
                 List<HostId> had = new ArrayList<>();
-                for (JsonNode n : o.body().get("hosts")) {
-                    had.add(new HostId(n.asText()));
-                    Host h = book.host(new HostId(n.asText()));
-                    h.type = offer.type.name();
-                    h.zone = offer.zone;
-                    h.spot = offer.spot;
-                    h.there = true;
-                    h.rentedAt = first;
+                for (JsonNode node : result.body().get("hosts")) {
+                    had.add(new HostId(node.asText()));
+                    Host machine = book.host(new HostId(node.asText()));
+                    machine.type = offer.type.name();
+                    machine.zone = offer.zone;
+                    machine.spot = offer.spot;
+                    machine.there = true;
+                    machine.rentedAt = first;
                 }
                 int got = had.size();
                 LOG.info(
@@ -369,21 +371,21 @@
                     offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
                 }
                 then.accept(had);
-            } else if (o.is(400)) {
+            } else if (result.is(400)) {
                 offer.renting -= number;
                 offer.refusedUntil = turn.now().plusMs(300_000);
                 LOG.warn("rental {} is refused as malformed", name);
                 then.accept(List.of());
-            } else if (o.is(503)
-                    && o.body() != null
-                    && "no capacity".equals(o.body().path("error").asText())) {
+            } else if (result.is(503)
+                    && result.body() != null
+                    && "no capacity".equals(result.body().path("error").asText())) {
                 offer.renting -= number;
                 offer.shortAt = turn.now();
                 offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
                 then.accept(List.of());
             } else {
                 turn.after(1500, () -> {
-                    if (r == book.reign()) {
+                    if (term == book.reign()) {
                         calls.take(turn.now(), 1);
                         attempt(asked, number, name, body, first, then);
                     }
--- a/src/main/java/org/beechhoist/core/Reports.java
+++ b/src/main/java/org/beechhoist/core/Reports.java
@@ -73,57 +73,63 @@
 
     /** The records were read anew: what the machines last said is held against them. */
     void bookLoaded() {
-        for (Host h : book.hosts()) {
-            if (h.lastCheckin != null) {
-                evaluate(h, h.lastCheckin, true);
+        for (Host machine : book.hosts()) {
+            if (machine.lastCheckin != null) {
+                evaluate(machine, machine.lastCheckin, true);
             }
         }
     }
 
     /** Answers a worker's report. */
-    void checkin(long request, HostReport r) {
-        if (provisioner.gone(r.host())) {
+    void checkin(long request, HostReport heartbeat) {
+        if (provisioner.gone(heartbeat.host())) {
             turn.answer(request, 503, null); // a late report: the machine has been returned
             return;
         }
-        Host h = book.host(r.host());
-        boolean fresh = h.lastCheckin == null ? r.newerThan(h.shift, h.counter - 1) : r.newerThan(h.shift, h.counter);
+        Host machine = book.host(heartbeat.host());
+        boolean fresh = machine.lastCheckin == null
+                ? heartbeat.newerThan(machine.shift, machine.counter - 1)
+                : heartbeat.newerThan(machine.shift, machine.counter);
         Standing standing = Standing.of(
-                r, fresh, h.ghosts, election.firstBaton(), turn.now().since(h.newestAt));
+                heartbeat,
+                fresh,
+                machine.ghosts,
+                election.firstBaton(),
+                turn.now().since(machine.newestAt));
         if (!standing.mayRenew()) {
             turn.answer(
                     request, 503, null); // a worker that began anew speaks like this, too, until it is asked (Silence)
             return;
         }
-        boolean hearing = !h.ears.deaf();
+        boolean hearing = !machine.ears.deaf();
         if (standing.tells()) {
-            take(h, r, standing);
+            take(machine, heartbeat, standing);
         }
         List<Order> orders = new ArrayList<>();
         boolean renews = cancellations.mayRenew();
         if (loading.complete() && standing.tells()) {
-            orders.addAll(evaluate(h, r, true));
+            orders.addAll(evaluate(machine, heartbeat, true));
             if (renews) {
-                launch(h, r, orders);
+                launch(machine, heartbeat, orders);
             }
-            if (hearing && h.ears.deaf()) {
+            if (hearing && machine.ears.deaf()) {
                 LOG.info(
                         "{} speaks but does not hear: it gets nothing new, {} tasks are on their way to it",
-                        h.id,
-                        h.placedAndSeen(false));
+                        machine.id,
+                        machine.placedAndSeen(false));
                 book.replan();
             }
         } else if (standing.tells()) {
-            orders.addAll(kills(r)); // whatever the book says once it is read
+            orders.addAll(kills(heartbeat)); // whatever the book says once it is read
         }
         if (!renews) {
-            LOG.debug("{} is sent away: what is known of cancellations is too old to renew its lease", h.id);
-            killAtOnce(h, orders);
+            LOG.debug("{} is sent away: what is known of cancellations is too old to renew its lease", machine.id);
+            killAtOnce(machine, orders);
             turn.answer(request, 503, null);
             return;
         }
-        h.answeredNewest = standing.tells();
-        h.lastAnswered = turn.now();
+        machine.answeredNewest = standing.tells();
+        machine.lastAnswered = turn.now();
         ObjectNode body = Codec.map().put("baton", election.baton().value());
         body.set("orders", Order.toNode(orders));
         Tick until = cancellations.renewUntil();
@@ -131,256 +137,286 @@
     }
 
     /** Kills of what is there though its job is known to be cancelled; nothing else is known of the book now. */
-    private List<Order> kills(HostReport r) {
+    private List<Order> kills(HostReport heartbeat) {
         List<Order> out = new ArrayList<>();
-        for (HostReport.Entry e : r.tasks()) {
-            if (e.state() != HostReport.State.EXITED
-                    && cancellations.knows(e.task().job())) {
-                out.add(Order.kill(e.task(), e.attempt(), 0));
+        for (HostReport.Entry status : heartbeat.tasks()) {
+            if (status.state() != HostReport.State.EXITED
+                    && cancellations.knows(status.task().job())) {
+                out.add(Order.kill(status.task(), status.attempt(), 0));
             }
         }
         return out;
     }
 
     /** The answer is none that a worker acts on: what it is to end goes straight to it. */
-    private void killAtOnce(Host h, List<Order> orders) {
+    private void killAtOnce(Host machine, List<Order> orders) {
         List<Order> kills = orders.stream()
-                .filter(o -> o.verb() == Order.Verb.KILL && !h.outbox.contains(o))
+                .filter(o -> o.verb() == Order.Verb.KILL && !machine.outbox.contains(o))
                 .toList();
-        h.outbox.addAll(kills);
+        machine.outbox.addAll(kills);
         if (!kills.isEmpty()) {
-            direct.direct(h);
+            direct.direct(machine);
         }
     }
 
     /** Nothing newer is known of the machine; whether it is more than a copy is what its standing says. */
-    private void take(Host h, HostReport r, Standing standing) {
-        if (!h.up) {
-            h.up = true;
+    private void take(Host machine, HostReport heartbeat, Standing standing) {
+        if (!machine.up) {
+            machine.up = true;
             book.replan();
-            h.idleSince = turn.now();
-            LOG.info("{} is up: {} in {}{}", h.id, r.type(), r.zone(), r.spot() ? ", spot" : "");
+            machine.idleSince = turn.now();
+            LOG.info(
+                    "{} is up: {} in {}{}",
+                    machine.id,
+                    heartbeat.type(),
+                    heartbeat.zone(),
+                    heartbeat.spot() ? ", spot" : "");
         }
-        h.address = r.address();
-        h.type = r.type();
-        h.zone = r.zone();
-        h.spot = r.spot();
-        if (h.lastCheckin == null ? r.shift() != h.imagesShift : r.shift() > h.shift) {
-            h.images.clear();
+        machine.address = heartbeat.address();
+        machine.type = heartbeat.type();
+        machine.zone = heartbeat.zone();
+        machine.spot = heartbeat.spot();
+        if (machine.lastCheckin == null
+                ? heartbeat.shift() != machine.imagesShift
+                : heartbeat.shift() > machine.shift) {
+            machine.images.clear();
         }
-        boolean lately = h.lastAnswered != null
-                && turn.now().since(h.lastAnswered) < settings.workers().leaseMs();
-        if (h.lastCheckin != null) {
-            boolean newToken = standing.current() && r.baton().compareTo(h.lastCheckin.baton()) > 0;
-            h.ears = h.ears.after(
+        boolean lately = machine.lastAnswered != null
+                && turn.now().since(machine.lastAnswered) < settings.workers().leaseMs();
+        if (machine.lastCheckin != null) {
+            boolean newToken = standing.current() && heartbeat.baton().compareTo(machine.lastCheckin.baton()) > 0;
+            machine.ears = machine.ears.after(
                     new Ears.Message(
-                            r.shift() == h.shift,
-                            h.answeredNewest,
-                            r.counter() == h.counter + 1,
+                            heartbeat.shift() == machine.shift,
+                            machine.answeredNewest,
+                            heartbeat.counter() == machine.counter + 1,
                             newToken,
-                            h.callsLost || h.ordersInFlight > 0 || turn.late(),
+                            machine.callsLost || machine.ordersInFlight > 0 || turn.late(),
                             lately),
                     turn.now());
         } else if (standing.current()) {
-            h.ears = h.ears.proved(turn.now());
+            machine.ears = machine.ears.proved(turn.now());
         }
-        h.newest(r, turn.now());
-        h.lastCheckin = r;
-        h.there |= standing.current();
-        if (standing.current() || h.unanswered == 0) {
-            h.lastHeard = turn.now();
+        machine.newest(heartbeat, turn.now());
+        machine.lastCheckin = heartbeat;
+        machine.there |= standing.current();
+        if (standing.current() || machine.unanswered == 0) {
+            machine.lastHeard = turn.now();
         } else {
-            h.unanswered =
+            machine.unanswered =
                     0; // a copy ends no silence that was noticed; but it may be the machine's first, so it is asked
             // once more
-            h.mayAnswerUntil = turn.now().plusMs(ANSWERS_MS);
+            machine.mayAnswerUntil = turn.now().plusMs(ANSWERS_MS);
         }
         // A notice is never withdrawn: an old report tells of it too, though not how much time is left.
-        if (r.noticeS() != null && (standing.current() || h.noticeEnds == null)) {
-            if (h.noticeEnds == null) {
-                LOG.info("{} is taken back in {} s", h.id, r.noticeS());
+        if (heartbeat.noticeS() != null && (standing.current() || machine.noticeEnds == null)) {
+            if (machine.noticeEnds == null) {
+                LOG.info("{} is taken back in {} s", machine.id, heartbeat.noticeS());
                 book.replan();
             }
-            h.noticeEnds = turn.now().plusMs(Math.round(1000 * r.noticeS()));
+            machine.noticeEnds = turn.now().plusMs(Math.round(1000 * heartbeat.noticeS()));
         } else if (standing.current()) {
-            h.noticeEnds = null;
+            machine.noticeEnds = null;
         }
     }
 
     /** What is to be launched there goes with the answer; what doesn't hear, or is about to go, gets nothing, and what was never sent there waits again. */
-    private void launch(Host h, HostReport r, List<Order> orders) {
-        for (Placement p : new ArrayList<>(h.placements.values())) {
-            Job j = book.job(p.task.job());
-            if (j == null) {
+    private void launch(Host machine, HostReport heartbeat, List<Order> orders) {
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            Job job = book.job(placement.task.job());
+            if (job == null) {
                 continue; // its record can't be read: it is left alone
             }
-            if (p.committed && (elastic.withdraws(j, p, h) || (h.going() || h.ears.deaf() || j.held()) && !p.sent)) {
-                departures.remove(j, p);
+            if (placement.committed
+                    && (elastic.withdraws(job, placement, machine)
+                            || (machine.going() || machine.ears.deaf() || job.held()) && !placement.sent)) {
+                departures.remove(job, placement);
                 continue;
             }
-            boolean again = p.sent && h.limbo.compareTo(r.baton()) >= 0 && find(r, p) == null && h.ordersInFlight == 0;
-            if (p.committed
-                    && (!p.sent || again)
+            boolean again = placement.sent
+                    && machine.limbo.compareTo(heartbeat.baton()) >= 0
+                    && find(heartbeat, placement) == null
+                    && machine.ordersInFlight == 0;
+            if (placement.committed
+                    && (!placement.sent || again)
                     && orders.size() < Orders.MAX_ORDERS
-                    && !h.returning
-                    && !h.ears.deaf()
-                    && j.hold == null
-                    && !j.cancelled()) {
-                orders.add(Order.launch(p.task, p.attempt));
-                p.sent = true;
-                p.sentShift = r.shift();
-                p.sentCounter = r.counter();
+                    && !machine.returning
+                    && !machine.ears.deaf()
+                    && job.hold == null
+                    && !job.cancelled()) {
+                orders.add(Order.launch(placement.task, placement.attempt));
+                placement.sent = true;
+                placement.sentShift = heartbeat.shift();
+                placement.sentCounter = heartbeat.counter();
             }
         }
     }
 
-    private static HostReport.Entry find(HostReport r, Placement p) {
-        for (HostReport.Entry e : r.tasks()) {
-            if (e.task().equals(p.task) && e.attempt() == p.attempt) {
-                return e;
+    private static HostReport.Entry find(HostReport heartbeat, Placement placement) {
+        for (HostReport.Entry status : heartbeat.tasks()) {
+            if (status.task().equals(placement.task) && status.attempt() == placement.attempt) {
+                return status;
             }
         }
         return null;
     }
 
     /** What is stored of the task that the machine speaks of. */
-    private Squaring.Stored stored(Host h, HostReport.Entry e) {
-        Job j = book.job(e.task().job());
-        if (j == null) {
-            return book.unreadable(e.task().job()) ? Squaring.Stored.UNREADABLE : Squaring.Stored.NO_JOB;
+    private Squaring.Stored stored(Host machine, HostReport.Entry status) {
+        Job job = book.job(status.task().job());
+        if (job == null) {
+            return book.unreadable(status.task().job()) ? Squaring.Stored.UNREADABLE : Squaring.Stored.NO_JOB;
         }
-        Placement p = j.record.live.get(e.task().index());
-        if (p == null) {
-            return j.record.done.contains(e.task().index()) ? Squaring.Stored.DONE : Squaring.Stored.NOTHING;
+        Placement placement = job.record.live.get(status.task().index());
+        if (placement == null) {
+            return job.record.done.contains(status.task().index()) ? Squaring.Stored.DONE : Squaring.Stored.NOTHING;
         }
-        if (p.attempt > e.attempt()) {
+        if (placement.attempt > status.attempt()) {
             return Squaring.Stored.PLACED_LATER;
         }
-        return p.attempt < e.attempt() || !p.host.equals(h.id)
+        return placement.attempt < status.attempt() || !placement.host.equals(machine.id)
                 ? Squaring.Stored.PLACED_OTHERWISE
-                : j.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
+                : job.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
     }
 
     /**
      * Takes what a report says of tasks; returns the orders that follow. In the answer to a command, absence counts for placements of earlier
      * leaderships alone: launches of this one may be in flight in the reply to a check-in that the worker has not read yet.
      */
-    List<Order> evaluate(Host h, HostReport r, boolean checkin) {
+    List<Order> evaluate(Host machine, HostReport heartbeat, boolean checkin) {
         List<Order> orders = new ArrayList<>();
-        Evidence.InFlight inFlight = new Evidence.InFlight(h.ordersInFlight > 0, h.limbo);
+        Evidence.InFlight inFlight = new Evidence.InFlight(machine.ordersInFlight > 0, machine.limbo);
         // A launch in limbo finds its exited attempt and does nothing; once forgotten, it would start it once more.
-        boolean over = inFlight.over(r.baton());
+        boolean over = inFlight.over(heartbeat.baton());
         int strangers = 0;
         Set<TaskId> seen = new HashSet<>();
-        for (HostReport.Entry e : r.tasks()) {
-            Job j = book.job(e.task().job());
-            Squaring.Stored stored = stored(h, e);
-            Squaring.Decision d =
-                    Squaring.of(stored, Squaring.Said.of(e), Evidence.NONE, over && (j == null || j.settled()));
+        for (HostReport.Entry status : heartbeat.tasks()) {
+            Job job = book.job(status.task().job());
+            Squaring.Stored stored = stored(machine, status);
+            Squaring.Decision decision = Squaring.of(
+                    stored, Squaring.Said.of(status), Evidence.NONE, over && (job == null || job.settled()));
             if (stored == Squaring.Stored.PLACED || stored == Squaring.Stored.CANCELLED) {
-                seen.add(e.task());
-                Placement p = j.record.live.get(e.task().index());
-                if (e.state() == HostReport.State.EXITED) {
-                    exited(h, j, p, e, d);
+                seen.add(status.task());
+                Placement placement = job.record.live.get(status.task().index());
+                if (status.state() == HostReport.State.EXITED) {
+                    exited(machine, job, placement, status, decision);
                 } else {
-                    present(h, j, p, e, d, orders);
+                    present(machine, job, placement, status, decision, orders);
                 }
             } else {
-                strangers += stranger(h, e, d, orders) ? 1 : 0;
+                strangers += stranger(machine, status, decision, orders) ? 1 : 0;
             }
         }
-        h.strangers = strangers;
-        int doubt = absent(h, r, seen, inFlight, checkin);
-        h.inDoubt = checkin ? doubt : Math.min(h.inDoubt, doubt);
+        machine.strangers = strangers;
+        int doubt = absent(machine, heartbeat, seen, inFlight, checkin);
+        machine.inDoubt = checkin ? doubt : Math.min(machine.inDoubt, doubt);
         return orders.size() > Orders.MAX_ORDERS ? orders.subList(0, Orders.MAX_ORDERS) : orders;
     }
 
     /** A task that no record explains, on the machine or ended there; whether it takes room. */
-    private static boolean stranger(Host h, HostReport.Entry e, Squaring.Decision d, List<Order> orders) {
-        if (d == Squaring.Decision.KILL) {
-            LOG.info("{}: {} try {} is explained by no record, killed", h.id, e.task(), e.attempt());
-            orders.add(Order.kill(e.task(), e.attempt(), 0));
-        } else if (d == Squaring.Decision.FORGET) {
-            orders.add(Order.forget(e.task(), e.attempt()));
+    private static boolean stranger(
+            Host machine, HostReport.Entry status, Squaring.Decision decision, List<Order> orders) {
+        if (decision == Squaring.Decision.KILL) {
+            LOG.info("{}: {} try {} is explained by no record, killed", machine.id, status.task(), status.attempt());
+            orders.add(Order.kill(status.task(), status.attempt(), 0));
+        } else if (decision == Squaring.Decision.FORGET) {
+            orders.add(Order.forget(status.task(), status.attempt()));
         }
-        return e.state() != HostReport.State.EXITED;
+        return status.state() != HostReport.State.EXITED;
     }
 
     /** Takes off what the report proves gone; how many of earlier leaderships' placements stay in doubt. */
-    private int absent(Host h, HostReport r, Set<TaskId> seen, Evidence.InFlight inFlight, boolean checkin) {
+    private int absent(
+            Host machine, HostReport heartbeat, Set<TaskId> seen, Evidence.InFlight inFlight, boolean checkin) {
         int doubt = 0;
-        for (Placement p : new ArrayList<>(h.placements.values())) {
-            Job j = book.job(p.task.job());
-            boolean neverLaunched = p.recovered && p.sentShift == 0;
-            if (j == null || seen.contains(p.task) || !p.committed || !checkin && !neverLaunched) {
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            Job job = book.job(placement.task.job());
+            boolean neverLaunched = placement.recovered && placement.sentShift == 0;
+            if (job == null || seen.contains(placement.task) || !placement.committed || !checkin && !neverLaunched) {
                 continue;
             }
             Evidence evidence = Evidence.ofAbsence(
-                    new Evidence.Launch(p.sent, p.provenFrom, p.sentShift, p.sentCounter), inFlight, r);
-            Squaring.Stored stored = j.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
+                    new Evidence.Launch(
+                            placement.sent, placement.provenFrom, placement.sentShift, placement.sentCounter),
+                    inFlight,
+                    heartbeat);
+            Squaring.Stored stored = job.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
             if (Squaring.of(stored, Squaring.Said.ABSENT, evidence, false) == Squaring.Decision.GONE) {
-                LOG.info("{} try {} is not on {} any more", p.task, p.attempt, h.id);
-                departures.remove(j, p);
+                LOG.info("{} try {} is not on {} any more", placement.task, placement.attempt, machine.id);
+                departures.remove(job, placement);
             } else {
-                doubt += p.recovered ? 1 : 0;
-                if (checkin && neverLaunched && j.cancelled()) {
-                    direct.kill(h, p); // its answer proves the task gone, sooner than the next report
+                doubt += placement.recovered ? 1 : 0;
+                if (checkin && neverLaunched && job.cancelled()) {
+                    direct.kill(machine, placement); // its answer proves the task gone, sooner than the next report
                 }
             }
         }
         return doubt;
     }
 
-    private void present(Host h, Job j, Placement p, HostReport.Entry e, Squaring.Decision d, List<Order> orders) {
-        if (!p.seen) {
-            p.seen = true;
-            if (p.sent && !p.recovered) {
-                h.ears = h.ears.proved(turn.now()); // it has carried out a launch
+    private void present(
+            Host machine,
+            Job job,
+            Placement placement,
+            HostReport.Entry status,
+            Squaring.Decision decision,
+            List<Order> orders) {
+        if (!placement.seen) {
+            placement.seen = true;
+            if (placement.sent && !placement.recovered) {
+                machine.ears = machine.ears.proved(turn.now()); // it has carried out a launch
             }
         }
-        if (!p.sent) {
-            p.sent = true; // an earlier leadership's launch
-            p.sentShift = h.shift;
-            p.sentCounter = h.counter;
+        if (!placement.sent) {
+            placement.sent = true; // an earlier leadership's launch
+            placement.sentShift = machine.shift;
+            placement.sentCounter = machine.counter;
         }
-        if (e.state() != HostReport.State.FETCHING && p.running == null) {
+        if (status.state() != HostReport.State.FETCHING && placement.running == null) {
             // Taken for just begun, a take-over's tasks would all seem to end a whole run later, and machines be
             // rented.
-            Tick begun = p.since.plusMs(USUAL_FETCH_MS);
-            p.running = p.recovered && begun.before(turn.now()) ? begun : turn.now();
-            j.lastProgress = turn.now();
-            HostType t = types.get(h.type);
-            h.cached(j.spec().image(), j.spec().imageGb(), t == null ? 0 : t.cacheGb());
+            Tick begun = placement.since.plusMs(USUAL_FETCH_MS);
+            placement.running = placement.recovered && begun.before(turn.now()) ? begun : turn.now();
+            job.lastProgress = turn.now();
+            HostType type = types.get(machine.type);
+            machine.cached(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
             book.replan();
         }
-        if (d == Squaring.Decision.KILL || j.held()) {
-            orders.add(Order.kill(p.task, p.attempt, 0));
-        } else if (p.killSent && e.state() != HostReport.State.SAVING) {
-            orders.add(Order.kill(p.task, p.attempt, j.spec().saveS())); // the first one may have been lost
+        if (decision == Squaring.Decision.KILL || job.held()) {
+            orders.add(Order.kill(placement.task, placement.attempt, 0));
+        } else if (placement.killSent && status.state() != HostReport.State.SAVING) {
+            orders.add(Order.kill(
+                    placement.task, placement.attempt, job.spec().saveS())); // the first one may have been lost
         }
     }
 
-    private void exited(Host h, Job j, Placement p, HostReport.Entry e, Squaring.Decision d) {
-        LOG.info("{} try {} on {} ended: {}", p.task, p.attempt, h.id, e.cause() == null ? "" : e.cause());
-        j.lastProgress = turn.now();
-        if (p.running != null) {
-            book.used(j.spec().team(), j.spec().cpus() * turn.now().since(p.running));
+    private void exited(
+            Host machine, Job job, Placement placement, HostReport.Entry status, Squaring.Decision decision) {
+        LOG.info(
+                "{} try {} on {} ended: {}",
+                placement.task,
+                placement.attempt,
+                machine.id,
+                status.cause() == null ? "" : status.cause());
+        job.lastProgress = turn.now();
+        if (placement.running != null) {
+            book.used(job.spec().team(), job.spec().cpus() * turn.now().since(placement.running));
         }
-        switch (d) {
+        switch (decision) {
             case COUNT_DONE -> {
-                if (!j.spec().service()) {
-                    j.record.done.add(p.task.index());
+                if (!job.spec().service()) {
+                    job.record.done.add(placement.task.index());
                 }
-                h.failedJobs.clear();
-                if (p.running != null && !p.recovered) {
-                    estimates.observed(j.spec(), turn.now().since(p.running));
+                machine.failedJobs.clear();
+                if (placement.running != null && !placement.recovered) {
+                    estimates.observed(job.spec(), turn.now().since(placement.running));
                 }
             }
-            case COUNT_FAILED -> faults.failed(h, j, p);
-            case AVOID_MACHINE -> h.avoidUntil = turn.now().plusMs(3000);
-            case ASK_LATER -> j.notBefore = turn.now().plusMs(3000);
+            case COUNT_FAILED -> faults.failed(machine, job, placement);
+            case AVOID_MACHINE -> machine.avoidUntil = turn.now().plusMs(3000);
+            case ASK_LATER -> job.notBefore = turn.now().plusMs(3000);
             default -> {}
         }
-        departures.remove(j, p);
+        departures.remove(job, placement);
     }
 }
--- a/src/main/java/org/beechhoist/core/Resizing.java
+++ b/src/main/java/org/beechhoist/core/Resizing.java
@@ -82,18 +82,20 @@
                 return;
             }
             try {
-                JobRecord r = found.open() == null
+                JobRecord record = found.open() == null
                         ? null
                         : JobRecord.parse(found.open().value());
-                String never = r == null || r.cancelled()
+                String never = record == null || record.cancelled()
                         ? "the job is " + found.status().get("status").asText()
-                        : r.spec.gang() ? "width: a gang's tasks start together" : older(r, resize);
+                        : record.spec.gang() ? "width: a gang's tasks start together" : older(record, resize);
                 if (never != null) {
                     turn.answer(request, 409, JobStates.reason(never));
-                } else if (r.width != null && resize.number() != null && resize.number() == r.width.number()) {
+                } else if (record.width != null
+                        && resize.number() != null
+                        && resize.number() == record.width.number()) {
                     turn.answer(request, 200, found.status()); // asked again
                 } else {
-                    widen(request, ref, resize, found.open(), r, races);
+                    widen(request, ref, resize, found.open(), record, races);
                 }
             } catch (Malformed e) {
                 LOG.error("record of {} can't be read: {}", ref, e.getMessage());
@@ -103,30 +105,30 @@
     }
 
     /** Why a numbered resize has no effect, or null. */
-    private static String older(JobRecord r, Resize resize) {
-        if (r.width == null || resize.number() == null || resize.number() > r.width.number()) {
+    private static String older(JobRecord record, Resize resize) {
+        if (record.width == null || resize.number() == null || resize.number() > record.width.number()) {
             return null;
         }
-        if (resize.number() < r.width.number()) {
-            return "number = " + resize.number() + ": an older resize; the newest is " + r.width.number();
+        if (resize.number() < record.width.number()) {
+            return "number = " + resize.number() + ": an older resize; the newest is " + record.width.number();
         }
-        return resize.width().equals(r.width.allowed())
+        return resize.width().equals(record.width.allowed())
                 ? null
                 : "number = " + resize.number() + ": it was another resize; a new one needs a larger number";
     }
 
-    private void widen(long request, JobRef ref, Resize resize, StoreClient.Item open, JobRecord r, int races) {
-        long number = resize.number() != null ? resize.number() : r.width == null ? 1 : r.width.number() + 1;
-        int now = r.width != null
-                ? r.width.target()
+    private void widen(long request, JobRef ref, Resize resize, StoreClient.Item open, JobRecord record, int races) {
+        long number = resize.number() != null ? resize.number() : record.width == null ? 1 : record.width.number() + 1;
+        int now = record.width != null
+                ? record.width.target()
                 : open.value().path("running").asInt();
         ObjectNode value = ((ObjectNode) open.value()).deepCopy();
         value.set("width", new WidthRecord(resize.width(), number, now).toNode());
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         String key = JobRecord.openKey(ref);
-        store.commit(new Txn().guard(key, open.version()).put(key, value), c -> {
-            switch (c.result()) {
+        store.commit(new Txn().guard(key, open.version()).put(key, value), commit -> {
+            switch (commit.result()) {
                 case DONE -> turn.answer(request, 200, JobStates.openState(ref, value));
                 case CONFLICT -> resize(request, ref, resize, races + 1);
                 default -> refuse.accept(request);
--- a/src/main/java/org/beechhoist/core/Rollouts.java
+++ b/src/main/java/org/beechhoist/core/Rollouts.java
@@ -60,143 +60,157 @@
     }
 
     /** One look at it; whether what is to be written of it has changed. */
-    boolean step(Drain d, Progress p, List<Host> matched, boolean works, Planner planner) {
+    boolean step(Drain drain, Progress progress, List<Host> matched, boolean works, Planner planner) {
         boolean changed = false;
         List<Waves.Waiting> waiting = new ArrayList<>();
         Map<String, Integer> kinds = new HashMap<>();
         Map<String, Integer> inHand = new HashMap<>();
-        for (Host h : matched) {
-            if (p.begun.containsKey(h.id)) {
-                inHand.merge(String.valueOf(h.zone), 1, Integer::sum);
-            } else if (h.cordonedBy == null) {
-                waiting.add(new Waves.Waiting(h.id, String.valueOf(h.zone), lost(h), h.placements.size()));
-                kinds.merge(kind(h), 1, Integer::sum);
+        for (Host machine : matched) {
+            if (progress.begun.containsKey(machine.id)) {
+                inHand.merge(String.valueOf(machine.zone), 1, Integer::sum);
+            } else if (machine.cordonedBy == null) {
+                waiting.add(new Waves.Waiting(
+                        machine.id, String.valueOf(machine.zone), lost(machine), machine.placements.size()));
+                kinds.merge(kind(machine), 1, Integer::sum);
             }
         }
-        if (p.canaryGoneMs == 0 && p.gone >= d.pace().canary()) {
-            p.canaryGoneMs = turn.wallMs();
+        if (progress.canaryGoneMs == 0 && progress.gone >= drain.pace().canary()) {
+            progress.canaryGoneMs = turn.wallMs();
             changed = true;
         }
-        String stops = Waves.stops(health(p, planner.current()));
+        String stops = Waves.stops(health(progress, planner.current()));
         if (stops != null) {
-            if (p.paused == null) {
-                LOG.warn("drain {} pauses by itself: {}", d.name(), stops);
-                p.pauses++;
+            if (progress.paused == null) {
+                LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
+                progress.pauses++;
                 changed = true;
             }
-            p.paused = stops;
-            p.pausedMs = turn.wallMs();
-        } else if (p.paused != null
-                && turn.wallMs() - p.pausedMs >= 1000 * d.pace().holdS()) {
-            LOG.info("drain {} goes on: {} is over", d.name(), p.paused);
-            p.paused = null;
-            p.sparesAsked = p.spares.size();
-            p.sparesFailed = 0;
+            progress.paused = stops;
+            progress.pausedMs = turn.wallMs();
+        } else if (progress.paused != null
+                && turn.wallMs() - progress.pausedMs >= 1000 * drain.pace().holdS()) {
+            LOG.info("drain {} goes on: {} is over", drain.name(), progress.paused);
+            progress.paused = null;
+            progress.sparesAsked = progress.spares.size();
+            progress.sparesFailed = 0;
             changed = true;
         }
-        if (!works || p.paused != null) {
+        if (!works || progress.paused != null) {
             return changed;
         }
-        standBy(d, p, Math.min(d.pace().spare(), waiting.size() + p.begun.size()) - p.spares.size(), kinds);
-        int up = (int) p.spares.keySet().stream()
+        standBy(
+                drain,
+                progress,
+                Math.min(drain.pace().spare(), waiting.size() + progress.begun.size()) - progress.spares.size(),
+                kinds);
+        int up = (int) progress.spares.keySet().stream()
                 .map(book::known)
                 .filter(h -> h != null && h.up && h.there && !h.going())
                 .count();
-        List<HostId> next =
-                Waves.next(d.pace(), new Waves.Facts(waiting, inHand, p.gone, p.canaryGoneMs, up), turn.wallMs());
+        List<HostId> next = Waves.next(
+                drain.pace(),
+                new Waves.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
+                turn.wallMs());
         if (!next.isEmpty()) {
             LOG.info(
                     "drain {}: step {}, {} machines are begun, {} in hand, {} gone, {} wait",
-                    d.name(),
-                    ++p.steps,
+                    drain.name(),
+                    ++progress.steps,
                     next.size(),
-                    p.begun.size() + next.size(),
-                    p.gone,
+                    progress.begun.size() + next.size(),
+                    progress.gone,
                     waiting.size() - next.size());
-            next.forEach(h -> p.begun.put(h, turn.wallMs()));
+            next.forEach(h -> progress.begun.put(h, turn.wallMs()));
             changed = true;
         }
         return changed;
     }
 
-    private double lost(Host h) {
+    private double lost(Host machine) {
         double sum = 0;
-        for (Placement p : h.placements.values()) {
-            Job j = book.job(p.task.job());
-            sum += j == null ? 0 : Disruptions.lostCpuS(j.spec(), p, turn.now());
+        for (Placement placement : machine.placements.values()) {
+            Job j = book.job(placement.task.job());
+            sum += j == null ? 0 : Disruptions.lostCpuS(j.spec(), placement, turn.now());
         }
         return sum;
     }
 
-    private Waves.Health health(Progress p, Plan plan) {
-        int faulty = (int) p.spares.keySet().stream()
+    private Waves.Health health(Progress progress, Plan plan) {
+        int faulty = (int) progress.spares.keySet().stream()
                 .map(book::known)
                 .filter(h -> h != null && faults.faulty(h))
                 .count();
         int late = 0;
         if (plan != null) {
-            for (Plan.Reservation r : plan.reservations()) {
-                Job j = book.job(r.job());
-                late += j != null && Recovery.urgent(j) && r.beginMs() > ordering.latestStart(j) ? 1 : 0;
+            for (Plan.Reservation reservation : plan.reservations()) {
+                Job j = book.job(reservation.job());
+                late += j != null && Recovery.urgent(j) && reservation.beginMs() > ordering.latestStart(j) ? 1 : 0;
             }
         }
         double least = 1;
         String of = "";
-        for (Map.Entry<String, Share> e : served.get().entrySet()) {
-            if (e.getValue().asked() >= LEAST_ASKED && e.getValue().value() < least) {
-                least = e.getValue().value();
-                of = e.getKey();
+        for (Map.Entry<String, Share> entry : served.get().entrySet()) {
+            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().value() < least) {
+                least = entry.getValue().value();
+                of = entry.getKey();
             }
         }
         int machines = (int) book.hosts().stream().filter(h -> h.up).count();
         return new Waves.Health(
-                p.sparesAsked, p.sparesFailed, faulty, late, least, of, recovery.machinesLost(A_MINUTE_MS), machines);
+                progress.sparesAsked,
+                progress.sparesFailed,
+                faulty,
+                late,
+                least,
+                of,
+                recovery.machinesLost(A_MINUTE_MS),
+                machines);
     }
 
     // ---- machines that stand by ----
 
     /** One spare takes the place of each machine that is gone; those that never came up are counted. */
-    boolean spares(Drain d, Progress p) {
+    boolean spares(Drain drain, Progress progress) {
         boolean changed = false;
-        for (HostId id : List.copyOf(p.spares.keySet())) {
-            Host h = book.known(id);
-            if (h == null || h.returning) {
-                p.sparesFailed += wasUp.contains(id) ? 0 : 1;
-                p.spares.remove(id);
+        for (HostId id : List.copyOf(progress.spares.keySet())) {
+            Host machine = book.known(id);
+            if (machine == null || machine.returning) {
+                progress.sparesFailed += wasUp.contains(id) ? 0 : 1;
+                progress.spares.remove(id);
                 changed = true;
-            } else if (h.up) {
+            } else if (machine.up) {
                 wasUp.add(id);
-                boolean takes = d.replace() ? p.released < p.gone : !h.placements.isEmpty();
-                h.spareOf = takes ? null : d.name();
+                boolean takes = drain.replace() ? progress.released < progress.gone : !machine.placements.isEmpty();
+                machine.spareOf = takes ? null : drain.name();
                 if (takes) {
-                    p.released += d.replace() ? 1 : 0;
-                    p.spares.remove(id);
+                    progress.released += drain.replace() ? 1 : 0;
+                    progress.spares.remove(id);
                     changed = true;
                 }
             } else {
-                h.spareOf = d.name();
+                machine.spareOf = drain.name();
             }
         }
         return changed;
     }
 
     /** What leaves has nowhere to go: a machine of the same kind for each of those that it leaves, some at a time. */
-    void makePlace(Drain d, Progress p, Map<String, Integer> kinds) {
+    void makePlace(Drain drain, Progress progress, Map<String, Integer> kinds) {
         int lacking = kinds.values().stream().mapToInt(Integer::intValue).sum();
-        int booting = (int) p.spares.keySet().stream()
+        int booting = (int) progress.spares.keySet().stream()
                 .map(book::known)
                 .filter(h -> h != null && !h.up)
                 .count();
-        standBy(d, p, Math.min(MOST_PLACES, lacking) - booting, kinds);
+        standBy(drain, progress, Math.min(MOST_PLACES, lacking) - booting, kinds);
     }
 
     /** What the kind of a machine is called here. */
-    static String kind(Host h) {
-        return h.type + " " + h.zone + " " + h.spot;
+    static String kind(Host machine) {
+        return machine.type + " " + machine.zone + " " + machine.spot;
     }
 
-    private void standBy(Drain d, Progress p, int wanted, Map<String, Integer> kinds) {
-        int waits = asked.getOrDefault(d.name(), 0);
+    private void standBy(Drain drain, Progress progress, int wanted, Map<String, Integer> kinds) {
+        int waits = asked.getOrDefault(drain.name(), 0);
         int missing = wanted - waits;
         if (missing <= 0 || kinds.isEmpty() || waits > 0) {
             return;
@@ -206,25 +220,25 @@
                 .orElseThrow()
                 .getKey();
         String[] kind = most.split(" ");
-        String type = d.with() == null ? kind[0] : d.with();
+        String type = drain.with() == null ? kind[0] : drain.with();
         long reign = book.reign();
         if (provisioner.renting().spare(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
             if (reign == book.reign()) {
-                asked.merge(d.name(), -missing, Integer::sum);
-                had.forEach(h -> p.spares.put(h, turn.wallMs()));
-                p.sparesAsked += had.size();
+                asked.merge(drain.name(), -missing, Integer::sum);
+                had.forEach(h -> progress.spares.put(h, turn.wallMs()));
+                progress.sparesAsked += had.size();
             }
         })) {
-            asked.merge(d.name(), missing, Integer::sum);
+            asked.merge(drain.name(), missing, Integer::sum);
         }
     }
 
     /** Nothing stands by for it any more. */
-    void over(Drain d, Progress p) {
-        p.spares.keySet().stream()
+    void over(Drain drain, Progress progress) {
+        progress.spares.keySet().stream()
                 .map(book::known)
-                .filter(h -> h != null && d.name().equals(h.spareOf))
+                .filter(h -> h != null && drain.name().equals(h.spareOf))
                 .forEach(h -> h.spareOf = null);
-        p.spares.clear();
+        progress.spares.clear();
     }
 }
--- a/src/main/java/org/beechhoist/core/ScheduleBook.java
+++ b/src/main/java/org/beechhoist/core/ScheduleBook.java
@@ -117,8 +117,8 @@
         return servedSince;
     }
 
-    Calendar calendar(Line l) {
-        return calendars.get(l.entry.calendar());
+    Calendar calendar(Line line) {
+        return calendars.get(line.entry.calendar());
     }
 
     Revision version(String table) {
@@ -137,9 +137,9 @@
     /** The same, with those that have come by now; no line is looked at before its time. */
     Set<Line> dueAt(Instant now) {
         while (!waiting.isEmpty() && !waiting.peek().next.isAfter(now)) {
-            Line l = waiting.poll();
-            l.dueSince = turn.now();
-            due.add(l);
+            Line line = waiting.poll();
+            line.dueSince = turn.now();
+            due.add(line);
         }
         return due;
     }
@@ -149,42 +149,42 @@
     }
 
     /** Puts a line where its next occurrence finds it. */
-    void schedule(Line l) {
-        l.dueSince = null;
-        l.held = null;
-        l.replacing = false;
-        l.taken = null;
-        l.keyVersion = Revision.ABSENT;
-        Calendar c = calendars.get(l.entry.calendar());
-        if (l.entry.calendar() != null && c == null) {
+    void schedule(Line line) {
+        line.dueSince = null;
+        line.held = null;
+        line.replacing = false;
+        line.taken = null;
+        line.keyVersion = Revision.ABSENT;
+        Calendar calendar = calendars.get(line.entry.calendar());
+        if (line.entry.calendar() != null && calendar == null) {
             LOG.warn(
                     "table {}, line {}: its calendar {} is gone, it never runs",
-                    l.entry.table(),
-                    l.entry.line(),
-                    l.entry.calendar());
+                    line.entry.table(),
+                    line.entry.line(),
+                    line.entry.calendar());
             return;
         }
-        l.next = Occurrences.next(l.entry, c, Instant.ofEpochSecond(l.cursorS));
-        if (l.next != null) {
-            waiting.add(l);
+        line.next = Occurrences.next(line.entry, calendar, Instant.ofEpochSecond(line.cursorS));
+        if (line.next != null) {
+            waiting.add(line);
         }
     }
 
     // ---- reading ----
 
     void reload() {
-        long e = ++epoch;
+        long expectedEpoch = ++epoch;
         loaded = false;
         page(
-                e,
+                expectedEpoch,
                 ScheduleKeys.DEFINITIONS,
                 null,
                 new ArrayList<>(),
                 null,
                 (definitions, revision) ->
-                        page(e, ScheduleKeys.CURSORS, null, new ArrayList<>(), null, (cursors, later) -> {
+                        page(expectedEpoch, ScheduleKeys.CURSORS, null, new ArrayList<>(), null, (cursors, later) -> {
                             build(definitions, cursors);
-                            watch(e, revision);
+                            watch(expectedEpoch, revision);
                         }));
     }
 
@@ -192,24 +192,25 @@
         void all(List<StoreClient.Item> items, Revision first);
     }
 
-    private void page(long e, String prefix, String after, List<StoreClient.Item> items, Revision first, Pages then) {
+    private void page(
+            long expectedEpoch, String prefix, String after, List<StoreClient.Item> items, Revision first, Pages then) {
         requests.take(turn.now(), 1);
-        store.list(prefix, after, 500, p -> {
-            if (e != epoch) {
+        store.list(prefix, after, 500, page -> {
+            if (expectedEpoch != epoch) {
                 return;
             }
-            if (!p.ok()) {
+            if (!page.ok()) {
                 turn.after(500, () -> {
-                    if (e == epoch) {
-                        page(e, prefix, after, items, first, then);
+                    if (expectedEpoch == epoch) {
+                        page(expectedEpoch, prefix, after, items, first, then);
                     }
                 });
                 return;
             }
-            items.addAll(p.items());
-            Revision start = first == null ? p.revision() : first;
-            if (p.more() && !p.items().isEmpty()) {
-                page(e, prefix, items.get(items.size() - 1).key(), items, start, then);
+            items.addAll(page.items());
+            Revision start = first == null ? page.revision() : first;
+            if (page.more() && !page.items().isEmpty()) {
+                page(expectedEpoch, prefix, items.get(items.size() - 1).key(), items, start, then);
             } else {
                 then.all(items, start);
             }
@@ -220,32 +221,32 @@
         clear();
         Map<String, JsonNode> chunks = new HashMap<>();
         Map<String, JsonNode> metas = new HashMap<>();
-        for (StoreClient.Item i : definitions) {
+        for (StoreClient.Item item : definitions) {
             try {
-                if (i.key().startsWith(ScheduleKeys.CALENDARS)) {
-                    String name = i.key().substring(ScheduleKeys.CALENDARS.length());
-                    calendars.put(name, Calendar.parse(i.value(), name));
-                } else if (i.key().startsWith(ScheduleKeys.TABLES)) {
-                    String name = i.key().substring(ScheduleKeys.TABLES.length());
-                    tables.put(name, i.version());
-                    metas.put(name, i.value());
+                if (item.key().startsWith(ScheduleKeys.CALENDARS)) {
+                    String name = item.key().substring(ScheduleKeys.CALENDARS.length());
+                    calendars.put(name, Calendar.parse(item.value(), name));
+                } else if (item.key().startsWith(ScheduleKeys.TABLES)) {
+                    String name = item.key().substring(ScheduleKeys.TABLES.length());
+                    tables.put(name, item.version());
+                    metas.put(name, item.value());
                 } else {
-                    chunks.put(i.key(), i.value());
+                    chunks.put(item.key(), item.value());
                 }
             } catch (Malformed m) {
-                LOG.error("{} can't be read, left alone: {}", i.key(), m.getMessage());
+                LOG.error("{} can't be read, left alone: {}", item.key(), m.getMessage());
             }
         }
         Map<String, JsonNode> byId = new HashMap<>();
         Map<String, Revision> versions = new HashMap<>();
-        for (StoreClient.Item i : cursors) {
-            versions.put(i.key(), i.version());
-            String table = ScheduleKeys.tableOfCursor(i.key());
-            i.value()
+        for (StoreClient.Item item : cursors) {
+            versions.put(item.key(), item.version());
+            String table = ScheduleKeys.tableOfCursor(item.key());
+            item.value()
                     .fields()
-                    .forEachRemaining(f -> byId.merge(
-                            table + "\n" + f.getKey(),
-                            f.getValue(),
+                    .forEachRemaining(entry -> byId.merge(
+                            table + "\n" + entry.getKey(),
+                            entry.getValue(),
                             (a, b) -> a.path(0).asLong() >= b.path(0).asLong() ? a : b));
         }
         metas.forEach((table, meta) -> {
@@ -271,44 +272,44 @@
         LOG.info("{} cron tables with {} lines to come, {} calendars", tables.size(), waiting.size(), calendars.size());
     }
 
-    private void add(Shard shard, JsonNode n, Map<String, JsonNode> byId) {
+    private void add(Shard shard, JsonNode node, Map<String, JsonNode> byId) {
         try {
-            Line l = new Line(Entry.parse(shard.table, n), shard);
-            JsonNode cursor = byId.get(shard.table + "\n" + l.entry.id());
-            l.cursorS = Math.max(
-                    l.entry.since(), cursor == null ? 0 : cursor.path(0).asLong());
+            Line line = new Line(Entry.parse(shard.table, node), shard);
+            JsonNode cursor = byId.get(shard.table + "\n" + line.entry.id());
+            line.cursorS = Math.max(
+                    line.entry.since(), cursor == null ? 0 : cursor.path(0).asLong());
             if (cursor != null) {
-                l.last = JobRef.valid(cursor.path(1).asText())
+                line.last = JobRef.valid(cursor.path(1).asText())
                         ? new JobRef(cursor.path(1).asText())
                         : null;
-                l.firedS = cursor.path(2).asLong();
-                l.dropped = cursor.path(3).asInt();
+                line.firedS = cursor.path(2).asLong();
+                line.dropped = cursor.path(3).asInt();
             }
-            shard.lines.put(l.entry.id(), l);
-            schedule(l);
+            shard.lines.put(line.entry.id(), line);
+            schedule(line);
         } catch (Malformed m) {
             LOG.error("table {}: a line can't be read, left alone: {}", shard.table, m.getMessage());
         }
     }
 
-    private void watch(long e, Revision after) {
+    private void watch(long expectedEpoch, Revision after) {
         requests.take(turn.now(), 1);
-        store.changes(ScheduleKeys.DEFINITIONS, after, 10_000, c -> {
-            if (e != epoch) {
+        store.changes(ScheduleKeys.DEFINITIONS, after, 10_000, changes -> {
+            if (expectedEpoch != epoch) {
                 return;
             }
-            boolean changed =
-                    c.status() == 410 || (c.status() == 200 && !c.log().isEmpty());
+            boolean changed = changes.status() == 410
+                    || (changes.status() == 200 && !changes.log().isEmpty());
             if (changed) {
                 turn.after(200, () -> {
-                    if (e == epoch) {
+                    if (expectedEpoch == epoch) {
                         reload();
                     }
                 });
             } else {
-                turn.after(c.status() == 200 ? 0 : 500, () -> {
-                    if (e == epoch) {
-                        watch(e, c.revision());
+                turn.after(changes.status() == 200 ? 0 : 500, () -> {
+                    if (expectedEpoch == epoch) {
+                        watch(expectedEpoch, changes.revision());
                     }
                 });
             }
--- a/src/main/java/org/beechhoist/core/Schedules.java
+++ b/src/main/java/org/beechhoist/core/Schedules.java
@@ -99,9 +99,9 @@
         Instant now = lines.wall();
         Set<Shard> touched = new LinkedHashSet<>();
         lines.dueAt(now).forEach(l -> touched.add(l.shard));
-        for (Shard s : touched) {
-            if (!s.inFlight) {
-                fire(s, now);
+        for (Shard shard : touched) {
+            if (!shard.inFlight) {
+                fire(shard, now);
             }
         }
         logLate();
@@ -123,24 +123,25 @@
         List<Firing> firings = new ArrayList<>();
         Set<String> keys = new LinkedHashSet<>();
         int bytes = 0;
-        for (Line l : lines.due()) {
-            if (l.shard != shard) {
+        for (Line line : lines.due()) {
+            if (line.shard != shard) {
                 continue;
             }
             if (most < 3 || txn.ops() + 3 > most || bytes + RECORD_BYTES > MAX_BYTES) {
-                l.held = "the state service's writes are used up";
+                line.held = "the state service's writes are used up";
                 writes.missed(3);
                 continue;
             }
-            Firing f = decide(l, now);
-            if (f == null || (f.job != null && f.job.onceKey() != null && !keys.add(OnceKeys.place(f.job)))) {
+            Firing firing = decide(line, now);
+            if (firing == null
+                    || (firing.job != null && firing.job.onceKey() != null && !keys.add(OnceKeys.place(firing.job)))) {
                 continue;
             }
-            if (f.job != null) {
-                onceKeys.enter(txn, f.job, l.keyVersion, turn.wallMs());
+            if (firing.job != null) {
+                onceKeys.enter(txn, firing.job, line.keyVersion, turn.wallMs());
                 bytes += RECORD_BYTES;
             }
-            firings.add(f);
+            firings.add(firing);
         }
         if (!firings.isEmpty()) {
             commit(shard, txn, firings);
@@ -148,46 +149,46 @@
     }
 
     /** What becomes of a line's first occurrence; null where it has to wait, which {@code held} explains. */
-    private Firing decide(Line l, Instant now) {
-        Catchup c = Catchup.next(l.entry, lines.calendar(l), l.next, lines.servedSince(), now);
-        if (c.run() == null) {
-            return new Firing(l, c, null, null, "missed");
+    private Firing decide(Line line, Instant now) {
+        Catchup catchup = Catchup.next(line.entry, lines.calendar(line), line.next, lines.servedSince(), now);
+        if (catchup.run() == null) {
+            return new Firing(line, catchup, null, null, "missed");
         }
-        if (l.taken != null) {
-            return new Firing(l, c, null, l.taken, null);
+        if (line.taken != null) {
+            return new Firing(line, catchup, null, line.taken, null);
         }
-        Job last = l.last == null ? null : book.job(l.last);
+        Job last = line.last == null ? null : book.job(line.last);
         if (last != null && !last.cancelled()) {
-            switch (l.entry.overlap()) {
+            switch (line.entry.overlap()) {
                 case SKIP -> {
-                    return new Firing(l, c, null, null, "skipped: " + l.last + " is not over");
+                    return new Firing(line, catchup, null, null, "skipped: " + line.last + " is not over");
                 }
                 case QUEUE -> {
-                    l.held = "it waits for " + l.last;
+                    line.held = "it waits for " + line.last;
                     return null;
                 }
                 default -> {
-                    l.held = "it replaces " + l.last;
-                    if (!l.replacing) {
-                        l.replacing = true;
-                        users.replace(l.last, gone -> l.replacing = false);
+                    line.held = "it replaces " + line.last;
+                    if (!line.replacing) {
+                        line.replacing = true;
+                        users.replace(line.last, gone -> line.replacing = false);
                     }
                     return null;
                 }
             }
         }
         try {
-            JobSpec job = l.entry.job(c.run());
+            JobSpec job = line.entry.job(catchup.run());
             String never = users.judge(job);
             if (UserApi.later(never)) {
-                l.held = never;
+                line.held = never;
                 return null;
             }
             return never == null
-                    ? new Firing(l, c, users.bound(job), null, null)
-                    : new Firing(l, c, null, null, "refused: " + never);
+                    ? new Firing(line, catchup, users.bound(job), null, null)
+                    : new Firing(line, catchup, null, null, "refused: " + never);
         } catch (Malformed m) {
-            return new Firing(l, c, null, null, "refused: " + m.getMessage());
+            return new Firing(line, catchup, null, null, "refused: " + m.getMessage());
         }
     }
 
@@ -195,45 +196,45 @@
         Map<String, Firing> byId = new HashMap<>();
         firings.forEach(f -> byId.put(f.line.entry.id(), f));
         ObjectNode value = Codec.map();
-        shard.lines.forEach((id, l) -> {
-            Firing f = byId.get(id);
-            boolean runs = f != null && f.ref() != null;
-            ArrayNode row =
-                    Codec.list().add(f == null ? l.cursorS : f.catchup.cursor().getEpochSecond());
-            JobRef ref = runs ? f.ref() : l.last;
-            row.add(ref == null ? "" : ref.text()).add(runs ? turn.wallMs() / 1000 : l.firedS);
-            value.set(id, row.add(l.dropped + (f == null ? 0 : f.catchup.dropped() + (runs ? 0 : 1))));
+        shard.lines.forEach((id, line) -> {
+            Firing firing = byId.get(id);
+            boolean runs = firing != null && firing.ref() != null;
+            ArrayNode row = Codec.list()
+                    .add(firing == null ? line.cursorS : firing.catchup.cursor().getEpochSecond());
+            JobRef ref = runs ? firing.ref() : line.last;
+            row.add(ref == null ? "" : ref.text()).add(runs ? turn.wallMs() / 1000 : line.firedS);
+            value.set(id, row.add(line.dropped + (firing == null ? 0 : firing.catchup.dropped() + (runs ? 0 : 1))));
         });
         txn.put(shard.key, value);
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
         shard.inFlight = true;
-        long e = lines.epoch();
-        store.commit(txn, c -> {
-            if (e != lines.epoch()) {
+        long expectedEpoch = lines.epoch();
+        store.commit(txn, commit -> {
+            if (expectedEpoch != lines.epoch()) {
                 return;
             }
             shard.inFlight = false;
-            committed(c, shard, firings, value);
+            committed(commit, shard, firings, value);
         });
     }
 
-    private void committed(Commit c, Shard shard, List<Firing> firings, ObjectNode value) {
-        switch (c.result()) {
+    private void committed(Commit commit, Shard shard, List<Firing> firings, ObjectNode value) {
+        switch (commit.result()) {
             case DONE -> {
-                shard.version = c.revision();
+                shard.version = commit.revision();
                 for (Firing f : firings) {
                     moved(f, value.get(f.line.entry.id()));
                 }
             }
             case CONFLICT -> {
-                if (c.failed().contains(Election.KEY)) {
+                if (commit.failed().contains(Election.KEY)) {
                     election.lose("the key was rewritten");
-                } else if (sameWork(c, firings)) {
+                } else if (sameWork(commit, firings)) {
                     tick(); // the others need not wait
                 } else {
                     // Our own, late, or another table by now: read what is true and go on from there.
-                    LOG.info("cron: a transaction was overtaken on {}", c.failed());
+                    LOG.info("cron: a transaction was overtaken on {}", commit.failed());
                     lines.reload();
                 }
             }
@@ -243,86 +244,90 @@
         }
     }
 
-    private void moved(Firing f, JsonNode row) {
-        Line l = f.line;
-        long delay = turn.wallMs() - l.next.toEpochMilli();
-        String where = l.entry.table() + ", line " + l.entry.line() + ", "
-                + l.next.atZone(l.entry.zone()).toOffsetDateTime();
-        if (f.same != null) {
-            l.last = f.same;
-            LOG.info("{}: {} is the same work", where, f.same);
-        } else if (f.job != null) {
+    private void moved(Firing firing, JsonNode row) {
+        Line line = firing.line;
+        long delay = turn.wallMs() - line.next.toEpochMilli();
+        String where = line.entry.table() + ", line " + line.entry.line() + ", "
+                + line.next.atZone(line.entry.zone()).toOffsetDateTime();
+        if (firing.same != null) {
+            line.last = firing.same;
+            LOG.info("{}: {} is the same work", where, firing.same);
+        } else if (firing.job != null) {
             fired++;
-            longestDelayMs = Math.max(longestDelayMs, f.catchup.dropped() > 0 ? 0 : delay);
-            l.last = f.job.ref();
-            l.firedS = row.path(2).asLong();
+            longestDelayMs = Math.max(longestDelayMs, firing.catchup.dropped() > 0 ? 0 : delay);
+            line.last = firing.job.ref();
+            line.firedS = row.path(2).asLong();
             LOG.info(
                     "{}: {} enters, {} ms after its time{}",
                     where,
-                    f.job.ref(),
+                    firing.job.ref(),
                     delay,
-                    f.catchup.dropped() > 0 ? ", for " + (f.catchup.dropped() + 1) + " that were missed" : "");
+                    firing.catchup.dropped() > 0
+                            ? ", for " + (firing.catchup.dropped() + 1) + " that were missed"
+                            : "");
         } else {
             refused++;
-            LOG.warn("{}: {}", where, f.outcome);
+            LOG.warn("{}: {}", where, firing.outcome);
         }
-        l.cursorS = row.path(0).asLong();
-        l.dropped = row.path(3).asInt();
-        lines.due().remove(l);
-        lines.schedule(l);
+        line.cursorS = row.path(0).asLong();
+        line.dropped = row.path(3).asInt();
+        lines.due().remove(line);
+        lines.schedule(line);
     }
 
     /** A key or a ref that is taken: the work is there already, and the line goes on after it. */
-    private boolean sameWork(Commit c, List<Firing> firings) {
+    private boolean sameWork(Commit commit, List<Firing> firings) {
         boolean found = false;
-        for (Firing f : firings) {
-            if (f.job == null) {
+        for (Firing firing : firings) {
+            if (firing.job == null) {
                 continue;
             }
-            boolean same = c.failed().contains(JobRecord.openKey(f.job.ref()))
-                    || c.failed().contains(JobRecord.endedKey(f.job.ref()));
-            boolean key = f.job.onceKey() != null && c.failed().contains(OnceKeys.place(f.job));
+            boolean same = commit.failed().contains(JobRecord.openKey(firing.job.ref()))
+                    || commit.failed().contains(JobRecord.endedKey(firing.job.ref()));
+            boolean key = firing.job.onceKey() != null && commit.failed().contains(OnceKeys.place(firing.job));
             if (same || key) {
                 found = true;
-                settle(f, same ? f.job.ref() : null);
+                settle(firing, same ? firing.job.ref() : null);
             }
         }
         return found;
     }
 
     /** Learns whose work it is; the line's next transaction then moves it on, or takes over a key that has run out. */
-    private void settle(Firing f, JobRef known) {
-        Line l = f.line;
+    private void settle(Firing firing, JobRef known) {
+        Line line = firing.line;
         if (known != null) {
-            l.taken = known;
+            line.taken = known;
             return;
         }
-        lines.due().remove(l); // until that is known
-        long e = lines.epoch();
+        lines.due().remove(line); // until that is known
+        long expectedEpoch = lines.epoch();
         requests.take(turn.now(), 1);
-        store.get(OnceKeys.place(f.job), r -> {
-            if (e != lines.epoch()) {
+        store.get(OnceKeys.place(firing.job), read -> {
+            if (expectedEpoch != lines.epoch()) {
                 return;
             }
-            lines.due().add(l);
-            if (r.known()) {
-                l.taken = r.item() == null ? null : OnceKeys.owner(r.item().value(), turn.wallMs());
-                l.keyVersion = r.item() == null ? Revision.ABSENT : r.item().version();
+            lines.due().add(line);
+            if (read.known()) {
+                line.taken =
+                        read.item() == null ? null : OnceKeys.owner(read.item().value(), turn.wallMs());
+                line.keyVersion =
+                        read.item() == null ? Revision.ABSENT : read.item().version();
             }
             tick();
         });
     }
 
     private void logLate() {
-        for (Line l : lines.due()) {
-            if (turn.now().since(l.dueSince) > LATE_MS && !turn.now().before(l.nextLog)) {
-                l.nextLog = turn.now().plusMs(LATE_MS);
+        for (Line line : lines.due()) {
+            if (turn.now().since(line.dueSince) > LATE_MS && !turn.now().before(line.nextLog)) {
+                line.nextLog = turn.now().plusMs(LATE_MS);
                 LOG.warn(
                         "{}, line {}: due for {} s: {}",
-                        l.entry.table(),
-                        l.entry.line(),
-                        turn.now().since(l.dueSince) / 1000,
-                        l.held == null ? "its transaction is on its way" : l.held);
+                        line.entry.table(),
+                        line.entry.line(),
+                        turn.now().since(line.dueSince) / 1000,
+                        line.held == null ? "its transaction is on its way" : line.held);
             }
         }
     }
@@ -331,9 +336,9 @@
 
     /** Why a line that is due has not run, or null. */
     String held(String table, String id) {
-        for (Line l : lines.due()) {
-            if (l.entry.table().equals(table) && l.entry.id().equals(id)) {
-                return l.held;
+        for (Line line : lines.due()) {
+            if (line.entry.table().equals(table) && line.entry.id().equals(id)) {
+                return line.held;
             }
         }
         return null;
--- a/src/main/java/org/beechhoist/core/ServedFloor.java
+++ b/src/main/java/org/beechhoist/core/ServedFloor.java
@@ -97,11 +97,11 @@
     private void read() {
         long reign = book.reign();
         requests.take(turn.now(), 1);
-        store.get(ServedRecord.KEY, r -> {
+        store.get(ServedRecord.KEY, read -> {
             if (reign != book.reign()) {
                 return;
             }
-            if (!r.known()) {
+            if (!read.known()) {
                 turn.after(AGAIN_MS, () -> {
                     if (reign == book.reign()) {
                         read();
@@ -111,9 +111,9 @@
             }
             // Without a record the time before is unknown: jobs that were late by then count for nobody.
             countedUntilWallMs = turn.wallMs();
-            if (r.item() != null) {
+            if (read.item() != null) {
                 try {
-                    countedUntilWallMs = ServedRecord.read(r.item().value(), ledger, largest);
+                    countedUntilWallMs = ServedRecord.read(read.item().value(), ledger, largest);
                 } catch (Malformed e) {
                     LOG.warn("what was served before can't be read, it is counted anew: {}", e.getMessage());
                     ledger.clear();
@@ -125,45 +125,45 @@
     }
 
     /** By when the job counts as served, by the time of day. */
-    private long limitWallMs(Job j) {
-        long usual = j.record.submittedWallMs + ordering.servedWithinMs(j.spec());
-        return j.release == null
+    private long limitWallMs(Job job) {
+        long usual = job.record.submittedWallMs + ordering.servedWithinMs(job.spec());
+        return job.release == null
                 ? usual
-                : Math.max(usual, j.release.dueMs()); // until then it is not late, however long it waits
+                : Math.max(usual, job.release.dueMs()); // until then it is not late, however long it waits
     }
 
     /** The class and the team that a job counts for. */
-    static Set<String> groups(JobSpec s) {
-        return Set.of("class:" + s.jobClass(), "team:" + s.team());
+    static Set<String> groups(JobSpec spec) {
+        return Set.of("class:" + spec.jobClass(), "team:" + spec.team());
     }
 
     /** The same, the maker whose release it counts for, and its class's largest where it is one of them. */
-    Set<String> groups(Job j) {
+    Set<String> groups(Job job) {
         if (!known) {
-            return groups(j.spec());
+            return groups(job.spec());
         }
-        if (j.groups == null) {
-            JobSpec s = j.spec();
-            Set<String> all = new HashSet<>(groups(s));
-            if (j.release != null) {
-                all.add("maker:" + j.release.maker());
+        if (job.groups == null) {
+            JobSpec spec = job.spec();
+            Set<String> all = new HashSet<>(groups(spec));
+            if (job.release != null) {
+                all.add("maker:" + job.release.maker());
             }
-            all.addAll(largest.meet(s.jobClass(), s.tasks() * s.cpus() * Math.max(1, s.estimateS())));
-            j.groups = Set.copyOf(all);
+            all.addAll(largest.meet(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
+            job.groups = Set.copyOf(all);
         }
-        return j.groups;
+        return job.groups;
     }
 
     /** The job is over, by its tasks. */
-    void ended(Job j) {
-        if (known && !j.cancelled() && counted.add(j.ref())) {
-            count(j, turn.wallMs() <= limitWallMs(j));
+    void ended(Job job) {
+        if (known && !job.cancelled() && counted.add(job.ref())) {
+            count(job, turn.wallMs() <= limitWallMs(job));
         }
-        counted.remove(j.ref());
+        counted.remove(job.ref());
     }
 
-    private void count(Job j, boolean served) {
-        groups(j).forEach(g -> ledger.count(g, turn.wallMs(), served));
+    private void count(Job job, boolean served) {
+        groups(job).forEach(g -> ledger.count(g, turn.wallMs(), served));
     }
 
     /** Counts whose time is up, decides who goes first, and stores the counts now and then. */
@@ -173,69 +173,69 @@
         }
         List<Floor.Waiting> waiting = new ArrayList<>();
         Set<String> guaranteed = new HashSet<>();
-        for (Job j : book.jobs()) {
-            if (j.guaranteed && j.hold == null && !j.cancelled() && j.record.waitingCount() > 0) {
-                guaranteed.add(j.spec().team());
+        for (Job job : book.jobs()) {
+            if (job.guaranteed && job.hold == null && !job.cancelled() && job.record.waitingCount() > 0) {
+                guaranteed.add(job.spec().team());
             }
         }
-        for (Job j : book.jobs()) {
-            long limit = limitWallMs(j);
-            if (j.hold != null) {
-                counted.add(j.ref()); // its waiting is on nobody's account, also when it goes on
+        for (Job job : book.jobs()) {
+            long limit = limitWallMs(job);
+            if (job.hold != null) {
+                counted.add(job.ref()); // its waiting is on nobody's account, also when it goes on
             }
-            if (j.cancelled() || j.hold != null) {
+            if (job.cancelled() || job.hold != null) {
                 continue;
             }
-            if (j.spec().service()) {
-                service(j, limit);
+            if (job.spec().service()) {
+                service(job, limit);
                 continue;
             }
-            groups(j);
+            groups(job);
             if (turn.wallMs() > limit) {
-                if (counted.add(j.ref()) && limit > countedUntilWallMs) {
-                    count(j, false);
+                if (counted.add(job.ref()) && limit > countedUntilWallMs) {
+                    count(job, false);
                 }
-            } else if (j.lifted
-                    || j.record.waitingCount() > 0
-                            && (j.guaranteed
-                                    || guaranteed.stream().allMatch(j.spec().team()::equals))) {
-                long ends = turn.wallMs() + estimates.lengthMs(j.spec());
-                waiting.add(new Floor.Waiting(j.ref(), groups(j), j.lifted, ends, limit));
+            } else if (job.lifted
+                    || job.record.waitingCount() > 0
+                            && (job.guaranteed
+                                    || guaranteed.stream().allMatch(job.spec().team()::equals))) {
+                long ends = turn.wallMs() + estimates.lengthMs(job.spec());
+                waiting.add(new Floor.Waiting(job.ref(), groups(job), job.lifted, ends, limit));
             }
         }
         Set<JobRef> before = lifted;
         lifted = Floor.lifted(ledger.shares(turn.wallMs()), waiting);
         Map<JobRef, Integer> aged = aged();
-        for (Job j : book.jobs()) {
-            Integer part = aged.get(j.ref());
-            if (part != null && !j.aged) {
+        for (Job job : book.jobs()) {
+            Integer part = aged.get(job.ref());
+            if (part != null && !job.aged) {
                 LOG.info(
                         "{} tasks of {} go first: nothing of it has begun for {} s",
                         part,
-                        j.ref(),
-                        (turn.wallMs() - j.record.submittedWallMs) / 1000);
+                        job.ref(),
+                        (turn.wallMs() - job.record.submittedWallMs) / 1000);
             }
-            j.aged = part != null;
-            j.firstUpTo = part == null ? 0 : j.record.live.size() + j.record.done.size() + part;
-            j.lifted = lifted.contains(j.ref());
-            if (j.lifted && !before.contains(j.ref())) {
+            job.aged = part != null;
+            job.firstUpTo = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
+            job.lifted = lifted.contains(job.ref());
+            if (job.lifted && !before.contains(job.ref())) {
                 LOG.info(
                         "{} goes first: its class {}, team {} or class's largest are below its half",
-                        j.ref(),
-                        j.spec().jobClass(),
-                        j.spec().team());
+                        job.ref(),
+                        job.spec().jobClass(),
+                        job.spec().team());
             }
         }
         write();
     }
 
     /** A service is served once all of it runs in time; how long it then goes on is its user's matter. */
-    private void service(Job j, long limit) {
-        boolean runs = j.record.live.size() == j.spec().tasks()
-                && j.record.live.values().stream().allMatch(p -> p.running != null);
+    private void service(Job job, long limit) {
+        boolean runs = job.record.live.size() == job.spec().tasks()
+                && job.record.live.values().stream().allMatch(p -> p.running != null);
         boolean late = turn.wallMs() > limit;
-        if ((runs || late) && limit > countedUntilWallMs && counted.add(j.ref())) {
-            count(j, !late);
+        if ((runs || late) && limit > countedUntilWallMs && counted.add(job.ref())) {
+            count(job, !late);
         }
     }
 
@@ -245,28 +245,28 @@
         for (Host h : book.hosts()) {
             all += h.up && !h.returning ? cpus.applyAsDouble(h) : 0;
         }
-        for (Job j : book.jobs()) {
-            if (!j.cancelled()
-                    && j.hold == null
-                    && !j.suspect()
-                    && j.notBefore.ms() <= turn.now().ms()
-                    && (j.aged || !j.begun())
-                    && groups(j).stream().anyMatch(Largest::ofSize)) {
-                long first = j.record.live.values().stream()
+        for (Job job : book.jobs()) {
+            if (!job.cancelled()
+                    && job.hold == null
+                    && !job.suspect()
+                    && job.notBefore.ms() <= turn.now().ms()
+                    && (job.aged || !job.begun())
+                    && groups(job).stream().anyMatch(Largest::ofSize)) {
+                long first = job.record.live.values().stream()
                         .mapToLong(p -> turn.now().since(p.since))
                         .max()
                         .orElse(0);
-                JobSpec s = j.spec();
-                boolean whole = s.gang() || s.service() || s.sameZone() || s.apart();
+                JobSpec spec = job.spec();
+                boolean whole = spec.gang() || spec.service() || spec.sameZone() || spec.apart();
                 waiting.add(new Aged.Waiting(
-                        j.ref(),
-                        j.record.submittedWallMs,
+                        job.ref(),
+                        job.record.submittedWallMs,
                         whole,
-                        s.tasks(),
-                        j.record.live.size() + j.record.done.size(),
+                        spec.tasks(),
+                        job.record.live.size() + job.record.done.size(),
                         first,
-                        j.record.waitingCount(),
-                        s.cpus()));
+                        job.record.waitingCount(),
+                        spec.cpus()));
             }
         }
         return Aged.first(waiting, all, turn.wallMs());
@@ -299,14 +299,14 @@
     ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("served");
-        ledger.shares(turn.wallMs()).forEach((group, s) -> {
+        ledger.shares(turn.wallMs()).forEach((group, share) -> {
             int colon = group.indexOf(':');
             rows.addObject()
                     .put("kind", group.substring(0, colon))
                     .put("name", group.substring(colon + 1))
-                    .put("asked", s.asked())
-                    .put("served", s.served())
-                    .put("share", s.value());
+                    .put("asked", share.asked())
+                    .put("served", share.served())
+                    .put("share", share.value());
         });
         ArrayNode first = out.putArray("lifted");
         lifted.forEach(r -> first.add(r.text()));
--- a/src/main/java/org/beechhoist/core/Shares.java
+++ b/src/main/java/org/beechhoist/core/Shares.java
@@ -28,31 +28,33 @@
 
     /** @param total changes a second for all nodes together; {@code wants} of all nodes, the asking one first */
     static double of(double total, List<Want> wants) {
-        int n = wants.size();
-        double[] part = new double[n];
-        double[] open = new double[n];
-        double[] got = new double[n];
+        int nodes = wants.size();
+        double[] part = new double[nodes];
+        double[] open = new double[nodes];
+        double[] got = new double[nodes];
         long others = wants.stream().filter(w -> !w.leads).count();
-        for (int i = 0; i < n; i++) {
-            Want w = wants.get(i);
-            boolean led = others < n;
+        for (int i = 0; i < nodes; i++) {
+            Want want = wants.get(i);
+            boolean led = others < nodes;
             part[i] = !led
-                    ? total / n
-                    : w.leads ? (others == 0 ? total : LEADER * total) / (n - others) : (1 - LEADER) * total / others;
-            open[i] = w.perSecond < 0 ? part[i] : w.perSecond;
+                    ? total / nodes
+                    : want.leads
+                            ? (others == 0 ? total : LEADER * total) / (nodes - others)
+                            : (1 - LEADER) * total / others;
+            open[i] = want.perSecond < 0 ? part[i] : want.perSecond;
         }
         double left = total;
         // Rounds of filling up: each gives the unsatisfied their parts of what is left.
-        for (int round = 0; round < n && left > 1e-9; round++) {
+        for (int round = 0; round < nodes && left > 1e-9; round++) {
             double weights = 0;
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < nodes; i++) {
                 weights += open[i] > 1e-9 ? part[i] : 0;
             }
             if (weights <= 0) {
                 break;
             }
             double given = 0;
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < nodes; i++) {
                 double more = open[i] > 1e-9 ? Math.min(open[i], left * part[i] / weights) : 0;
                 got[i] += more;
                 open[i] -= more;
--- a/src/main/java/org/beechhoist/core/Silence.java
+++ b/src/main/java/org/beechhoist/core/Silence.java
@@ -100,30 +100,30 @@
         int up = 0;
         int silent = 0;
         List<Host> early = new ArrayList<>();
-        for (Host h : book.hosts()) {
-            if (!expected(h) || h.returning) {
+        for (Host machine : book.hosts()) {
+            if (!expected(machine) || machine.returning) {
                 continue;
             }
-            long quiet = turn.now().since(book.heard(h));
-            if (!h.there && !h.listedUp && h.placements.isEmpty()) {
-                ask(h); // nothing but a report tells of it, which may be a copy: it counts for no zone
+            long quiet = turn.now().since(book.heard(machine));
+            if (!machine.there && !machine.listedUp && machine.placements.isEmpty()) {
+                ask(machine); // nothing but a report tells of it, which may be a copy: it counts for no zone
                 continue;
             }
-            Zone z = zones.computeIfAbsent(String.valueOf(h.zone), k -> new Zone());
+            Zone zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new Zone());
             up++;
-            z.up++;
-            boolean dark = quiet > lateMs() || h.ears.deaf();
-            z.dark += dark ? 1 : 0;
+            zone.up++;
+            boolean dark = quiet > lateMs() || machine.ears.deaf();
+            zone.dark += dark ? 1 : 0;
             silent += dark ? 1 : 0;
-            if (h.ears.missed() > 0 && !h.ears.deaf()) {
-                ask(h); // one lost message may be the way's fault; a second is not waited for
+            if (machine.ears.missed() > 0 && !machine.ears.deaf()) {
+                ask(machine); // one lost message may be the way's fault; a second is not waited for
             }
             if (quiet > lateMs()) {
-                ask(h);
-            } else if (starting.asksEarly(h)) {
-                early.add(h);
-            } else if (h.lastCheckin != null) {
-                h.unanswered = 0;
+                ask(machine);
+            } else if (starting.asksEarly(machine)) {
+                early.add(machine);
+            } else if (machine.lastCheckin != null) {
+                machine.unanswered = 0;
             }
         }
         early.sort(Comparator.comparingInt(
@@ -133,82 +133,87 @@
     }
 
     /** Machines that should report: also those that never did to this leadership, but hold tasks or are listed as running. */
-    private static boolean expected(Host h) {
-        return h.up || h.listedUp || !h.placements.isEmpty();
+    private static boolean expected(Host machine) {
+        return machine.up || machine.listedUp || !machine.placements.isEmpty();
     }
 
-    private void ask(Host h) {
-        if (h.asked || asked >= MOST_ASKED || h.unanswered >= ENOUGH || h.address == null || !starting.mayAsk(h)) {
+    private void ask(Host machine) {
+        if (machine.asked
+                || asked >= MOST_ASKED
+                || machine.unanswered >= ENOUGH
+                || machine.address == null
+                || !starting.mayAsk(machine)) {
             return;
         }
-        h.asked = true;
+        machine.asked = true;
         asked++;
-        long shift = h.shift;
-        long counter = h.counter;
+        long shift = machine.shift;
+        long counter = machine.counter;
         long reign = book.reign();
-        turn.command(election.validUntil(), Calls.Target.HOST, h.address, "GET", "/show", null, ANSWER_MS, o -> {
-            if (reign != book.reign()) {
-                return;
-            }
-            asked--;
-            starting.answered();
-            h.asked = false;
-            answered(h, o, shift, counter);
-        });
+        turn.command(
+                election.validUntil(), Calls.Target.HOST, machine.address, "GET", "/show", null, ANSWER_MS, result -> {
+                    if (reign != book.reign()) {
+                        return;
+                    }
+                    asked--;
+                    starting.answered();
+                    machine.asked = false;
+                    answered(machine, result, shift, counter);
+                });
     }
 
     /** @param shift the newest message known when the question was sent, and {@code counter} */
-    private void answered(Host h, Outcome o, long shift, long counter) {
-        HostReport r = null;
+    private void answered(Host machine, Outcome result, long shift, long counter) {
+        HostReport heartbeat = null;
         try {
-            r = o.ok() ? HostReport.parse(o.body()) : null;
+            heartbeat = result.ok() ? HostReport.parse(result.body()) : null;
         } catch (Malformed e) {
-            LOG.debug("{}: strange report: {}", h.id, e.getMessage());
+            LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
         }
-        if (r == null || !r.host().equals(h.id)) { // another machine may have its address
-            if (o.kind() != Outcome.Kind.NOT_SENT) {
-                h.unanswered++;
-                h.missed(turn.now(), turn.late());
+        if (heartbeat == null || !heartbeat.host().equals(machine.id)) { // another machine may have its address
+            if (result.kind() != Outcome.Kind.NOT_SENT) {
+                machine.unanswered++;
+                machine.missed(turn.now(), turn.late());
             }
             return;
         }
-        h.unanswered = 0;
-        h.answersAt = turn.now();
-        h.answers(turn.now());
-        if (r.newerThan(h.shift, h.counter)) {
-            h.newest(r, turn.now());
-        } else if (!r.newerThan(shift, counter)) {
-            beganAnew.accept(h, r);
+        machine.unanswered = 0;
+        machine.answersAt = turn.now();
+        machine.answers(turn.now());
+        if (heartbeat.newerThan(machine.shift, machine.counter)) {
+            machine.newest(heartbeat, turn.now());
+        } else if (!heartbeat.newerThan(shift, counter)) {
+            beganAnew.accept(machine, heartbeat);
         }
     }
 
     /** Whether a machine that does not hear is to be returned for that. */
-    boolean deaf(Host h) {
-        Zone z = zones.get(String.valueOf(h.zone));
-        return h.ears.givenUp(
-                h.placedAndSeen(false),
-                h.placedAndSeen(true),
-                blind || z != null && z.dark(),
+    boolean deaf(Host machine) {
+        Zone zone = zones.get(String.valueOf(machine.zone));
+        return machine.ears.givenUp(
+                machine.placedAndSeen(false),
+                machine.placedAndSeen(true),
+                blind || zone != null && zone.dark(),
                 settings.workers().leaseMs(),
                 turn.now());
     }
 
     /** Whether the machine is to be returned for its silence. */
-    boolean gone(Host h) {
-        long quiet = turn.now().since(book.heard(h));
-        Zone z = zones.get(String.valueOf(h.zone));
-        if (turn.now().before(h.mayAnswerUntil)) {
+    boolean gone(Host machine) {
+        long quiet = turn.now().since(book.heard(machine));
+        Zone zone = zones.get(String.valueOf(machine.zone));
+        if (turn.now().before(machine.mayAnswerUntil)) {
             return false;
         }
-        if (h.ears.speaksOn()) {
+        if (machine.ears.speaksOn()) {
             return quiet > settings.workers().leaseMs(); // it goes round all nodes, and is heard here the less for that
         }
-        if (blind || (z != null && z.dark())) {
+        if (blind || (zone != null && zone.dark())) {
             return quiet > settings.workers().leaseMs();
         }
-        if (quiet <= Math.min(policy.silentMs(), missedMs()) || turn.now().since(h.answersAt) < lateMs()) {
+        if (quiet <= Math.min(policy.silentMs(), missedMs()) || turn.now().since(machine.answersAt) < lateMs()) {
             return false;
         }
-        return quiet > missedMs() || h.unanswered >= ENOUGH;
+        return quiet > missedMs() || machine.unanswered >= ENOUGH;
     }
 }
--- a/src/main/java/org/beechhoist/core/Starting.java
+++ b/src/main/java/org/beechhoist/core/Starting.java
@@ -85,47 +85,55 @@
         int heard = 0;
         int doubt = 0;
         int waiting = 0;
-        for (Host h : book.hosts()) {
-            boolean spoke = h.lastCheckin != null;
-            if (spoke || (h.listedUp || !h.placements.isEmpty()) && presence(h) != Presence.Verdict.DOUBTED) {
+        for (Host machine : book.hosts()) {
+            boolean spoke = machine.lastCheckin != null;
+            if (spoke
+                    || (machine.listedUp || !machine.placements.isEmpty())
+                            && presence(machine) != Presence.Verdict.DOUBTED) {
                 expected++;
                 heard += spoke ? 1 : 0;
             }
-            doubt += spoke ? h.inDoubt : h.placements.size();
-            waiting += h.outbox.size();
+            doubt += spoke ? machine.inDoubt : machine.placements.size();
+            waiting += machine.outbox.size();
         }
         return new Progression.Facts(true, listed, expected, heard, doubt, waiting);
     }
 
     // ---- machines that have not spoken ----
 
-    private Presence.Verdict presence(Host h) {
+    private Presence.Verdict presence(Host machine) {
         return Presence.of(
-                new Presence.Unheard(!h.placements.isEmpty(), h.listedUp, h.unanswered, h.answersAt != Tick.ZERO),
+                new Presence.Unheard(
+                        !machine.placements.isEmpty(),
+                        machine.listedUp,
+                        machine.unanswered,
+                        machine.answersAt != Tick.ZERO),
                 turn.now().since(progression.began()),
                 Progression.allReportedMs(reportMs));
     }
 
     /** Whether the plan should not count on the machine: it has not spoken, and should have, or does not answer. */
-    boolean doubted(Host h) {
-        return h.lastCheckin == null && presence(h) == Presence.Verdict.DOUBTED;
+    boolean doubted(Host machine) {
+        return machine.lastCheckin == null && presence(machine) == Presence.Verdict.DOUBTED;
     }
 
     /** Whether the machine is to be asked though its report is not late yet. */
-    boolean asksEarly(Host h) {
-        return h.lastCheckin == null && progression.gathering(turn.now()) && presence(h) != Presence.Verdict.COUNTED_ON;
+    boolean asksEarly(Host machine) {
+        return machine.lastCheckin == null
+                && progression.gathering(turn.now())
+                && presence(machine) != Presence.Verdict.COUNTED_ON;
     }
 
     // ---- what may be sent ----
 
     /** Whether a question may be sent to the machine now. */
-    boolean mayAsk(Host h) {
-        return over() || pace.take(Pace.Kind.QUESTION, h.zone, turn.now());
+    boolean mayAsk(Host machine) {
+        return over() || pace.take(Pace.Kind.QUESTION, machine.zone, turn.now());
     }
 
     /** Whether the orders that wait for the machine may be sent straight to it now; they go with the answer to its report otherwise. */
-    boolean mayCommand(Host h) {
-        return over() || pace.take(kind(h), h.zone, turn.now());
+    boolean mayCommand(Host machine) {
+        return over() || pace.take(kind(machine), machine.zone, turn.now());
     }
 
     /** A question or command has been answered, or given up. */
@@ -133,10 +141,10 @@
         pace.over();
     }
 
-    private Pace.Kind kind(Host h) {
-        for (Placement p : h.placements.values()) {
-            Job j = book.job(p.task.job());
-            if (j != null && (j.cancelled() || Recovery.urgent(j))) {
+    private Pace.Kind kind(Host machine) {
+        for (Placement placement : machine.placements.values()) {
+            Job job = book.job(placement.task.job());
+            if (job != null && (job.cancelled() || Recovery.urgent(job))) {
                 return Pace.Kind.URGENT;
             }
         }
@@ -145,7 +153,7 @@
 
     /** For operators: see docs/operations/start.md. */
     ObjectNode view() {
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("phase", progression.phase().name().toLowerCase(Locale.ROOT))
                 .put("agoS", turn.now().since(progression.began()) / 1000.0)
                 .put("heard", facts.heard())
@@ -157,8 +165,8 @@
                 .put("ordersPerSecond", pace.perSecond())
                 .put("overInS", progression.longestLeftMs(turn.now()) / 1000.0);
         if (progression.read() != null) {
-            n.put("readAfterS", progression.read().since(progression.began()) / 1000.0);
+            node.put("readAfterS", progression.read().since(progression.began()) / 1000.0);
         }
-        return n;
+        return node;
     }
 }
--- a/src/main/java/org/beechhoist/core/StatusReads.java
+++ b/src/main/java/org/beechhoist/core/StatusReads.java
@@ -116,48 +116,49 @@
         Map<JobRef, Known> asked = new LinkedHashMap<>();
         Txn txn = new Txn();
         List<Poll> polls = new ArrayList<>();
-        for (Poll p : batch) {
-            Known k = asked.get(p.ref);
-            if (k == null && asked.size() == mostGuards) {
-                waiting.add(p);
+        for (Poll poll : batch) {
+            Known version = asked.get(poll.ref);
+            if (version == null && asked.size() == mostGuards) {
+                waiting.add(poll);
                 continue;
             }
-            if (k == null) {
-                k = known.get(p.ref);
-                if (k == null) {
-                    p.then.accept(Result.READ, null);
+            if (version == null) {
+                version = known.get(poll.ref);
+                if (version == null) {
+                    poll.then.accept(Result.READ, null);
                     continue;
                 }
-                asked.put(p.ref, k);
-                txn.guard(JobRecord.openKey(p.ref), k.version);
+                asked.put(poll.ref, version);
+                txn.guard(JobRecord.openKey(poll.ref), version.version);
             }
-            polls.add(p);
+            polls.add(poll);
         }
         if (polls.isEmpty()) {
             ask();
             return;
         }
         asking = true;
-        store.commit(txn, c -> {
+        store.commit(txn, commit -> {
             asking = false;
-            answered(c, asked, polls);
+            answered(commit, asked, polls);
             ask();
         });
     }
 
-    private void answered(Commit c, Map<JobRef, Known> asked, List<Poll> polls) {
-        for (Poll p : polls) {
-            switch (c.result()) {
-                case DONE -> p.then.accept(Result.SAME, asked.get(p.ref).state.deepCopy());
+    private void answered(Commit commit, Map<JobRef, Known> asked, List<Poll> polls) {
+        for (Poll poll : polls) {
+            switch (commit.result()) {
+                case DONE ->
+                    poll.then.accept(Result.SAME, asked.get(poll.ref).state.deepCopy());
                 case CONFLICT -> {
-                    if (c.failed().contains(JobRecord.openKey(p.ref))) {
-                        forget(p.ref);
-                        p.then.accept(Result.READ, null);
+                    if (commit.failed().contains(JobRecord.openKey(poll.ref))) {
+                        forget(poll.ref);
+                        poll.then.accept(Result.READ, null);
                     } else {
-                        waiting.add(p); // whether all that failed are named is not said: asked again without those
+                        waiting.add(poll); // whether all that failed are named is not said: asked again without those
                     }
                 }
-                default -> p.then.accept(Result.REFUSED, null);
+                default -> poll.then.accept(Result.REFUSED, null);
             }
         }
     }
--- a/src/main/java/org/beechhoist/core/Stopping.java
+++ b/src/main/java/org/beechhoist/core/Stopping.java
@@ -23,37 +23,37 @@
     }
 
     /** Has a task stopped, with time to save; sent with the host's next orders. */
-    void stop(Placement p, Cause cause) {
-        stop(p, book.job(p.task.job()).spec().saveS(), cause);
+    void stop(Placement placement, Cause cause) {
+        stop(placement, book.job(placement.task.job()).spec().saveS(), cause);
     }
 
     /** The same with so long to save; 0: at once. */
-    void stop(Placement p, double graceS, Cause cause) {
-        if (!p.killSent) {
-            disruptions.happened(p, cause);
+    void stop(Placement placement, double graceS, Cause cause) {
+        if (!placement.killSent) {
+            disruptions.happened(placement, cause);
         }
-        p.killSent = true;
-        book.host(p.host).outbox.add(Order.kill(p.task, p.attempt, graceS));
+        placement.killSent = true;
+        book.host(placement.host).outbox.add(Order.kill(placement.task, placement.attempt, graceS));
     }
 
     /** Has a task stopped at once, for another's sake. */
-    void makeRoom(Placement p, Job forJob) {
-        LOG.info("{} try {} on {} makes room for {}", p.task, p.attempt, p.host, forJob.ref());
-        stop(p, Cause.PREEMPTION);
-        orders.direct(book.host(p.host));
+    void makeRoom(Placement placement, Job forJob) {
+        LOG.info("{} try {} on {} makes room for {}", placement.task, placement.attempt, placement.host, forJob.ref());
+        stop(placement, Cause.PREEMPTION);
+        orders.direct(book.host(placement.host));
     }
 
     /** A gang that has lost a task can't go on: the others make room, and all of it starts anew. */
-    void endWithGang(Placement p) {
-        if (p.sent && !p.killSent) {
-            stop(p, Cause.GANG);
+    void endWithGang(Placement placement) {
+        if (placement.sent && !placement.killSent) {
+            stop(placement, Cause.GANG);
         }
     }
 
     /** Its machine is gone, and it with it. */
-    void lostWithMachine(Placement p) {
-        if (p.sent && !p.killSent) {
-            disruptions.happened(p, Cause.MACHINE);
+    void lostWithMachine(Placement placement) {
+        if (placement.sent && !placement.killSent) {
+            disruptions.happened(placement, Cause.MACHINE);
         }
     }
 }
--- a/src/main/java/org/beechhoist/core/TaskLog.java
+++ b/src/main/java/org/beechhoist/core/TaskLog.java
@@ -66,9 +66,9 @@
             return;
         }
         slots.set(slot);
-        Segment s = new Segment(number, slot, new HashSet<>(jobs));
-        inUse.put(number, s);
-        jobs.forEach(j -> byJob.computeIfAbsent(j, k -> new ArrayDeque<>(2)).add(s));
+        Segment segment = new Segment(number, slot, new HashSet<>(jobs));
+        inUse.put(number, segment);
+        jobs.forEach(j -> byJob.computeIfAbsent(j, k -> new ArrayDeque<>(2)).add(segment));
     }
 
     /** The job has ended, or its record says all that the log does. */
@@ -77,11 +77,11 @@
         if (of == null) {
             return;
         }
-        for (Segment s : of) {
-            s.jobs.remove(job);
-            if (s.jobs.isEmpty()) {
-                inUse.remove(s.number);
-                slots.clear(s.slot);
+        for (Segment segment : of) {
+            segment.jobs.remove(job);
+            if (segment.jobs.isEmpty()) {
+                inUse.remove(segment.number);
+                slots.clear(segment.slot);
             }
         }
     }
@@ -102,11 +102,11 @@
     /** The jobs that keep the oldest segments in use, about so many. */
     Set<JobRef> oldest(int most) {
         Set<JobRef> out = new LinkedHashSet<>();
-        for (Segment s : inUse.values()) {
+        for (Segment segment : inUse.values()) {
             if (out.size() >= most) {
                 break;
             }
-            out.addAll(s.jobs);
+            out.addAll(segment.jobs);
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/core/Turn.java
+++ b/src/main/java/org/beechhoist/core/Turn.java
@@ -81,10 +81,10 @@
         effects.add(new Effect.Call(id, target, address, method, path, body, timeoutMs, until));
     }
 
-    void outcome(long id, Outcome o) {
+    void outcome(long id, Outcome result) {
         Consumer<Outcome> then = waiting.remove(id);
         if (then != null) {
-            then.accept(o);
+            then.accept(result);
         }
     }
 
@@ -100,13 +100,13 @@
     void runTimers() {
         boolean first = true;
         while (!timers.isEmpty() && !now.before(timers.peek().at)) {
-            Timer t = timers.poll();
+            Timer timer = timers.poll();
             if (first) {
                 // The longest wait of those due; it fades, for one slow turn says little of the next.
-                lateMs = Math.max(FADES * lateMs, now.since(t.at));
+                lateMs = Math.max(FADES * lateMs, now.since(timer.at));
                 first = false;
             }
-            t.action.run();
+            timer.action.run();
         }
     }
 
--- a/src/main/java/org/beechhoist/core/Types.java
+++ b/src/main/java/org/beechhoist/core/Types.java
@@ -23,10 +23,10 @@
     }
 
     void start() {
-        turn.call(Calls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, o -> {
+        turn.call(Calls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
             boolean read = false;
-            if (o.ok() && o.body().path("hosttypes").isArray()) {
-                read = take(o.body().get("hosttypes"));
+            if (result.ok() && result.body().path("hosttypes").isArray()) {
+                read = take(result.body().get("hosttypes"));
             }
             turn.after(read ? REFRESH_MS : types.isEmpty() ? 1000 : 5000, this::start);
         });
@@ -34,9 +34,9 @@
 
     private boolean take(JsonNode list) {
         Map<String, HostType> next = new LinkedHashMap<>();
-        for (JsonNode n : list) {
+        for (JsonNode node : list) {
             try {
-                HostType t = HostType.parse(n);
+                HostType t = HostType.parse(node);
                 next.put(t.name(), t);
             } catch (Malformed e) {
                 if (!strangeLogged) {
--- a/src/main/java/org/beechhoist/core/UserApi.java
+++ b/src/main/java/org/beechhoist/core/UserApi.java
@@ -203,9 +203,9 @@
     }
 
     /** Why a job of a schedule can't enter, by the rules for every submission: for now ({@link #later}) or ever; or null. */
-    String judge(JobSpec s) {
-        KeySets.Binding b = bind(s);
-        return !types.known() ? TYPES : b == null ? KEYS : b.refusal() != null ? b.refusal() : neverRuns(s);
+    String judge(JobSpec spec) {
+        KeySets.Binding b = bind(spec);
+        return !types.known() ? TYPES : b == null ? KEYS : b.refusal() != null ? b.refusal() : neverRuns(spec);
     }
 
     static boolean later(String why) {
@@ -213,25 +213,25 @@
     }
 
     /** A job that was judged well, bound to its key set if it needs one. */
-    JobSpec bound(JobSpec s) {
-        return s.pinned(bind(s).pin());
+    JobSpec bound(JobSpec spec) {
+        return spec.pinned(bind(spec).pin());
     }
 
     /** Null: nothing is known yet. */
-    private KeySets.Binding bind(JobSpec s) {
-        return keys == null ? UNBOUND : keys.bind(s);
+    private KeySets.Binding bind(JobSpec spec) {
+        return keys == null ? UNBOUND : keys.bind(spec);
     }
 
-    private String neverRuns(JobSpec s) {
-        Settings.Team team = settings.teams().get(s.team());
+    private String neverRuns(JobSpec spec) {
+        Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return "owner: unknown team";
         }
-        if (!s.fitsAny(types.all())) {
+        if (!spec.fitsAny(types.all())) {
             return "a task fits no allowed machine type";
         }
-        int together = s.service() || s.gang() ? s.tasks() : 1;
-        if (together * s.cpus() > team.cpusMax() + 1e-6 || together * s.gpus() > team.gpusMax() + 1e-6) {
+        int together = spec.service() || spec.gang() ? spec.tasks() : 1;
+        if (together * spec.cpus() > team.cpusMax() + 1e-6 || together * spec.gpus() > team.gpusMax() + 1e-6) {
             return "more than the team's limit";
         }
         return null;
@@ -255,14 +255,14 @@
             int puts = 0;
             Set<String> keys = new HashSet<>();
             while (!queue.isEmpty() && (batch.isEmpty() || puts + OnceKeys.puts(queue.get(0).spec) <= room)) {
-                Submission s = queue.get(0);
-                if (s.spec.onceKey() != null && !keys.add(OnceKeys.place(s.spec))) {
+                Submission submission = queue.get(0);
+                if (submission.spec.onceKey() != null && !keys.add(OnceKeys.place(submission.spec))) {
                     break; // the same work twice: the second is answered after the first
                 }
                 queue.remove(0);
-                boolean twin = batch.stream().anyMatch(o -> o.spec.ref().equals(s.spec.ref()));
-                (twin ? twins : batch).add(s);
-                puts += OnceKeys.puts(s.spec);
+                boolean twin = batch.stream().anyMatch(o -> o.spec.ref().equals(submission.spec.ref()));
+                (twin ? twins : batch).add(submission);
+                puts += OnceKeys.puts(submission.spec);
             }
             writes.take(turn.now(), puts);
             beside.take(turn.now(), puts);
@@ -277,29 +277,34 @@
             onceKeys.enter(txn, s.spec, s.key, turn.wallMs());
         }
         commits++;
-        store.commit(txn, c -> {
+        store.commit(txn, commit -> {
             commits--;
-            if (c.result() == Commit.Result.DONE) {
-                for (Submission s : batch) {
+            if (commit.result() == Commit.Result.DONE) {
+                for (Submission submission : batch) {
                     reads.remember(
-                            s.spec.ref(),
-                            c.revision(),
-                            JobStates.openState(s.spec.ref(), new JobRecord(s.spec, turn.wallMs()).toNode()));
-                    turn.answer(s.request, 201, JobStates.state(s.spec.ref(), "queued"));
+                            submission.spec.ref(),
+                            commit.revision(),
+                            JobStates.openState(
+                                    submission.spec.ref(), new JobRecord(submission.spec, turn.wallMs()).toNode()));
+                    turn.answer(submission.request, 201, JobStates.state(submission.spec.ref(), "queued"));
                 }
-            } else if (c.result() == Commit.Result.CONFLICT) {
-                for (Submission s : batch) {
-                    if (c.failed().contains(JobRecord.openKey(s.spec.ref()))
-                            || c.failed().contains(JobRecord.endedKey(s.spec.ref()))) {
-                        answerKnown(s.request, s.spec.ref());
-                    } else if (s.spec.onceKey() != null && c.failed().contains(OnceKeys.place(s.spec))) {
-                        sameWork(s);
-                    } else if (s.spec.pin() != null
-                            && c.failed().contains(KeyBook.SETS + s.spec.pin().set())) {
+            } else if (commit.result() == Commit.Result.CONFLICT) {
+                for (Submission submission : batch) {
+                    if (commit.failed().contains(JobRecord.openKey(submission.spec.ref()))
+                            || commit.failed().contains(JobRecord.endedKey(submission.spec.ref()))) {
+                        answerKnown(submission.request, submission.spec.ref());
+                    } else if (submission.spec.onceKey() != null
+                            && commit.failed().contains(OnceKeys.place(submission.spec))) {
+                        sameWork(submission);
+                    } else if (submission.spec.pin() != null
+                            && commit.failed()
+                                    .contains(
+                                            KeyBook.SETS + submission.spec.pin().set())) {
                         keys.overtaken(
-                                Set.of(KeyBook.SETS + s.spec.pin().set()), () -> enter(s.request, s.spec.pinned(null)));
+                                Set.of(KeyBook.SETS + submission.spec.pin().set()),
+                                () -> enter(submission.request, submission.spec.pinned(null)));
                     } else {
-                        queue.add(s);
+                        queue.add(submission);
                     }
                 }
             } else {
@@ -310,19 +315,20 @@
     }
 
     /** Its key is taken: the answer is the first one's, unless that is longer ago than its class says. */
-    private void sameWork(Submission s) {
+    private void sameWork(Submission submission) {
         requests.take(turn.now(), 1);
-        store.get(OnceKeys.place(s.spec), r -> {
-            JobRef owner = r.item() == null ? null : OnceKeys.owner(r.item().value(), turn.wallMs());
-            if (!r.known()) {
-                refuse(s.request, STORE);
+        store.get(OnceKeys.place(submission.spec), read -> {
+            JobRef owner =
+                    read.item() == null ? null : OnceKeys.owner(read.item().value(), turn.wallMs());
+            if (!read.known()) {
+                refuse(submission.request, STORE);
             } else if (owner != null) {
-                answerKnown(s.request, owner);
+                answerKnown(submission.request, owner);
             } else {
                 queue.add(new Submission(
-                        s.request,
-                        s.spec,
-                        r.item() == null ? Revision.ABSENT : r.item().version()));
+                        submission.request,
+                        submission.spec,
+                        read.item() == null ? Revision.ABSENT : read.item().version()));
                 flush();
             }
         });
@@ -472,17 +478,17 @@
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         String key = JobRecord.openKey(ref);
-        store.commit(new Txn().guard(key, open.version()).put(key, value), c -> {
-            if (c.result() == Commit.Result.DONE) {
+        store.commit(new Txn().guard(key, open.version()).put(key, value), commit -> {
+            if (commit.result() == Commit.Result.DONE) {
                 confirmed.accept(ref, at);
             }
-            then.accept(c);
+            then.accept(commit);
         });
     }
 
     private void mark(long request, JobRef ref, StoreClient.Item open, int races) {
-        commitCancel(ref, open, c -> {
-            switch (c.result()) {
+        commitCancel(ref, open, commit -> {
+            switch (commit.result()) {
                 case DONE -> answerCancelled(request, ref);
                 case CONFLICT -> cancel(request, ref, races + 1);
                 default -> refuse(request, STORE);
--- a/src/main/java/org/beechhoist/core/Views.java
+++ b/src/main/java/org/beechhoist/core/Views.java
@@ -20,28 +20,28 @@
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
         Plan plan = leader.planner().current();
-        for (Job j : leader.book().jobs()) {
+        for (Job job : leader.book().jobs()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
-            ObjectNode n = rows.addObject()
-                    .put("ref", j.ref().text())
-                    .put("class", j.spec().jobClass())
-                    .put("team", j.spec().team())
-                    .put("waiting", j.record.waitingCount())
-                    .put("placed", j.record.live.size())
-                    .put("done", j.record.done.size());
-            Long start = plan == null ? null : plan.plannedStart(j.ref());
+            ObjectNode node = rows.addObject()
+                    .put("ref", job.ref().text())
+                    .put("class", job.spec().jobClass())
+                    .put("team", job.spec().team())
+                    .put("waiting", job.record.waitingCount())
+                    .put("placed", job.record.live.size())
+                    .put("done", job.record.done.size());
+            Long start = plan == null ? null : plan.plannedStart(job.ref());
             if (start != null) {
-                n.put("startsInS", Math.max(0, (start - nowMs) / 1000.0));
+                node.put("startsInS", Math.max(0, (start - nowMs) / 1000.0));
             }
-            if (j.record.width != null) {
-                n.set("width", j.record.width.toNode());
+            if (job.record.width != null) {
+                node.set("width", job.record.width.toNode());
             }
-            if (Elastic.held(j) != null) {
-                n.put("reason", Elastic.held(j));
-            } else if (j.record.reason != null) {
-                n.put("reason", j.record.reason);
+            if (Elastic.held(job) != null) {
+                node.put("reason", Elastic.held(job));
+            } else if (job.record.reason != null) {
+                node.put("reason", job.record.reason);
             }
         }
         leader.elastic().counts().forEach((name, count) -> out.withObject("/elastic")
@@ -56,70 +56,73 @@
     static ObjectNode hosts(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
-        for (Host h : leader.book().hosts()) {
+        for (Host machine : leader.book().hosts()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
             rows.addObject()
-                    .put("host", h.id.text())
-                    .put("type", h.type)
-                    .put("zone", h.zone)
-                    .put("spot", h.spot)
+                    .put("host", machine.id.text())
+                    .put("type", machine.type)
+                    .put("zone", machine.zone)
+                    .put("spot", machine.spot)
                     .put(
                             "state",
-                            h.returning
+                            machine.returning
                                     ? "returning"
-                                    : !h.up ? "booting" : leader.admission().usable(h) ? "usable" : "avoided")
-                    .put("tasks", h.placements.size())
-                    .put("heardS", h.lastHeard == null ? null : (nowMs - h.lastHeard.ms()) / 1000.0);
+                                    : !machine.up
+                                            ? "booting"
+                                            : leader.admission().usable(machine) ? "usable" : "avoided")
+                    .put("tasks", machine.placements.size())
+                    .put("heardS", machine.lastHeard == null ? null : (nowMs - machine.lastHeard.ms()) / 1000.0);
         }
         return out;
     }
 
     static ObjectNode teams(Leader leader, Settings settings) {
         Map<String, double[]> sums = new HashMap<>();
-        for (Job j : leader.book().jobs()) {
-            double[] s = sums.computeIfAbsent(j.spec().team(), k -> new double[2]);
-            s[0] += j.record.live.size() * j.spec().cpus();
-            s[1] += j.cancelled() ? 0 : j.record.waitingCount() * j.spec().cpus();
+        for (Job job : leader.book().jobs()) {
+            double[] shares = sums.computeIfAbsent(job.spec().team(), k -> new double[2]);
+            shares[0] += job.record.live.size() * job.spec().cpus();
+            shares[1] +=
+                    job.cancelled() ? 0 : job.record.waitingCount() * job.spec().cpus();
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("teams");
-        for (Settings.Team t : settings.teams().values()) {
-            double[] s = sums.getOrDefault(t.name(), new double[2]);
+        for (Settings.Team team : settings.teams().values()) {
+            double[] shares = sums.getOrDefault(team.name(), new double[2]);
             rows.addObject()
-                    .put("team", t.name())
-                    .put("guaranteedCpus", t.cpus())
-                    .put("mostCpus", Double.isInfinite(t.cpusMax()) ? null : t.cpusMax())
-                    .put("usedCpus", s[0])
-                    .put("waitingCpus", s[1]);
+                    .put("team", team.name())
+                    .put("guaranteedCpus", team.cpus())
+                    .put("mostCpus", Double.isInfinite(team.cpusMax()) ? null : team.cpusMax())
+                    .put("usedCpus", shares[0])
+                    .put("waitingCpus", shares[1]);
         }
         return out;
     }
 
     /** Counts newer than the record's; a job that is over, or cancelled, stays what it is. */
-    static void counted(JobCount c, ObjectNode state) {
+    static void counted(JobCount jobCount, ObjectNode state) {
         String status = state.path("status").asText();
-        if (c == null || !(status.equals("queued") || status.equals("running"))) {
+        if (jobCount == null || !(status.equals("queued") || status.equals("running"))) {
             return;
         }
-        state.put("done", Math.max(c.done(), state.path("done").asInt()))
-                .put("running", c.running())
-                .put("status", c.running() > 0 ? "running" : "queued");
+        state.put("done", Math.max(jobCount.done(), state.path("done").asInt()))
+                .put("running", jobCount.running())
+                .put("status", jobCount.running() > 0 ? "running" : "queued");
     }
 
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
     static void promised(Leader leader, JobRef ref, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().current();
-        Job j = leader.book().job(ref);
-        if (plan == null || j == null) {
+        Job job = leader.book().job(ref);
+        if (plan == null || job == null) {
             return;
         }
         Long start = plan.plannedStart(ref);
         if (start != null && state.path("status").asText().equals("queued")) {
             state.put("startsInS", Math.max(0, (start - nowMs) / 1000.0));
         }
-        Long end = leader.planner().plannedEnd(j);
+        Long end = leader.planner().plannedEnd(job);
         if (end != null) {
             state.put("endsInS", Math.max(0, (end - nowMs) / 1000.0));
         }
--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -31,28 +31,28 @@
     private static final int MAX_NAME = 60;
 
     /** Why the day is closed, such as {@code holiday: Showa Day} or {@code Saturday}; null where it is open. */
-    public String closed(LocalDate d) {
-        String holiday = holidays.get(d);
+    public String closed(LocalDate date) {
+        String holiday = holidays.get(date);
         if (holiday != null) {
             return "holiday: " + holiday;
         }
-        if (business.contains(d.getDayOfWeek()) || workdays.containsKey(d)) {
+        if (business.contains(date.getDayOfWeek()) || workdays.containsKey(date)) {
             return null;
         }
-        return d.getDayOfWeek().getDisplayName(TextStyle.FULL, Locale.ROOT);
+        return date.getDayOfWeek().getDisplayName(TextStyle.FULL, Locale.ROOT);
     }
 
-    public static boolean validName(String s) {
-        return s != null && s.matches("[A-Za-z0-9_-]{1," + MAX_NAME + "}");
+    public static boolean validName(String text) {
+        return text != null && text.matches("[A-Za-z0-9_-]{1," + MAX_NAME + "}");
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map().put("name", name).put("version", version);
-        ArrayNode week = n.putArray("business");
+        ObjectNode node = Codec.map().put("name", name).put("version", version);
+        ArrayNode week = node.putArray("business");
         business.forEach(d -> week.add(d.name().substring(0, 3).toLowerCase(Locale.ROOT)));
-        days(n.putArray("holidays"), holidays);
-        days(n.putArray("workdays"), workdays);
-        return n;
+        days(node.putArray("holidays"), holidays);
+        days(node.putArray("workdays"), workdays);
+        return node;
     }
 
     private static void days(ArrayNode out, Map<LocalDate, String> days) {
@@ -60,42 +60,43 @@
     }
 
     /** Reads the form that {@link #toNode} writes, which is also that of a TOML file. */
-    public static Calendar parse(JsonNode n, String name) throws Malformed {
+    public static Calendar parse(JsonNode node, String name) throws Malformed {
         if (!validName(name)) {
             throw new Malformed("calendar = " + name + ": letters, digits, - and _ are expected, at most " + MAX_NAME);
         }
         Set<DayOfWeek> week = EnumSet.noneOf(DayOfWeek.class);
-        for (String s : n.has("business")
-                ? Codec.texts(n.get("business"), "business")
+        for (String text : node.has("business")
+                ? Codec.texts(node.get("business"), "business")
                 : java.util.List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun")) {
-            week.add(weekday(s));
+            week.add(weekday(text));
         }
         if (week.isEmpty()) {
             throw new Malformed("business = []: at least one weekday is expected");
         }
-        Calendar c = new Calendar(name, Codec.text(n, "version"), week, days(n, "holidays"), days(n, "workdays"));
-        if (c.holidays.size() + c.workdays.size() > MAX_DAYS) {
-            throw new Malformed("holidays: " + (c.holidays.size() + c.workdays.size()) + " days, at most " + MAX_DAYS
-                    + " are allowed; leave out years that are over");
+        Calendar calendar =
+                new Calendar(name, Codec.text(node, "version"), week, days(node, "holidays"), days(node, "workdays"));
+        if (calendar.holidays.size() + calendar.workdays.size() > MAX_DAYS) {
+            throw new Malformed("holidays: " + (calendar.holidays.size() + calendar.workdays.size()) + " days, at most "
+                    + MAX_DAYS + " are allowed; leave out years that are over");
         }
-        return c;
+        return calendar;
     }
 
-    private static DayOfWeek weekday(String s) throws Malformed {
-        for (DayOfWeek d : DayOfWeek.values()) {
-            if (s.length() >= 3 && d.name().startsWith(s.toUpperCase(Locale.ROOT))) {
-                return d;
+    private static DayOfWeek weekday(String text) throws Malformed {
+        for (DayOfWeek day : DayOfWeek.values()) {
+            if (text.length() >= 3 && day.name().startsWith(text.toUpperCase(Locale.ROOT))) {
+                return day;
             }
         }
-        throw new Malformed("business: " + s + ": mon to sun is expected");
+        throw new Malformed("business: " + text + ": mon to sun is expected");
     }
 
-    private static Map<LocalDate, String> days(JsonNode n, String field) throws Malformed {
+    private static Map<LocalDate, String> days(JsonNode node, String field) throws Malformed {
         Map<LocalDate, String> out = new TreeMap<>();
-        for (JsonNode d : n.path(field)) {
-            String date = d.path("date").asText();
+        for (JsonNode otherDate : node.path(field)) {
+            String date = otherDate.path("date").asText();
             try {
-                out.put(LocalDate.parse(date), Codec.text(d, "name"));
+                out.put(LocalDate.parse(date), Codec.text(otherDate, "name"));
             } catch (DateTimeException e) {
                 throw new Malformed(field + ".date = " + date + ": a date such as 2026-04-29 is expected");
             }
--- a/src/main/java/org/beechhoist/cron/CalendarFile.java
+++ b/src/main/java/org/beechhoist/cron/CalendarFile.java
@@ -47,46 +47,50 @@
         for (VEvent e : ics.getEvents()) {
             take(e, from, until, days);
         }
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put(
                         "version",
                         ics.getLastModified() != null
                                 ? ics.getLastModified().getValue().toInstant().toString()
                                 : "ics-" + Integer.toHexString(text.hashCode()));
         if (business != null) {
-            business.forEach(n.withArray("/business")::add);
+            business.forEach(node.withArray("/business")::add);
         }
-        days.forEach((d, what) ->
-                n.withArray("/holidays").addObject().put("date", d.toString()).put("name", what));
-        return Calendar.parse(n, name);
+        days.forEach((d, what) -> node.withArray("/holidays")
+                .addObject()
+                .put("date", d.toString())
+                .put("name", what));
+        return Calendar.parse(node, name);
     }
 
-    private static void take(VEvent e, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
+    private static void take(VEvent event, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
             throws Malformed {
-        String what = e.getSummary() == null ? "holiday" : e.getSummary().getValue();
-        if (e.getDateStart() == null || e.getDateStart().getValue().hasTime()) {
+        String what =
+                event.getSummary() == null ? "holiday" : event.getSummary().getValue();
+        if (event.getDateStart() == null || event.getDateStart().getValue().hasTime()) {
             throw new Malformed("event " + what + ": a whole day (DTSTART;VALUE=DATE) is expected");
         }
         ZoneId zone = ZoneId.systemDefault(); // how the library reads a date without a zone
-        LocalDate first = day(e.getDateStart().getValue(), zone);
-        LocalDate end =
-                e.getDateEnd() == null ? first.plusDays(1) : day(e.getDateEnd().getValue(), zone);
+        LocalDate first = day(event.getDateStart().getValue(), zone);
+        LocalDate end = event.getDateEnd() == null
+                ? first.plusDays(1)
+                : day(event.getDateEnd().getValue(), zone);
         long length = Math.max(1, end.toEpochDay() - first.toEpochDay());
-        DateIterator it = e.getDateIterator(TimeZone.getTimeZone(zone));
+        DateIterator it = event.getDateIterator(TimeZone.getTimeZone(zone));
         for (int i = 0; it.hasNext() && i < MOST_DAYS * 10; i++) {
-            LocalDate d = day(it.next(), zone);
-            if (!d.isBefore(until)) {
+            LocalDate date = day(it.next(), zone);
+            if (!date.isBefore(until)) {
                 return;
             }
             for (long k = 0; k < length && k < MOST_DAYS; k++) {
-                if (!d.plusDays(k).isBefore(from)) {
-                    days.put(d.plusDays(k), what);
+                if (!date.plusDays(k).isBefore(from)) {
+                    days.put(date.plusDays(k), what);
                 }
             }
         }
     }
 
-    private static LocalDate day(Date d, ZoneId zone) {
-        return Instant.ofEpochMilli(d.getTime()).atZone(zone).toLocalDate();
+    private static LocalDate day(Date date, ZoneId zone) {
+        return Instant.ofEpochMilli(date.getTime()).atZone(zone).toLocalDate();
     }
 }
--- a/src/main/java/org/beechhoist/cron/Catchup.java
+++ b/src/main/java/org/beechhoist/cron/Catchup.java
@@ -22,23 +22,23 @@
      * @param servedSince since when the present leader has known its schedules
      * @param first the first occurrence after the cursor, which is not after {@code now}
      */
-    public static Catchup next(Entry e, Calendar calendar, Instant first, Instant servedSince, Instant now) {
+    public static Catchup next(Entry entry, Calendar calendar, Instant first, Instant servedSince, Instant now) {
         Instant missedBefore = servedSince.minus(CHANGE);
         if (!first.isBefore(missedBefore)) {
             return new Catchup(first, first, 0);
         }
         // A single run stands for all until the return, also for one that would pass as late.
-        Instant end = e.missed() == Entry.Missed.ONCE ? servedSince : missedBefore;
+        Instant end = entry.missed() == Entry.Missed.ONCE ? servedSince : missedBefore;
         Instant upTo = end.isBefore(now) ? end : now;
-        List<Instant> missed = Occurrences.between(e, calendar, first.minusMillis(1), upTo, STEP);
+        List<Instant> missed = Occurrences.between(entry, calendar, first.minusMillis(1), upTo, STEP);
         Instant last = missed.get(missed.size() - 1);
         boolean more = missed.size() == STEP;
-        return switch (e.missed()) {
+        return switch (entry.missed()) {
             case NONE -> new Catchup(null, last, missed.size());
             case ONCE ->
                 more ? new Catchup(null, missed.get(STEP - 2), STEP - 1) : new Catchup(last, last, missed.size() - 1);
             case ALL -> {
-                int drop = more ? STEP - e.mostMissed() : missed.size() - e.mostMissed();
+                int drop = more ? STEP - entry.mostMissed() : missed.size() - entry.mostMissed();
                 yield drop > 0 ? new Catchup(null, missed.get(drop - 1), drop) : new Catchup(first, first, 0);
             }
         };
--- a/src/main/java/org/beechhoist/cron/CronTable.java
+++ b/src/main/java/org/beechhoist/cron/CronTable.java
@@ -93,16 +93,24 @@
         BaseErrorListener refuse = new BaseErrorListener() {
             @Override
             public void syntaxError(
-                    Recognizer<?, ?> r, Object symbol, int line, int column, String message, RecognitionException e) {
-                String found = symbol instanceof Token t && t.getType() == Token.EOF
+                    Recognizer<?, ?> recognizer,
+                    Object symbol,
+                    int line,
+                    int column,
+                    String message,
+                    RecognitionException recognitionException) {
+                String found = symbol instanceof Token token && token.getType() == Token.EOF
                         ? "the end"
-                        : symbol instanceof Token t && t.getType() == CrontabParser.NL
+                        : symbol instanceof Token offending && offending.getType() == CrontabParser.NL
                                 ? "the line's end"
-                                : symbol instanceof Token t ? "'" + t.getText() + "'" : message;
-                String may = e instanceof NoViableAltException
+                                : symbol instanceof Token otherOffending
+                                        ? "'" + otherOffending.getText() + "'"
+                                        : message;
+                String may = recognitionException instanceof NoViableAltException
                         ? ": a line such as 0 5 * * 1-5 JOB, or zone, calendar, team, job or NAME=value is expected"
-                        : r instanceof CrontabParser p
-                                ? ": " + p.getExpectedTokens().toString(p.getVocabulary()) + " is expected"
+                        : recognizer instanceof CrontabParser crontabParser
+                                ? ": " + crontabParser.getExpectedTokens().toString(crontabParser.getVocabulary())
+                                        + " is expected"
                                 : "";
                 throw new Refused(new Bad(line, column, found + may));
             }
@@ -112,11 +120,11 @@
         lexer.addErrorListener(refuse);
         parser.addErrorListener(refuse);
         try {
-            CronTable t = new CronTable(name);
+            CronTable cronTable = new CronTable(name);
             for (CrontabParser.LineContext line : parser.table().line()) {
-                t.take(line, sinceS);
+                cronTable.take(line, sinceS);
             }
-            return t.entries;
+            return cronTable.entries;
         } catch (Refused e) {
             throw e.why;
         }
@@ -126,14 +134,15 @@
         return new Bad(at.getStart().getLine(), at.getStart().getCharPositionInLine(), "'" + said(at) + "': " + may);
     }
 
-    private static String said(ParserRuleContext c) {
-        return c.getStart()
+    private static String said(ParserRuleContext context) {
+        return context.getStart()
                 .getInputStream()
-                .getText(Interval.of(c.getStart().getStartIndex(), c.getStop().getStopIndex()));
+                .getText(Interval.of(
+                        context.getStart().getStartIndex(), context.getStop().getStopIndex()));
     }
 
-    private static String text(ParserRuleContext c) {
-        String s = c.getText();
+    private static String text(ParserRuleContext context) {
+        String s = context.getText();
         return s.startsWith("\"") ? s.substring(1, s.length() - 1) : s;
     }
 
@@ -171,80 +180,82 @@
         return out;
     }
 
-    private static JsonNode value(CrontabParser.ValueContext v) throws Bad {
-        if (v.list() != null) {
+    private static JsonNode value(CrontabParser.ValueContext valueContext) throws Bad {
+        if (valueContext.list() != null) {
             ArrayNode out = Codec.list();
-            for (CrontabParser.ValueContext e : v.list().value()) {
+            for (CrontabParser.ValueContext e : valueContext.list().value()) {
                 out.add(value(e));
             }
             return out;
         }
-        if (v.LBRACE() != null) {
+        if (valueContext.LBRACE() != null) {
             ObjectNode out = Codec.map();
-            for (CrontabParser.PairContext p : v.pair()) {
+            for (CrontabParser.PairContext p : valueContext.pair()) {
                 out.set(text(p.name()), value(p.value()));
             }
             return out;
         }
-        if (v.TRUE() != null || v.FALSE() != null) {
-            return BooleanNode.valueOf(v.TRUE() != null);
+        if (valueContext.TRUE() != null || valueContext.FALSE() != null) {
+            return BooleanNode.valueOf(valueContext.TRUE() != null);
         }
         try {
-            return v.INT() != null
-                    ? LongNode.valueOf(Long.parseLong(v.getText()))
-                    : v.NUMBER() != null
-                            ? DoubleNode.valueOf(Double.parseDouble(v.getText()))
-                            : TextNode.valueOf(text(v));
+            return valueContext.INT() != null
+                    ? LongNode.valueOf(Long.parseLong(valueContext.getText()))
+                    : valueContext.NUMBER() != null
+                            ? DoubleNode.valueOf(Double.parseDouble(valueContext.getText()))
+                            : TextNode.valueOf(text(valueContext));
         } catch (NumberFormatException e) {
-            throw bad(v, "a smaller number is expected");
+            throw bad(valueContext, "a smaller number is expected");
         }
     }
 
-    private void entry(CrontabParser.EntryContext e, long sinceS) throws Bad {
-        String job = text(e.name());
+    private void entry(CrontabParser.EntryContext entryContext, long sinceS) throws Bad {
+        String job = text(entryContext.name());
         ObjectNode template = jobs.get(job);
         if (template == null) {
             throw bad(
-                    e.name(),
+                    entryContext.name(),
                     jobs.isEmpty()
                             ? "a job line must define it above"
                             : "one of the jobs defined above is expected: "
                                     + String.join(", ", new TreeMap<>(jobs).keySet()));
         }
         if (zone == null) {
-            throw bad(e, "a zone line is expected above");
+            throw bad(entryContext, "a zone line is expected above");
         }
         if (team == null && !template.has("owner")) {
-            throw bad(e, "a team line is expected above, or owner in the job");
+            throw bad(entryContext, "a team line is expected above, or owner in the job");
         }
         ObjectNode made = template.deepCopy();
         if (!made.has("owner")) {
             made.put("owner", team);
         }
         Map<String, CrontabParser.OptionContext> options = new HashMap<>();
-        for (CrontabParser.OptionContext o : e.option()) {
-            String option = text(o.name());
+        for (CrontabParser.OptionContext optionContext : entryContext.option()) {
+            String option = text(optionContext.name());
             if (OPTIONS.contains(option)) {
-                options.put(option, o);
+                options.put(option, optionContext);
             } else {
-                made.set(option, value(o.value())); // a field of the job, for this line only
+                made.set(option, value(optionContext.value())); // a field of the job, for this line only
             }
         }
         Entry.Missed missed = choice(options.get("missed"), Entry.Missed.class, Entry.Missed.ONCE);
         Entry.Overlap overlap = choice(options.get("overlap"), Entry.Overlap.class, Entry.Overlap.QUEUE);
         int most = 1;
         if (options.containsKey("most")) {
-            CrontabParser.ValueContext v = options.get("most").value();
-            if (v.INT() == null || v.getText().length() > 3 || Integer.parseInt(v.getText()) > Entry.MOST_MISSED) {
-                throw bad(v, "a number from 0 to " + Entry.MOST_MISSED + " is expected");
+            CrontabParser.ValueContext valueContext = options.get("most").value();
+            if (valueContext.INT() == null
+                    || valueContext.getText().length() > 3
+                    || Integer.parseInt(valueContext.getText()) > Entry.MOST_MISSED) {
+                throw bad(valueContext, "a number from 0 to " + Entry.MOST_MISSED + " is expected");
             }
-            most = Integer.parseInt(v.getText());
+            most = Integer.parseInt(valueContext.getText());
         }
         String once =
                 options.containsKey("once_key") ? text(options.get("once_key").value()) : null;
-        Expression x = expression(e.when());
-        String said = zone + "|" + calendar + "|" + nextBusinessDay + "|" + x + "|" + job + "|" + made + "|" + missed
-                + "|" + overlap + "|" + once;
+        Expression expression = expression(entryContext.when());
+        String said = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|" + made + "|"
+                + missed + "|" + overlap + "|" + once;
         String id = Entry.hash(said).toString().replaceAll("[^0-9a-fA-F]", "");
         for (int i = 2; !ids.add(id); i++) {
             id = Entry.hash(said + "|" + i).toString().replaceAll("[^0-9a-fA-F]", "");
@@ -252,8 +263,8 @@
         Entry entry = new Entry(
                 name,
                 id.substring(0, Math.min(16, id.length())),
-                e.getStart().getLine(),
-                x,
+                entryContext.getStart().getLine(),
+                expression,
                 zone,
                 calendar,
                 nextBusinessDay,
@@ -267,68 +278,70 @@
         try {
             entry.job(Instant.ofEpochSecond(sinceS));
         } catch (Malformed m) {
-            throw bad(e.name(), m.getMessage());
+            throw bad(entryContext.name(), m.getMessage());
         }
         if (Occurrences.next(entry, null, Instant.ofEpochSecond(sinceS)) == null) {
-            throw bad(e.when(), "it never comes");
+            throw bad(entryContext.when(), "it never comes");
         }
         entries.add(entry);
     }
 
-    private static <T extends Enum<T>> T choice(CrontabParser.OptionContext o, Class<T> type, T fallback) throws Bad {
-        if (o == null) {
+    private static <T extends Enum<T>> T choice(CrontabParser.OptionContext optionContext, Class<T> type, T fallback)
+            throws Bad {
+        if (optionContext == null) {
             return fallback;
         }
         List<String> all = new ArrayList<>();
-        for (T t : type.getEnumConstants()) {
-            all.add(t.name().toLowerCase(Locale.ROOT));
-            if (t.name().equalsIgnoreCase(text(o.value()))) {
-                return t;
+        for (T element : type.getEnumConstants()) {
+            all.add(element.name().toLowerCase(Locale.ROOT));
+            if (element.name().equalsIgnoreCase(text(optionContext.value()))) {
+                return element;
             }
         }
-        throw bad(o.value(), "one of " + String.join(", ", all) + " is expected");
+        throw bad(optionContext.value(), "one of " + String.join(", ", all) + " is expected");
     }
 
-    private static Expression expression(CrontabParser.WhenContext w) throws Bad {
-        if (w.NICKNAME() != null) {
-            String fields = NICKNAMES.get(w.getText());
+    private static Expression expression(CrontabParser.WhenContext whenContext) throws Bad {
+        if (whenContext.NICKNAME() != null) {
+            String fields = NICKNAMES.get(whenContext.getText());
             if (fields == null) {
-                throw bad(w, "one of " + String.join(", ", new TreeMap<>(NICKNAMES).keySet()) + " is expected");
+                throw bad(
+                        whenContext, "one of " + String.join(", ", new TreeMap<>(NICKNAMES).keySet()) + " is expected");
             }
-            CrontabParser p =
+            CrontabParser crontabParser =
                     new CrontabParser(new CommonTokenStream(new CrontabLexer(CharStreams.fromString(fields))));
-            return expression(p.when());
+            return expression(crontabParser.when());
         }
-        long weekdays = bits(w.dayOfWeek, 0, 7, WEEKDAYS, 0);
+        long weekdays = bits(whenContext.dayOfWeek, 0, 7, WEEKDAYS, 0);
         weekdays = (weekdays | weekdays >> 7) & 0x7f; // 7 is Sunday too
         return new Expression(
-                bits(w.minute, 0, 59, List.of(), 0),
-                (int) bits(w.hour, 0, 23, List.of(), 0),
-                (int) bits(w.dayOfMonth, 1, 31, List.of(), 1),
-                (int) bits(w.month, 1, 12, MONTHS, 1),
+                bits(whenContext.minute, 0, 59, List.of(), 0),
+                (int) bits(whenContext.hour, 0, 23, List.of(), 0),
+                (int) bits(whenContext.dayOfMonth, 1, 31, List.of(), 1),
+                (int) bits(whenContext.month, 1, 12, MONTHS, 1),
                 (int) weekdays,
-                w.hour.getText().equals("*"),
-                w.dayOfMonth.getText().startsWith("*"),
-                w.dayOfWeek.getText().startsWith("*"));
+                whenContext.hour.getText().equals("*"),
+                whenContext.dayOfMonth.getText().startsWith("*"),
+                whenContext.dayOfWeek.getText().startsWith("*"));
     }
 
     private static long bits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
             throws Bad {
         long out = 0;
-        for (CrontabParser.ItemContext i : field.item()) {
-            int from = i.STAR() != null ? least : point(i.from, least, most, names, first);
-            int to = i.STAR() != null || (i.to == null && i.step != null)
+        for (CrontabParser.ItemContext itemContext : field.item()) {
+            int from = itemContext.STAR() != null ? least : point(itemContext.from, least, most, names, first);
+            int to = itemContext.STAR() != null || (itemContext.to == null && itemContext.step != null)
                     ? most
-                    : i.to == null ? from : point(i.to, least, most, names, first);
+                    : itemContext.to == null ? from : point(itemContext.to, least, most, names, first);
             int step = 1;
-            if (i.step != null) {
-                step = i.step.getText().length() > 4 ? 0 : Integer.parseInt(i.step.getText());
+            if (itemContext.step != null) {
+                step = itemContext.step.getText().length() > 4 ? 0 : Integer.parseInt(itemContext.step.getText());
                 if (step < 1 || step > most) {
-                    throw bad(i, "a step from 1 to " + most + " is expected");
+                    throw bad(itemContext, "a step from 1 to " + most + " is expected");
                 }
             }
             if (from > to) {
-                throw bad(i, "the first of a range must not be above the last");
+                throw bad(itemContext, "the first of a range must not be above the last");
             }
             for (int v = from; v <= to; v += step) {
                 out |= 1L << v;
@@ -337,22 +350,22 @@
         return out;
     }
 
-    private static int point(CrontabParser.PointContext p, int least, int most, List<String> names, int first)
-            throws Bad {
+    private static int point(
+            CrontabParser.PointContext pointContext, int least, int most, List<String> names, int first) throws Bad {
         String may = "a number from " + least + " to " + most
                 + (names.isEmpty() ? "" : " or " + names.get(0) + " to " + names.get(names.size() - 1))
                 + " is expected";
-        if (p.NAME() != null) {
-            int i = names.indexOf(p.getText().toLowerCase(Locale.ROOT));
-            if (i < 0) {
-                throw bad(p, may);
+        if (pointContext.NAME() != null) {
+            int index = names.indexOf(pointContext.getText().toLowerCase(Locale.ROOT));
+            if (index < 0) {
+                throw bad(pointContext, may);
             }
-            return i + first;
+            return index + first;
         }
-        int v = p.getText().length() > 4 ? -1 : Integer.parseInt(p.getText());
-        if (v < least || v > most) {
-            throw bad(p, may);
+        int value = pointContext.getText().length() > 4 ? -1 : Integer.parseInt(pointContext.getText());
+        if (value < least || value > most) {
+            throw bad(pointContext, may);
         }
-        return v;
+        return value;
     }
 }
--- a/src/main/java/org/beechhoist/cron/Entry.java
+++ b/src/main/java/org/beechhoist/cron/Entry.java
@@ -105,33 +105,35 @@
     }
 
     private static String filled(String text, Map<String, String> variables) {
-        Matcher m = VARIABLE.matcher(text);
+        Matcher matcher = VARIABLE.matcher(text);
         StringBuilder out = new StringBuilder();
-        while (m.find()) {
-            m.appendReplacement(out, Matcher.quoteReplacement(variables.getOrDefault(m.group(1), m.group())));
+        while (matcher.find()) {
+            matcher.appendReplacement(
+                    out, Matcher.quoteReplacement(variables.getOrDefault(matcher.group(1), matcher.group())));
         }
-        return m.appendTail(out).toString();
+        return matcher.appendTail(out).toString();
     }
 
     /** The job of one occurrence, as a user would submit it. */
     public JobSpec job(Instant at) throws Malformed {
         Map<String, String> variables = variables(at);
-        ObjectNode n = JobSpec.described(template);
-        template.fields().forEachRemaining(f -> {
-            if (f.getValue().isTextual()) {
-                n.set(f.getKey(), TextNode.valueOf(filled(f.getValue().textValue(), variables)));
+        ObjectNode node = JobSpec.described(template);
+        template.fields().forEachRemaining(entry -> {
+            if (entry.getValue().isTextual()) {
+                node.set(
+                        entry.getKey(), TextNode.valueOf(filled(entry.getValue().textValue(), variables)));
             }
         });
-        n.put("ref", ref(at).text());
+        node.put("ref", ref(at).text());
         if (onceKey != null) {
-            n.put("onceKey", filled(onceKey, variables));
+            node.put("onceKey", filled(onceKey, variables));
         }
-        return JobSpec.parse(n)
+        return JobSpec.parse(node)
                 .from(table + ", line " + line + ", " + at.atZone(zone).toOffsetDateTime());
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = expression
+        ObjectNode node = expression
                 .toNode()
                 .put("id", id)
                 .put("line", line)
@@ -142,32 +144,32 @@
                 .put("overlap", overlap.name().toLowerCase(Locale.ROOT))
                 .put("since", since);
         if (calendar != null) {
-            n.put("calendar", calendar).put("next", nextBusinessDay);
+            node.put("calendar", calendar).put("next", nextBusinessDay);
         }
         if (onceKey != null) {
-            n.put("once", onceKey);
+            node.put("once", onceKey);
         }
-        n.set("template", template);
-        return n;
+        node.set("template", template);
+        return node;
     }
 
-    public static Entry parse(String table, JsonNode n) throws Malformed {
+    public static Entry parse(String table, JsonNode node) throws Malformed {
         try {
             return new Entry(
                     table,
-                    Codec.text(n, "id"),
-                    (int) Codec.count(n, "line", 1, Integer.MAX_VALUE),
-                    Expression.parse(n),
-                    ZoneId.of(Codec.text(n, "zone")),
-                    n.path("calendar").textValue(),
-                    n.path("next").asBoolean(),
-                    Codec.text(n, "job"),
-                    (ObjectNode) n.get("template"),
-                    Missed.valueOf(Codec.text(n, "missed").toUpperCase(Locale.ROOT)),
-                    (int) Codec.count(n, "most", 0, MOST_MISSED),
-                    Overlap.valueOf(Codec.text(n, "overlap").toUpperCase(Locale.ROOT)),
-                    n.path("once").textValue(),
-                    Codec.count(n, "since", 0, Long.MAX_VALUE));
+                    Codec.text(node, "id"),
+                    (int) Codec.count(node, "line", 1, Integer.MAX_VALUE),
+                    Expression.parse(node),
+                    ZoneId.of(Codec.text(node, "zone")),
+                    node.path("calendar").textValue(),
+                    node.path("next").asBoolean(),
+                    Codec.text(node, "job"),
+                    (ObjectNode) node.get("template"),
+                    Missed.valueOf(Codec.text(node, "missed").toUpperCase(Locale.ROOT)),
+                    (int) Codec.count(node, "most", 0, MOST_MISSED),
+                    Overlap.valueOf(Codec.text(node, "overlap").toUpperCase(Locale.ROOT)),
+                    node.path("once").textValue(),
+                    Codec.count(node, "since", 0, Long.MAX_VALUE));
         } catch (DateTimeException | IllegalArgumentException | ClassCastException e) {
             throw new Malformed("not a schedule: " + e.getMessage());
         }
@@ -177,9 +179,9 @@
     static ObjectNode filled(ObjectNode template, Map<String, String> settings) {
         ObjectNode out = template.deepCopy();
         Map<String, String> known = new TreeMap<>(settings);
-        template.fields().forEachRemaining(f -> {
-            if (f.getValue().isTextual()) {
-                out.put(f.getKey(), filled(f.getValue().textValue(), known));
+        template.fields().forEachRemaining(entry -> {
+            if (entry.getValue().isTextual()) {
+                out.put(entry.getKey(), filled(entry.getValue().textValue(), known));
             }
         });
         return out;
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -25,21 +25,21 @@
         boolean anyWeekday) {
 
     /** Whether the date is one of the line's, calendars aside. */
-    boolean matches(LocalDate d) {
-        if ((months >> d.getMonthValue() & 1) == 0) {
+    boolean matches(LocalDate date) {
+        if ((months >> date.getMonthValue() & 1) == 0) {
             return false;
         }
-        boolean day = (days >> d.getDayOfMonth() & 1) == 1;
-        boolean weekday = (weekdays >> d.getDayOfWeek().getValue() % 7 & 1) == 1;
+        boolean day = (days >> date.getDayOfMonth() & 1) == 1;
+        boolean weekday = (weekdays >> date.getDayOfWeek().getValue() % 7 & 1) == 1;
         return anyDay || anyWeekday ? day && weekday : day || weekday;
     }
 
-    boolean minute(int m) {
-        return (minutes >> m & 1) == 1;
+    boolean minute(int minute) {
+        return (minutes >> minute & 1) == 1;
     }
 
-    boolean hour(int h) {
-        return (hours >> h & 1) == 1;
+    boolean hour(int hour) {
+        return (hours >> hour & 1) == 1;
     }
 
     /** Sets of bits as hexadecimal text: sixty minutes are more than the protocol's checked numbers hold. */
@@ -53,22 +53,22 @@
                 .put("free", (everyHour ? 1 : 0) + (anyDay ? 2 : 0) + (anyWeekday ? 4 : 0));
     }
 
-    static Expression parse(JsonNode n) throws Malformed {
-        int free = (int) Codec.count(n, "free", 0, 7);
+    static Expression parse(JsonNode node) throws Malformed {
+        int free = (int) Codec.count(node, "free", 0, 7);
         return new Expression(
-                bits(n, "m"),
-                (int) bits(n, "h"),
-                (int) bits(n, "d"),
-                (int) bits(n, "mo"),
-                (int) bits(n, "w"),
+                bits(node, "m"),
+                (int) bits(node, "h"),
+                (int) bits(node, "d"),
+                (int) bits(node, "mo"),
+                (int) bits(node, "w"),
                 (free & 1) != 0,
                 (free & 2) != 0,
                 (free & 4) != 0);
     }
 
-    private static long bits(JsonNode n, String field) throws Malformed {
+    private static long bits(JsonNode node, String field) throws Malformed {
         try {
-            return Long.parseUnsignedLong(Codec.text(n, field), 16);
+            return Long.parseUnsignedLong(Codec.text(node, field), 16);
         } catch (NumberFormatException e) {
             throw new Malformed(field + ": a set of bits in hexadecimal is expected");
         }
--- a/src/main/java/org/beechhoist/cron/Occurrences.java
+++ b/src/main/java/org/beechhoist/cron/Occurrences.java
@@ -26,12 +26,13 @@
     private Occurrences() {}
 
     /** The first occurrence after the moment; null where there is none in 41 years. */
-    public static Instant next(Entry e, Calendar calendar, Instant after) {
-        LocalDate day = LocalDateTime.ofInstant(after, e.zone()).toLocalDate().minusDays(1);
+    public static Instant next(Entry entry, Calendar calendar, Instant after) {
+        LocalDate day =
+                LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         List<Instant> found = new ArrayList<>(1);
         for (int i = 0; i < MOST_DAYS; i++, day = day.plusDays(1)) {
-            if (runsOn(e, calendar, day)) {
-                times(e, day, after, Instant.MAX, 1, found);
+            if (runsOn(entry, calendar, day)) {
+                times(entry, day, after, Instant.MAX, 1, found);
                 if (!found.isEmpty()) {
                     return found.get(0);
                 }
@@ -41,13 +42,15 @@
     }
 
     /** The line's moments after one and up to another, at most so many; earlier ones first. */
-    public static List<Instant> between(Entry e, Calendar calendar, Instant after, Instant upTo, int most) {
+    public static List<Instant> between(Entry entry, Calendar calendar, Instant after, Instant upTo, int most) {
         List<Instant> out = new ArrayList<>();
-        LocalDate last = LocalDateTime.ofInstant(upTo, e.zone()).toLocalDate().plusDays(1);
-        LocalDate day = LocalDateTime.ofInstant(after, e.zone()).toLocalDate().minusDays(1);
+        LocalDate last =
+                LocalDateTime.ofInstant(upTo, entry.zone()).toLocalDate().plusDays(1);
+        LocalDate day =
+                LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         for (; !day.isAfter(last) && out.size() < most; day = day.plusDays(1)) {
-            if (runsOn(e, calendar, day)) {
-                times(e, day, after, upTo, most, out);
+            if (runsOn(entry, calendar, day)) {
+                times(entry, day, after, upTo, most, out);
             }
         }
         return out;
@@ -55,32 +58,32 @@
 
     /** Tells of each day between two that the line names and its calendar leaves out, with the reason. */
     public static void leftOut(
-            Entry e, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> tell) {
-        for (LocalDate d = from; calendar != null && d.isBefore(until); d = d.plusDays(1)) {
-            String closed = e.expression().matches(d) ? calendar.closed(d) : null;
+            Entry entry, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> tell) {
+        for (LocalDate date = from; calendar != null && date.isBefore(until); date = date.plusDays(1)) {
+            String closed = entry.expression().matches(date) ? calendar.closed(date) : null;
             if (closed != null) {
-                tell.accept(d, closed);
+                tell.accept(date, closed);
             }
         }
     }
 
-    private static boolean runsOn(Entry e, Calendar calendar, LocalDate day) {
+    private static boolean runsOn(Entry entry, Calendar calendar, LocalDate day) {
         if (calendar == null) {
-            return e.expression().matches(day);
+            return entry.expression().matches(day);
         }
         if (calendar.closed(day) != null) {
             return false;
         }
-        if (e.expression().matches(day)) {
+        if (entry.expression().matches(day)) {
             return true;
         }
-        if (!e.nextBusinessDay()) {
+        if (!entry.nextBusinessDay()) {
             return false;
         }
         // What closed days just before have pushed on to this one.
-        LocalDate d = day.minusDays(1);
-        for (int i = 0; i < LONGEST_CLOSED && calendar.closed(d) != null; i++, d = d.minusDays(1)) {
-            if (e.expression().matches(d)) {
+        LocalDate date = day.minusDays(1);
+        for (int i = 0; i < LONGEST_CLOSED && calendar.closed(date) != null; i++, date = date.minusDays(1)) {
+            if (entry.expression().matches(date)) {
                 return true;
             }
         }
@@ -88,20 +91,22 @@
     }
 
     /** Adds the day's moments after one and up to another, in their order, until there are {@code most} in all. */
-    private static void times(Entry e, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
-        Expression x = e.expression();
-        if (x.everyHour()) {
-            realMinutes(x, day, e.zone(), after, upTo, most, out);
+    private static void times(Entry entry, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
+        Expression expression = entry.expression();
+        if (expression.everyHour()) {
+            realMinutes(expression, day, entry.zone(), after, upTo, most, out);
             return;
         }
-        ZoneRules rules = e.zone().getRules();
+        ZoneRules rules = entry.zone().getRules();
         Instant last = after;
-        for (int h = 0; h < 24; h++) {
-            for (int m = 0; x.hour(h) && m < 60 && out.size() < most; m++) {
-                Instant t = x.minute(m) ? instant(rules, LocalDateTime.of(day, LocalTime.of(h, m))) : last;
-                if (t.isAfter(last) && !t.isAfter(upTo)) { // several in a gap are one
-                    out.add(t);
-                    last = t;
+        for (int hour = 0; hour < 24; hour++) {
+            for (int minute = 0; expression.hour(hour) && minute < 60 && out.size() < most; minute++) {
+                Instant instant = expression.minute(minute)
+                        ? instant(rules, LocalDateTime.of(day, LocalTime.of(hour, minute)))
+                        : last;
+                if (instant.isAfter(last) && !instant.isAfter(upTo)) { // several in a gap are one
+                    out.add(instant);
+                    last = instant;
                 }
             }
         }
@@ -117,15 +122,24 @@
     }
 
     private static void realMinutes(
-            Expression x, LocalDate day, ZoneId zone, Instant after, Instant upTo, int most, List<Instant> out) {
+            Expression expression,
+            LocalDate day,
+            ZoneId zone,
+            Instant after,
+            Instant upTo,
+            int most,
+            List<Instant> out) {
         Instant end = day.plusDays(1).atStartOfDay(zone).toInstant();
-        Instant t = day.atStartOfDay(zone).toInstant();
-        if (t.isBefore(after)) {
-            t = t.plusSeconds((after.getEpochSecond() - t.getEpochSecond()) / 60 * 60);
+        Instant instant = day.atStartOfDay(zone).toInstant();
+        if (instant.isBefore(after)) {
+            instant = instant.plusSeconds((after.getEpochSecond() - instant.getEpochSecond()) / 60 * 60);
         }
-        for (; t.isBefore(end) && !t.isAfter(upTo) && out.size() < most; t = t.plusSeconds(60)) {
-            if (t.isAfter(after) && x.minute(LocalDateTime.ofInstant(t, zone).getMinute())) {
-                out.add(t);
+        for (;
+                instant.isBefore(end) && !instant.isAfter(upTo) && out.size() < most;
+                instant = instant.plusSeconds(60)) {
+            if (instant.isAfter(after)
+                    && expression.minute(LocalDateTime.ofInstant(instant, zone).getMinute())) {
+                out.add(instant);
             }
         }
     }
