--- a/src/main/java/org/beechhoist/cron/ShipDates.java
+++ b/src/main/java/org/beechhoist/cron/ShipDates.java
@@ -21,9 +21,9 @@
 
     /** Names with the local time in the zone at which each event begins; a whole day begins at midnight. */
     public static Map<String, String> read(Path file, String zone) throws Malformed, IOException {
-        ZoneId z;
+        ZoneId zoneId;
         try {
-            z = ZoneId.of(zone);
+            zoneId = ZoneId.of(zone);
         } catch (DateTimeException e) {
             throw new Malformed("zone = " + zone + ": a zone such as Asia/Tokyo is expected");
         }
@@ -32,21 +32,22 @@
             throw new Malformed("an iCalendar object (BEGIN:VCALENDAR) is expected");
         }
         Map<String, String> out = new TreeMap<>();
-        for (VEvent e : ics.getEvents()) {
-            String name = e.getSummary() == null
+        for (VEvent event : ics.getEvents()) {
+            String name = event.getSummary() == null
                     ? ""
-                    : e.getSummary().getValue().trim().replaceAll("[^A-Za-z0-9._-]+", "-");
-            if (name.isEmpty() || e.getDateStart() == null) {
+                    : event.getSummary().getValue().trim().replaceAll("[^A-Za-z0-9._-]+", "-");
+            if (name.isEmpty() || event.getDateStart() == null) {
                 throw new Malformed("event " + name + ": SUMMARY and DTSTART are expected");
             }
-            if (e.getRecurrenceRule() != null) {
+            if (event.getRecurrenceRule() != null) {
                 throw new Malformed("event " + name + ": one that happens once is expected, without RRULE");
             }
             // A date without a zone is read by the machine's own; its wall clock is what is meant.
-            boolean timed = e.getDateStart().getValue().hasTime();
-            LocalDateTime t = LocalDateTime.ofInstant(
-                    e.getDateStart().getValue().toInstant(), timed && fixed(ics, e) ? z : ZoneId.systemDefault());
-            if (out.put(name, t.toString()) != null) {
+            boolean timed = event.getDateStart().getValue().hasTime();
+            LocalDateTime dateTime = LocalDateTime.ofInstant(
+                    event.getDateStart().getValue().toInstant(),
+                    timed && fixed(ics, event) ? zoneId : ZoneId.systemDefault());
+            if (out.put(name, dateTime.toString()) != null) {
                 throw new Malformed("event " + name + ": it is there twice");
             }
             if (out.size() > MOST) {
@@ -57,7 +58,7 @@
     }
 
     /** Whether the event's start is a moment, in UTC or a zone of its own, rather than a time on whatever clock. */
-    private static boolean fixed(ICalendar ics, VEvent e) {
-        return !ics.getTimezoneInfo().isFloating(e.getDateStart());
+    private static boolean fixed(ICalendar ics, VEvent event) {
+        return !ics.getTimezoneInfo().isFloating(event.getDateStart());
     }
 }
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -103,16 +103,16 @@
         loop.stop();
     }
 
-    private void request(HttpMessage m, HttpServer.Responder responder) {
+    private void request(HttpMessage message, HttpServer.Responder responder) {
         long id = nextRequest++;
-        String route = route(m.method(), m.target());
+        String route = route(message.method(), message.target());
         long began = loop.now().ms();
         open.put(id, (status, type, body, retry) -> {
             metrics.latency(route, loop.now().ms() - began);
             metrics.count(route + " " + status);
             responder.answer(status, type, body, retry);
         });
-        core.request(loop.now(), System.currentTimeMillis(), id, m.method(), m.target(), m.body());
+        core.request(loop.now(), System.currentTimeMillis(), id, message.method(), message.target(), message.body());
     }
 
     /** The request's kind, for the metrics: one name for all jobs. */
@@ -128,13 +128,13 @@
         };
     }
 
-    private void peerRequest(HttpMessage m, HttpServer.Responder responder) {
-        if (!m.target().equals("/peer") || !m.method().equals("POST")) {
+    private void peerRequest(HttpMessage message, HttpServer.Responder responder) {
+        if (!message.target().equals("/peer") || !message.method().equals("POST")) {
             responder.answer(404, TEXT, EMPTY, 0);
             return;
         }
         try {
-            core.peer(loop.now(), System.currentTimeMillis(), peerCodec().decode(m.body()));
+            core.peer(loop.now(), System.currentTimeMillis(), peerCodec().decode(message.body()));
             responder.answer(200, TEXT, EMPTY, 0);
         } catch (Malformed e) {
             responder.answer(400, TEXT, e.getMessage().getBytes(StandardCharsets.US_ASCII), 0);
@@ -158,19 +158,19 @@
     private void carryOut() {
         var effects = core.drain();
         while (!effects.isEmpty()) {
-            for (Effect e : effects) {
-                if (e instanceof Effect.Answer decided) {
-                    Effect.Answer a = decided.at(loop.now());
-                    open.remove(a.request())
+            for (Effect effect : effects) {
+                if (effect instanceof Effect.Answer decided) {
+                    Effect.Answer answer = decided.at(loop.now());
+                    open.remove(answer.request())
                             .answer(
-                                    a.status(),
+                                    answer.status(),
                                     CBOR,
-                                    a.body() == null ? EMPTY : Codec.encode(a.body()),
-                                    a.retryAfterS());
-                } else if (e instanceof Effect.Call c) {
-                    call(c);
-                } else if (e instanceof Effect.Tell t) {
-                    tell(t.state());
+                                    answer.body() == null ? EMPTY : Codec.encode(answer.body()),
+                                    answer.retryAfterS());
+                } else if (effect instanceof Effect.Call call) {
+                    call(call);
+                } else if (effect instanceof Effect.Tell tell) {
+                    tell(tell.state());
                 }
             }
             effects = core.drain();
@@ -194,42 +194,42 @@
         }
     }
 
-    private void call(Effect.Call c) {
+    private void call(Effect.Call call) {
         InetSocketAddress address =
-                switch (c.target()) {
+                switch (call.target()) {
                     case STATE -> settings.state();
                     case CLOUD -> settings.cloud();
-                    case HOST -> Addresses.parse(c.address());
+                    case HOST -> Addresses.parse(call.address());
                 };
-        if (address == null || c.expired(loop.now())) {
-            loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), c.id(), Outcome.NOT_SENT));
+        if (address == null || call.expired(loop.now())) {
+            loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), Outcome.NOT_SENT));
             return;
         }
         client.request(
                 address,
-                c.method(),
-                c.path(),
-                c.body() == null ? null : Codec.encode(c.body()),
-                c.timeoutMs(),
-                c.until(),
-                o -> core.outcome(loop.now(), System.currentTimeMillis(), c.id(), read(o)));
+                call.method(),
+                call.path(),
+                call.body() == null ? null : Codec.encode(call.body()),
+                call.timeoutMs(),
+                call.until(),
+                o -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), read(o)));
     }
 
-    private static Outcome read(HttpClient.Outcome o) {
-        if (o instanceof HttpClient.NotSent) {
+    private static Outcome read(HttpClient.Outcome result) {
+        if (result instanceof HttpClient.NotSent) {
             return Outcome.NOT_SENT;
         }
-        if (!(o instanceof HttpClient.Answer a)) {
+        if (!(result instanceof HttpClient.Answer answer)) {
             return Outcome.UNKNOWN;
         }
         JsonNode body = null;
-        if (a.body().length > 0) {
+        if (answer.body().length > 0) {
             try {
-                body = Codec.decodeMap(a.body());
+                body = Codec.decodeMap(answer.body());
             } catch (Malformed e) {
-                LOG.debug("an answer with status {} is no CBOR map", a.status());
+                LOG.debug("an answer with status {} is no CBOR map", answer.status());
             }
         }
-        return Outcome.answered(a.status(), body);
+        return Outcome.answered(answer.status(), body);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Account.java
+++ b/src/main/java/org/beechhoist/drain/Account.java
@@ -30,8 +30,8 @@
 
     /** Tasks and CPU seconds. */
     public record Sum(int tasks, double cpuS) {
-        Sum plus(int n, double s) {
-            return new Sum(tasks + n, cpuS + s);
+        Sum plus(int count, double seconds) {
+            return new Sum(tasks + count, cpuS + seconds);
         }
     }
 
@@ -43,12 +43,12 @@
     private final Map<String, Sum> before = new TreeMap<>();
 
     public Account copy() {
-        Account c = new Account();
-        c.away.putAll(away);
-        c.last.putAll(last);
-        slots.forEach((slot, sums) -> c.slots.put(slot, new TreeMap<>(sums)));
-        c.before.putAll(before);
-        return c;
+        Account account = new Account();
+        account.away.putAll(away);
+        account.last.putAll(last);
+        slots.forEach((slot, sums) -> account.slots.put(slot, new TreeMap<>(sums)));
+        account.before.putAll(before);
+        return account;
     }
 
     private static String row(String jobClass, Cause cause) {
@@ -74,12 +74,15 @@
     }
 
     /** One task was disturbed. */
-    public void charge(TaskId task, Away a) {
-        slots.computeIfAbsent(a.atMs / SLOT_MS, k -> new TreeMap<>())
-                .merge(row(toldApart(a.jobClass), a.cause), new Sum(1, a.lostCpuS), (x, y) -> x.plus(y.tasks, y.cpuS));
-        if (a.cause.onPurpose()) {
-            away.put(task, a);
-            last.put(task, a.atMs);
+    public void charge(TaskId task, Away absence) {
+        slots.computeIfAbsent(absence.atMs / SLOT_MS, k -> new TreeMap<>())
+                .merge(
+                        row(toldApart(absence.jobClass), absence.cause),
+                        new Sum(1, absence.lostCpuS),
+                        (x, y) -> x.plus(y.tasks, y.cpuS));
+        if (absence.cause.onPurpose()) {
+            away.put(task, absence);
+            last.put(task, absence.atMs);
         }
     }
 
@@ -90,19 +93,19 @@
 
     /** It was never stopped: what it was charged is given back. */
     public void undo(TaskId task) {
-        Away a = away.remove(task);
-        if (a == null) {
+        Away absence = away.remove(task);
+        if (absence == null) {
             return;
         }
         last.remove(task);
-        String row = row(toldApart(a.jobClass), a.cause);
+        String row = row(toldApart(absence.jobClass), absence.cause);
         Map<String, Sum> in = before;
-        for (Map<String, Sum> slot : slots.tailMap(a.atMs / SLOT_MS).values()) {
+        for (Map<String, Sum> slot : slots.tailMap(absence.atMs / SLOT_MS).values()) {
             in = in == before && slot.containsKey(row)
                     ? slot
                     : in; // its own slot, or the one that this was folded into
         }
-        in.computeIfPresent(row, (k, s) -> s.tasks > 1 ? s.plus(-1, -a.lostCpuS) : null);
+        in.computeIfPresent(row, (k, s) -> s.tasks > 1 ? s.plus(-1, -absence.lostCpuS) : null);
     }
 
     public Map<TaskId, Away> away() {
@@ -125,9 +128,9 @@
     public Sum lastHour(String jobClass, long nowMs) {
         Sum sum = new Sum(0, 0);
         for (Map<String, Sum> slot : slots.tailMap((nowMs - HOUR_MS) / SLOT_MS).values()) {
-            for (Map.Entry<String, Sum> e : slot.entrySet()) {
-                if (jobClass == null || e.getKey().startsWith(jobClass + " ")) {
-                    sum = sum.plus(e.getValue().tasks, e.getValue().cpuS);
+            for (Map.Entry<String, Sum> entry : slot.entrySet()) {
+                if (jobClass == null || entry.getKey().startsWith(jobClass + " ")) {
+                    sum = sum.plus(entry.getValue().tasks, entry.getValue().cpuS);
                 }
             }
         }
@@ -145,73 +148,73 @@
     public record Ask(TaskId task, String jobClass, boolean service, int replicas, double lostCpuS) {}
 
     /** Why the budget refuses it now, with when that ends where it can be told; null: it may be disturbed. */
-    public String refuses(DisruptionBudget b, Ask a, long nowMs) {
-        String whose = "budget of " + b.key() + ": ";
-        if (b.atOnce() == 0) {
+    public String refuses(DisruptionBudget budget, Ask ask, long nowMs) {
+        String whose = "budget of " + budget.key() + ": ";
+        if (budget.atOnce() == 0) {
             return whose + "none of its tasks may be disturbed";
         }
-        if (a.service && b.mayBeAway(a.replicas) == 0) {
-            return whose + "of " + a.replicas + " replicas none may be away";
+        if (ask.service && budget.mayBeAway(ask.replicas) == 0) {
+            return whose + "of " + ask.replicas + " replicas none may be away";
         }
         long out = away.entrySet().stream()
-                .filter(e -> b.jobClass() == null || b.jobClass().equals(e.getValue().jobClass))
+                .filter(e -> budget.jobClass() == null || budget.jobClass().equals(e.getValue().jobClass))
                 .count();
-        if (out >= b.atOnce()) {
-            return whose + out + " of " + b.atOnce() + " tasks are away";
+        if (out >= budget.atOnce()) {
+            return whose + out + " of " + budget.atOnce() + " tasks are away";
         }
-        if (away.size() >= MOST_REMEMBERED || last.size() >= MOST_REMEMBERED && !last.containsKey(a.task)) {
+        if (away.size() >= MOST_REMEMBERED || last.size() >= MOST_REMEMBERED && !last.containsKey(ask.task)) {
             return whose + "more tasks than can be remembered were disturbed in the last hour";
         }
-        if (a.service
+        if (ask.service
                 && away.keySet().stream()
-                                .filter(t -> t.job().equals(a.task.job()))
+                                .filter(t -> t.job().equals(ask.task.job()))
                                 .count()
-                        >= b.mayBeAway(a.replicas)) {
-            return whose + "a replica of " + a.task.job() + " is away";
+                        >= budget.mayBeAway(ask.replicas)) {
+            return whose + "a replica of " + ask.task.job() + " is away";
         }
-        Long before = last.get(a.task);
-        if (before != null && nowMs - before < 1000 * b.againS()) {
-            return whose + a.task + " was disturbed " + (nowMs - before) / 1000 + " s ago, again in "
-                    + (b.againS() - (nowMs - before) / 1000) + " s";
+        Long before = last.get(ask.task);
+        if (before != null && nowMs - before < 1000 * budget.againS()) {
+            return whose + ask.task + " was disturbed " + (nowMs - before) / 1000 + " s ago, again in "
+                    + (budget.againS() - (nowMs - before) / 1000) + " s";
         }
-        Sum hour = lastHour(b.jobClass(), nowMs);
-        if (a.lostCpuS > 0 && hour.cpuS + a.lostCpuS > b.lostCpuSPerHour()) {
+        Sum hour = lastHour(budget.jobClass(), nowMs);
+        if (ask.lostCpuS > 0 && hour.cpuS + ask.lostCpuS > budget.lostCpuSPerHour()) {
             long frees = slots.isEmpty() ? 0 : ((slots.firstKey() + 1) * SLOT_MS + HOUR_MS - nowMs) / 1000;
-            return whose + Math.round(hour.cpuS) + " of " + Math.round(b.lostCpuSPerHour())
+            return whose + Math.round(hour.cpuS) + " of " + Math.round(budget.lostCpuSPerHour())
                     + " CPU s of the hour are lost, less in " + Math.max(0, frees) + " s";
         }
         return null;
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map();
-        ArrayNode rows = n.putArray("away");
-        away.forEach((t, a) -> rows.add(t.toString())
-                .add(a.attempt)
-                .add(a.jobClass)
-                .add(a.cause.name())
-                .add(Math.round(a.lostCpuS))
-                .add(a.atMs));
-        ArrayNode times = n.putArray("last");
+        ObjectNode node = Codec.map();
+        ArrayNode rows = node.putArray("away");
+        away.forEach((task, absence) -> rows.add(task.toString())
+                .add(absence.attempt)
+                .add(absence.jobClass)
+                .add(absence.cause.name())
+                .add(Math.round(absence.lostCpuS))
+                .add(absence.atMs));
+        ArrayNode times = node.putArray("last");
         last.forEach((t, at) -> times.add(t.toString()).add(at));
-        ObjectNode hour = n.putObject("hour");
+        ObjectNode hour = node.putObject("hour");
         slots.forEach((slot, sums) -> sums.forEach(
                 (k, s) -> hour.withObject("/" + slot).putArray(k).add(s.tasks).add(Math.round(s.cpuS))));
-        ObjectNode old = n.putObject("before");
+        ObjectNode old = node.putObject("before");
         before.forEach((k, s) -> old.putArray(k).add(s.tasks).add(Math.round(s.cpuS)));
-        return n;
+        return node;
     }
 
     /** What can't be read of it is left out: an account that forgets a charge is better than none. */
-    public static Account parse(JsonNode n) {
+    public static Account parse(JsonNode node) {
         Account out = new Account();
-        JsonNode rows = n.path("away");
+        JsonNode rows = node.path("away");
         for (int i = 0; i + 5 < rows.size(); i += 6) {
-            TaskId t = TaskId.parse(rows.get(i).asText());
+            TaskId task = TaskId.parse(rows.get(i).asText());
             Cause cause = cause(rows.get(i + 3).asText());
-            if (t != null && cause != null) {
+            if (task != null && cause != null) {
                 out.away.put(
-                        t,
+                        task,
                         new Away(
                                 rows.get(i + 1).asLong(),
                                 rows.get(i + 2).asText(),
@@ -220,37 +223,37 @@
                                 rows.get(i + 5).asLong()));
             }
         }
-        for (int i = 0; i + 1 < n.path("last").size(); i += 2) {
-            TaskId t = TaskId.parse(n.path("last").get(i).asText());
-            if (t != null) {
-                out.last.put(t, n.path("last").get(i + 1).asLong());
+        for (int i = 0; i + 1 < node.path("last").size(); i += 2) {
+            TaskId task = TaskId.parse(node.path("last").get(i).asText());
+            if (task != null) {
+                out.last.put(task, node.path("last").get(i + 1).asLong());
             }
         }
-        for (Map.Entry<String, JsonNode> slot : n.path("hour").properties()) {
+        for (Map.Entry<String, JsonNode> slot : node.path("hour").properties()) {
             if (slot.getKey().matches("[0-9]{1,12}")) {
-                slot.getValue().properties().forEach(e -> out.slots
+                slot.getValue().properties().forEach(entry -> out.slots
                         .computeIfAbsent(Long.parseLong(slot.getKey()), k -> new TreeMap<>())
                         .put(
-                                e.getKey(),
+                                entry.getKey(),
                                 new Sum(
-                                        e.getValue().path(0).asInt(),
-                                        e.getValue().path(1).asDouble())));
+                                        entry.getValue().path(0).asInt(),
+                                        entry.getValue().path(1).asDouble())));
             }
         }
-        n.path("before")
+        node.path("before")
                 .properties()
-                .forEach(e -> out.before.put(
-                        e.getKey(),
+                .forEach(entry -> out.before.put(
+                        entry.getKey(),
                         new Sum(
-                                e.getValue().path(0).asInt(),
-                                e.getValue().path(1).asDouble())));
+                                entry.getValue().path(0).asInt(),
+                                entry.getValue().path(1).asDouble())));
         return out;
     }
 
     private static Cause cause(String name) {
-        for (Cause c : Cause.values()) {
-            if (c.name().equals(name)) {
-                return c;
+        for (Cause cause : Cause.values()) {
+            if (cause.name().equals(name)) {
+                return cause;
             }
         }
         return null;
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -48,23 +48,23 @@
     }
 
     /** What a person puts, checked; what is left out is as {@link #USUAL} says. */
-    public static DisruptionBudget described(JsonNode n, String who, long atMs, String why, long number)
+    public static DisruptionBudget described(JsonNode node, String who, long atMs, String why, long number)
             throws Malformed {
-        String team = Fields.name("team", Codec.text(n, "team"));
-        String jobClass = Fields.text(n, "class");
+        String team = Fields.name("team", Codec.text(node, "team"));
+        String jobClass = Fields.text(node, "class");
         if (team.equals(DEFAULT) && jobClass != null) {
             throw new Malformed("class = " + jobClass + ": the default is for all classes");
         }
-        int atOnce = (int) Fields.count(n, "atOnce", USUAL.atOnce, 0, MOST_AT_ONCE);
-        double lost = Fields.number(n, "lostCpuSPerHour", USUAL.lostCpuSPerHour, 0, MOST_LOST);
-        Double up = Codec.absent(n, "leastUp") ? null : Double.valueOf(Fields.number(n, "leastUp", 1, 0, 1));
+        int atOnce = (int) Fields.count(node, "atOnce", USUAL.atOnce, 0, MOST_AT_ONCE);
+        double lost = Fields.number(node, "lostCpuSPerHour", USUAL.lostCpuSPerHour, 0, MOST_LOST);
+        Double up = Codec.absent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
         return new DisruptionBudget(
                 team,
                 jobClass,
                 atOnce,
                 lost,
                 up,
-                Fields.count(n, "againS", USUAL.againS, 0, MOST_AGAIN_S),
+                Fields.count(node, "againS", USUAL.againS, 0, MOST_AGAIN_S),
                 who,
                 atMs,
                 why,
@@ -90,15 +90,15 @@
                 .put("number", number);
     }
 
-    public static DisruptionBudget parse(JsonNode n) throws Malformed {
-        if (n == null || !n.isObject()) {
+    public static DisruptionBudget parse(JsonNode node) throws Malformed {
+        if (node == null || !node.isObject()) {
             throw new Malformed("not a budget");
         }
         return described(
-                n,
-                Codec.text(n, "who"),
-                n.path("at").asLong(),
-                Codec.text(n, "why"),
-                Codec.count(n, "number", 1, Long.MAX_VALUE));
+                node,
+                Codec.text(node, "who"),
+                node.path("at").asLong(),
+                Codec.text(node, "why"),
+                Codec.count(node, "number", 1, Long.MAX_VALUE));
     }
 }
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -53,40 +53,41 @@
     public record Past(String what, String who, long atMs, String why) {}
 
     /** What a person puts, checked; times count from now. */
-    public static Drain described(String name, JsonNode n, long nowMs) throws Malformed {
+    public static Drain described(String name, JsonNode node, long nowMs) throws Malformed {
         Fields.name("name", name);
-        boolean replace = Fields.flag(n, "replace");
-        boolean keep = Fields.flag(n, "keep");
-        String with = Fields.text(n, "with");
+        boolean replace = Fields.flag(node, "replace");
+        boolean keep = Fields.flag(node, "keep");
+        String with = Fields.text(node, "with");
         if (with != null && !replace) {
             throw new Malformed("with = " + with + ": only machines that are replaced have others in their place");
         }
         if (replace && keep) {
             throw new Malformed("keep = true: machines that are replaced are returned");
         }
-        long by = seconds(n, "inS", nowMs);
-        long until = seconds(n, "forS", nowMs);
+        long by = seconds(node, "inS", nowMs);
+        long until = seconds(node, "forS", nowMs);
         if (until > 0 && until < by) {
-            throw new Malformed("forS = " + n.path("forS") + ": at least inS, " + n.path("inS") + ", is expected");
+            throw new Malformed(
+                    "forS = " + node.path("forS") + ": at least inS, " + node.path("inS") + ", is expected");
         }
         return new Drain(
                 name,
                 replace,
                 with,
-                Selector.parse(n),
-                Pace.parse(n, replace),
+                Selector.parse(node),
+                Pace.parse(node, replace),
                 by,
                 until,
                 keep,
-                Rest.parse(n),
+                Rest.parse(node),
                 State.RUNNING,
                 nowMs,
                 0,
                 List.of());
     }
 
-    private static long seconds(JsonNode n, String field, long nowMs) throws Malformed {
-        long s = Fields.count(n, field, 0, 1, LONGEST_S);
+    private static long seconds(JsonNode node, String field, long nowMs) throws Malformed {
+        long s = Fields.count(node, field, 0, 1, LONGEST_S);
         return s == 0 ? 0 : nowMs + 1000 * s;
     }
 
@@ -133,7 +134,7 @@
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("name", name)
                 .put("state", state.text())
                 .put("replace", replace)
@@ -143,48 +144,51 @@
                 .put("until", untilMs)
                 .put("at", atMs)
                 .put("number", number);
-        which.into(n);
-        pace.into(n, replace);
-        rest.into(n);
-        ArrayNode past = n.putArray("history");
-        history.forEach(p -> past.addObject()
-                .put("what", p.what)
-                .put("who", p.who)
-                .put("at", p.atMs)
-                .put("why", p.why));
-        return n;
+        which.into(node);
+        pace.into(node, replace);
+        rest.into(node);
+        ArrayNode past = node.putArray("history");
+        history.forEach(earlier -> past.addObject()
+                .put("what", earlier.what)
+                .put("who", earlier.who)
+                .put("at", earlier.atMs)
+                .put("why", earlier.why));
+        return node;
     }
 
-    public static Drain parse(JsonNode n) throws Malformed {
-        if (n == null || !n.isObject()) {
+    public static Drain parse(JsonNode node) throws Malformed {
+        if (node == null || !node.isObject()) {
             throw new Malformed("not a drain");
         }
-        String name = Codec.text(n, "name");
-        boolean replace = Codec.bool(n, "replace");
+        String name = Codec.text(node, "name");
+        boolean replace = Codec.bool(node, "replace");
         State state;
         try {
-            state = State.valueOf(Codec.text(n, "state").toUpperCase(Locale.ROOT));
+            state = State.valueOf(Codec.text(node, "state").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new Malformed("state = " + n.path("state").asText() + ": running, paused or aborted is expected");
+            throw new Malformed("state = " + node.path("state").asText() + ": running, paused or aborted is expected");
         }
         List<Past> history = new ArrayList<>();
-        for (JsonNode p : n.path("history")) {
+        for (JsonNode earlier : node.path("history")) {
             history.add(new Past(
-                    Codec.text(p, "what"), Codec.text(p, "who"), p.path("at").asLong(), Codec.text(p, "why")));
+                    Codec.text(earlier, "what"),
+                    Codec.text(earlier, "who"),
+                    earlier.path("at").asLong(),
+                    Codec.text(earlier, "why")));
         }
         return new Drain(
                 name,
                 replace,
-                Codec.absent(n, "with") ? null : Codec.text(n, "with"),
-                Selector.parse(n),
-                Pace.parse(n, replace),
-                n.path("by").asLong(),
-                n.path("until").asLong(),
-                Codec.bool(n, "keep"),
-                Rest.parse(n),
+                Codec.absent(node, "with") ? null : Codec.text(node, "with"),
+                Selector.parse(node),
+                Pace.parse(node, replace),
+                node.path("by").asLong(),
+                node.path("until").asLong(),
+                Codec.bool(node, "keep"),
+                Rest.parse(node),
                 state,
-                n.path("at").asLong(),
-                Codec.count(n, "number", 1, Long.MAX_VALUE),
+                node.path("at").asLong(),
+                Codec.count(node, "number", 1, Long.MAX_VALUE),
                 history);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Evictions.java
+++ b/src/main/java/org/beechhoist/drain/Evictions.java
@@ -66,30 +66,35 @@
         List<Candidate> leave = new ArrayList<>();
         Map<Why, Integer> blocked = new HashMap<>();
         Set<JobRef> gangs = new HashSet<>();
-        for (Candidate c : order) {
-            if (!c.due || leave.size() >= most) {
+        for (Candidate candidate : order) {
+            if (!candidate.due || leave.size() >= most) {
                 continue; // it comes to its own end, or to its next save
             }
-            if (c.gang > 0 && !gangs.add(c.task.job())) {
+            if (candidate.gang > 0 && !gangs.add(candidate.task.job())) {
                 continue; // all of it was decided with its first
             }
-            Account account = accounts.computeIfAbsent(c.team, k -> new Account());
-            String why =
-                    c.mayLeave ? refused(c, budgets, account, nowMs) : "no place: none is free for its replica yet";
+            Account account = accounts.computeIfAbsent(candidate.team, k -> new Account());
+            String why = candidate.mayLeave
+                    ? refused(candidate, budgets, account, nowMs)
+                    : "no place: none is free for its replica yet";
             if (why != null) {
-                blocked.merge(new Why(c.host, why), 1, Integer::sum);
+                blocked.merge(new Why(candidate.host, why), 1, Integer::sum);
                 continue;
             }
-            account.charge(c.task, new Account.Away(c.attempt, c.jobClass, c.cause, c.lostCpuS, nowMs));
-            leave.add(c);
+            account.charge(
+                    candidate.task,
+                    new Account.Away(
+                            candidate.attempt, candidate.jobClass, candidate.cause, candidate.lostCpuS, nowMs));
+            leave.add(candidate);
         }
         return new Decision(leave, blocked);
     }
 
-    private static String refused(Candidate c, Budgets budgets, Account account, long nowMs) {
-        Account.Ask ask = new Account.Ask(c.task, c.jobClass, c.service(), c.replicas, c.lostCpuS);
-        String team = account.refuses(budgets.ofTeam(c.team), ask, nowMs);
-        DisruptionBudget own = budgets.ofClass(c.team, c.jobClass);
+    private static String refused(Candidate candidate, Budgets budgets, Account account, long nowMs) {
+        Account.Ask ask = new Account.Ask(
+                candidate.task, candidate.jobClass, candidate.service(), candidate.replicas, candidate.lostCpuS);
+        String team = account.refuses(budgets.ofTeam(candidate.team), ask, nowMs);
+        DisruptionBudget own = budgets.ofClass(candidate.team, candidate.jobClass);
         return team != null || own == null ? team : account.refuses(own, ask, nowMs);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -10,49 +10,50 @@
 
     private Fields() {}
 
-    static long count(JsonNode n, String field, long fallback, long least, long most) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || v.isNull()) {
+    static long count(JsonNode node, String field, long fallback, long least, long most) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || value.isNull()) {
             return fallback;
         }
-        if (!v.isNumber()
-                || v.doubleValue() != Math.rint(v.doubleValue())
-                || v.doubleValue() < least
-                || v.doubleValue() > most) {
-            throw new Malformed(field + " = " + v + ": a whole number from " + least + " to " + most + " is expected");
+        if (!value.isNumber()
+                || value.doubleValue() != Math.rint(value.doubleValue())
+                || value.doubleValue() < least
+                || value.doubleValue() > most) {
+            throw new Malformed(
+                    field + " = " + value + ": a whole number from " + least + " to " + most + " is expected");
         }
-        return v.longValue();
+        return value.longValue();
     }
 
-    static double number(JsonNode n, String field, double fallback, double least, double most) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || v.isNull()) {
+    static double number(JsonNode node, String field, double fallback, double least, double most) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || value.isNull()) {
             return fallback;
         }
-        if (!v.isNumber() || !(v.doubleValue() >= least && v.doubleValue() <= most)) {
-            throw new Malformed(field + " = " + v + ": a number from " + least + " to " + most + " is expected");
+        if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
+            throw new Malformed(field + " = " + value + ": a number from " + least + " to " + most + " is expected");
         }
-        return v.doubleValue();
+        return value.doubleValue();
     }
 
-    static boolean flag(JsonNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v != null && !v.isNull() && !v.isBoolean()) {
-            throw new Malformed(field + " = " + v + ": true or false is expected");
+    static boolean flag(JsonNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value != null && !value.isNull() && !value.isBoolean()) {
+            throw new Malformed(field + " = " + value + ": true or false is expected");
         }
-        return v != null && v.booleanValue();
+        return value != null && value.booleanValue();
     }
 
     /** Null where it is left out. */
-    static String text(JsonNode n, String field) throws Malformed {
-        return Codec.absent(n, field) ? null : name(field, Codec.text(n, field));
+    static String text(JsonNode node, String field) throws Malformed {
+        return Codec.absent(node, field) ? null : name(field, Codec.text(node, field));
     }
 
-    static String name(String field, String s) throws Malformed {
-        if (!s.matches(NAME)) {
+    static String name(String field, String text) throws Malformed {
+        if (!text.matches(NAME)) {
             throw new Malformed(
-                    field + " = " + s + ": 1 to 60 letters, digits, dots, dashes and underlines are expected");
+                    field + " = " + text + ": 1 to 60 letters, digits, dots, dashes and underlines are expected");
         }
-        return s;
+        return text;
     }
 }
--- a/src/main/java/org/beechhoist/drain/Pace.java
+++ b/src/main/java/org/beechhoist/drain/Pace.java
@@ -22,23 +22,23 @@
     private static final int USUAL_AT_ONCE = 20;
 
     /** @param steps whether it goes in steps */
-    public static Pace parse(JsonNode n, boolean steps) throws Malformed {
-        int atOnce = !steps ? Integer.MAX_VALUE : count(n, "atOnce", USUAL_AT_ONCE, 1, MOST_AT_ONCE);
-        int perZone = !steps ? Integer.MAX_VALUE : count(n, "perZone", atOnce, 1, MOST_AT_ONCE);
-        int canary = !steps ? 0 : count(n, "canary", 1, 0, MOST_AT_ONCE);
-        int spare = !steps ? 0 : count(n, "spare", Math.min(atOnce, MOST_AT_ONCE), 0, MOST_AT_ONCE);
-        long hold = !steps ? 0 : count(n, "holdS", USUAL_HOLD_S, 0, LONGEST_S);
-        return new Pace(canary, atOnce, perZone, spare, hold, count(n, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
+    public static Pace parse(JsonNode node, boolean steps) throws Malformed {
+        int atOnce = !steps ? Integer.MAX_VALUE : count(node, "atOnce", USUAL_AT_ONCE, 1, MOST_AT_ONCE);
+        int perZone = !steps ? Integer.MAX_VALUE : count(node, "perZone", atOnce, 1, MOST_AT_ONCE);
+        int canary = !steps ? 0 : count(node, "canary", 1, 0, MOST_AT_ONCE);
+        int spare = !steps ? 0 : count(node, "spare", Math.min(atOnce, MOST_AT_ONCE), 0, MOST_AT_ONCE);
+        long hold = !steps ? 0 : count(node, "holdS", USUAL_HOLD_S, 0, LONGEST_S);
+        return new Pace(canary, atOnce, perZone, spare, hold, count(node, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
     }
 
-    private static int count(JsonNode n, String field, long fallback, long least, long most) throws Malformed {
-        return (int) Fields.count(n, field, fallback, least, most);
+    private static int count(JsonNode node, String field, long fallback, long least, long most) throws Malformed {
+        return (int) Fields.count(node, field, fallback, least, most);
     }
 
-    void into(ObjectNode n, boolean steps) {
-        n.put("waitS", waitS);
+    void into(ObjectNode node, boolean steps) {
+        node.put("waitS", waitS);
         if (steps) {
-            n.put("canary", canary)
+            node.put("canary", canary)
                     .put("atOnce", atOnce)
                     .put("perZone", perZone)
                     .put("spare", spare)
--- a/src/main/java/org/beechhoist/drain/Progress.java
+++ b/src/main/java/org/beechhoist/drain/Progress.java
@@ -44,7 +44,7 @@
     public long overMs;
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("number", number)
                 .put("gone", gone)
                 .put("released", released)
@@ -61,36 +61,36 @@
                 .put("tasks", tasks)
                 .put("cpuS", Math.round(cpuS))
                 .put("over", overMs);
-        hosts(n.putArray("begun"), begun);
-        hosts(n.putArray("spares"), spares);
-        return n;
+        hosts(node.putArray("begun"), begun);
+        hosts(node.putArray("spares"), spares);
+        return node;
     }
 
     private static void hosts(ArrayNode out, Map<HostId, Long> hosts) {
         hosts.forEach((h, at) -> out.add(h.text()).add(at));
     }
 
-    public static Progress parse(JsonNode n) {
-        Progress p = new Progress();
-        p.number = n.path("number").asLong();
-        p.gone = n.path("gone").asInt();
-        p.released = n.path("released").asInt();
-        p.steps = n.path("steps").asInt();
-        p.canaryGoneMs = n.path("canaryGone").asLong();
-        p.sparesAsked = n.path("sparesAsked").asInt();
-        p.sparesFailed = n.path("sparesFailed").asInt();
-        p.paused = n.hasNonNull("paused") ? n.path("paused").asText() : null;
-        p.pausedMs = n.path("pausedAt").asLong();
-        p.pauses = n.path("pauses").asInt();
-        p.tasksForeseen = n.path("tasksForeseen").asInt();
-        p.cpuSForeseen = n.path("cpuSForeseen").asDouble();
-        p.endForeseenMs = n.path("endForeseen").asLong();
-        p.tasks = n.path("tasks").asInt();
-        p.cpuS = n.path("cpuS").asDouble();
-        p.overMs = n.path("over").asLong();
-        read(n.path("begun"), p.begun);
-        read(n.path("spares"), p.spares);
-        return p;
+    public static Progress parse(JsonNode node) {
+        Progress progress = new Progress();
+        progress.number = node.path("number").asLong();
+        progress.gone = node.path("gone").asInt();
+        progress.released = node.path("released").asInt();
+        progress.steps = node.path("steps").asInt();
+        progress.canaryGoneMs = node.path("canaryGone").asLong();
+        progress.sparesAsked = node.path("sparesAsked").asInt();
+        progress.sparesFailed = node.path("sparesFailed").asInt();
+        progress.paused = node.hasNonNull("paused") ? node.path("paused").asText() : null;
+        progress.pausedMs = node.path("pausedAt").asLong();
+        progress.pauses = node.path("pauses").asInt();
+        progress.tasksForeseen = node.path("tasksForeseen").asInt();
+        progress.cpuSForeseen = node.path("cpuSForeseen").asDouble();
+        progress.endForeseenMs = node.path("endForeseen").asLong();
+        progress.tasks = node.path("tasks").asInt();
+        progress.cpuS = node.path("cpuS").asDouble();
+        progress.overMs = node.path("over").asLong();
+        read(node.path("begun"), progress.begun);
+        read(node.path("spares"), progress.spares);
+        return progress;
     }
 
     private static void read(JsonNode rows, Map<HostId, Long> out) {
--- a/src/main/java/org/beechhoist/drain/Rest.java
+++ b/src/main/java/org/beechhoist/drain/Rest.java
@@ -27,21 +27,21 @@
     public static final Rest NEVER = new Rest(null, null, ZoneId.of("UTC"), null, Set.of());
     private static final int DAYS = 90;
 
-    public static Rest parse(JsonNode n) throws Malformed {
-        boolean hours = !Codec.absent(n, "from") || !Codec.absent(n, "to");
-        String calendar = Codec.absent(n, "calendar") ? null : Codec.text(n, "calendar");
+    public static Rest parse(JsonNode node) throws Malformed {
+        boolean hours = !Codec.absent(node, "from") || !Codec.absent(node, "to");
+        String calendar = Codec.absent(node, "calendar") ? null : Codec.text(node, "calendar");
         if (!hours && calendar == null) {
             return NEVER;
         }
         ZoneId zone;
         try {
-            zone = ZoneId.of(Codec.text(n, "clock"));
+            zone = ZoneId.of(Codec.text(node, "clock"));
         } catch (DateTimeException e) {
-            throw new Malformed("clock = " + n.path("clock").asText() + ": a zone such as Asia/Tokyo is expected");
+            throw new Malformed("clock = " + node.path("clock").asText() + ": a zone such as Asia/Tokyo is expected");
         }
         Set<LocalDate> closed = new TreeSet<>();
-        if (!Codec.absent(n, "closed")) {
-            for (String day : Codec.texts(n.get("closed"), "closed")) {
+        if (!Codec.absent(node, "closed")) {
+            for (String day : Codec.texts(node.get("closed"), "closed")) {
                 try {
                     closed.add(LocalDate.parse(day));
                 } catch (DateTimeParseException e) {
@@ -49,14 +49,15 @@
                 }
             }
         }
-        return new Rest(hours ? time(n, "from") : null, hours ? time(n, "to") : null, zone, calendar, closed);
+        return new Rest(hours ? time(node, "from") : null, hours ? time(node, "to") : null, zone, calendar, closed);
     }
 
-    private static LocalTime time(JsonNode n, String field) throws Malformed {
+    private static LocalTime time(JsonNode node, String field) throws Malformed {
         try {
-            return LocalTime.parse(Codec.text(n, field));
+            return LocalTime.parse(Codec.text(node, field));
         } catch (DateTimeParseException e) {
-            throw new Malformed(field + " = " + n.path(field).asText() + ": a time of day such as 22:00 is expected");
+            throw new Malformed(
+                    field + " = " + node.path(field).asText() + ": a time of day such as 22:00 is expected");
         }
     }
 
@@ -74,10 +75,10 @@
 
     /** Whether it rests at the moment. */
     public boolean rests(long wallMs) {
-        ZonedDateTime t = Instant.ofEpochMilli(wallMs).atZone(zone);
-        LocalDate day = t.toLocalDate();
+        ZonedDateTime dateTime = Instant.ofEpochMilli(wallMs).atZone(zone);
+        LocalDate day = dateTime.toLocalDate();
         if (from != null) {
-            LocalTime now = t.toLocalTime();
+            LocalTime now = dateTime.toLocalTime();
             boolean night = !from.isBefore(to);
             boolean early = night && now.isBefore(to);
             if (night ? !early && now.isBefore(from) : now.isBefore(from) || !now.isBefore(to)) {
@@ -88,16 +89,16 @@
         return closed.contains(day);
     }
 
-    void into(ObjectNode n) {
+    void into(ObjectNode node) {
         if (this == NEVER || from == null && calendar == null) {
             return;
         }
-        n.put("clock", zone.getId()).put("calendar", calendar);
+        node.put("clock", zone.getId()).put("calendar", calendar);
         if (from != null) {
-            n.put("from", from.toString()).put("to", to.toString());
+            node.put("from", from.toString()).put("to", to.toString());
         }
         if (!closed.isEmpty()) {
-            ArrayNode days = n.putArray("closed");
+            ArrayNode days = node.putArray("closed");
             closed.forEach(d -> days.add(d.toString()));
         }
     }
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -28,33 +28,34 @@
     public record Machine(HostId id, String type, String zone, boolean spot, long rentedWallMs) {}
 
     /** @param atMs when the drain was put, by the time of day */
-    public boolean matches(Machine m, long atMs) {
+    public boolean matches(Machine machine, long atMs) {
         if (!names.isEmpty()) {
-            return names.contains(m.id.text());
+            return names.contains(machine.id.text());
         }
-        boolean old = m.rentedWallMs > 0 && m.rentedWallMs < atMs - 1000 * olderThanS;
+        boolean old = machine.rentedWallMs > 0 && machine.rentedWallMs < atMs - 1000 * olderThanS;
         return old
-                && (type == null || type.equals(m.type))
-                && (zone == null || zone.equals(m.zone))
-                && (spot == null || spot == m.spot)
+                && (type == null || type.equals(machine.type))
+                && (zone == null || zone.equals(machine.zone))
+                && (spot == null || spot == machine.spot)
                 && (share >= 1
-                        || Integer.toUnsignedLong(Hashing.murmur3_32().hashCharsToInt(m.id.text())) < share * HASHES);
+                        || Integer.toUnsignedLong(Hashing.murmur3_32().hashCharsToInt(machine.id.text()))
+                                < share * HASHES);
     }
 
-    public static Selector parse(JsonNode n) throws Malformed {
+    public static Selector parse(JsonNode node) throws Malformed {
         Set<String> names = new TreeSet<>();
-        if (!Codec.absent(n, "machines")) {
-            names.addAll(Codec.texts(n.get("machines"), "machines"));
+        if (!Codec.absent(node, "machines")) {
+            names.addAll(Codec.texts(node.get("machines"), "machines"));
             if (names.isEmpty() || names.size() > MOST_NAMES) {
                 throw new Malformed("machines = " + names.size() + " names: 1 to " + MOST_NAMES + " are expected");
             }
         }
-        String type = Fields.text(n, "type");
-        String zone = Fields.text(n, "zone");
-        Boolean spot = Codec.absent(n, "spot") ? null : Boolean.valueOf(Fields.flag(n, "spot"));
-        long older = Fields.count(n, "olderThanS", 0, 0, LONGEST_S);
-        double share = Fields.number(n, "share", 1, LEAST_SHARE, 1);
-        boolean all = Fields.flag(n, "all");
+        String type = Fields.text(node, "type");
+        String zone = Fields.text(node, "zone");
+        Boolean spot = Codec.absent(node, "spot") ? null : Boolean.valueOf(Fields.flag(node, "spot"));
+        long older = Fields.count(node, "olderThanS", 0, 0, LONGEST_S);
+        double share = Fields.number(node, "share", 1, LEAST_SHARE, 1);
+        boolean all = Fields.flag(node, "all");
         boolean some = type != null || zone != null || spot != null || older > 0 || share < 1;
         if (names.isEmpty() ? !all && !some : all || some) {
             throw new Malformed(
@@ -63,21 +64,21 @@
         return new Selector(names, type, zone, spot, older, share);
     }
 
-    public void into(ObjectNode n) {
+    public void into(ObjectNode node) {
         if (!names.isEmpty()) {
-            ArrayNode list = n.putArray("machines");
+            ArrayNode list = node.putArray("machines");
             names.forEach(list::add);
             return;
         }
-        n.put("type", type).put("zone", zone).put("spot", spot);
+        node.put("type", type).put("zone", zone).put("spot", spot);
         if (olderThanS > 0) {
-            n.put("olderThanS", olderThanS);
+            node.put("olderThanS", olderThanS);
         }
         if (share < 1) {
-            n.put("share", share);
+            node.put("share", share);
         }
         if (type == null && zone == null && spot == null && olderThanS == 0 && share >= 1) {
-            n.put("all", true);
+            node.put("all", true);
         }
     }
 }
--- a/src/main/java/org/beechhoist/drain/Waves.java
+++ b/src/main/java/org/beechhoist/drain/Waves.java
@@ -57,45 +57,47 @@
     private Waves() {}
 
     /** Why it should not go on, or null. */
-    public static String stops(Health h) {
-        if (h.lostLately >= A_FALL || h.lostLately >= LEAST_FALL && h.lostLately > A_PART * h.machines) {
-            return h.lostLately + " machines were lost within a minute";
+    public static String stops(Health health) {
+        if (health.lostLately >= A_FALL
+                || health.lostLately >= LEAST_FALL && health.lostLately > A_PART * health.machines) {
+            return health.lostLately + " machines were lost within a minute";
         }
-        if (h.sparesAsked >= LEAST_SPARES && h.sparesFailed > SPARES_FAIL * h.sparesAsked) {
-            return h.sparesFailed + " of " + h.sparesAsked + " new machines did not come up";
+        if (health.sparesAsked >= LEAST_SPARES && health.sparesFailed > SPARES_FAIL * health.sparesAsked) {
+            return health.sparesFailed + " of " + health.sparesAsked + " new machines did not come up";
         }
-        if (h.faultyNew > 0) {
-            return h.faultyNew + " new machines fail tasks";
+        if (health.faultyNew > 0) {
+            return health.faultyNew + " new machines fail tasks";
         }
-        if (h.leastShare < NEAR_HALF) {
-            return h.leastOf + " is near its half: " + Math.round(100 * h.leastShare) + "% of what it asked is served";
+        if (health.leastShare < NEAR_HALF) {
+            return health.leastOf + " is near its half: " + Math.round(100 * health.leastShare)
+                    + "% of what it asked is served";
         }
-        return h.lateUrgent >= LATE_URGENT ? h.lateUrgent + " urgent tasks begin later than promised" : null;
+        return health.lateUrgent >= LATE_URGENT ? health.lateUrgent + " urgent tasks begin later than promised" : null;
     }
 
     /** Machines to begin now: what loses least first, no more than the pace allows, and only as many as spares are up for. */
-    public static List<HostId> next(Pace pace, Facts f, long nowMs) {
-        boolean canary = f.gone < pace.canary();
-        boolean held =
-                pace.canary() == 0 || !canary && f.canaryGoneMs > 0 && nowMs - f.canaryGoneMs >= 1000 * pace.holdS();
-        int most = canary ? pace.canary() - f.gone - f.inHand() : !held ? 0 : pace.atOnce() - f.inHand();
+    public static List<HostId> next(Pace pace, Facts facts, long nowMs) {
+        boolean canary = facts.gone < pace.canary();
+        boolean held = pace.canary() == 0
+                || !canary && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= 1000 * pace.holdS();
+        int most = canary ? pace.canary() - facts.gone - facts.inHand() : !held ? 0 : pace.atOnce() - facts.inHand();
         if (pace.spare() > 0) {
             // Each spare stands for one old machine that is in hand.
-            most = Math.min(most, f.sparesUp - f.inHand());
+            most = Math.min(most, facts.sparesUp - facts.inHand());
         }
-        List<Waiting> order = new ArrayList<>(f.waiting);
+        List<Waiting> order = new ArrayList<>(facts.waiting);
         order.sort(Comparator.comparingDouble(Waiting::lostCpuS)
                 .thenComparingInt(Waiting::tasks)
                 .thenComparing(Waiting::host));
-        Map<String, Integer> inZone = new HashMap<>(f.handByZone);
+        Map<String, Integer> inZone = new HashMap<>(facts.handByZone);
         List<HostId> out = new ArrayList<>();
-        for (Waiting w : order) {
+        for (Waiting waiting : order) {
             if (out.size() >= most) {
                 break;
             }
-            if (inZone.getOrDefault(w.zone, 0) < pace.perZone()) {
-                inZone.merge(w.zone, 1, Integer::sum);
-                out.add(w.host);
+            if (inZone.getOrDefault(waiting.zone, 0) < pace.perZone()) {
+                inZone.merge(waiting.zone, 1, Integer::sum);
+                out.add(waiting.host);
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/elastic/Ending.java
+++ b/src/main/java/org/beechhoist/elastic/Ending.java
@@ -51,49 +51,54 @@
 
     private static final double SPEED_ERROR = 0.1;
 
-    public static Ending choose(Task t, long nowMs, Need need) {
-        if (!t.sent()) {
+    public static Ending choose(Task task, long nowMs, Need need) {
+        if (!task.sent()) {
             return new Ending(Way.WITHDRAW, nowMs, nowMs, 0);
         }
-        if (!t.running()) {
+        if (!task.running()) {
             return new Ending(Way.UNSTARTED, nowMs, nowMs + STOP_MS, 0);
         }
-        Ending kill = new Ending(Way.KILL, nowMs, nowMs + STOP_MS, t.endless() ? 0 : cpuS(t, t.sinceSnapshotMs()));
-        Ending best = t.endless() && !t.saves() ? kill : null; // a replica without checkpoints has nothing to lose
-        if (!t.endless()) {
-            best = better(best, new Ending(Way.AT_END, nowMs + t.leftMs(), nowMs + t.leftMs(), 0), need);
+        Ending kill =
+                new Ending(Way.KILL, nowMs, nowMs + STOP_MS, task.endless() ? 0 : cpuS(task, task.sinceSnapshotMs()));
+        Ending best =
+                task.endless() && !task.saves() ? kill : null; // a replica without checkpoints has nothing to lose
+        if (!task.endless()) {
+            best = better(best, new Ending(Way.AT_END, nowMs + task.leftMs(), nowMs + task.leftMs(), 0), need);
         }
-        if (t.saves()) {
-            best = better(best, new Ending(Way.SAVE, nowMs, nowMs + t.saveMs() + STOP_MS, cpuS(t, t.saveMs())), need);
-            best = better(best, atSnapshot(t, nowMs), need);
+        if (task.saves()) {
+            best = better(
+                    best,
+                    new Ending(Way.SAVE, nowMs, nowMs + task.saveMs() + STOP_MS, cpuS(task, task.saveMs())),
+                    need);
+            best = better(best, atSnapshot(task, nowMs), need);
         }
         boolean tooLate = best.freesAtMs() > need.byMs() && kill.freesAtMs() <= need.byMs();
         return tooLate && need.mayKill() ? kill : best;
     }
 
-    private static Ending atSnapshot(Task t, long nowMs) {
-        long error = Math.min(t.snapshotEveryMs(), REPORT_LATE_MS + Math.round(SPEED_ERROR * t.ranMs()));
-        long at = nowMs + t.snapshotEveryMs() - t.sinceSnapshotMs() + REPORT_LATE_MS;
-        return new Ending(Way.AT_SNAPSHOT, at, at + STOP_MS, cpuS(t, error));
+    private static Ending atSnapshot(Task task, long nowMs) {
+        long error = Math.min(task.snapshotEveryMs(), REPORT_LATE_MS + Math.round(SPEED_ERROR * task.ranMs()));
+        long at = nowMs + task.snapshotEveryMs() - task.sinceSnapshotMs() + REPORT_LATE_MS;
+        return new Ending(Way.AT_SNAPSHOT, at, at + STOP_MS, cpuS(task, error));
     }
 
-    private static double cpuS(Task t, long ms) {
-        return t.cpus() * ms / 1000.0;
+    private static double cpuS(Task task, long ms) {
+        return task.cpus() * ms / 1000.0;
     }
 
     /** In time before late; in time, what loses less; late, what is over sooner. */
-    private static Ending better(Ending a, Ending b, Need need) {
-        if (a == null) {
-            return b;
+    private static Ending better(Ending first, Ending second, Need need) {
+        if (first == null) {
+            return second;
         }
-        boolean aInTime = a.freesAtMs() <= need.byMs();
-        boolean bInTime = b.freesAtMs() <= need.byMs();
+        boolean aInTime = first.freesAtMs() <= need.byMs();
+        boolean bInTime = second.freesAtMs() <= need.byMs();
         if (aInTime != bInTime) {
-            return aInTime ? a : b;
+            return aInTime ? first : second;
         }
-        if (aInTime && a.lostCpuS() != b.lostCpuS()) {
-            return a.lostCpuS() < b.lostCpuS() ? a : b;
+        if (aInTime && first.lostCpuS() != second.lostCpuS()) {
+            return first.lostCpuS() < second.lostCpuS() ? first : second;
         }
-        return a.freesAtMs() <= b.freesAtMs() ? a : b;
+        return first.freesAtMs() <= second.freesAtMs() ? first : second;
     }
 }
--- a/src/main/java/org/beechhoist/floor/Aged.java
+++ b/src/main/java/org/beechhoist/floor/Aged.java
@@ -50,9 +50,9 @@
     public static Map<JobRef, Integer> first(List<Waiting> waiting, double allCpus, long nowMs) {
         Map<JobRef, Integer> out = new LinkedHashMap<>();
         List<Waiting> old = new ArrayList<>();
-        for (Waiting w : waiting) {
-            if (nowMs >= w.fromMs() && (w.part() > 0 || w.begunMs < SAFE_MS)) {
-                old.add(w);
+        for (Waiting claim : waiting) {
+            if (nowMs >= claim.fromMs() && (claim.part() > 0 || claim.begunMs < SAFE_MS)) {
+                old.add(claim);
             }
         }
         // Who has begun keeps what it has, and the oldest come first.
@@ -60,12 +60,12 @@
                 .thenComparingLong(Waiting::fromMs)
                 .thenComparing(Waiting::job));
         double taken = 0;
-        for (Waiting w : old) {
-            double cpus = w.part() * w.cpus;
+        for (Waiting claim : old) {
+            double cpus = claim.part() * claim.cpus;
             if (taken > 0 && cpus > 0 && taken + cpus > SHARE * allCpus) {
                 break; // smaller ones that fit beside what goes first would keep it waiting for ever
             }
-            out.put(w.job, w.part());
+            out.put(claim.job, claim.part());
             taken += cpus;
         }
         return out;
--- a/src/main/java/org/beechhoist/floor/Floor.java
+++ b/src/main/java/org/beechhoist/floor/Floor.java
@@ -42,11 +42,11 @@
     public static Set<JobRef> lifted(Map<String, Share> shares, List<Waiting> waiting) {
         Set<JobRef> out = new HashSet<>();
         List<Waiting> inTime = new ArrayList<>();
-        for (Waiting w : waiting) {
-            if (w.lifted) {
-                out.add(w.job);
-            } else if (w.endsIfFirstMs <= w.limitMs) {
-                inTime.add(w);
+        for (Waiting claim : waiting) {
+            if (claim.lifted) {
+                out.add(claim.job);
+            } else if (claim.endsIfFirstMs <= claim.limitMs) {
+                inTime.add(claim);
             }
         }
         inTime.sort(Comparator.comparingLong(Waiting::limitMs).thenComparing(Waiting::job));
@@ -60,9 +60,9 @@
                     .filter(w -> w.lifted && w.groups.contains(group))
                     .count();
             long left = Math.min(Largest.ofSize(group) ? MOST_LARGEST : MOST_LIFTED, needed(share)) - under;
-            for (Waiting w : inTime) {
-                if (left > 0 && w.groups.contains(group)) {
-                    out.add(w.job);
+            for (Waiting claim : inTime) {
+                if (left > 0 && claim.groups.contains(group)) {
+                    out.add(claim.job);
                     left--;
                 }
             }
@@ -73,14 +73,14 @@
     private static boolean anotherFarAbove(String group, Map<String, Share> shares) {
         String kind = Largest.ofSize(group) ? "class:" : group.substring(0, group.indexOf(':') + 1);
         return shares.entrySet().stream()
-                .anyMatch(e -> e.getKey().startsWith(kind)
-                        && !e.getKey().equals(group)
-                        && e.getValue().asked() >= LEAST_ASKED
-                        && e.getValue().value() >= FAR_ABOVE);
+                .anyMatch(entry -> entry.getKey().startsWith(kind)
+                        && !entry.getKey().equals(group)
+                        && entry.getValue().asked() >= LEAST_ASKED
+                        && entry.getValue().value() >= FAR_ABOVE);
     }
 
     /** So many more jobs in time would bring the group back to the floor. */
-    static int needed(Share s) {
-        return Math.max(1, (int) Math.ceil((BEHIND * s.asked() - s.served()) / (1 - BEHIND)));
+    static int needed(Share share) {
+        return Math.max(1, (int) Math.ceil((BEHIND * share.asked() - share.served()) / (1 - BEHIND)));
     }
 }
--- a/src/main/java/org/beechhoist/floor/Largest.java
+++ b/src/main/java/org/beechhoist/floor/Largest.java
@@ -53,36 +53,36 @@
         }
         sizes.computeIfAbsent(jobClass, k -> new Histogram(DIGITS)).recordValue(size);
         Set<String> out = new LinkedHashSet<>();
-        for (Part p : Part.values()) {
-            long from = from(jobClass, p);
+        for (Part part : Part.values()) {
+            long from = from(jobClass, part);
             if (from > 0 && size >= from) {
-                out.add(p.group(jobClass));
+                out.add(part.group(jobClass));
             }
         }
         return out;
     }
 
     /** The least size that belongs to the part; 0: nothing can be said. */
-    private long from(String jobClass, Part p) {
-        Histogram h = sizes.get(jobClass);
-        if (h != null && h.getTotalCount() >= p.least) {
+    private long from(String jobClass, Part part) {
+        Histogram histogram = sizes.get(jobClass);
+        if (histogram != null && histogram.getTotalCount() >= part.least) {
             // Of a class whose jobs are all alike none is large.
-            long at = h.getValueAtPercentile(p.percentile);
-            return h.valuesAreEquivalent(at, h.getMinValue()) ? 0 : at;
+            long at = histogram.getValueAtPercentile(part.percentile);
+            return histogram.valuesAreEquivalent(at, histogram.getMinValue()) ? 0 : at;
         }
         long[] old = before.get(jobClass);
-        return old == null || old.length != Part.values().length ? 0 : old[p.ordinal()];
+        return old == null || old.length != Part.values().length ? 0 : old[part.ordinal()];
     }
 
     /** What the next leader needs: by class, the least size of each part. */
     public Map<String, long[]> known() {
         Map<String, long[]> out = new TreeMap<>(before);
-        for (String c : sizes.keySet()) {
+        for (String jobClass : sizes.keySet()) {
             long[] row = new long[Part.values().length];
             for (Part p : Part.values()) {
-                row[p.ordinal()] = from(c, p);
+                row[p.ordinal()] = from(jobClass, p);
             }
-            out.put(c, row);
+            out.put(jobClass, row);
         }
         return out;
     }
@@ -96,8 +96,8 @@
 
     /** Whether a group is one of size: it is held against classes and teams, for whose sake its jobs wait. */
     public static boolean ofSize(String group) {
-        for (Part p : Part.values()) {
-            if (group.startsWith(p.group(""))) {
+        for (Part part : Part.values()) {
+            if (group.startsWith(part.group(""))) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/http/HttpParser.java
+++ b/src/main/java/org/beechhoist/http/HttpParser.java
@@ -41,12 +41,12 @@
     }
 
     public void feed(ByteBuffer in) {
-        int n = in.remaining();
-        if (len + n > buf.length) {
-            buf = Arrays.copyOf(buf, Math.max(len + n, Math.min(2 * buf.length, len + n + 65536)));
+        int available = in.remaining();
+        if (len + available > buf.length) {
+            buf = Arrays.copyOf(buf, Math.max(len + available, Math.min(2 * buf.length, len + available + 65536)));
         }
-        in.get(buf, len, n);
-        len += n;
+        in.get(buf, len, available);
+        len += available;
     }
 
     /** The next whole message, or null until more has arrived. */
@@ -57,7 +57,7 @@
         if (len < bodyAt + bodyLen) {
             return null;
         }
-        HttpMessage m = new HttpMessage(
+        HttpMessage message = new HttpMessage(
                 head.method(),
                 head.target(),
                 head.status(),
@@ -69,7 +69,7 @@
         len = left;
         scanned = 0;
         head = null;
-        return m;
+        return message;
     }
 
     /** True where a message has begun that is not whole yet. */
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -41,13 +41,13 @@
             return name().toLowerCase(Locale.ROOT);
         }
 
-        static State parse(String s) throws Malformed {
-            for (State v : values()) {
-                if (v.text().equals(s)) {
-                    return v;
+        static State parse(String text) throws Malformed {
+            for (State state : values()) {
+                if (state.text().equals(text)) {
+                    return state;
                 }
             }
-            throw new Malformed("state = " + s + ": proposed, approved, superseded or revoked is expected");
+            throw new Malformed("state = " + text + ": proposed, approved, superseded or revoked is expected");
         }
     }
 
@@ -104,8 +104,8 @@
     }
 
     /** The digest of what the version holds now, whatever digest stands beside it. */
-    public String digestNow(Version v) {
-        return digest(name, owner, v.version, v.fingerprints);
+    public String digestNow(Version version) {
+        return digest(name, owner, version.version, version.fingerprints);
     }
 
     public Version version(long number) {
@@ -136,9 +136,10 @@
             throw new Malformed(
                     "fingerprints: 1 to " + MOST_FINGERPRINTS + " are expected, not " + fingerprints.size());
         }
-        for (String f : fingerprints) {
-            if (!f.matches(FINGERPRINT)) {
-                throw new Malformed("fingerprints: " + f + ": 8 to 100 letters, digits, and + / = : _ - are expected");
+        for (String fingerprint : fingerprints) {
+            if (!fingerprint.matches(FINGERPRINT)) {
+                throw new Malformed(
+                        "fingerprints: " + fingerprint + ": 8 to 100 letters, digits, and + / = : _ - are expected");
             }
         }
         if (fingerprints.stream().distinct().count() < fingerprints.size()) {
@@ -164,21 +165,21 @@
 
     /** Approves this very version; the one approved before is superseded, and what is bound to it may run on until {@code drainUntilMs}. */
     public KeySet approve(long version, String digest, long drainUntilMs, Change by) throws Malformed {
-        Version v = known(version);
-        if (!v.digest.equals(digest) || !digestNow(v).equals(digest)) {
-            throw new Malformed("digest = " + digest + ": version " + version + " holds " + digestNow(v));
+        Version keyVersion = known(version);
+        if (!keyVersion.digest.equals(digest) || !digestNow(keyVersion).equals(digest)) {
+            throw new Malformed("digest = " + digest + ": version " + version + " holds " + digestNow(keyVersion));
         }
-        if (v.state == State.APPROVED) {
-            return changed(v, v);
+        if (keyVersion.state == State.APPROVED) {
+            return changed(keyVersion, keyVersion);
         }
         Version last = approved();
-        if (last != null && last.version > version && v.state != State.REVOKED) {
+        if (last != null && last.version > version && keyVersion.state != State.REVOKED) {
             throw new Malformed("version = " + version + ": version " + last.version
                     + " is approved; only a newer one may follow, or one that was revoked");
         }
         KeySet out =
                 last == null ? this : changed(last, last.is(State.SUPERSEDED, by.who, by.atMs, by.why, drainUntilMs));
-        return out.changed(v, v.is(State.APPROVED, by.who, by.atMs, by.why, 0));
+        return out.changed(keyVersion, keyVersion.is(State.APPROVED, by.who, by.atMs, by.why, 0));
     }
 
     public KeySet revoke(long version, Change by) throws Malformed {
@@ -187,12 +188,12 @@
     }
 
     private Version known(long version) throws Malformed {
-        Version v = version(version);
-        if (v == null) {
+        Version keyVersion = version(version);
+        if (keyVersion == null) {
             throw new Malformed("version = " + version + ": one of "
                     + versions.stream().map(Version::version).toList() + " is expected");
         }
-        return v;
+        return keyVersion;
     }
 
     private KeySet changed(Version from, Version to) {
@@ -207,48 +208,48 @@
     // ---- as stored and shown ----
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map().put("name", name).put("owner", owner).put("number", number);
-        ArrayNode c = n.putArray("classes");
-        classes.forEach(c::add);
-        ArrayNode all = n.putArray("versions");
-        for (Version v : versions) {
+        ObjectNode node = Codec.map().put("name", name).put("owner", owner).put("number", number);
+        ArrayNode otherClasses = node.putArray("classes");
+        classes.forEach(otherClasses::add);
+        ArrayNode all = node.putArray("versions");
+        for (Version version : versions) {
             ObjectNode row = all.addObject()
-                    .put("version", v.version)
-                    .put("digest", v.digest)
-                    .put("state", v.state.text())
-                    .put("who", v.who)
-                    .put("at", v.atMs)
-                    .put("why", v.why);
-            if (v.drainUntilMs > 0) {
-                row.put("drainUntil", v.drainUntilMs);
+                    .put("version", version.version)
+                    .put("digest", version.digest)
+                    .put("state", version.state.text())
+                    .put("who", version.who)
+                    .put("at", version.atMs)
+                    .put("why", version.why);
+            if (version.drainUntilMs > 0) {
+                row.put("drainUntil", version.drainUntilMs);
             }
             ArrayNode f = row.putArray("fingerprints");
-            v.fingerprints.forEach(f::add);
+            version.fingerprints.forEach(f::add);
         }
-        return n;
+        return node;
     }
 
-    public static KeySet parse(JsonNode n) throws Malformed {
-        if (n == null || !n.path("versions").isArray()) {
+    public static KeySet parse(JsonNode node) throws Malformed {
+        if (node == null || !node.path("versions").isArray()) {
             throw new Malformed("versions: a list is expected");
         }
         List<Version> versions = new ArrayList<>();
-        for (JsonNode v : n.get("versions")) {
+        for (JsonNode version : node.get("versions")) {
             versions.add(new Version(
-                    Codec.count(v, "version", 1, Integer.MAX_VALUE),
-                    Codec.texts(v.get("fingerprints"), "fingerprints"),
-                    Codec.text(v, "digest"),
-                    State.parse(Codec.text(v, "state")),
-                    Codec.text(v, "who"),
-                    v.path("at").asLong(),
-                    Codec.text(v, "why"),
-                    v.path("drainUntil").asLong()));
+                    Codec.count(version, "version", 1, Integer.MAX_VALUE),
+                    Codec.texts(version.get("fingerprints"), "fingerprints"),
+                    Codec.text(version, "digest"),
+                    State.parse(Codec.text(version, "state")),
+                    Codec.text(version, "who"),
+                    version.path("at").asLong(),
+                    Codec.text(version, "why"),
+                    version.path("drainUntil").asLong()));
         }
         return new KeySet(
-                Codec.text(n, "name"),
-                Codec.text(n, "owner"),
-                Codec.absent(n, "classes") ? List.of() : Codec.texts(n.get("classes"), "classes"),
-                Codec.count(n, "number", 1, Long.MAX_VALUE),
+                Codec.text(node, "name"),
+                Codec.text(node, "owner"),
+                Codec.absent(node, "classes") ? List.of() : Codec.texts(node.get("classes"), "classes"),
+                Codec.count(node, "number", 1, Long.MAX_VALUE),
                 versions);
     }
 }
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -47,23 +47,23 @@
     /** @param named the set that the job names, or null */
     public Binding bind(String team, String jobClass, String named) {
         if (named != null) {
-            Known k = sets.get(named);
-            if (k == null || k.set == null) {
+            Known known = sets.get(named);
+            if (known == null || known.set == null) {
                 return Binding.refused("keySet = " + named + ": no such key set");
             }
-            if (!isFor(k.set, team, jobClass)) {
-                return Binding.refused("keySet = " + named + ": it is for " + k.set.owner()
-                        + (k.set.classes().isEmpty() ? "" : " and " + k.set.classes()));
+            if (!isFor(known.set, team, jobClass)) {
+                return Binding.refused("keySet = " + named + ": it is for " + known.set.owner()
+                        + (known.set.classes().isEmpty() ? "" : " and " + known.set.classes()));
             }
-            return bound(k.set);
+            return bound(known.set);
         }
         if (!classes.contains(jobClass) && !teams.contains(team)) {
             return new Binding(null, null);
         }
         Map<String, KeySet> fitting = new TreeMap<>();
-        for (Known k : sets.values()) {
-            if (k.set != null && isFor(k.set, team, jobClass) && k.set.approved() != null) {
-                fitting.put(k.set.name(), k.set);
+        for (Known known : sets.values()) {
+            if (known.set != null && isFor(known.set, team, jobClass) && known.set.approved() != null) {
+                fitting.put(known.set.name(), known.set);
             }
         }
         // One made for the class goes before one for all of the team.
@@ -81,54 +81,57 @@
         return bound(left.get(0));
     }
 
-    private Binding bound(KeySet s) {
-        KeySet.Version v = s.approved();
-        if (v == null) {
-            return Binding.refused("keySet = " + s.name() + ": no version of it is approved");
+    private Binding bound(KeySet keySet) {
+        KeySet.Version version = keySet.approved();
+        if (version == null) {
+            return Binding.refused("keySet = " + keySet.name() + ": no version of it is approved");
         }
-        Mark m = marks.get(s.name());
-        if (m != null || !s.digestNow(v).equals(v.digest())) {
-            return Binding.refused("keySet = " + s.name() + ": mismatch, "
-                    + (m != null ? m.text() : "it does not hold what was approved"));
+        Mark mark = marks.get(keySet.name());
+        if (mark != null || !keySet.digestNow(version).equals(version.digest())) {
+            return Binding.refused("keySet = " + keySet.name() + ": mismatch, "
+                    + (mark != null ? mark.text() : "it does not hold what was approved"));
         }
-        return new Binding(new KeyPin(s.name(), v.version(), v.digest()), null);
+        return new Binding(new KeyPin(keySet.name(), version.version(), version.digest()), null);
     }
 
-    private static boolean isFor(KeySet s, String team, String jobClass) {
-        return s.owner().equals(team) && (s.classes().isEmpty() || s.classes().contains(jobClass));
+    private static boolean isFor(KeySet keySet, String team, String jobClass) {
+        return keySet.owner().equals(team)
+                && (keySet.classes().isEmpty() || keySet.classes().contains(jobClass));
     }
 
     /** Whether what is bound so may run. Nothing but this very version with this very content, approved or draining, lets it. */
     public Verdict verdict(KeyPin pin, long nowMs) {
-        Known k = sets.get(pin.set());
-        if (k == null) {
+        Known known = sets.get(pin.set());
+        if (known == null) {
             return Verdict.held(0, "the state service", "the key set is gone");
         }
-        Mark m = marks.get(pin.set());
-        if (m != null) {
-            return Verdict.held(m.atMs, m.node, "mismatch: " + m.text());
+        Mark mark = marks.get(pin.set());
+        if (mark != null) {
+            return Verdict.held(mark.atMs, mark.node, "mismatch: " + mark.text());
         }
-        KeySet.Version v = k.set == null ? null : k.set.version(pin.version());
-        if (v == null) {
+        KeySet.Version version = known.set == null ? null : known.set.version(pin.version());
+        if (version == null) {
             return Verdict.held(
                     0,
                     "the state service",
-                    k.set == null ? "mismatch: the key set can't be read" : "the version is gone");
+                    known.set == null ? "mismatch: the key set can't be read" : "the version is gone");
         }
-        String now = k.set.digestNow(v);
-        if (!now.equals(pin.digest()) || !v.digest().equals(pin.digest())) {
+        String now = known.set.digestNow(version);
+        if (!now.equals(pin.digest()) || !version.digest().equals(pin.digest())) {
             return Verdict.held(
                     0, "the state service", "mismatch: it holds " + now + ", the job is bound to " + pin.digest());
         }
-        return switch (v.state()) {
+        return switch (version.state()) {
             case APPROVED -> Verdict.MAY_RUN;
             case SUPERSEDED ->
-                nowMs < v.drainUntilMs()
+                nowMs < version.drainUntilMs()
                         ? Verdict.MAY_RUN
                         : Verdict.held(
-                                v.drainUntilMs(), v.who(), "superseded, and its time to drain is over: " + v.why());
-            case REVOKED -> Verdict.held(v.atMs(), v.who(), "revoked: " + v.why());
-            case PROPOSED -> Verdict.held(v.atMs(), v.who(), "it is not approved");
+                                version.drainUntilMs(),
+                                version.who(),
+                                "superseded, and its time to drain is over: " + version.why());
+            case REVOKED -> Verdict.held(version.atMs(), version.who(), "revoked: " + version.why());
+            case PROPOSED -> Verdict.held(version.atMs(), version.who(), "it is not approved");
         };
     }
 
@@ -137,13 +140,13 @@
         if (now == null) {
             return null; // told by its verdict
         }
-        for (KeySet.Version v : now.versions()) {
-            KeySet.Version old = before == null ? null : before.version(v.version());
-            if (!now.digestNow(v).equals(v.digest())) {
-                return now.digestNow(v);
+        for (KeySet.Version version : now.versions()) {
+            KeySet.Version old = before == null ? null : before.version(version.version());
+            if (!now.digestNow(version).equals(version.digest())) {
+                return now.digestNow(version);
             }
-            if (old != null && !old.digest().equals(v.digest())) {
-                return v.digest();
+            if (old != null && !old.digest().equals(version.digest())) {
+                return version.digest();
             }
         }
         if (before != null && now.number() < before.number() || number != null && number != now.number()) {
--- a/src/main/java/org/beechhoist/local/LocalCluster.java
+++ b/src/main/java/org/beechhoist/local/LocalCluster.java
@@ -55,9 +55,9 @@
         int[] ports = freePorts(2 * layout.nodes());
         Map<String, InetSocketAddress> byName = new LinkedHashMap<>();
         for (int i = 0; i < layout.nodes(); i++) {
-            Settings s = Settings.parse(settings(layout, ports, i));
-            controllers.add(new Controller(s));
-            byName.put(s.node(), s.publicAddress());
+            Settings settings = Settings.parse(settings(layout, ports, i));
+            controllers.add(new Controller(settings));
+            byName.put(settings.node(), settings.publicAddress());
         }
         region.controllers(byName);
         region.start();
@@ -72,10 +72,10 @@
     }
 
     /** Ports that were free a moment ago: the controllers must know one another's before they listen. */
-    private static int[] freePorts(int n) throws IOException {
+    private static int[] freePorts(int count) throws IOException {
         List<ServerSocket> held = new ArrayList<>();
-        int[] out = new int[n];
-        for (int i = 0; i < n; i++) {
+        int[] out = new int[count];
+        for (int i = 0; i < count; i++) {
             held.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
             out[i] = held.get(i).getLocalPort();
         }
@@ -85,17 +85,17 @@
         return out;
     }
 
-    private String settings(Layout layout, int[] ports, int i) {
+    private String settings(Layout layout, int[] ports, int index) {
         StringBuilder out = new StringBuilder();
         out.append("host_name = \"node-")
-                .append(i)
+                .append(index)
                 .append("\"\nsite = \"a\"\npublic_addr = \"127.0.0.1:")
-                .append(ports[2 * i])
+                .append(ports[2 * index])
                 .append("\"\ninternal_addr = \"127.0.0.1:")
-                .append(ports[2 * i + 1])
+                .append(ports[2 * index + 1])
                 .append("\"\n");
         for (int k = 0; k < layout.nodes(); k++) {
-            if (k != i) {
+            if (k != index) {
                 out.append("[[seeds]]\nhost_name = \"node-")
                         .append(k)
                         .append("\"\nsite = \"a\"\naddress = \"127.0.0.1:")
@@ -111,8 +111,8 @@
         return out.append(layout.deployment()).toString();
     }
 
-    public static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    public static String text(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     private interface Work {
@@ -120,7 +120,7 @@
     }
 
     private static Thread thread(String name, Work work) {
-        Thread t = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         work.run();
@@ -129,28 +129,28 @@
                     }
                 },
                 name);
-        t.setDaemon(true);
-        t.start();
-        return t;
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     /** Starts a controller that does not run. */
-    public void boot(int i) throws IOException {
-        Controller c = controllers.get(i);
-        c.node = new Node(c.settings, policy);
-        c.thread = thread(c.settings.node(), c.node::run);
+    public void boot(int index) throws IOException {
+        Controller controller = controllers.get(index);
+        controller.node = new Node(controller.settings, policy);
+        controller.thread = thread(controller.settings.node(), controller.node::run);
     }
 
     /** Ends a controller as a kill would; returns once its sockets are closed. */
-    public void kill(int i) {
-        Controller c = controllers.get(i);
-        c.node.stop();
-        join(c.thread);
+    public void kill(int index) {
+        Controller controller = controllers.get(index);
+        controller.node.stop();
+        join(controller.thread);
     }
 
-    private static void join(Thread t) {
+    private static void join(Thread thread) {
         try {
-            t.join(JOIN_MS);
+            thread.join(JOIN_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/org/beechhoist/local/LoopbackRegion.java
+++ b/src/main/java/org/beechhoist/local/LoopbackRegion.java
@@ -112,11 +112,11 @@
         loop.after(STEP_MS, this::start);
         state.tick(now());
         cloud.tick(now());
-        for (Running r : new ArrayList<>(machines.values())) {
-            if (!r.gone && r.hangUntil <= now()) {
-                r.worker.tick(now());
-                if (!r.reporting && (now() >= r.nextReport || r.worker.changed())) {
-                    report(r);
+        for (Running running : new ArrayList<>(machines.values())) {
+            if (!running.gone && running.hangUntil <= now()) {
+                running.worker.tick(now());
+                if (!running.reporting && (now() >= running.nextReport || running.worker.changed())) {
+                    report(running);
                 }
             }
         }
@@ -127,8 +127,8 @@
     /** Machines that are up, by name. */
     public List<String> up() {
         List<String> out = new ArrayList<>();
-        machines.forEach((name, r) -> {
-            if (!r.gone) {
+        machines.forEach((name, running) -> {
+            if (!running.gone) {
                 out.add(name);
             }
         });
@@ -143,9 +143,9 @@
 
     /** The machine stops with all that is on it. */
     public void lose(String name) {
-        for (Cloud.Machine m : cloud.machines()) {
-            if (m.name.equals(name) && !machines.get(name).gone) {
-                cloud.end(m, true, now());
+        for (Cloud.Machine machine : cloud.machines()) {
+            if (machine.name.equals(name) && !machines.get(name).gone) {
+                cloud.end(machine, true, now());
             }
         }
     }
@@ -164,11 +164,11 @@
     // ---- serving ----
 
     private interface Answer {
-        void with(Reply r);
+        void with(Reply reply);
     }
 
     private interface Service {
-        void take(HttpMessage m, JsonNode body, Answer answer);
+        void take(HttpMessage message, JsonNode body, Answer answer);
     }
 
     private long now() {
@@ -176,10 +176,13 @@
     }
 
     private InetSocketAddress serve(InetSocketAddress at, Service service) throws IOException {
-        return new HttpServer(loop, at, Codec.MAX_BODY, 500, (m, responder) -> {
+        return new HttpServer(loop, at, Codec.MAX_BODY, 500, (message, responder) -> {
                     Answer answer = r -> responder.answer(r.status(), CBOR, Codec.encode(r.body()), 0);
                     try {
-                        service.take(m, m.body().length == 0 ? Codec.map() : Codec.decodeMap(m.body()), answer);
+                        service.take(
+                                message,
+                                message.body().length == 0 ? Codec.map() : Codec.decodeMap(message.body()),
+                                answer);
                     } catch (Malformed | RuntimeException e) {
                         answer.with(new Reply(400, Codec.map().put("error", String.valueOf(e.getMessage()))));
                     }
@@ -187,56 +190,69 @@
                 .address();
     }
 
-    private void changed(Cloud.Machine m, boolean up) {
-        Running r = machines.computeIfAbsent(m.name, k -> new Running());
+    private void changed(Cloud.Machine machine, boolean up) {
+        Running running = machines.computeIfAbsent(machine.name, k -> new Running());
         if (!up) {
-            if (!r.gone && r.worker != null) {
-                r.worker.die();
+            if (!running.gone && running.worker != null) {
+                running.worker.die();
             }
-            r.gone = true;
+            running.gone = true;
             return;
         }
         try {
             Worker[] made = new Worker[1];
             InetSocketAddress at =
-                    serve(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), (q, body, answer) -> {
-                        if (!r.gone && r.hangUntil <= now()) {
-                            answer.with(q.target().equals("/orders") ? made[0].orders(now(), body) : made[0].show());
+                    serve(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), (message, body, answer) -> {
+                        if (!running.gone && running.hangUntil <= now()) {
+                            answer.with(
+                                    message.target().equals("/orders") ? made[0].orders(now(), body) : made[0].show());
                         }
                     });
-            m.address = at.getAddress().getHostAddress() + ":" + at.getPort();
-            made[0] = new Worker(m.name, m.address, m.type, m.zone, m.spot, layout.leaseMs(), now(), this);
-            r.worker = made[0];
+            machine.address = at.getAddress().getHostAddress() + ":" + at.getPort();
+            made[0] = new Worker(
+                    machine.name,
+                    machine.address,
+                    machine.type,
+                    machine.zone,
+                    machine.spot,
+                    layout.leaseMs(),
+                    now(),
+                    this);
+            running.worker = made[0];
         } catch (IOException e) {
             throw new IllegalStateException("no port for a worker", e);
         }
     }
 
-    private void report(Running r) {
-        r.reporting = true;
-        r.nextReport = now() + layout.reportMs();
+    private void report(Running running) {
+        running.reporting = true;
+        running.nextReport = now() + layout.reportMs();
         long sent = now();
-        long shift = r.worker.shift();
-        client.request(nodes.get(r.target), "POST", "/checkin", Codec.encode(r.worker.report()), 4000, o -> {
-            r.reporting = false;
-            JsonNode body = null;
-            if (o instanceof HttpClient.Answer a && a.body().length > 0) {
-                try {
-                    body = Codec.decodeMap(a.body());
-                } catch (Malformed e) {
-                    body = null;
-                }
-            }
-            if (o instanceof HttpClient.Answer a && a.status() == 200 && body != null) {
-                if (!r.gone && r.hangUntil <= now()) {
-                    r.worker.answered(now(), sent, shift, body);
-                }
-                return;
-            }
-            int named = body == null ? -1 : names.indexOf(body.path("foreman").asText());
-            r.target = named >= 0 && named != r.target ? named : (r.target + 1) % names.size();
-            r.nextReport = now() + (named >= 0 ? 0 : 500);
-        });
+        long shift = running.worker.shift();
+        client.request(
+                nodes.get(running.target), "POST", "/checkin", Codec.encode(running.worker.report()), 4000, result -> {
+                    running.reporting = false;
+                    JsonNode body = null;
+                    if (result instanceof HttpClient.Answer reply && reply.body().length > 0) {
+                        try {
+                            body = Codec.decodeMap(reply.body());
+                        } catch (Malformed e) {
+                            body = null;
+                        }
+                    }
+                    if (result instanceof HttpClient.Answer otherReply && otherReply.status() == 200 && body != null) {
+                        if (!running.gone && running.hangUntil <= now()) {
+                            running.worker.answered(now(), sent, shift, body);
+                        }
+                        return;
+                    }
+                    int named = body == null
+                            ? -1
+                            : names.indexOf(body.path("foreman").asText());
+                    running.target =
+                            named >= 0 && named != running.target ? named : (running.target + 1) % names.size();
+                    running.nextReport = now() + (named >= 0 ? 0 : 500);
+                });
     }
 
     // ---- the workers' world ----
@@ -244,12 +260,12 @@
     /** Workers fetch a job's description from where its user put it; here that is the state service's record. */
     @Override
     public JobSpec job(String ref) {
-        return specs.computeIfAbsent(ref, k -> {
+        return specs.computeIfAbsent(ref, otherK -> {
             JobSpec[] found = new JobSpec[1];
-            state.handle(now(), "GET", "/store/" + JobRecord.openKey(new JobRef(k)), Codec.map(), r -> {
+            state.handle(now(), "GET", "/store/" + JobRecord.openKey(new JobRef(otherK)), Codec.map(), reply -> {
                 try {
-                    found[0] = r.status() == 200
-                            ? JobSpec.parse(r.body().get("data").get("spec"))
+                    found[0] = reply.status() == 200
+                            ? JobSpec.parse(reply.body().get("data").get("spec"))
                             : null;
                 } catch (Malformed e) {
                     found[0] = null;
--- a/src/main/java/org/beechhoist/metrics/Metrics.java
+++ b/src/main/java/org/beechhoist/metrics/Metrics.java
@@ -26,15 +26,16 @@
 
     public ObjectNode toNode() {
         ObjectNode out = Codec.map();
-        ObjectNode c = out.putObject("counters");
-        counters.forEach(c::put);
-        ObjectNode l = out.putObject("latenciesMs");
-        latencies.forEach((name, h) -> l.putObject(name)
-                .put("count", h.getTotalCount())
-                .put("p50", h.getValueAtPercentile(50))
-                .put("p95", h.getValueAtPercentile(95))
-                .put("p99", h.getValueAtPercentile(99))
-                .put("max", h.getMaxValue()));
+        ObjectNode counterNode = out.putObject("counters");
+        counters.forEach(counterNode::put);
+        ObjectNode latencyNode = out.putObject("latenciesMs");
+        latencies.forEach((name, histogram) -> latencyNode
+                .putObject(name)
+                .put("count", histogram.getTotalCount())
+                .put("p50", histogram.getValueAtPercentile(50))
+                .put("p95", histogram.getValueAtPercentile(95))
+                .put("p99", histogram.getValueAtPercentile(99))
+                .put("max", histogram.getMaxValue()));
         return out;
     }
 }
--- a/src/main/java/org/beechhoist/net/HttpClient.java
+++ b/src/main/java/org/beechhoist/net/HttpClient.java
@@ -79,17 +79,17 @@
             Tick notAfter,
             Callback callback) {
         Pool pool = pools.computeIfAbsent(address, Pool::new);
-        Pending p = new Pending(method, path, body, notAfter, callback, new Loop.Deadline[1]);
+        Pending pending = new Pending(method, path, body, notAfter, callback, new Loop.Deadline[1]);
         Conn conn = idle(pool);
         if (conn == null && pool.open >= MAX_PER_ADDRESS) {
-            pool.waiting.add(p);
-            p.deadline[0] = loop.after(timeoutMs, () -> {
-                pool.waiting.remove(p);
+            pool.waiting.add(pending);
+            pending.deadline[0] = loop.after(timeoutMs, () -> {
+                pool.waiting.remove(pending);
                 callback.done(new NotSent());
             });
             return;
         }
-        start(pool, conn, p, timeoutMs);
+        start(pool, conn, pending, timeoutMs);
     }
 
     /** The pool's warmest idle connection, or null. */
@@ -109,29 +109,29 @@
         }
     }
 
-    private void start(Pool pool, Conn idle, Pending p, long timeoutMs) {
+    private void start(Pool pool, Conn idle, Pending pending, long timeoutMs) {
         Conn conn = idle;
         try {
             if (conn == null) {
-                SocketChannel ch = SocketChannel.open();
-                ch.configureBlocking(false);
-                ch.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                conn = new Conn(pool, ch);
+                SocketChannel channel = SocketChannel.open();
+                channel.configureBlocking(false);
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                conn = new Conn(pool, channel);
                 pool.open++;
-                boolean connected = ch.connect(pool.address);
-                conn.key = loop.register(ch, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, conn);
+                boolean connected = channel.connect(pool.address);
+                conn.key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, conn);
                 conn.connected = connected;
             }
         } catch (IOException | RuntimeException e) {
             if (conn != null) {
                 conn.drop();
             }
-            loop.after(0, () -> p.callback.done(new NotSent()));
+            loop.after(0, () -> pending.callback.done(new NotSent()));
             return;
         }
-        conn.current = p;
-        Conn c = conn;
-        p.deadline[0] = loop.after(timeoutMs, () -> c.fail());
+        conn.current = pending;
+        Conn connection = conn;
+        pending.deadline[0] = loop.after(timeoutMs, () -> connection.fail());
         if (conn.connected) {
             conn.write();
         }
@@ -143,21 +143,21 @@
         private boolean written;
         private Pending current;
 
-        Conn(Pool pool, SocketChannel ch) {
-            super(loop, ch, new HttpParser(false, 0));
+        Conn(Pool pool, SocketChannel channel) {
+            super(loop, channel, new HttpParser(false, 0));
             this.pool = pool;
         }
 
         @Override
-        public void ready(SelectionKey k) throws IOException {
-            if (!connected && k.isConnectable()) {
+        public void ready(SelectionKey key) throws IOException {
+            if (!connected && key.isConnectable()) {
                 channel.finishConnect();
                 connected = true;
-                k.interestOps(SelectionKey.OP_READ);
+                key.interestOps(SelectionKey.OP_READ);
                 write();
                 return;
             }
-            super.ready(k);
+            super.ready(key);
         }
 
         void write() {
@@ -179,22 +179,22 @@
         }
 
         @Override
-        void message(HttpMessage m) {
-            Pending p = current;
-            if (p == null) {
+        void message(HttpMessage message) {
+            Pending pending = current;
+            if (pending == null) {
                 drop(); // an answer nobody asked for: the connection can't be trusted
                 return;
             }
             current = null;
             written = false;
-            p.deadline[0].cancel();
-            if (m.closes() || !flushed()) {
+            pending.deadline[0].cancel();
+            if (message.closes() || !flushed()) {
                 drop();
             } else {
                 keep(this);
             }
             next(pool);
-            p.callback.done(new Answer(m.status(), m.body()));
+            pending.callback.done(new Answer(message.status(), message.body()));
         }
 
         @Override
@@ -208,13 +208,13 @@
         }
 
         void fail() {
-            Pending p = current;
+            Pending pending = current;
             current = null;
             drop();
             next(pool);
-            if (p != null) {
-                p.deadline[0].cancel();
-                p.callback.done(written ? new Unknown() : new NotSent());
+            if (pending != null) {
+                pending.deadline[0].cancel();
+                pending.callback.done(written ? new Unknown() : new NotSent());
             }
         }
 
@@ -235,8 +235,8 @@
         if (pool.waiting.isEmpty() || (pool.idle.isEmpty() && pool.open >= MAX_PER_ADDRESS)) {
             return;
         }
-        Pending p = pool.waiting.poll();
-        p.deadline[0].cancel();
-        start(pool, idle(pool), p, 2000);
+        Pending pending = pool.waiting.poll();
+        pending.deadline[0].cancel();
+        start(pool, idle(pool), pending, 2000);
     }
 }
--- a/src/main/java/org/beechhoist/net/HttpServer.java
+++ b/src/main/java/org/beechhoist/net/HttpServer.java
@@ -93,10 +93,10 @@
         loop.after(5000, this::sweep);
         Tick now = loop.now();
         List<Conn> idle = new ArrayList<>();
-        for (Conn c : connections) {
-            long quiet = now.since(c.lastHeard);
-            if (!c.busy && (quiet > IDLE_MS || (c.parser.midMessage() && quiet > PARTIAL_MS))) {
-                idle.add(c);
+        for (Conn connection : connections) {
+            long quiet = now.since(connection.lastHeard);
+            if (!connection.busy && (quiet > IDLE_MS || (connection.parser.midMessage() && quiet > PARTIAL_MS))) {
+                idle.add(connection);
             }
         }
         idle.forEach(Conn::drop);
@@ -112,20 +112,20 @@
         }
 
         @Override
-        public void ready(SelectionKey k) throws IOException {
+        public void ready(SelectionKey key) throws IOException {
             for (int i = 0; i < 64; i++) {
                 if (!room()) {
                     pause(PAUSE_MS); // the next answer makes room: beyond the crowded mark each closes its connection
                     return;
                 }
-                SocketChannel ch = listener.accept();
-                if (ch == null) {
+                SocketChannel channel = listener.accept();
+                if (channel == null) {
                     return;
                 }
-                ch.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                Conn c = new Conn(ch);
-                c.key = loop.register(ch, SelectionKey.OP_READ, c);
-                connections.add(c);
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                Conn connection = new Conn(channel);
+                connection.key = loop.register(channel, SelectionKey.OP_READ, connection);
+                connections.add(connection);
             }
         }
 
@@ -137,12 +137,12 @@
             if (connections.size() < maxConnections) {
                 return true;
             }
-            for (Conn c : connections) {
-                if (!c.busy) {
-                    if (loop.now().since(c.lastHeard) < QUIET_MS) {
+            for (Conn connection : connections) {
+                if (!connection.busy) {
+                    if (loop.now().since(connection.lastHeard) < QUIET_MS) {
                         return false;
                     }
-                    c.drop();
+                    connection.drop();
                     return true;
                 }
             }
@@ -185,13 +185,13 @@
         }
 
         @Override
-        void message(HttpMessage m) {
+        void message(HttpMessage message) {
             busy = true;
             connections.remove(this); // re-added last: the set is in order of use
             connections.add(this);
-            closeAfter |= m.closes();
+            closeAfter |= message.closes();
             boolean[] answered = new boolean[1];
-            handler.request(m, (status, type, body, retry) -> {
+            handler.request(message, (status, type, body, retry) -> {
                 if (answered[0]) {
                     throw new IllegalStateException("answered twice");
                 }
--- a/src/main/java/org/beechhoist/net/Loop.java
+++ b/src/main/java/org/beechhoist/net/Loop.java
@@ -63,9 +63,9 @@
     }
 
     public Deadline after(long ms, Runnable action) {
-        Deadline d = new Deadline(now().ms() + Math.max(0, ms), order++, action);
-        deadlines.add(d);
-        return d;
+        Deadline deadline = new Deadline(now().ms() + Math.max(0, ms), order++, action);
+        deadlines.add(deadline);
+        return deadline;
     }
 
     /** What runs at the end of each turn: the core's effects are carried out there. */
--- a/src/main/java/org/beechhoist/net/Wire.java
+++ b/src/main/java/org/beechhoist/net/Wire.java
@@ -23,24 +23,24 @@
         this.parser = parser;
     }
 
-    abstract void message(HttpMessage m) throws IOException;
+    abstract void message(HttpMessage message) throws IOException;
 
     abstract void unparsable(HttpParser.Broken why) throws IOException;
 
     @Override
-    public void ready(SelectionKey k) throws IOException {
-        if (k.isWritable()) {
+    public void ready(SelectionKey key) throws IOException {
+        if (key.isWritable()) {
             flush();
         }
-        if (!closed && k.isValid() && k.isReadable()) {
+        if (!closed && key.isValid() && key.isReadable()) {
             read();
         }
     }
 
     private void read() throws IOException {
         in.clear();
-        int n = channel.read(in);
-        if (n < 0) {
+        int read = channel.read(in);
+        if (read < 0) {
             broken(new IOException("closed by the other side"));
             return;
         }
@@ -53,11 +53,11 @@
     final void pump() throws IOException {
         try {
             while (!closed && wantsMessage()) {
-                HttpMessage m = parser.next();
-                if (m == null) {
+                HttpMessage message = parser.next();
+                if (message == null) {
                     return;
                 }
-                message(m);
+                message(message);
             }
         } catch (HttpParser.Broken e) {
             unparsable(e);
@@ -69,12 +69,12 @@
     }
 
     final void send(byte[] head, byte[] body) throws IOException {
-        ByteBuffer b = ByteBuffer.allocate((out == null ? 0 : out.remaining()) + head.length + body.length);
+        ByteBuffer buffer = ByteBuffer.allocate((out == null ? 0 : out.remaining()) + head.length + body.length);
         if (out != null) {
-            b.put(out);
+            buffer.put(out);
         }
-        b.put(head).put(body).flip();
-        out = b;
+        buffer.put(head).put(body).flip();
+        out = buffer;
         flush();
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    static byte[] ascii(String s) {
-        return s.getBytes(StandardCharsets.ISO_8859_1);
+    static byte[] ascii(String text) {
+        return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/org/beechhoist/packing/Moves.java
+++ b/src/main/java/org/beechhoist/packing/Moves.java
@@ -22,16 +22,16 @@
 
     /** Room on a machine, or what a task takes of it. */
     public record Room(double cpus, double gpus, double memGb) {
-        Room less(Room o) {
-            return new Room(cpus - o.cpus, gpus - o.gpus, memGb - o.memGb);
+        Room less(Room room) {
+            return new Room(cpus - room.cpus, gpus - room.gpus, memGb - room.memGb);
         }
 
-        Room plus(Room o) {
-            return new Room(cpus + o.cpus, gpus + o.gpus, memGb + o.memGb);
+        Room plus(Room room) {
+            return new Room(cpus + room.cpus, gpus + room.gpus, memGb + room.memGb);
         }
 
-        boolean fits(Room o) {
-            return cpus + EPSILON >= o.cpus && gpus + EPSILON >= o.gpus && memGb + EPSILON >= o.memGb;
+        boolean fits(Room room) {
+            return cpus + EPSILON >= room.cpus && gpus + EPSILON >= room.gpus && memGb + EPSILON >= room.memGb;
         }
     }
 
@@ -61,32 +61,33 @@
     /** The cheapest, or null: nothing makes room, or there is room already. */
     public static Found cheapest(Room need, List<Machine> machines, Allowed allowed, Sizes sizes) {
         List<Machine> lacking = new ArrayList<>();
-        for (Machine m : machines) {
-            if (m.mayTake && m.free.fits(need)) {
+        for (Machine machine : machines) {
+            if (machine.mayTake && machine.free.fits(need)) {
                 return null;
             }
-            if (m.mayTake && !m.movable.isEmpty()) {
-                lacking.add(m);
+            if (machine.mayTake && !machine.movable.isEmpty()) {
+                lacking.add(machine);
             }
         }
         lacking.sort(Comparator.comparingDouble((Machine m) -> need.gpus - m.free.gpus)
                 .thenComparing(Machine::host));
         Found best = null;
-        for (Machine m : lacking.subList(0, Math.min(MOST_MACHINES, lacking.size()))) {
-            Found f = on(m, need, machines, allowed, sizes, best == null ? Double.MAX_VALUE : best.cost);
+        for (Machine machine : lacking.subList(0, Math.min(MOST_MACHINES, lacking.size()))) {
+            Found f = on(machine, need, machines, allowed, sizes, best == null ? Double.MAX_VALUE : best.cost);
             best = f == null ? best : f;
         }
         return best;
     }
 
-    private static Found on(Machine m, Room need, List<Machine> machines, Allowed allowed, Sizes sizes, double below) {
-        List<Movable> tasks = m.movable.stream()
+    private static Found on(
+            Machine machine, Room need, List<Machine> machines, Allowed allowed, Sizes sizes, double below) {
+        List<Movable> tasks = machine.movable.stream()
                 .sorted(Comparator.comparingDouble(Movable::cost).thenComparing(t -> t.task.toString()))
                 .limit(MOST_WEIGHED)
                 .toList();
         Found best = null;
         for (int set = 1; set < 1 << tasks.size(); set++) {
-            Room free = m.free;
+            Room free = machine.free;
             double cost = 0;
             for (int i = 0; i < tasks.size(); i++) {
                 if ((set >> i & 1) == 1) {
@@ -97,9 +98,9 @@
             if (cost >= (best == null ? below : best.cost) || !free.fits(need)) {
                 continue;
             }
-            List<Move> moves = placed(m, tasks, set, need, machines, allowed, sizes);
+            List<Move> moves = placed(machine, tasks, set, need, machines, allowed, sizes);
             if (moves != null) {
-                best = new Found(m.host, moves, cost);
+                best = new Found(machine.host, moves, cost);
             }
         }
         return best;
@@ -123,28 +124,31 @@
         out.sort(Comparator.comparingDouble((Movable t) -> -t.takes.gpus));
         Map<HostId, Room> left = new HashMap<>();
         List<Move> moves = new ArrayList<>();
-        for (Movable t : out) {
+        for (Movable movable : out) {
             Machine best = null;
             double least = 0;
-            for (Machine m : machines) {
-                Room free = left.getOrDefault(m.host, m.free);
-                if (m == from || !free.fits(t.takes) || !allowed.on(t.task, m.host) || m.mayTake && free.fits(need)) {
+            for (Machine machine : machines) {
+                Room free = left.getOrDefault(machine.host, machine.free);
+                if (machine == from
+                        || !free.fits(movable.takes)
+                        || !allowed.on(movable.task, machine.host)
+                        || machine.mayTake && free.fits(need)) {
                     continue;
                 }
-                double broken = sizes.broken(free.gpus, t.takes.gpus);
+                double broken = sizes.broken(free.gpus, movable.takes.gpus);
                 if (best == null
                         || broken < least - EPSILON
                         || broken < least + EPSILON
                                 && free.gpus < left.getOrDefault(best.host, best.free).gpus - EPSILON) {
-                    best = m;
+                    best = machine;
                     least = broken;
                 }
             }
             if (best == null) {
                 return null;
             }
-            left.put(best.host, left.getOrDefault(best.host, best.free).less(t.takes));
-            moves.add(new Move(t.task, best.host));
+            left.put(best.host, left.getOrDefault(best.host, best.free).less(movable.takes));
+            moves.add(new Move(movable.task, best.host));
         }
         return moves;
     }
--- a/src/main/java/org/beechhoist/packing/Sizes.java
+++ b/src/main/java/org/beechhoist/packing/Sizes.java
@@ -23,11 +23,11 @@
         atLeast = new double[sorted.size()];
         double all = sorted.values().stream().mapToDouble(Double::doubleValue).sum();
         double left = all;
-        int i = 0;
-        for (Map.Entry<Double, Double> e : sorted.entrySet()) {
-            sizes[i] = e.getKey();
-            atLeast[i++] = all == 0 ? 0 : left / all;
-            left -= e.getValue();
+        int index = 0;
+        for (Map.Entry<Double, Double> entry : sorted.entrySet()) {
+            sizes[index] = entry.getKey();
+            atLeast[index++] = all == 0 ? 0 : left / all;
+            left -= entry.getValue();
         }
     }
 
--- a/src/main/java/org/beechhoist/peer/PeerCodec.java
+++ b/src/main/java/org/beechhoist/peer/PeerCodec.java
@@ -41,48 +41,49 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        long f = SchemaNormalization.parsingFingerprint64(schema);
+        long parsed = SchemaNormalization.parsingFingerprint64(schema);
         for (int i = 0; i < FINGERPRINT; i++) {
-            fingerprint[i] = (byte) (f >> (8 * i));
+            fingerprint[i] = (byte) (parsed >> (8 * i));
         }
     }
 
-    public byte[] encode(PeerState s) {
-        GenericRecord r = new GenericData.Record(schema);
-        r.put("node", s.node());
-        r.put("leading", s.leading());
-        r.put("baton", s.baton().value());
-        r.put("storeAnswersMs", s.storeAnswersMs());
-        r.put("ready", s.ready());
-        r.put("reportsHeard", s.reportsHeard());
-        r.put("writesWanted", s.writesWanted());
-        r.put("requestsWanted", s.requestsWanted());
-        r.put("recordForm", RECORD_FORM);
+    public byte[] encode(PeerState state) {
+        GenericRecord record = new GenericData.Record(schema);
+        record.put("node", state.node());
+        record.put("leading", state.leading());
+        record.put("baton", state.baton().value());
+        record.put("storeAnswersMs", state.storeAnswersMs());
+        record.put("ready", state.ready());
+        record.put("reportsHeard", state.reportsHeard());
+        record.put("writesWanted", state.writesWanted());
+        record.put("requestsWanted", state.requestsWanted());
+        record.put("recordForm", RECORD_FORM);
         Schema count = schema.getField("counts").schema().getElementType();
         List<GenericRecord> counts = new ArrayList<>();
-        for (JobCount c : s.counts()) {
-            GenericRecord n = new GenericData.Record(count);
-            n.put("job", c.job().text());
-            n.put("done", c.done());
-            n.put("running", c.running());
-            counts.add(n);
+        for (JobCount jobCount : state.counts()) {
+            GenericRecord nested = new GenericData.Record(count);
+            nested.put("job", jobCount.job().text());
+            nested.put("done", jobCount.done());
+            nested.put("running", jobCount.running());
+            counts.add(nested);
         }
-        r.put("counts", counts);
+        record.put("counts", counts);
         Schema one = schema.getField("cancelled").schema().getElementType();
         List<GenericRecord> cancelled = new ArrayList<>();
-        for (CancelledJob c : s.cancelled()) {
-            GenericRecord n = new GenericData.Record(one);
-            n.put("job", c.job().text());
-            n.put("wallMs", c.wallMs());
-            cancelled.add(n);
+        for (CancelledJob cancelledJob : state.cancelled()) {
+            GenericRecord nested = new GenericData.Record(one);
+            nested.put("job", cancelledJob.job().text());
+            nested.put("wallMs", cancelledJob.wallMs());
+            cancelled.add(nested);
         }
-        r.put("cancelled", cancelled);
-        r.put("acknowledged", s.acknowledged().stream().map(JobRef::text).toList());
+        record.put("cancelled", cancelled);
+        record.put(
+                "acknowledged", state.acknowledged().stream().map(JobRef::text).toList());
         ByteArrayOutputStream out = new ByteArrayOutputStream(64);
         out.writeBytes(fingerprint);
         BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
         try {
-            new GenericDatumWriter<GenericRecord>(schema).write(r, encoder);
+            new GenericDatumWriter<GenericRecord>(schema).write(record, encoder);
             encoder.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e); // memory doesn't fail
@@ -97,34 +98,35 @@
             throw new Malformed("another schema");
         }
         try {
-            GenericRecord r = new GenericDatumReader<GenericRecord>(schema)
+            GenericRecord record = new GenericDatumReader<GenericRecord>(schema)
                     .read(
                             null,
                             DecoderFactory.get().binaryDecoder(bytes, FINGERPRINT, bytes.length - FINGERPRINT, null));
             List<JobCount> counts = new ArrayList<>();
-            for (Object o : (List<?>) r.get("counts")) {
-                GenericRecord n = (GenericRecord) o;
-                counts.add(new JobCount(
-                        new JobRef(n.get("job").toString()), (Integer) n.get("done"), (Integer) n.get("running")));
+            for (Object element : (List<?>) record.get("counts")) {
+                GenericRecord nested = (GenericRecord) element;
+                counts.add(
+                        new JobCount(new JobRef(nested.get("job").toString()), (Integer) nested.get("done"), (Integer)
+                                nested.get("running")));
             }
             List<CancelledJob> cancelled = new ArrayList<>();
-            for (Object o : (List<?>) r.get("cancelled")) {
-                GenericRecord n = (GenericRecord) o;
+            for (Object element : (List<?>) record.get("cancelled")) {
+                GenericRecord n = (GenericRecord) element;
                 cancelled.add(new CancelledJob(new JobRef(n.get("job").toString()), (Long) n.get("wallMs")));
             }
             List<JobRef> acknowledged = new ArrayList<>();
-            for (Object o : (List<?>) r.get("acknowledged")) {
+            for (Object o : (List<?>) record.get("acknowledged")) {
                 acknowledged.add(new JobRef(o.toString()));
             }
             return new PeerState(
-                    r.get("node").toString(),
-                    (Boolean) r.get("leading"),
-                    new Baton((Long) r.get("baton")),
-                    (Long) r.get("storeAnswersMs"),
-                    (Boolean) r.get("ready"),
-                    (Integer) r.get("reportsHeard"),
-                    (Double) r.get("writesWanted"),
-                    (Double) r.get("requestsWanted"),
+                    record.get("node").toString(),
+                    (Boolean) record.get("leading"),
+                    new Baton((Long) record.get("baton")),
+                    (Long) record.get("storeAnswersMs"),
+                    (Boolean) record.get("ready"),
+                    (Integer) record.get("reportsHeard"),
+                    (Double) record.get("writesWanted"),
+                    (Double) record.get("requestsWanted"),
                     counts,
                     cancelled,
                     acknowledged);
--- a/src/main/java/org/beechhoist/plan/Evaluation.java
+++ b/src/main/java/org/beechhoist/plan/Evaluation.java
@@ -24,46 +24,46 @@
     /** @param usage each team's past use in fleet shares, with the floor added */
     public static Evaluation of(Plan plan, Map<JobRef, Facts> facts, Map<String, Double> usage) {
         int late = 0;
-        int n = 0;
+        int count = 0;
         double wait = 0;
         double slowdown = 0;
         Map<String, Double> waits = new HashMap<>();
-        for (Plan.Reservation r : plan.reservations()) {
-            Facts f = facts.get(r.job());
-            if (f == null) {
+        for (Plan.Reservation reservation : plan.reservations()) {
+            Facts fact = facts.get(reservation.job());
+            if (fact == null) {
                 continue;
             }
-            double w = Math.max(0, r.beginMs() - f.submittedMs());
-            n++;
-            late += !r.wide() && r.beginMs() > f.latestStartMs() ? 1 : 0;
-            wait += w;
-            slowdown += Math.max(1, (w + f.lengthMs()) / Math.max(f.lengthMs(), BOUND_MS));
-            waits.merge(f.team(), w, Double::sum);
+            double weight = Math.max(0, reservation.beginMs() - fact.submittedMs());
+            count++;
+            late += !reservation.wide() && reservation.beginMs() > fact.latestStartMs() ? 1 : 0;
+            wait += weight;
+            slowdown += Math.max(1, (weight + fact.lengthMs()) / Math.max(fact.lengthMs(), BOUND_MS));
+            waits.merge(fact.team(), weight, Double::sum);
         }
-        if (n == 0) {
+        if (count == 0) {
             return new Evaluation(plan.lateWide(), 0, 0, 0, plan.money());
         }
         double sum = 0;
         double squares = 0;
-        for (Map.Entry<String, Double> e : waits.entrySet()) {
-            double normalized = e.getValue() / usage.getOrDefault(e.getKey(), 1.0);
+        for (Map.Entry<String, Double> entry : waits.entrySet()) {
+            double normalized = entry.getValue() / usage.getOrDefault(entry.getKey(), 1.0);
             sum += normalized;
             squares += normalized * normalized;
         }
         double mean = sum / waits.size();
         double deviation = Math.sqrt(Math.max(0, squares / waits.size() - mean * mean));
-        return new Evaluation(late + plan.lateWide(), wait / n, slowdown / n, mean + deviation, plan.money());
+        return new Evaluation(late + plan.lateWide(), wait / count, slowdown / count, mean + deviation, plan.money());
     }
 
     /** Whether this plan is better than the other by the weighted sum of relative changes. */
-    public boolean betterThan(Evaluation o, Weights w) {
-        if (late != o.late) {
-            return late < o.late;
+    public boolean betterThan(Evaluation other, Weights weights) {
+        if (late != other.late) {
+            return late < other.late;
         }
-        double change = w.waiting() * relative(waiting, o.waiting)
-                + w.slowdown() * relative(slowdown, o.slowdown)
-                + w.fairness() * relative(fairness, o.fairness)
-                + relative(money, o.money);
+        double change = weights.waiting() * relative(waiting, other.waiting)
+                + weights.slowdown() * relative(slowdown, other.slowdown)
+                + weights.fairness() * relative(fairness, other.fairness)
+                + relative(money, other.money);
         return change < -1e-9;
     }
 
--- a/src/main/java/org/beechhoist/plan/Plan.java
+++ b/src/main/java/org/beechhoist/plan/Plan.java
@@ -74,9 +74,9 @@
     /** A width over time, as a team's limit is: so many of the job's tasks at once, some in use until given times. */
     record Cap(int width, List<Long> busyUntil) {
         Profile profile(long nowMs) {
-            Profile p = new Profile(nowMs, width, 0, 0);
-            busyUntil.forEach(end -> p.take(nowMs, whole(nowMs, end), 1, 0, 0));
-            return p;
+            Profile profile = new Profile(nowMs, width, 0, 0);
+            busyUntil.forEach(end -> profile.take(nowMs, whole(nowMs, end), 1, 0, 0));
+            return profile;
         }
 
         /** In whole seconds, on the safe side, so that a thousand tasks' ends make few steps. */
@@ -140,9 +140,9 @@
 
     public Plan(long nowMs, Collection<PlanHost> hosts) {
         this.nowMs = nowMs;
-        for (PlanHost h : hosts) {
-            lowestCost = Math.min(lowestCost, h.costPerCpu());
-            zones.computeIfAbsent(h.zone, z -> new ArrayList<>()).add(h);
+        for (PlanHost machine : hosts) {
+            lowestCost = Math.min(lowestCost, machine.costPerCpu());
+            zones.computeIfAbsent(machine.zone, z -> new ArrayList<>()).add(machine);
         }
     }
 
@@ -193,12 +193,12 @@
     }
 
     /** Places an entry's tasks, each in its earliest gap; a gang's at the first moment that has room for all. */
-    public void place(Entry e) {
-        int most = Math.min(e.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
-        String only = e.spec().sameZone() ? chooseZone(e, most) : null;
-        int placed = e.spec().gang() ? placeTogether(e, most, only) : placeEach(e, most, only);
-        if (placed < e.waiting()) {
-            unplaced.merge(e.job(), e.waiting() - placed, Integer::sum);
+    public void place(Entry entry) {
+        int most = Math.min(entry.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
+        String only = entry.spec().sameZone() ? chooseZone(entry, most) : null;
+        int placed = entry.spec().gang() ? placeTogether(entry, most, only) : placeEach(entry, most, only);
+        if (placed < entry.waiting()) {
+            unplaced.merge(entry.job(), entry.waiting() - placed, Integer::sum);
         }
     }
 
@@ -208,39 +208,39 @@
      *
      * @param busyUntil when its live tasks are over
      */
-    public int widen(Entry e, List<Long> busyUntil, Wish wish) {
+    public int widen(Entry entry, List<Long> busyUntil, Wish wish) {
         Map<HostId, Long> others = new HashMap<>();
         Map<HostId, PlanHost> byId = new HashMap<>();
         zones.values()
-                .forEach(list -> list.forEach(h -> {
-                    byId.put(h.id, h);
-                    others.put(h.id, h.profile.lastChange());
+                .forEach(list -> list.forEach(machine -> {
+                    byId.put(machine.id, machine);
+                    others.put(machine.id, machine.profile.lastChange());
                 }));
         List<Long> inUse = new ArrayList<>(busyUntil);
-        for (Reservation r : reservations) {
-            if (r.job().equals(e.job())) {
-                inUse.add(r.endMs());
+        for (Reservation reservation : reservations) {
+            if (reservation.job().equals(entry.job())) {
+                inUse.add(reservation.endMs());
             }
         }
         List<Widening.Outcome> outcomes = new ArrayList<>();
         for (int width : Widening.candidates(wish)) {
-            outcomes.add(trial(e, () -> {
+            outcomes.add(trial(entry, () -> {
                 int first = reservations.size();
-                placeWide(e.capped(width, inUse));
+                placeWide(entry.capped(width, inUse));
                 return Widening.outcome(
-                        e, wish, width, reservations.subList(first, reservations.size()), byId, others, nowMs);
+                        entry, wish, width, reservations.subList(first, reservations.size()), byId, others, nowMs);
             }));
         }
         Widening.Outcome best = Widening.best(outcomes);
-        placeWide(e.capped(best.width(), inUse));
+        placeWide(entry.capped(best.width(), inUse));
         money += Math.max(0, best.cost() + best.work());
         lateWide += best.finishMs() > wish.untilMs() ? 1 : 0;
         return best.width();
     }
 
-    private void placeWide(Entry e) {
-        int most = Math.min(e.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
-        placeEach(e, most, e.spec().sameZone() ? chooseZone(e, most) : null);
+    private void placeWide(Entry entry) {
+        int most = Math.min(entry.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
+        placeEach(entry, most, entry.spec().sameZone() ? chooseZone(entry, most) : null);
     }
 
     /** What the elastic jobs' widths cost. */
@@ -257,47 +257,47 @@
      * Each machine's earliest gap is looked for once, then again only on the machine that took a task: an entry costs
      * its machines and tasks, not their product.
      */
-    private int placeEach(Entry e, int most, String only) {
-        JobSpec s = e.spec();
+    private int placeEach(Entry entry, int most, String only) {
+        JobSpec spec = entry.spec();
         if (most <= 0) {
             return 0;
         }
-        TeamLimit team = limits.get(s.team());
-        Profile limit = team == null ? null : team.within(e.waiting() * s.cpus(), e.waiting() * s.gpus());
-        Profile cap = e.cap() == null ? null : e.cap().profile(nowMs);
-        gather(e, only, limit, cap);
-        int perZone = s.apart() ? (s.tasks() + 1) / 2 : Integer.MAX_VALUE;
-        Map<String, Integer> inZone = new HashMap<>(e.liveByZone());
+        TeamLimit team = limits.get(spec.team());
+        Profile limit = team == null ? null : team.within(entry.waiting() * spec.cpus(), entry.waiting() * spec.gpus());
+        Profile cap = entry.cap() == null ? null : entry.cap().profile(nowMs);
+        gather(entry, only, limit, cap);
+        int perZone = spec.apart() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+        Map<String, Integer> inZone = new HashMap<>(entry.liveByZone());
         int placed = 0;
         while (placed < most && candidateCount > 0) {
-            PlanHost h = candidates[0];
-            if (perZone < Integer.MAX_VALUE && inZone.getOrDefault(h.zone, 0) >= perZone) {
+            PlanHost machine = candidates[0];
+            if (perZone < Integer.MAX_VALUE && inZone.getOrDefault(machine.zone, 0) >= perZone) {
                 dropFirst();
                 continue;
             }
             if (limit != null || cap != null) {
-                long before = h.score;
-                if (!look(h, e, limit, cap)) {
+                long before = machine.score;
+                if (!look(machine, entry, limit, cap)) {
                     dropFirst();
                     continue;
                 }
-                if (h.score > before) { // its team's other tasks have taken that moment meanwhile
+                if (machine.score > before) { // its team's other tasks have taken that moment meanwhile
                     sift(0);
                     continue;
                 }
             }
-            commit(h, e, team);
+            commit(machine, entry, team);
             if (cap != null) {
                 cap.take(
-                        nowMs + (h.start - nowMs) / 1000 * 1000,
-                        Cap.whole(nowMs, h.start + h.fetch + e.lengthMs()),
+                        nowMs + (machine.start - nowMs) / 1000 * 1000,
+                        Cap.whole(nowMs, machine.start + machine.fetch + entry.lengthMs()),
                         1,
                         0,
                         0);
             }
-            inZone.merge(h.zone, 1, Integer::sum);
+            inZone.merge(machine.zone, 1, Integer::sum);
             placed++;
-            if (look(h, e, limit, cap)) {
+            if (look(machine, entry, limit, cap)) {
                 sift(0);
             } else {
                 dropFirst();
@@ -306,18 +306,20 @@
         return placed;
     }
 
-    private void gather(Entry e, String only, Profile limit, Profile cap) {
+    private void gather(Entry entry, String only, Profile limit, Profile cap) {
         candidateCount = 0;
-        for (Map.Entry<String, List<PlanHost>> z : zones.entrySet()) {
-            if (only != null && !only.equals(z.getKey())) {
+        for (Map.Entry<String, List<PlanHost>> zone : zones.entrySet()) {
+            if (only != null && !only.equals(zone.getKey())) {
                 continue;
             }
-            for (PlanHost h : z.getValue()) {
-                if ((!e.wide() || h.widens) && e.spec().mayRunOn(h.type, h.zone, h.spot) && look(h, e, limit, cap)) {
+            for (PlanHost machine : zone.getValue()) {
+                if ((!entry.wide() || machine.widens)
+                        && entry.spec().mayRunOn(machine.type, machine.zone, machine.spot)
+                        && look(machine, entry, limit, cap)) {
                     if (candidateCount == candidates.length) {
                         candidates = Arrays.copyOf(candidates, 2 * candidateCount);
                     }
-                    candidates[candidateCount++] = h;
+                    candidates[candidateCount++] = machine;
                 }
             }
         }
@@ -327,20 +329,20 @@
     }
 
     private void sift(int at) {
-        PlanHost h = candidates[at];
-        int i = at;
-        while (2 * i + 1 < candidateCount) {
-            int child = 2 * i + 1;
+        PlanHost machine = candidates[at];
+        int index = at;
+        while (2 * index + 1 < candidateCount) {
+            int child = 2 * index + 1;
             if (child + 1 < candidateCount && better(candidates[child + 1], candidates[child])) {
                 child++;
             }
-            if (!better(candidates[child], h)) {
+            if (!better(candidates[child], machine)) {
                 break;
             }
-            candidates[i] = candidates[child];
-            i = child;
+            candidates[index] = candidates[child];
+            index = child;
         }
-        candidates[i] = h;
+        candidates[index] = machine;
     }
 
     private void dropFirst() {
@@ -351,21 +353,21 @@
         }
     }
 
-    private int placeTogether(Entry e, int most, String only) {
-        if (most < e.waiting()) {
+    private int placeTogether(Entry entry, int most, String only) {
+        if (most < entry.waiting()) {
             return 0; // beyond the horizon as a whole
         }
-        long at = Math.max(nowMs, e.notBeforeMs());
+        long at = Math.max(nowMs, entry.notBeforeMs());
         for (int i = 0; i < MAX_GANG_MOVES; i++) {
-            Entry moved = e.notBefore(at);
+            Entry moved = entry.notBefore(at);
             long[] latest = {at};
-            int placed = trial(e, () -> {
+            int placed = trial(entry, () -> {
                 int first = reservations.size();
-                int n = placeEach(moved, most, only);
+                int otherPlaced = placeEach(moved, most, only);
                 reservations
                         .subList(first, reservations.size())
                         .forEach(r -> latest[0] = Math.max(latest[0], r.startMs()));
-                return n;
+                return otherPlaced;
             });
             if (placed < most) {
                 return 0;
@@ -379,54 +381,62 @@
     }
 
     /** Runs {@code attempt} on copies and leaves the plan as it was. */
-    private <T> T trial(Entry e, Supplier<T> attempt) {
+    private <T> T trial(Entry entry, Supplier<T> attempt) {
         Map<String, List<PlanHost>> kept = new HashMap<>(zones);
         zones.replaceAll((z, hosts) -> hosts.stream().map(PlanHost::copy).collect(Collectors.toList()));
-        TeamLimit keptLimit = limits.get(e.spec().team());
+        TeamLimit keptLimit = limits.get(entry.spec().team());
         if (keptLimit != null) {
-            limits.put(e.spec().team(), new TeamLimit(keptLimit));
+            limits.put(entry.spec().team(), new TeamLimit(keptLimit));
         }
         int before = reservations.size();
-        Long first = firstStart.get(e.job());
+        Long first = firstStart.get(entry.job());
         T result = attempt.get();
         reservations.subList(before, reservations.size()).clear();
         if (first == null) {
-            firstStart.remove(e.job());
+            firstStart.remove(entry.job());
         } else {
-            firstStart.put(e.job(), first);
+            firstStart.put(entry.job(), first);
         }
         zones.putAll(kept);
         if (keptLimit != null) {
-            limits.put(e.spec().team(), keptLimit);
+            limits.put(entry.spec().team(), keptLimit);
         }
         return result;
     }
 
-    private void commit(PlanHost h, Entry e, TeamLimit team) {
-        JobSpec s = e.spec();
-        Reservation r = new Reservation(
-                e.job(), s, h.id, h.up, h.zone, h.start, h.fetch, h.start + h.fetch + e.lengthMs(), e.wide());
-        h.profile.take(r.startMs(), r.endMs(), s.cpus(), s.gpus(), s.memGb());
-        h.image(s.image(), r.beginMs());
-        h.planned = true;
+    private void commit(PlanHost machine, Entry entry, TeamLimit team) {
+        JobSpec spec = entry.spec();
+        Reservation reservation = new Reservation(
+                entry.job(),
+                spec,
+                machine.id,
+                machine.up,
+                machine.zone,
+                machine.start,
+                machine.fetch,
+                machine.start + machine.fetch + entry.lengthMs(),
+                entry.wide());
+        machine.profile.take(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus(), spec.memGb());
+        machine.image(spec.image(), reservation.beginMs());
+        machine.planned = true;
         if (team != null) {
-            team.take(r.startMs(), r.endMs(), s.cpus(), s.gpus());
+            team.take(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus());
         }
-        reservations.add(r);
-        firstStart.merge(e.job(), r.startMs(), Math::min);
+        reservations.add(reservation);
+        firstStart.merge(entry.job(), reservation.startMs(), Math::min);
     }
 
     /** Where tasks of a job may be that must share a zone: with its live ones, else where its tasks begin soonest. */
-    private String chooseZone(Entry e, int tasks) {
-        if (!e.liveByZone().isEmpty()) {
-            return e.liveByZone().keySet().iterator().next();
+    private String chooseZone(Entry entry, int tasks) {
+        if (!entry.liveByZone().isEmpty()) {
+            return entry.liveByZone().keySet().iterator().next();
         }
         String best = null;
         double bestBegin = Double.POSITIVE_INFINITY;
         for (String zone : new ArrayList<>(zones.keySet())) {
-            double sum = trial(e, () -> {
+            double sum = trial(entry, () -> {
                 int first = reservations.size();
-                int placed = placeEach(e, tasks, zone);
+                int placed = placeEach(entry, tasks, zone);
                 double begins = placed == 0 ? Double.POSITIVE_INFINITY : (tasks - placed) * 1e9;
                 for (Reservation r : reservations.subList(first, reservations.size())) {
                     begins += r.beginMs() - nowMs;
@@ -442,32 +452,33 @@
     }
 
     /** Finds the earliest gap for one of the entry's tasks on the machine, and what that place is worth. */
-    private boolean look(PlanHost h, Entry e, Profile limit, Profile cap) {
-        JobSpec s = e.spec();
+    private boolean look(PlanHost machine, Entry entry, Profile limit, Profile cap) {
+        JobSpec spec = entry.spec();
         fits++;
-        long at = Math.max(nowMs, Math.max(h.readyMs, e.notBeforeMs()));
-        long start = fit(h, limit, cap, at, e.lengthMs() + h.fetchMs(s.image(), s.imageGb(), at), s);
+        long at = Math.max(nowMs, Math.max(machine.readyMs, entry.notBeforeMs()));
+        long start = fit(
+                machine, limit, cap, at, entry.lengthMs() + machine.fetchMs(spec.image(), spec.imageGb(), at), spec);
         if (start == Profile.NEVER) {
             return false;
         }
-        h.start = start;
-        h.fetch = h.fetchMs(s.image(), s.imageGb(), start);
-        h.score = start + h.fetch + priceInMs(h, e);
-        h.free = h.profile.freeCpusAt(start);
+        machine.start = start;
+        machine.fetch = machine.fetchMs(spec.image(), spec.imageGb(), start);
+        machine.score = start + machine.fetch + priceInMs(machine, entry);
+        machine.free = machine.profile.freeCpusAt(start);
         // Work without GPUs keeps off machines that have some, where it is as soon elsewhere.
-        h.breaks = h.type.gpus() == 0
+        machine.breaks = machine.type.gpus() == 0
                 ? 0
-                : s.gpus() == 0 ? h.type.gpus() : sizes.broken(h.profile.freeGpusAt(start), s.gpus());
+                : spec.gpus() == 0 ? machine.type.gpus() : sizes.broken(machine.profile.freeGpusAt(start), spec.gpus());
         return true;
     }
 
-    private static long fit(PlanHost h, Profile team, Profile cap, long at, long length, JobSpec s) {
+    private static long fit(PlanHost machine, Profile team, Profile cap, long at, long length, JobSpec spec) {
         long start = at;
         while (true) {
-            start = h.earliest(start, length, s.cpus(), s.gpus(), s.memGb());
+            start = machine.earliest(start, length, spec.cpus(), spec.gpus(), spec.memGb());
             long allowed = start;
             if (team != null && allowed != Profile.NEVER) {
-                allowed = team.earliest(allowed, length, s.cpus(), s.gpus(), 0);
+                allowed = team.earliest(allowed, length, spec.cpus(), spec.gpus(), 0);
             }
             if (cap != null && allowed != Profile.NEVER) {
                 allowed = cap.earliest(allowed, length, 1, 0, 0);
@@ -480,23 +491,23 @@
     }
 
     /** A machine's price as the delay that a cheap machine would be worth waiting for. */
-    private long priceInMs(PlanHost h, Entry e) {
-        double over = lowestCost > 0 ? (h.costPerCpu() / lowestCost - 1) / 3 : 0;
-        return Math.round(e.patienceMs() * Math.max(0, Math.min(1, over)));
+    private long priceInMs(PlanHost machine, Entry entry) {
+        double over = lowestCost > 0 ? (machine.costPerCpu() / lowestCost - 1) / 3 : 0;
+        return Math.round(entry.patienceMs() * Math.max(0, Math.min(1, over)));
     }
 
-    private boolean better(PlanHost h, PlanHost than) {
-        long step = (h.score - nowMs) / TIE_MS;
+    private boolean better(PlanHost machine, PlanHost than) {
+        long step = (machine.score - nowMs) / TIE_MS;
         long other = (than.score - nowMs) / TIE_MS;
         if (step != other) {
             return step < other;
         }
-        if (Math.abs(h.breaks - than.breaks) > EPSILON) {
-            return h.breaks < than.breaks;
+        if (Math.abs(machine.breaks - than.breaks) > EPSILON) {
+            return machine.breaks < than.breaks;
         }
-        if (h.costPerCpu() != than.costPerCpu()) {
-            return h.costPerCpu() < than.costPerCpu();
+        if (machine.costPerCpu() != than.costPerCpu()) {
+            return machine.costPerCpu() < than.costPerCpu();
         }
-        return h.free != than.free ? h.free < than.free : h.score < than.score;
+        return machine.free != than.free ? machine.free < than.free : machine.score < than.score;
     }
 }
--- a/src/main/java/org/beechhoist/plan/PlanHost.java
+++ b/src/main/java/org/beechhoist/plan/PlanHost.java
@@ -74,22 +74,22 @@
     }
 
     /** The earliest start from {@code at} on; jobs of one class ask the same of a machine one after the other. */
-    long earliest(long at, long length, double c, double g, double m) {
+    long earliest(long at, long length, double cpus, double gpus, double memGb) {
         boolean grows = profile.grows();
         if (foundChanges == profile.changes()
                 && foundAt == at
-                && c == foundCpus
-                && g == foundGpus
-                && m == foundMem
+                && cpus == foundCpus
+                && gpus == foundGpus
+                && memGb == foundMem
                 && (grows || length == foundFor)) {
             return found;
         }
-        found = profile.earliest(at, length, c, g, m);
+        found = profile.earliest(at, length, cpus, gpus, memGb);
         foundFor = length;
         foundAt = at;
-        foundCpus = c;
-        foundGpus = g;
-        foundMem = m;
+        foundCpus = cpus;
+        foundGpus = gpus;
+        foundMem = memGb;
         foundChanges = profile.changes();
         return found;
     }
@@ -108,11 +108,11 @@
     }
 
     PlanHost copy() {
-        PlanHost h = new PlanHost(id, type, zone, spot, up, readyMs);
-        h.widens = widens;
-        h.profile = new Profile(profile);
-        h.held = held;
-        h.imageReady = new HashMap<>(imageReady);
-        return h;
+        PlanHost machine = new PlanHost(id, type, zone, spot, up, readyMs);
+        machine.widens = widens;
+        machine.profile = new Profile(profile);
+        machine.held = held;
+        machine.imageReady = new HashMap<>(imageReady);
+        return machine;
     }
 }
--- a/src/main/java/org/beechhoist/plan/Profile.java
+++ b/src/main/java/org/beechhoist/plan/Profile.java
@@ -24,25 +24,27 @@
         steps = 1;
     }
 
-    Profile(Profile o) {
-        from = o.from.clone();
-        cpus = o.cpus.clone();
-        gpus = o.gpus.clone();
-        mem = o.mem.clone();
-        steps = o.steps;
-        changes = o.changes;
-        grows = o.grows;
+    Profile(Profile profile) {
+        from = profile.from.clone();
+        cpus = profile.cpus.clone();
+        gpus = profile.gpus.clone();
+        mem = profile.mem.clone();
+        steps = profile.steps;
+        changes = profile.changes;
+        grows = profile.grows;
     }
 
-    private boolean room(int i, double c, double g, double m) {
-        return cpus[i] + EPSILON >= c && gpus[i] + EPSILON >= g && mem[i] + EPSILON >= m;
+    private boolean room(int index, double neededCpus, double neededGpus, double neededMemGb) {
+        return cpus[index] + EPSILON >= neededCpus
+                && gpus[index] + EPSILON >= neededGpus
+                && mem[index] + EPSILON >= neededMemGb;
     }
 
     /** The earliest start from {@code at} on with room throughout {@code length}; NEVER where there is none. */
-    long earliest(long at, long length, double c, double g, double m) {
+    long earliest(long at, long length, double neededCpus, double neededGpus, double neededMemGb) {
         long start = Math.max(at, from[0]);
         for (int i = index(start); i < steps; i++) {
-            if (!room(i, c, g, m)) {
+            if (!room(i, neededCpus, neededGpus, neededMemGb)) {
                 if (i + 1 == steps) {
                     return NEVER;
                 }
@@ -54,18 +56,18 @@
         return start;
     }
 
-    void take(long start, long end, double c, double g, double m) {
+    void take(long start, long end, double neededCpus, double neededGpus, double neededMemGb) {
         if (end <= start) {
             return;
         }
         changes++;
         grows &= start <= from[0];
-        int a = split(start);
-        int b = split(end);
-        for (int i = a; i < b; i++) {
-            cpus[i] -= c;
-            gpus[i] -= g;
-            mem[i] -= m;
+        int first = split(start);
+        int last = split(end);
+        for (int i = first; i < last; i++) {
+            cpus[i] -= neededCpus;
+            gpus[i] -= neededGpus;
+            mem[i] -= neededMemGb;
         }
     }
 
@@ -84,26 +86,26 @@
         return from[steps - 1];
     }
 
-    double freeGpusAt(long t) {
-        return gpus[index(t)];
+    double freeGpusAt(long time) {
+        return gpus[index(time)];
     }
 
-    double freeCpusAt(long t) {
-        return cpus[index(t)];
+    double freeCpusAt(long time) {
+        return cpus[index(time)];
     }
 
-    private int index(long t) {
-        int i = Arrays.binarySearch(from, 0, steps, t);
+    private int index(long time) {
+        int i = Arrays.binarySearch(from, 0, steps, time);
         return i >= 0 ? i : Math.max(0, -i - 2);
     }
 
-    private int split(long t) {
-        if (t <= from[0]) {
+    private int split(long time) {
+        if (time <= from[0]) {
             return 0;
         }
-        int i = index(t);
-        if (from[i] == t) {
-            return i;
+        int index = index(time);
+        if (from[index] == time) {
+            return index;
         }
         if (steps == from.length) {
             from = Arrays.copyOf(from, 2 * steps);
@@ -111,12 +113,12 @@
             gpus = Arrays.copyOf(gpus, 2 * steps);
             mem = Arrays.copyOf(mem, 2 * steps);
         }
-        int at = i + 1;
+        int at = index + 1;
         System.arraycopy(from, at, from, at + 1, steps - at);
-        System.arraycopy(cpus, i, cpus, at, steps - i);
-        System.arraycopy(gpus, i, gpus, at, steps - i);
-        System.arraycopy(mem, i, mem, at, steps - i);
-        from[at] = t;
+        System.arraycopy(cpus, index, cpus, at, steps - index);
+        System.arraycopy(gpus, index, gpus, at, steps - index);
+        System.arraycopy(mem, index, mem, at, steps - index);
+        from[at] = time;
         steps++;
         return at;
     }
--- a/src/main/java/org/beechhoist/plan/TeamLimit.java
+++ b/src/main/java/org/beechhoist/plan/TeamLimit.java
@@ -30,30 +30,30 @@
         this.pending = new ArrayList<>();
     }
 
-    TeamLimit(TeamLimit o) {
-        nowMs = o.nowMs;
-        cpus = o.cpus;
-        gpus = o.gpus;
-        cpusEver = o.cpusEver;
-        gpusEver = o.gpusEver;
-        pending = new ArrayList<>(o.pending);
-        profile = o.profile == null ? null : new Profile(o.profile);
+    TeamLimit(TeamLimit other) {
+        nowMs = other.nowMs;
+        cpus = other.cpus;
+        gpus = other.gpus;
+        cpusEver = other.cpusEver;
+        gpusEver = other.gpusEver;
+        pending = new ArrayList<>(other.pending);
+        profile = other.profile == null ? null : new Profile(other.profile);
     }
 
-    void take(long from, long to, double c, double g) {
-        cpusEver += c;
-        gpusEver += g;
-        Use u = new Use(
+    void take(long from, long to, double cpus, double gpus) {
+        cpusEver += cpus;
+        gpusEver += gpus;
+        Use use = new Use(
                 nowMs + (from - nowMs) / STEP_MS * STEP_MS,
                 nowMs + (to - nowMs + STEP_MS - 1) / STEP_MS * STEP_MS,
-                c,
-                g);
+                cpus,
+                gpus);
         if (profile == null) {
             if (!unlimited()) {
-                pending.add(u);
+                pending.add(use);
             }
         } else {
-            profile.take(u.from, u.to, u.cpus, u.gpus, 0);
+            profile.take(use.from, use.to, use.cpus, use.gpus, 0);
         }
     }
 
--- a/src/main/java/org/beechhoist/plan/Widening.java
+++ b/src/main/java/org/beechhoist/plan/Widening.java
@@ -23,23 +23,23 @@
 
     private Widening() {}
 
-    static List<Integer> candidates(Plan.Wish w) {
-        if (w.fixed() != null) {
-            return List.of(Math.max(w.from(), Math.min(w.most(), w.fixed())));
+    static List<Integer> candidates(Plan.Wish wish) {
+        if (wish.fixed() != null) {
+            return List.of(Math.max(wish.from(), Math.min(wish.most(), wish.fixed())));
         }
         List<Integer> out = new ArrayList<>();
-        out.add(w.from());
-        for (int width = w.most();
-                width > w.from() && out.size() < MAX_TRIED;
-                width = w.from() + (width - w.from()) / 2) {
+        out.add(wish.from());
+        for (int width = wish.most();
+                width > wish.from() && out.size() < MAX_TRIED;
+                width = wish.from() + (width - wish.from()) / 2) {
             out.add(width);
         }
         return out;
     }
 
     static Outcome outcome(
-            Plan.Entry e,
-            Plan.Wish w,
+            Plan.Entry entry,
+            Plan.Wish wish,
             int width,
             List<Plan.Reservation> made,
             Map<HostId, PlanHost> hosts,
@@ -48,33 +48,36 @@
         Map<HostId, Long> ours = new HashMap<>();
         double cpuMs = 0;
         long end = nowMs;
-        for (Plan.Reservation r : made) {
-            ours.merge(r.host(), r.endMs(), Math::max);
-            cpuMs += (r.endMs() - r.beginMs()) * e.spec().cpus();
-            end = Math.max(end, r.endMs());
+        for (Plan.Reservation reservation : made) {
+            ours.merge(reservation.host(), reservation.endMs(), Math::max);
+            cpuMs +=
+                    (reservation.endMs() - reservation.beginMs()) * entry.spec().cpus();
+            end = Math.max(end, reservation.endMs());
         }
         double keeping = 0;
-        for (Map.Entry<HostId, Long> o : ours.entrySet()) {
-            PlanHost h = hosts.get(o.getKey());
-            long longer = Math.max(0, o.getValue() - Math.max(nowMs, busyUntil.getOrDefault(h.id, nowMs)));
-            keeping += h.type.priceOf(h.spot) * longer / MS_PER_HOUR;
+        for (Map.Entry<HostId, Long> mine : ours.entrySet()) {
+            PlanHost machine = hosts.get(mine.getKey());
+            long longer = Math.max(0, mine.getValue() - Math.max(nowMs, busyUntil.getOrDefault(machine.id, nowMs)));
+            keeping += machine.type.priceOf(machine.spot) * longer / MS_PER_HOUR;
         }
-        double work = cpuMs * w.lowestCostPerCpu() / MS_PER_HOUR;
-        int left = e.waiting() - made.size();
-        long finish = left <= 0 ? end : width == 0 ? Long.MAX_VALUE : end + (left + width - 1) / width * e.lengthMs();
-        double late = w.untilMs() == Long.MAX_VALUE ? 0 : Math.max(0, Math.min(finish - w.untilMs(), MS_PER_HOUR));
-        double perMs = w.worth() * w.most() * e.spec().cpus() * w.lowestCostPerCpu() / MS_PER_HOUR;
+        double work = cpuMs * wish.lowestCostPerCpu() / MS_PER_HOUR;
+        int left = entry.waiting() - made.size();
+        long finish =
+                left <= 0 ? end : width == 0 ? Long.MAX_VALUE : end + (left + width - 1) / width * entry.lengthMs();
+        double late =
+                wish.untilMs() == Long.MAX_VALUE ? 0 : Math.max(0, Math.min(finish - wish.untilMs(), MS_PER_HOUR));
+        double perMs = wish.worth() * wish.most() * entry.spec().cpus() * wish.lowestCostPerCpu() / MS_PER_HOUR;
         return new Outcome(width, keeping - work + late * perMs, work, finish);
     }
 
     /** The cheapest; where several are alike, the one that is done first. */
     static Outcome best(List<Outcome> all) {
         Outcome best = all.get(0);
-        for (Outcome o : all) {
-            double tie = ALIKE * Math.max(o.work(), best.work());
-            boolean alike = Math.abs(o.cost() - best.cost()) <= tie;
-            if (alike ? o.finishMs() < best.finishMs() : o.cost() < best.cost()) {
-                best = o;
+        for (Outcome result : all) {
+            double tie = ALIKE * Math.max(result.work(), best.work());
+            boolean alike = Math.abs(result.cost() - best.cost()) <= tie;
+            if (alike ? result.finishMs() < best.finishMs() : result.cost() < best.cost()) {
+                best = result;
             }
         }
         return best;
--- a/src/main/java/org/beechhoist/reach/Ears.java
+++ b/src/main/java/org/beechhoist/reach/Ears.java
@@ -67,16 +67,18 @@
             boolean answeredWithinLease) {}
 
     /** A new report has come. */
-    public Ears after(Message m, Tick now) {
-        if (m.newToken || m.same && m.afterOurAnswer && m.next) {
+    public Ears after(Message message, Tick now) {
+        if (message.newToken || message.same && message.afterOurAnswer && message.next) {
             return proved(now);
         }
         Ears then = spoke(now);
-        if (!m.same) {
-            return m.answeredWithinLease ? then.missed(ENOUGH, now).spoke(now) : then;
+        if (!message.same) {
+            return message.answeredWithinLease ? then.missed(ENOUGH, now).spoke(now) : then;
         }
         // It turned to another node: our answer did not reach it. Calls that were lost have been counted by themselves.
-        return m.afterOurAnswer && !m.callsLost ? then.missed(1, now).spoke(now) : then;
+        return message.afterOurAnswer && !message.callsLost
+                ? then.missed(1, now).spoke(now)
+                : then;
     }
 
     /**
--- a/src/main/java/org/beechhoist/reach/Standing.java
+++ b/src/main/java/org/beechhoist/reach/Standing.java
@@ -28,12 +28,12 @@
      * @param first the first token of this leadership
      * @param sinceNewestMs since the newest message of the worker came
      */
-    public static Standing of(HostReport r, boolean fresh, Baton ghosts, Baton first, long sinceNewestMs) {
-        if (ghosts.value() > 0 && r.baton().compareTo(ghosts) <= 0) {
+    public static Standing of(HostReport heartbeat, boolean fresh, Baton ghosts, Baton first, long sinceNewestMs) {
+        if (ghosts.value() > 0 && heartbeat.baton().compareTo(ghosts) <= 0) {
             return GHOST;
         }
         if (fresh) {
-            return r.baton().compareTo(first) >= 0 ? OURS : FIRST;
+            return heartbeat.baton().compareTo(first) >= 0 ? OURS : FIRST;
         }
         return sinceNewestMs <= WAITS_MS ? OVERTAKEN : COPY;
     }
--- a/src/main/java/org/beechhoist/regress/Comparison.java
+++ b/src/main/java/org/beechhoist/regress/Comparison.java
@@ -19,38 +19,38 @@
         List<String> lines = new ArrayList<>();
         boolean broke = false;
         boolean fell = false;
-        for (Served s : Served.near(now)) {
-            broke |= s.fails();
-            lines.add(s.line());
+        for (Served served : Served.near(now)) {
+            broke |= served.fails();
+            lines.add(served.line());
         }
-        for (Day d : now) {
-            String title = d.site() + " " + d.name();
+        for (Day day : now) {
+            String title = day.site() + " " + day.name();
             Day old = null;
             for (Day b : before) {
-                old = b.same(d) ? b : old;
+                old = b.same(day) ? b : old;
             }
-            if (!d.broken().isEmpty()) {
+            if (!day.broken().isEmpty()) {
                 broke = true;
-                lines.add(title + " BROKEN: " + d.broken());
+                lines.add(title + " BROKEN: " + day.broken());
             }
             if (old == null) {
-                lines.add(String.format(Locale.ROOT, "%s %.3f, not played before", title, d.score()));
+                lines.add(String.format(Locale.ROOT, "%s %.3f, not played before", title, day.score()));
                 continue;
             }
-            boolean down = old.score() - d.score() > bound;
+            boolean down = old.score() - day.score() > bound;
             fell |= down;
             lines.add(String.format(
-                    Locale.ROOT, "%s %.3f, before %.3f%s", title, d.score(), old.score(), down ? " FELL" : ""));
-            for (String aim : d.worth().keySet()) {
+                    Locale.ROOT, "%s %.3f, before %.3f%s", title, day.score(), old.score(), down ? " FELL" : ""));
+            for (String aim : day.worth().keySet()) {
                 Double was = old.worth().get(aim);
-                if (was != null && was - d.worth().get(aim) > bound) {
+                if (was != null && was - day.worth().get(aim) > bound) {
                     fell = true;
                     lines.add(String.format(
                             Locale.ROOT,
                             "    FELL %.2f -> %.2f: %s; before %s",
                             was,
-                            d.worth().get(aim),
-                            d.told().get(aim),
+                            day.worth().get(aim),
+                            day.told().get(aim),
                             old.told().get(aim)));
                 }
             }
--- a/src/main/java/org/beechhoist/regress/Journal.java
+++ b/src/main/java/org/beechhoist/regress/Journal.java
@@ -52,26 +52,26 @@
         return out;
     }
 
-    private static Day day(String site, JsonNode n) {
+    private static Day day(String site, JsonNode node) {
         Map<String, Double> worth = new LinkedHashMap<>();
         Map<String, String> told = new LinkedHashMap<>();
-        for (JsonNode aim : n.path("aims")) {
+        for (JsonNode aim : node.path("aims")) {
             String text = aim.path(0).asText();
             String words = text.contains(":") ? text.substring(0, text.lastIndexOf(':')) : text;
             worth.put(words, aim.path(1).asDouble());
             told.put(words, text);
         }
         List<String> broken = new ArrayList<>();
-        n.path("rules").fields().forEachRemaining(e -> broken.add(e.getKey() + " " + e.getValue()));
-        if (n.hasNonNull("fault")) {
-            broken.add(n.get("fault").asText());
+        node.path("rules").fields().forEachRemaining(e -> broken.add(e.getKey() + " " + e.getValue()));
+        if (node.hasNonNull("fault")) {
+            broken.add(node.get("fault").asText());
         }
         return new Day(
                 site,
-                n.path("name").asText(),
-                n.path("day").asText(),
-                n.path("seed").asText(),
-                n.path("score").asDouble(),
+                node.path("name").asText(),
+                node.path("day").asText(),
+                node.path("seed").asText(),
+                node.path("score").asDouble(),
                 worth,
                 told,
                 String.join(", ", broken));
--- a/src/main/java/org/beechhoist/regress/Regress.java
+++ b/src/main/java/org/beechhoist/regress/Regress.java
@@ -110,26 +110,26 @@
             added.removeAll(known);
             now = journal.days(added);
         }
-        Comparison.Result r = Comparison.of(before, now, bound);
-        r.lines().forEach(System.out::println);
+        Comparison.Result result = Comparison.of(before, now, bound);
+        result.lines().forEach(System.out::println);
         System.out.println(
-                r.broke()
+                result.broke()
                         ? "regress: a rule broke, a day failed, or less than half of a class was served"
-                        : r.fell()
+                        : result.fell()
                                 ? "regress: something fell by more than " + bound
                                 : "regress: nothing fell by more than " + bound);
-        return r.broke() || r.fell() ? FELL : 0;
+        return result.broke() || result.fell() ? FELL : 0;
     }
 
     /** The newest figures of each day, and all that were before. */
     private static void split(List<Day> all, List<Day> before, List<Day> now) {
-        for (Day d : all) {
-            Day older = now.stream().filter(d::same).findFirst().orElse(null);
+        for (Day day : all) {
+            Day older = now.stream().filter(day::same).findFirst().orElse(null);
             if (older != null) {
                 now.remove(older);
                 before.add(older);
             }
-            now.add(d);
+            now.add(day);
         }
     }
 
--- a/src/main/java/org/beechhoist/regress/Served.java
+++ b/src/main/java/org/beechhoist/regress/Served.java
@@ -24,12 +24,15 @@
     /** The classes whose least share is near a half or below it, the worst first. */
     static List<Served> near(List<Day> days) {
         List<Served> out = new ArrayList<>();
-        for (Day d : days) {
-            for (String aim : d.told().values()) {
-                Matcher m = OF_A_CLASS.matcher(aim);
-                if (m.matches() && Double.parseDouble(m.group(3)) < NEAR) {
+        for (Day day : days) {
+            for (String aim : day.told().values()) {
+                Matcher matcher = OF_A_CLASS.matcher(aim);
+                if (matcher.matches() && Double.parseDouble(matcher.group(3)) < NEAR) {
                     out.add(new Served(
-                            d.site() + " " + d.name(), m.group(2), Double.parseDouble(m.group(3)), m.group(1)));
+                            day.site() + " " + day.name(),
+                            matcher.group(2),
+                            Double.parseDouble(matcher.group(3)),
+                            matcher.group(1)));
                 }
             }
         }
--- a/src/main/java/org/beechhoist/release/Forecast.java
+++ b/src/main/java/org/beechhoist/release/Forecast.java
@@ -24,38 +24,38 @@
      */
     public record Facts(int jobs, int held, int unplanned, boolean limited, long endMs, long longestMs) {}
 
-    public static Forecast of(Facts f, long dueMs, long nowMs) {
-        if (f.jobs == 0) {
+    public static Forecast of(Facts facts, long dueMs, long nowMs) {
+        if (facts.jobs == 0) {
             return new Forecast(0, dueMs - nowMs, null);
         }
-        long slack = f.endMs == 0 ? 0 : dueMs - f.endMs;
-        if (f.held > 0) {
-            return new Forecast(f.endMs, slack, "key set: " + f.held + " of its jobs are held");
+        long slack = facts.endMs == 0 ? 0 : dueMs - facts.endMs;
+        if (facts.held > 0) {
+            return new Forecast(facts.endMs, slack, "key set: " + facts.held + " of its jobs are held");
         }
         if (nowMs > dueMs) {
-            return new Forecast(f.endMs, slack, "overdue");
+            return new Forecast(facts.endMs, slack, "overdue");
         }
-        if (f.endMs == 0 || f.unplanned > 0) {
+        if (facts.endMs == 0 || facts.unplanned > 0) {
             // Out of the plan's sight; whether that is late can be told only where the moment is near.
-            boolean near = dueMs - nowMs < 10 * Math.max(f.longestMs, LEAST_SPARE_MS);
+            boolean near = dueMs - nowMs < 10 * Math.max(facts.longestMs, LEAST_SPARE_MS);
             return new Forecast(
                     0,
                     0,
                     !near
                             ? null
-                            : f.limited
+                            : facts.limited
                                     ? "limit: its team may use no more"
-                                    : "machines: " + f.unplanned + " tasks have no place in the plan");
+                                    : "machines: " + facts.unplanned + " tasks have no place in the plan");
         }
-        long spare = Math.max(LEAST_SPARE_MS, Math.round(SPARE * (f.endMs - nowMs)));
+        long spare = Math.max(LEAST_SPARE_MS, Math.round(SPARE * (facts.endMs - nowMs)));
         if (slack >= spare) {
-            return new Forecast(f.endMs, slack, null);
+            return new Forecast(facts.endMs, slack, null);
         }
         return new Forecast(
-                f.endMs,
+                facts.endMs,
                 slack,
-                f.limited
+                facts.limited
                         ? "limit: its team may use no more"
-                        : nowMs + f.longestMs > dueMs ? "one long task" : "machines");
+                        : nowMs + facts.longestMs > dueMs ? "one long task" : "machines");
     }
 }
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -72,54 +72,54 @@
     }
 
     /** What a person puts: checked, without the moment, which needs the calendar. */
-    public static Release described(String name, JsonNode n) throws Malformed {
+    public static Release described(String name, JsonNode node) throws Malformed {
         if (!validName(name)) {
             throw new Malformed(
                     "name = " + name + ": 1 to 64 letters, digits, dots, dashes and underlines are expected");
         }
-        LocalDateTime ship = time("ship", Codec.text(n, "ship"));
+        LocalDateTime ship = time("ship", Codec.text(node, "ship"));
         ZoneId zone;
         try {
-            zone = ZoneId.of(Codec.text(n, "zone"));
+            zone = ZoneId.of(Codec.text(node, "zone"));
         } catch (DateTimeException e) {
-            throw new Malformed("zone = " + n.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
+            throw new Malformed("zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
         }
-        int lead = Codec.absent(n, "leadDays") ? 0 : (int) Codec.count(n, "leadDays", 0, MOST_LEAD_DAYS);
+        int lead = Codec.absent(node, "leadDays") ? 0 : (int) Codec.count(node, "leadDays", 0, MOST_LEAD_DAYS);
         return new Release(
                 name,
-                text(n, "maker"),
-                Codec.absent(n, "factory") ? "" : text(n, "factory"),
+                text(node, "maker"),
+                Codec.absent(node, "factory") ? "" : text(node, "factory"),
                 ship,
                 zone,
                 lead,
-                optional(n, "calendar"),
-                optional(n, "team"),
-                optional(n, "class"),
-                optional(n, "bundle"),
+                optional(node, "calendar"),
+                optional(node, "team"),
+                optional(node, "class"),
+                optional(node, "bundle"),
                 0,
                 0,
                 false,
                 List.of());
     }
 
-    public static LocalDateTime time(String field, String s) throws Malformed {
+    public static LocalDateTime time(String field, String text) throws Malformed {
         try {
-            return LocalDateTime.parse(s);
+            return LocalDateTime.parse(text);
         } catch (DateTimeParseException e) {
-            throw new Malformed(field + " = " + s + ": a date and time such as 2026-12-20T17:00 is expected");
+            throw new Malformed(field + " = " + text + ": a date and time such as 2026-12-20T17:00 is expected");
         }
     }
 
-    private static String optional(JsonNode n, String field) throws Malformed {
-        return Codec.absent(n, field) ? null : text(n, field);
+    private static String optional(JsonNode node, String field) throws Malformed {
+        return Codec.absent(node, field) ? null : text(node, field);
     }
 
-    private static String text(JsonNode n, String field) throws Malformed {
-        String s = Codec.text(n, field);
-        if (s.isBlank() || s.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + s + ": 1 to " + MOST_TEXT + " characters are expected");
+    private static String text(JsonNode node, String field) throws Malformed {
+        String text = Codec.text(node, field);
+        if (text.isBlank() || text.length() > MOST_TEXT) {
+            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
-        return s;
+        return text;
     }
 
     /** The change of this release that makes it what is described, and its moment; {@code before} is null for the first. */
@@ -176,7 +176,7 @@
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("name", name)
                 .put("maker", maker)
                 .put("factory", factory)
@@ -190,48 +190,48 @@
                 .put("due", dueMs)
                 .put("number", number)
                 .put("removed", removed);
-        ArrayNode past = n.putArray("history");
-        history.forEach(p -> past.addObject()
-                .put("what", p.what)
-                .put("who", p.who)
-                .put("at", p.atMs)
-                .put("why", p.why)
-                .put("from", p.from)
-                .put("to", p.to));
-        return n;
+        ArrayNode past = node.putArray("history");
+        history.forEach(earlier -> past.addObject()
+                .put("what", earlier.what)
+                .put("who", earlier.who)
+                .put("at", earlier.atMs)
+                .put("why", earlier.why)
+                .put("from", earlier.from)
+                .put("to", earlier.to));
+        return node;
     }
 
-    public static Release parse(JsonNode n) throws Malformed {
-        if (n == null) {
+    public static Release parse(JsonNode node) throws Malformed {
+        if (node == null) {
             throw new Malformed("not a release");
         }
-        Release r = described(
-                Codec.text(n, "name"),
-                n.path("factory").asText().isEmpty() ? ((ObjectNode) n.deepCopy()).putNull("factory") : n);
+        Release release = described(
+                Codec.text(node, "name"),
+                node.path("factory").asText().isEmpty() ? ((ObjectNode) node.deepCopy()).putNull("factory") : node);
         List<Past> history = new ArrayList<>();
-        for (JsonNode p : n.path("history")) {
+        for (JsonNode earlier : node.path("history")) {
             history.add(new Past(
-                    Codec.text(p, "what"),
-                    Codec.text(p, "who"),
-                    p.path("at").asLong(),
-                    Codec.text(p, "why"),
-                    Codec.text(p, "from"),
-                    Codec.text(p, "to")));
+                    Codec.text(earlier, "what"),
+                    Codec.text(earlier, "who"),
+                    earlier.path("at").asLong(),
+                    Codec.text(earlier, "why"),
+                    Codec.text(earlier, "from"),
+                    Codec.text(earlier, "to")));
         }
         return new Release(
-                r.name,
-                r.maker,
-                r.factory,
-                r.ship,
-                r.zone,
-                r.leadDays,
-                r.calendar,
-                r.team,
-                r.jobClass,
-                r.bundle,
-                n.path("due").asLong(),
-                Codec.count(n, "number", 1, Long.MAX_VALUE),
-                n.path("removed").asBoolean(),
+                release.name,
+                release.maker,
+                release.factory,
+                release.ship,
+                release.zone,
+                release.leadDays,
+                release.calendar,
+                release.team,
+                release.jobClass,
+                release.bundle,
+                node.path("due").asLong(),
+                Codec.count(node, "number", 1, Long.MAX_VALUE),
+                node.path("removed").asBoolean(),
                 history);
     }
 }
--- a/src/main/java/org/beechhoist/release/Releases.java
+++ b/src/main/java/org/beechhoist/release/Releases.java
@@ -32,15 +32,15 @@
     }
 
     /** What the job counts for: what it names, else the nearest that fits it; null: nothing. A name that nobody has put is nothing. */
-    public Release of(JobSpec s) {
-        if (s.release() != null) {
-            return byName.get(s.release());
+    public Release of(JobSpec spec) {
+        if (spec.release() != null) {
+            return byName.get(spec.release());
         }
-        for (Release r : matching) {
-            if ((r.team() == null || r.team().equals(s.team()))
-                    && (r.jobClass() == null || r.jobClass().equals(s.jobClass()))
-                    && (r.bundle() == null || r.bundle().equals(s.image()))) {
-                return r;
+        for (Release release : matching) {
+            if ((release.team() == null || release.team().equals(spec.team()))
+                    && (release.jobClass() == null || release.jobClass().equals(spec.jobClass()))
+                    && (release.bundle() == null || release.bundle().equals(spec.image()))) {
+                return release;
             }
         }
         return null;
--- a/src/main/java/org/beechhoist/release/ShipOrder.java
+++ b/src/main/java/org/beechhoist/release/ShipOrder.java
@@ -32,11 +32,11 @@
         double all = 0;
         Map<String, Double> ofMaker = new HashMap<>();
         List<Open> released = new ArrayList<>();
-        for (Open o : open) {
-            all += o.cpuS;
-            if (o.release != null) {
-                released.add(o);
-                ofMaker.merge(o.release.maker(), o.cpuS, Double::sum);
+        for (Open job : open) {
+            all += job.cpuS;
+            if (job.release != null) {
+                released.add(job);
+                ofMaker.merge(job.release.maker(), job.cpuS, Double::sum);
             }
         }
         released.sort(Comparator.comparingLong((Open o) -> key(o.release, nowMs))
@@ -44,19 +44,19 @@
                 .thenComparing(Open::job));
         Map<JobRef, Long> out = new HashMap<>();
         Map<String, Double> taken = new HashMap<>();
-        for (Open o : released) {
-            String maker = o.release.maker();
+        for (Open job : released) {
+            String maker = job.release.maker();
             double before = taken.getOrDefault(maker, 0.0);
             boolean alone = ofMaker.get(maker) > all - 1e-6;
-            if (alone || before == 0 || before + o.cpuS <= MOST_OF_ALL * all + 1e-6) {
-                out.put(o.job, key(o.release, nowMs));
-                taken.put(maker, before + o.cpuS);
+            if (alone || before == 0 || before + job.cpuS <= MOST_OF_ALL * all + 1e-6) {
+                out.put(job.job, key(job.release, nowMs));
+                taken.put(maker, before + job.cpuS);
             }
         }
         return out;
     }
 
-    private static long key(Release r, long nowMs) {
-        return r.dueMs() >= nowMs ? r.dueMs() : OVERDUE - r.dueMs();
+    private static long key(Release release, long nowMs) {
+        return release.dueMs() >= nowMs ? release.dueMs() : OVERDUE - release.dueMs();
     }
 }
--- a/src/main/java/org/beechhoist/standin/Cloud.java
+++ b/src/main/java/org/beechhoist/standin/Cloud.java
@@ -82,11 +82,11 @@
             SplittableRandom random,
             BiConsumer<Machine, Boolean> upOrGone) {
         this.listLagMs = listLagMs;
-        for (HostType t : types) {
-            this.types.put(t.name(), t);
-            for (String z : t.zones()) {
-                capacity.put(t.name() + z + true, perKind);
-                capacity.put(t.name() + z + false, perKind);
+        for (HostType type : types) {
+            this.types.put(type.name(), type);
+            for (String zone : type.zones()) {
+                capacity.put(type.name() + zone + true, perKind);
+                capacity.put(type.name() + zone + false, perKind);
             }
         }
         this.neverUp = neverUp;
@@ -104,10 +104,10 @@
             machines.forEach((name, m) -> rows.put(name, row(m, nowMs)));
             past.addLast(new Listed(nowMs, rows));
         }
-        for (Machine m : machines()) {
-            if (!m.up && !m.died && m.upAt <= nowMs) {
-                m.up = true;
-                upOrGone.accept(m, true);
+        for (Machine machine : machines()) {
+            if (!machine.up && !machine.died && machine.upAt <= nowMs) {
+                machine.up = true;
+                upOrGone.accept(machine, true);
             }
         }
     }
@@ -121,45 +121,45 @@
         return sum;
     }
 
-    private static double cost(Machine m, long nowMs) {
-        return m.type.priceOf(m.spot) * (nowMs - m.rentedAt) / 3_600_000.0;
+    private static double cost(Machine machine, long nowMs) {
+        return machine.type.priceOf(machine.spot) * (nowMs - machine.rentedAt) / 3_600_000.0;
     }
 
     /** Takes a machine away, or lets it stop by itself ({@code listed}: it stays in the list as failed). */
-    public void end(Machine m, boolean listed, long nowMs) {
-        spentBefore += cost(m, nowMs);
+    public void end(Machine machine, boolean listed, long nowMs) {
+        spentBefore += cost(machine, nowMs);
         if (listed) {
-            m.died = true;
+            machine.died = true;
         } else {
-            machines.remove(m.name);
+            machines.remove(machine.name);
         }
-        capacity.merge(m.type.name() + m.zone + m.spot, 1, Integer::sum);
-        upOrGone.accept(m, false);
+        capacity.merge(machine.type.name() + machine.zone + machine.spot, 1, Integer::sum);
+        upOrGone.accept(machine, false);
     }
 
     public Reply handle(long nowMs, String method, String target, JsonNode body) {
         if (out) {
             return Reply.error(503, "trouble");
         }
-        int q = target.indexOf('?');
-        String path = q < 0 ? target : target.substring(0, q);
+        int queryStart = target.indexOf('?');
+        String path = queryStart < 0 ? target : target.substring(0, queryStart);
         if (path.equals("/machine_types")) {
             return types();
         } else if (path.equals("/machines/return")) {
-            for (JsonNode n : body.path("hosts")) {
-                Machine m = machines.get(n.asText());
-                if (m != null) {
-                    if (!m.died) {
-                        end(m, false, nowMs);
+            for (JsonNode node : body.path("hosts")) {
+                Machine machine = machines.get(node.asText());
+                if (machine != null) {
+                    if (!machine.died) {
+                        end(machine, false, nowMs);
                     }
-                    machines.remove(m.name);
+                    machines.remove(machine.name);
                 }
             }
             return new Reply(200, Codec.map());
         } else if (path.equals("/machines") && method.equals("POST")) {
             return rent(nowMs, body);
         } else if (path.equals("/machines")) {
-            return list(nowMs, StateService.query(q < 0 ? "" : target.substring(q + 1)));
+            return list(nowMs, StateService.query(queryStart < 0 ? "" : target.substring(queryStart + 1)));
         }
         return Reply.error(400, "no such path");
     }
@@ -167,19 +167,19 @@
     private Reply types() {
         ObjectNode out = Codec.map();
         ArrayNode list = out.putArray("hosttypes");
-        for (HostType t : types.values()) {
-            ObjectNode n = list.addObject()
-                    .put("sku", t.name())
-                    .put("cores", t.cpus())
-                    .put("accelerators", t.gpus())
-                    .put("memGb", t.memGb())
-                    .put("cacheGb", t.cacheGb())
-                    .put("fetchGbPerS", t.fetchGbPerS())
-                    .put("rate", t.price())
-                    .put("lowPrice", t.spotPrice())
-                    .put("startupS", t.startupS());
-            ArrayNode zones = n.putArray("yards");
-            t.zones().forEach(zones::add);
+        for (HostType type : types.values()) {
+            ObjectNode node = list.addObject()
+                    .put("sku", type.name())
+                    .put("cores", type.cpus())
+                    .put("accelerators", type.gpus())
+                    .put("memGb", type.memGb())
+                    .put("cacheGb", type.cacheGb())
+                    .put("fetchGbPerS", type.fetchGbPerS())
+                    .put("rate", type.price())
+                    .put("lowPrice", type.spotPrice())
+                    .put("startupS", type.startupS());
+            ArrayNode zones = node.putArray("yards");
+            type.zones().forEach(zones::add);
         }
         return new Reply(200, out);
     }
@@ -189,41 +189,41 @@
         if (rentals.containsKey(name)) {
             return new Reply(200, rentals.get(name));
         }
-        HostType t = types.get(body.path("hosttype").asText());
-        if (t == null || !t.zones().contains(body.path("yard").asText())) {
+        HostType type = types.get(body.path("hosttype").asText());
+        if (type == null || !type.zones().contains(body.path("yard").asText())) {
             return Reply.error(400, "no such machine type or zone");
         }
         String zone = body.path("yard").asText();
         boolean spot = body.path("loaner").asBoolean();
-        String kind = t.name() + zone + spot;
-        int n = Math.min(body.path("number").asInt(), capacity.get(kind));
-        if (n == 0) {
+        String kind = type.name() + zone + spot;
+        int count = Math.min(body.path("number").asInt(), capacity.get(kind));
+        if (count == 0) {
             return Reply.error(503, "no capacity");
         }
         ObjectNode out = Codec.map();
         ArrayNode list = out.putArray("hosts");
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             boolean never = random.nextDouble() < neverUp + bootFails;
-            long boot = Math.round(1000 * bootTimes * t.startupS() * (0.6 + 0.9 * random.nextDouble()));
-            Machine m = new Machine(
-                    String.format("m-%06d", next++), t, zone, spot, nowMs, never ? Long.MAX_VALUE : nowMs + boot);
-            machines.put(m.name, m);
-            list.add(m.name);
+            long boot = Math.round(1000 * bootTimes * type.startupS() * (0.6 + 0.9 * random.nextDouble()));
+            Machine machine = new Machine(
+                    String.format("m-%06d", next++), type, zone, spot, nowMs, never ? Long.MAX_VALUE : nowMs + boot);
+            machines.put(machine.name, machine);
+            list.add(machine.name);
         }
-        capacity.merge(kind, -n, Integer::sum);
+        capacity.merge(kind, -count, Integer::sum);
         rentals.put(name, out);
         return new Reply(200, out);
     }
 
-    private static ObjectNode row(Machine m, long nowMs) {
+    private static ObjectNode row(Machine machine, long nowMs) {
         return Codec.map()
-                .put("ref", m.name)
-                .put("address", m.address)
-                .put("hosttype", m.type.name())
-                .put("yard", m.zone)
-                .put("loaner", m.spot)
-                .put("status", m.died ? "failed" : m.up ? "running" : "starting")
-                .put("ageS", (nowMs - m.rentedAt) / 1000.0);
+                .put("ref", machine.name)
+                .put("address", machine.address)
+                .put("hosttype", machine.type.name())
+                .put("yard", machine.zone)
+                .put("loaner", machine.spot)
+                .put("status", machine.died ? "failed" : machine.up ? "running" : "starting")
+                .put("ageS", (nowMs - machine.rentedAt) / 1000.0);
     }
 
     /** What the list says now: the state of so long ago. */
--- a/src/main/java/org/beechhoist/standin/StateService.java
+++ b/src/main/java/org/beechhoist/standin/StateService.java
@@ -65,9 +65,9 @@
         if (out) {
             return;
         }
-        for (Map.Entry<Long, Lease> e : new ArrayList<>(leases.entrySet())) {
-            if (e.getValue().endsMs <= nowMs) {
-                end(e.getKey());
+        for (Map.Entry<Long, Lease> entry : new ArrayList<>(leases.entrySet())) {
+            if (entry.getValue().endsMs <= nowMs) {
+                end(entry.getKey());
             }
         }
         wake(nowMs);
@@ -76,9 +76,9 @@
     private void end(long lease) {
         leases.remove(lease);
         List<String> keys = new ArrayList<>();
-        values.forEach((k, v) -> {
-            if (v.lease == lease) {
-                keys.add(k);
+        values.forEach((key, value) -> {
+            if (value.lease == lease) {
+                keys.add(key);
             }
         });
         if (!keys.isEmpty()) {
@@ -93,8 +93,8 @@
         }
     }
 
-    private void record(Change c) {
-        log.add(c);
+    private void record(Change change) {
+        log.add(change);
         if (log.size() > kept) {
             log.subList(0, kept / 10).clear();
         }
@@ -102,18 +102,18 @@
 
     private void wake(long nowMs) {
         List<Watch> due = new ArrayList<>();
-        for (Watch w : watches) {
-            if (w.until <= nowMs || changed(w)) {
-                due.add(w);
+        for (Watch watch : watches) {
+            if (watch.until <= nowMs || changed(watch)) {
+                due.add(watch);
             }
         }
         watches.removeAll(due);
         due.forEach(w -> w.then.accept(since(w.prefix, w.after)));
     }
 
-    private boolean changed(Watch w) {
-        for (int i = log.size() - 1; i >= 0 && log.get(i).version > w.after; i--) {
-            if (log.get(i).key.startsWith(w.prefix)) {
+    private boolean changed(Watch watch) {
+        for (int i = log.size() - 1; i >= 0 && log.get(i).version > watch.after; i--) {
+            if (log.get(i).key.startsWith(watch.prefix)) {
                 return true;
             }
         }
@@ -123,13 +123,13 @@
     private Reply since(String prefix, long after) {
         ObjectNode out = Codec.map().put("ledgerRev", revision);
         ArrayNode list = out.putArray("log");
-        for (Change c : log) {
-            if (c.version > after && c.key.startsWith(prefix)) {
-                ObjectNode n = list.addObject()
-                        .put(c.data == null ? "remove" : "put", c.key)
-                        .put("lastTouch", c.version);
-                if (c.data != null) {
-                    n.set("data", c.data);
+        for (Change change : log) {
+            if (change.version > after && change.key.startsWith(prefix)) {
+                ObjectNode node = list.addObject()
+                        .put(change.data == null ? "remove" : "put", change.key)
+                        .put("lastTouch", change.version);
+                if (change.data != null) {
+                    node.set("data", change.data);
                 }
             }
         }
@@ -143,33 +143,33 @@
             then.accept(Reply.error(503, "trouble"));
             return;
         }
-        int q = target.indexOf('?');
-        String path = q < 0 ? target : target.substring(0, q);
-        Map<String, String> query = query(q < 0 ? "" : target.substring(q + 1));
+        int queryStart = target.indexOf('?');
+        String path = queryStart < 0 ? target : target.substring(0, queryStart);
+        Map<String, String> query = query(queryStart < 0 ? "" : target.substring(queryStart + 1));
         if (path.equals("/changes")) {
             watch(nowMs, query, then);
             return;
         }
-        Reply r;
+        Reply reply;
         if (path.equals("/store")) {
-            r = list(query);
+            reply = list(query);
         } else if (path.startsWith("/store/")) {
-            r = get(path.substring("/store/".length()));
+            reply = get(path.substring("/store/".length()));
         } else if (path.equals("/commit")) {
-            r = commit(body);
+            reply = commit(body);
         } else if (path.equals("/leases")) {
-            Lease l = new Lease();
-            l.ttlMs = body.path("ttlMs").asLong();
-            l.endsMs = nowMs + l.ttlMs;
-            leases.put(nextLease, l);
-            r = new Reply(200, Codec.map().put("hold", nextLease++));
+            Lease lease = new Lease();
+            lease.ttlMs = body.path("ttlMs").asLong();
+            lease.endsMs = nowMs + lease.ttlMs;
+            leases.put(nextLease, lease);
+            reply = new Reply(200, Codec.map().put("hold", nextLease++));
         } else if (path.startsWith("/leases/")) {
-            r = lease(nowMs, method, path.substring("/leases/".length()));
+            reply = lease(nowMs, method, path.substring("/leases/".length()));
         } else {
-            r = Reply.error(400, "no such path");
+            reply = Reply.error(400, "no such path");
         }
         wake(nowMs);
-        then.accept(r);
+        then.accept(reply);
     }
 
     static Map<String, String> query(String text) {
@@ -189,24 +189,24 @@
             then.accept(Reply.error(410, "too old"));
             return;
         }
-        Watch w = new Watch(
+        Watch watch = new Watch(
                 query.getOrDefault("prefix", ""),
                 after,
                 nowMs + Long.parseLong(query.getOrDefault("holdMs", "0")),
                 then);
-        watches.add(w);
+        watches.add(watch);
         wake(nowMs);
     }
 
     private Reply lease(long nowMs, String method, String rest) {
         boolean extend = rest.endsWith("/extend");
         long id = Long.parseLong(extend ? rest.substring(0, rest.length() - "/extend".length()) : rest);
-        Lease l = leases.get(id);
-        if (l == null) {
+        Lease lease = leases.get(id);
+        if (lease == null) {
             return Reply.error(404, "no such lease");
         }
         if (extend) {
-            l.endsMs = nowMs + l.ttlMs;
+            lease.endsMs = nowMs + lease.ttlMs;
         } else if (method.equals("DELETE")) {
             end(id);
         }
@@ -214,20 +214,20 @@
     }
 
     private Reply get(String key) {
-        Value v = values.get(key);
-        if (v == null) {
+        Value value = values.get(key);
+        if (value == null) {
             return new Reply(404, Codec.map().put("ledgerRev", revision));
         }
-        return new Reply(200, item(key, v));
+        return new Reply(200, item(key, value));
     }
 
-    private static ObjectNode item(String key, Value v) {
-        ObjectNode n = Codec.map().put("path", key).put("lastTouch", v.version);
-        n.set("data", v.data);
-        if (v.lease != 0) {
-            n.put("hold", v.lease);
+    private static ObjectNode item(String key, Value value) {
+        ObjectNode node = Codec.map().put("path", key).put("lastTouch", value.version);
+        node.set("data", value.data);
+        if (value.lease != 0) {
+            node.put("hold", value.lease);
         }
-        return n;
+        return node;
     }
 
     private Reply list(Map<String, String> query) {
@@ -238,20 +238,20 @@
         ArrayNode items = out.putArray("items");
         int bytes = 0;
         boolean more = false;
-        for (Map.Entry<String, Value> e : values.tailMap(prefix, true).entrySet()) {
-            if (!e.getKey().startsWith(prefix)) {
+        for (Map.Entry<String, Value> entry : values.tailMap(prefix, true).entrySet()) {
+            if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (after != null && e.getKey().compareTo(after) <= 0) {
+            if (after != null && entry.getKey().compareTo(after) <= 0) {
                 continue;
             }
-            ObjectNode n = item(e.getKey(), e.getValue());
-            bytes += Codec.encode(n).length;
+            ObjectNode node = item(entry.getKey(), entry.getValue());
+            bytes += Codec.encode(node).length;
             if (items.size() == limit || bytes > MAX_PAGE_BYTES) {
                 more = true;
                 break;
             }
-            items.add(n);
+            items.add(node);
         }
         return new Reply(200, out.put("more", more).put("ledgerRev", revision));
     }
@@ -270,16 +270,16 @@
                 return Reply.error(400, "no such lease");
             }
         }
-        for (JsonNode g : body.path("guards")) {
-            Value v = values.get(g.path("path").asText());
-            if ((v == null ? 0 : v.version) != g.path("lastTouch").asLong()) {
-                failed.add(g.path("path").asText());
+        for (JsonNode node : body.path("guards")) {
+            Value value = values.get(node.path("path").asText());
+            if ((value == null ? 0 : value.version) != node.path("lastTouch").asLong()) {
+                failed.add(node.path("path").asText());
             }
         }
         if (!failed.isEmpty()) {
-            ObjectNode n = Codec.map().put("ledgerRev", revision);
-            n.set("failed", failed);
-            return new Reply(409, n);
+            ObjectNode node = Codec.map().put("ledgerRev", revision);
+            node.set("failed", failed);
+            return new Reply(409, node);
         }
         if (then.size() > 0) {
             revision++;
