--- a/src/main/java/org/beechhoist/standin/Worker.java
+++ b/src/main/java/org/beechhoist/standin/Worker.java
@@ -143,9 +143,9 @@
         if (nowMs - leaseFrom > leaseMs) {
             return out;
         }
-        for (Task t : tasks.values()) {
-            if (t.status.equals("running") || t.status.equals("saving")) {
-                out.add(t.id);
+        for (Task task : tasks.values()) {
+            if (task.status.equals("running") || task.status.equals("saving")) {
+                out.add(task.id);
             }
         }
         return out;
@@ -159,11 +159,11 @@
     /** What is left of its CPUs, memory and accelerators. */
     public double[] free() {
         double[] left = {type.cpus(), type.memGb(), type.gpus()};
-        for (Task t : tasks.values()) {
-            if (t.on()) {
-                left[0] -= t.spec.cpus();
-                left[1] -= t.spec.memGb();
-                left[2] -= t.spec.gpus();
+        for (Task task : tasks.values()) {
+            if (task.on()) {
+                left[0] -= task.spec.cpus();
+                left[1] -= task.spec.memGb();
+                left[2] -= task.spec.gpus();
             }
         }
         return left;
@@ -189,75 +189,80 @@
             leaseFrom = nowMs;
             changed = true;
         }
-        for (Task t : tasks.values()) {
-            if (t.status.equals("fetching") && t.readyAt <= nowMs) {
-                images.add(t.spec.image());
-                if (results.contains(t.id) || world.completed(t.id)) {
-                    t.exit("done");
+        for (Task task : tasks.values()) {
+            if (task.status.equals("fetching") && task.readyAt <= nowMs) {
+                images.add(task.spec.image());
+                if (results.contains(task.id) || world.completed(task.id)) {
+                    task.exit("done");
                 } else {
-                    start(t, nowMs);
+                    start(task, nowMs);
                 }
                 changed = true;
-            } else if (t.status.equals("running")) {
-                runs(t, nowMs);
-            } else if (t.status.equals("saving") && t.savingUntil <= nowMs) {
-                t.stored = true;
-                t.exit("stopped");
-                world.saved(t.id, t.savingUntil - savesFor(t) - t.startedAt - t.savedMs);
-                world.ended(this, t.id, t.attempt, 0, End.STOPPED);
+            } else if (task.status.equals("running")) {
+                runs(task, nowMs);
+            } else if (task.status.equals("saving") && task.savingUntil <= nowMs) {
+                task.stored = true;
+                task.exit("stopped");
+                world.saved(task.id, task.savingUntil - savesFor(task) - task.startedAt - task.savedMs);
+                world.ended(this, task.id, task.attempt, 0, End.STOPPED);
                 changed = true;
             }
         }
     }
 
-    private void start(Task t, long nowMs) {
-        t.status = "running";
-        t.startedAt = nowMs;
-        long run = world.runMs(t.id, name);
-        t.fails = run < 0;
-        t.endsAt = t.spec.service() && !t.fails ? Long.MAX_VALUE : nowMs + Math.abs(run);
-        world.started(this, t.id, t.attempt);
+    private void start(Task task, long nowMs) {
+        task.status = "running";
+        task.startedAt = nowMs;
+        long run = world.runMs(task.id, name);
+        task.fails = run < 0;
+        task.endsAt = task.spec.service() && !task.fails ? Long.MAX_VALUE : nowMs + Math.abs(run);
+        world.started(this, task.id, task.attempt);
     }
 
-    private void runs(Task t, long nowMs) {
-        long ran = Math.min(nowMs, t.endsAt) - t.startedAt;
-        long every = Math.round(1000 * t.spec.checkpointS());
-        if (every > 0 && ran - t.savedMs >= every) {
-            world.saved(t.id, every);
-            t.savedMs += every;
+    private void runs(Task task, long nowMs) {
+        long ran = Math.min(nowMs, task.endsAt) - task.startedAt;
+        long every = Math.round(1000 * task.spec.checkpointS());
+        if (every > 0 && ran - task.savedMs >= every) {
+            world.saved(task.id, every);
+            task.savedMs += every;
         }
-        if (t.endsAt > nowMs) {
-            world.runs(this, t.id, t.attempt, ran / (double) (t.endsAt - t.startedAt));
+        if (task.endsAt > nowMs) {
+            world.runs(this, task.id, task.attempt, ran / (double) (task.endsAt - task.startedAt));
             return;
         }
-        t.exit(t.fails ? "error" : "done");
-        if (t.fails) {
-            world.ended(this, t.id, t.attempt, ran - t.savedMs, End.FAILED);
+        task.exit(task.fails ? "error" : "done");
+        if (task.fails) {
+            world.ended(this, task.id, task.attempt, ran - task.savedMs, End.FAILED);
         } else {
-            results.add(t.id);
-            world.finished(this, t.id, t.attempt);
+            results.add(task.id);
+            world.finished(this, task.id, task.attempt);
         }
         changed = true;
     }
 
     /** A running or saving attempt ends without its progress. */
-    private void lost(Task t, long nowMs, End why) {
-        if (t.status.equals("running") || t.status.equals("saving")) {
-            world.ended(this, t.id, t.attempt, Math.max(0, Math.min(nowMs, t.endsAt) - t.startedAt - t.savedMs), why);
+    private void lost(Task task, long nowMs, End why) {
+        if (task.status.equals("running") || task.status.equals("saving")) {
+            world.ended(
+                    this,
+                    task.id,
+                    task.attempt,
+                    Math.max(0, Math.min(nowMs, task.endsAt) - task.startedAt - task.savedMs),
+                    why);
         }
     }
 
-    private static long savesFor(Task t) {
-        return Math.round(1000 * t.spec.saveS());
+    private static long savesFor(Task task) {
+        return Math.round(1000 * task.spec.saveS());
     }
 
-    private void kill(Task t, long nowMs, double graceS) {
-        if (t.status.equals("running") && t.spec.checkpointS() > 0 && graceS >= t.spec.saveS() && graceS > 0) {
-            t.status = "saving";
-            t.savingUntil = nowMs + savesFor(t);
-        } else if (!t.status.equals("saving") || graceS == 0) {
-            lost(t, nowMs, End.STOPPED);
-            t.exit("stopped");
+    private void kill(Task task, long nowMs, double graceS) {
+        if (task.status.equals("running") && task.spec.checkpointS() > 0 && graceS >= task.spec.saveS() && graceS > 0) {
+            task.status = "saving";
+            task.savingUntil = nowMs + savesFor(task);
+        } else if (!task.status.equals("saving") || graceS == 0) {
+            lost(task, nowMs, End.STOPPED);
+            task.exit("stopped");
         }
         changed = true;
     }
@@ -274,7 +279,7 @@
     }
 
     private ObjectNode describe() {
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("host", name)
                 .put("address", address)
                 .put("hosttype", type.name())
@@ -284,20 +289,20 @@
                 .put("counter", ++counter)
                 .put("baton", baton)
                 .put("warningS", noticeS);
-        ArrayNode list = n.putArray("pieces");
-        for (Task t : tasks.values()) {
-            ObjectNode p = list.addObject()
-                    .put("piece", t.id.toString())
-                    .put("try", t.attempt)
-                    .put("status", t.status);
-            if (t.cause != null) {
-                p.put("cause", t.cause);
+        ArrayNode list = node.putArray("pieces");
+        for (Task task : tasks.values()) {
+            ObjectNode piece = list.addObject()
+                    .put("piece", task.id.toString())
+                    .put("try", task.attempt)
+                    .put("status", task.status);
+            if (task.cause != null) {
+                piece.put("cause", task.cause);
             }
-            if (t.stored) {
-                p.put("stored", true);
+            if (task.stored) {
+                piece.put("stored", true);
             }
         }
-        return n;
+        return node;
     }
 
     /** A 200 to the report that was sent at {@code sentMs} in session {@code sentShift}. */
@@ -332,21 +337,21 @@
     }
 
     private void execute(long nowMs, JsonNode orders) {
-        for (JsonNode o : orders) {
-            TaskId id = TaskId.parse(o.path("piece").asText());
-            long attempt = o.path("try").asLong();
+        for (JsonNode node : orders) {
+            TaskId id = TaskId.parse(node.path("piece").asText());
+            long attempt = node.path("try").asLong();
             String key = id + "#" + attempt;
-            switch (o.path("verb").asText()) {
+            switch (node.path("verb").asText()) {
                 case "launch" -> launch(nowMs, key, id, attempt);
                 case "kill" -> {
-                    Task t = tasks.get(key);
-                    if (t != null && t.on()) {
-                        kill(t, nowMs, o.path("windDownS").asDouble());
+                    Task task = tasks.get(key);
+                    if (task != null && task.on()) {
+                        kill(task, nowMs, node.path("windDownS").asDouble());
                     }
                 }
                 case "forget" -> {
-                    Task t = tasks.get(key);
-                    if (t != null && !t.on()) {
+                    Task task = tasks.get(key);
+                    if (task != null && !task.on()) {
                         tasks.remove(key);
                         changed = true;
                     }
@@ -360,26 +365,28 @@
         if (tasks.containsKey(key)) {
             return;
         }
-        Task t = new Task(id, attempt);
-        t.spec = world.job(id.job().text());
+        Task task = new Task(id, attempt);
+        task.spec = world.job(id.job().text());
         boolean busy = false;
         double[] free = free();
         for (Task o : tasks.values()) {
             busy |= o.on() && o.id.equals(id);
         }
-        tasks.put(key, t);
+        tasks.put(key, task);
         changed = true;
-        if (t.spec == null || id.index() >= t.spec.tasks()) {
-            t.exit("no_such");
+        if (task.spec == null || id.index() >= task.spec.tasks()) {
+            task.exit("no_such");
         } else if (busy) {
-            t.exit("busy");
-        } else if (free[0] + 1e-6 < t.spec.cpus()
-                || free[1] + 1e-6 < t.spec.memGb()
-                || free[2] + 1e-6 < t.spec.gpus()) {
-            t.exit("full");
+            task.exit("busy");
+        } else if (free[0] + 1e-6 < task.spec.cpus()
+                || free[1] + 1e-6 < task.spec.memGb()
+                || free[2] + 1e-6 < task.spec.gpus()) {
+            task.exit("full");
         } else {
-            long fetch = images.contains(t.spec.image()) ? 0 : Math.round(1000 * t.spec.imageGb() / type.fetchGbPerS());
-            t.readyAt = nowMs + fetch;
+            long fetch = images.contains(task.spec.image())
+                    ? 0
+                    : Math.round(1000 * task.spec.imageGb() / type.fetchGbPerS());
+            task.readyAt = nowMs + fetch;
         }
     }
 }
--- a/src/main/java/org/beechhoist/start/Evidence.java
+++ b/src/main/java/org/beechhoist/start/Evidence.java
@@ -36,14 +36,14 @@
     }
 
     /** What the worker's own report (never an answer to a command or a question) says of a task that it does not hold. */
-    public static Evidence ofAbsence(Launch l, InFlight f, HostReport r) {
-        if (!l.maybeSent) {
+    public static Evidence ofAbsence(Launch launch, InFlight inFlight, HostReport heartbeat) {
+        if (!launch.maybeSent) {
             return NONE; // it was not launched yet: there is nothing to be proven
         }
-        if (l.shift > 0 && r.shift() > l.shift) {
+        if (launch.shift > 0 && heartbeat.shift() > launch.shift) {
             return NEW_SESSION;
         }
-        boolean seesAll = f.over(r.baton()) && r.baton().compareTo(l.provenFrom) >= 0;
-        return seesAll && r.newerThan(l.shift, l.counter) ? NEWER_REPORT : NONE;
+        boolean seesAll = inFlight.over(heartbeat.baton()) && heartbeat.baton().compareTo(launch.provenFrom) >= 0;
+        return seesAll && heartbeat.newerThan(launch.shift, launch.counter) ? NEWER_REPORT : NONE;
     }
 }
--- a/src/main/java/org/beechhoist/start/Pace.java
+++ b/src/main/java/org/beechhoist/start/Pace.java
@@ -57,17 +57,17 @@
 
     /** Whether one may be sent now; it is on its way then, until {@link #over}. */
     public boolean take(Kind kind, String zone, Tick now) {
-        Budget z = zones.computeIfAbsent(String.valueOf(zone), k -> new Budget(perSecond * AT_ONCE * ZONE_SHARE));
+        Budget bucket = zones.computeIfAbsent(String.valueOf(zone), k -> new Budget(perSecond * AT_ONCE * ZONE_SHARE));
         double left = kind == Kind.URGENT ? 0 : KEPT;
         boolean may = all.available(now) >= 1 + left * all.most()
-                && z.available(now) >= 1 + left * z.most()
+                && bucket.available(now) >= 1 + left * bucket.most()
                 && inFlight < atOnce * (1 - left);
         if (!may) {
             heldBack++;
             return false;
         }
         all.take(now, 1);
-        z.take(now, 1);
+        bucket.take(now, 1);
         inFlight++;
         sent++;
         return true;
--- a/src/main/java/org/beechhoist/start/Presence.java
+++ b/src/main/java/org/beechhoist/start/Presence.java
@@ -35,14 +35,14 @@
      * @param sinceMs since this leadership began
      * @param allReportedMs by when every living machine should have found this node
      */
-    public static Verdict of(Unheard u, long sinceMs, long allReportedMs) {
-        if (!u.holdsTasks && !u.listedUp) {
+    public static Verdict of(Unheard machine, long sinceMs, long allReportedMs) {
+        if (!machine.holdsTasks && !machine.listedUp) {
             return Verdict.COUNTED_ON; // it boots
         }
-        if (u.answered) {
+        if (machine.answered) {
             return Verdict.COUNTED_ON;
         }
-        if (u.unanswered > 0 || sinceMs > allReportedMs) {
+        if (machine.unanswered > 0 || sinceMs > allReportedMs) {
             return Verdict.DOUBTED;
         }
         return sinceMs < FIRST_ASKED_MS ? Verdict.COUNTED_ON : Verdict.ASKED;
--- a/src/main/java/org/beechhoist/start/Progression.java
+++ b/src/main/java/org/beechhoist/start/Progression.java
@@ -78,8 +78,8 @@
     }
 
     /** Takes the next step, if it is time; whether there was one. At most one a call, so that each is seen. */
-    public boolean advance(Tick now, Facts f) {
-        Phase next = next(now, f);
+    public boolean advance(Tick now, Facts facts) {
+        Phase next = next(now, facts);
         if (next == phase) {
             return false;
         }
@@ -91,15 +91,15 @@
         return true;
     }
 
-    private Phase next(Tick now, Facts f) {
+    private Phase next(Tick now, Facts facts) {
         long here = now.since(phaseBegan);
         return switch (phase) {
             case READING ->
-                f.read ? Phase.LISTENING : Phase.READING; // nothing is certain before; no deadline may end this
+                facts.read ? Phase.LISTENING : Phase.READING; // nothing is certain before; no deadline may end this
             case LISTENING ->
-                (f.listed && f.heard >= MOST * f.expected) || here >= listeningMs ? Phase.SQUARING : phase;
-            case SQUARING -> f.inDoubt == 0 || now.since(began) >= leaseMs ? Phase.OPENING : phase;
-            case OPENING -> f.waitingOrders == 0 || here >= LONGEST_OPENING_MS ? Phase.OVER : phase;
+                (facts.listed && facts.heard >= MOST * facts.expected) || here >= listeningMs ? Phase.SQUARING : phase;
+            case SQUARING -> facts.inDoubt == 0 || now.since(began) >= leaseMs ? Phase.OPENING : phase;
+            case OPENING -> facts.waitingOrders == 0 || here >= LONGEST_OPENING_MS ? Phase.OVER : phase;
             case OVER -> Phase.OVER;
         };
     }
--- a/src/main/java/org/beechhoist/start/Squaring.java
+++ b/src/main/java/org/beechhoist/start/Squaring.java
@@ -46,14 +46,14 @@
         /** Ended for a cause that this version has no word for. */
         EXITED_OTHERWISE;
 
-        public static Said of(HostReport.Entry e) {
-            return switch (e.state()) {
+        public static Said of(HostReport.Entry status) {
+            return switch (status.state()) {
                 case FETCHING -> FETCHING;
                 case RUNNING -> RUNNING;
                 case SAVING -> SAVING;
                 case OTHER -> OTHERWISE_THERE;
                 case EXITED ->
-                    switch (e.cause() == null ? "" : e.cause()) {
+                    switch (status.cause() == null ? "" : status.cause()) {
                         case "done" -> EXITED_DONE;
                         case "stopped" -> EXITED_STOPPED;
                         case "error" -> EXITED_ERROR;
--- a/src/main/java/org/beechhoist/store/Budget.java
+++ b/src/main/java/org/beechhoist/store/Budget.java
@@ -40,15 +40,15 @@
     }
 
     /** Somebody would have taken that, and did not try, for it was not there. */
-    public void missed(double n) {
-        wanted += n;
+    public void missed(double amount) {
+        wanted += amount;
     }
 
     /** What was taken, tried or missed since the last call. */
     public double takeWanted() {
-        double n = wanted;
+        double amount = wanted;
         wanted = 0;
-        return n;
+        return amount;
     }
 
     /** How much may be taken now. */
@@ -57,19 +57,19 @@
         return tokens;
     }
 
-    public boolean tryTake(Tick now, double n) {
+    public boolean tryTake(Tick now, double amount) {
         refill(now);
-        wanted += n;
-        if (tokens < n) {
+        wanted += amount;
+        if (tokens < amount) {
             return false;
         }
-        tokens -= n;
+        tokens -= amount;
         return true;
     }
 
-    public void take(Tick now, double n) {
+    public void take(Tick now, double amount) {
         refill(now);
-        wanted += n;
-        tokens = Math.max(-rate, tokens - n);
+        wanted += amount;
+        tokens = Math.max(-rate, tokens - amount);
     }
 }
--- a/src/main/java/org/beechhoist/store/Delta.java
+++ b/src/main/java/org/beechhoist/store/Delta.java
@@ -26,11 +26,11 @@
 
     /** Bytes at most, in the form that limits count. */
     int bytes(JobRef ref) {
-        int n = ref.text().length() + 60 + 8 * gone.size() + done.runBytes();
+        int bytes = ref.text().length() + 60 + 8 * gone.size() + done.runBytes();
         for (Placement p : placed) {
-            n += p.host.text().length() + Sizes.TASK_BYTES - 8;
+            bytes += p.host.text().length() + Sizes.TASK_BYTES - 8;
         }
-        return n;
+        return bytes;
     }
 
     /** As many parts as are needed for each to take about that many bytes; one where it does anyway. */
@@ -54,35 +54,35 @@
     }
 
     /** Makes the record what it was when this was written, given what it was before. */
-    public void apply(JobRecord r) {
-        r.nextAttempt = Math.max(r.nextAttempt, nextAttempt);
-        gone.forEach(r.live::remove);
+    public void apply(JobRecord record) {
+        record.nextAttempt = Math.max(record.nextAttempt, nextAttempt);
+        gone.forEach(record.live::remove);
         for (Placement p : placed) {
-            r.live.put(p.task.index(), p);
+            record.live.put(p.task.index(), p);
         }
-        done.forEach(i -> {
-            r.done.add(i);
-            r.live.remove(i);
+        done.forEach(task -> {
+            record.done.add(task);
+            record.live.remove(task);
         });
     }
 
     ObjectNode toNode() {
-        ObjectNode n = Codec.map().put("next", nextAttempt);
-        ArrayNode live = n.putArray("live");
+        ObjectNode node = Codec.map().put("next", nextAttempt);
+        ArrayNode live = node.putArray("live");
         placed.forEach(
                 p -> live.add(p.task.index()).add(p.attempt).add(p.host.text()).add(p.placedS));
-        ArrayNode left = n.putArray("gone");
+        ArrayNode left = node.putArray("gone");
         gone.forEach(left::add);
-        done.write(n);
+        done.write(node);
         if (begins) {
-            n.put("begins", true);
+            node.put("begins", true);
         }
-        return n;
+        return node;
     }
 
-    static Delta parse(JobRef ref, int tasks, JsonNode n) throws Malformed {
-        JsonNode live = n.path("live");
-        JsonNode left = n.path("gone");
+    static Delta parse(JobRef ref, int tasks, JsonNode node) throws Malformed {
+        JsonNode live = node.path("live");
+        JsonNode left = node.path("gone");
         if (!live.isArray() || live.size() % STRIDE != 0 || !left.isArray()) {
             throw new Malformed("placed and gone tasks expected");
         }
@@ -92,29 +92,29 @@
             if (!live.get(i + 1).canConvertToLong() || !live.get(i + 2).isTextual()) {
                 throw new Malformed("live: attempt and machine of task " + index + " expected");
             }
-            Placement p = new Placement(
+            Placement placement = new Placement(
                     new TaskId(ref, index),
                     live.get(i + 1).longValue(),
                     new HostId(live.get(i + 2).textValue()));
-            p.placedS = live.get(i + 3).intValue();
-            placed.add(p);
+            placement.placedS = live.get(i + 3).intValue();
+            placed.add(placement);
         }
         List<Integer> gone = new ArrayList<>();
         for (JsonNode g : left) {
             gone.add(index(g, tasks));
         }
         return new Delta(
-                Codec.count(n, "next", 1, Long.MAX_VALUE),
+                Codec.count(node, "next", 1, Long.MAX_VALUE),
                 placed,
                 gone,
-                TaskSet.parse(n, tasks),
-                n.path("begins").asBoolean());
+                TaskSet.parse(node, tasks),
+                node.path("begins").asBoolean());
     }
 
-    private static int index(JsonNode n, int tasks) throws Malformed {
-        if (!n.isInt() || n.intValue() < 0 || n.intValue() >= tasks) {
-            throw new Malformed("task " + n + " of " + tasks);
+    private static int index(JsonNode node, int tasks) throws Malformed {
+        if (!node.isInt() || node.intValue() < 0 || node.intValue() >= tasks) {
+            throw new Malformed("task " + node + " of " + tasks);
         }
-        return n.intValue();
+        return node.intValue();
     }
 }
--- a/src/main/java/org/beechhoist/store/FleetSnapshot.java
+++ b/src/main/java/org/beechhoist/store/FleetSnapshot.java
@@ -50,11 +50,11 @@
     /** Into how many parts so many machines are cut: each well below a value's limit, for names spread unevenly. */
     public static int parts(int machines, int bytesEach, int valueBytes) {
         int most = Math.max(1, (valueBytes / 2 - HEAD_BYTES) / bytesEach);
-        int n = 1;
-        while (n < MOST_PARTS && n * most < machines) {
-            n *= 2;
+        int count = 1;
+        while (count < MOST_PARTS && count * most < machines) {
+            count *= 2;
         }
-        return n;
+        return count;
     }
 
     public static int partOf(HostId id, int parts) {
@@ -62,8 +62,8 @@
     }
 
     /** Bytes that a machine takes at most, in the form that limits count. */
-    public static int bytes(Machine m) {
-        return ROW_BYTES + m.id.text().length() + m.address.length() + 5 * m.images.size();
+    public static int bytes(Machine machine) {
+        return ROW_BYTES + machine.id.text().length() + machine.address.length() + 5 * machine.images.size();
     }
 
     /** What is in it, whatever the time: a part that has not changed need not be written again. */
@@ -72,58 +72,58 @@
     }
 
     private long sum(long wall) {
-        HashStream64 h =
+        HashStream64 hash =
                 Hashing.xxh3_64().hashStream().putInt(part).putInt(parts).putLong(wall);
-        for (Machine m : machines) {
-            h.putString(m.id.text())
-                    .putString(m.address)
-                    .putString(m.type)
-                    .putString(m.zone)
-                    .putBoolean(m.spot)
-                    .putLong(m.shift)
-                    .putLong(m.rentedWallMs / 1000);
-            m.images.forEach((image, gb) -> h.putString(image).putDouble(gb));
+        for (Machine machine : machines) {
+            hash.putString(machine.id.text())
+                    .putString(machine.address)
+                    .putString(machine.type)
+                    .putString(machine.zone)
+                    .putBoolean(machine.spot)
+                    .putLong(machine.shift)
+                    .putLong(machine.rentedWallMs / 1000);
+            machine.images.forEach((image, gb) -> hash.putString(image).putDouble(gb));
         }
-        return h.getAsLong();
+        return hash.getAsLong();
     }
 
     public ObjectNode toNode() {
         Map<String, Integer> words = new LinkedHashMap<>();
-        ObjectNode n = Codec.map()
+        ObjectNode node = Codec.map()
                 .put("v", VERSION)
                 .put("part", part)
                 .put("parts", parts)
                 .put("at", wallMs)
                 .put("sum", Long.toHexString(sum(wallMs)));
         ArrayNode rows = Codec.list();
-        for (Machine m : machines) {
-            rows.add(m.id.text())
-                    .add(m.address)
-                    .add(place(words, m.type))
-                    .add(place(words, m.zone))
-                    .add(m.spot ? 1 : 0)
-                    .add(m.rentedWallMs / 1000 + ":" + m.shift);
+        for (Machine machine : machines) {
+            rows.add(machine.id.text())
+                    .add(machine.address)
+                    .add(place(words, machine.type))
+                    .add(place(words, machine.zone))
+                    .add(machine.spot ? 1 : 0)
+                    .add(machine.rentedWallMs / 1000 + ":" + machine.shift);
             ArrayNode images = rows.addArray();
             // The same image may have another size in another job's words.
-            m.images.forEach((image, gb) -> images.add(place(words, image + SIZE + gb)));
+            machine.images.forEach((image, gb) -> images.add(place(words, image + SIZE + gb)));
         }
-        ArrayNode texts = n.putArray("words");
+        ArrayNode texts = node.putArray("words");
         words.keySet().forEach(texts::add);
-        n.set("hosts", rows);
-        return n;
+        node.set("hosts", rows);
+        return node;
     }
 
-    private static int place(Map<String, Integer> words, String w) {
-        return words.computeIfAbsent(w, k -> words.size());
+    private static int place(Map<String, Integer> words, String text) {
+        return words.computeIfAbsent(text, k -> words.size());
     }
 
     /** Refuses what another version wrote, and what is not whole. */
-    public static FleetSnapshot parse(JsonNode n) throws Malformed {
-        if (n == null || !n.isObject() || n.path("v").asInt() != VERSION) {
+    public static FleetSnapshot parse(JsonNode node) throws Malformed {
+        if (node == null || !node.isObject() || node.path("v").asInt() != VERSION) {
             throw new Malformed("v: " + VERSION + " expected");
         }
-        JsonNode rows = n.path("hosts");
-        JsonNode words = n.path("words");
+        JsonNode rows = node.path("hosts");
+        JsonNode words = node.path("words");
         if (!rows.isArray() || rows.size() % ROW != 0 || !words.isArray()) {
             throw new Malformed("hosts: rows of " + ROW + " expected, with their words");
         }
@@ -132,8 +132,8 @@
             String[] times = rows.get(i + 5).asText().split(":");
             Map<String, Double> images = new LinkedHashMap<>();
             try {
-                for (JsonNode p : rows.get(i + 6)) {
-                    String image = word(words, p);
+                for (JsonNode place : rows.get(i + 6)) {
+                    String image = word(words, place);
                     int size = image.lastIndexOf(SIZE);
                     images.put(image.substring(0, size), Double.parseDouble(image.substring(size + 1)));
                 }
@@ -150,15 +150,16 @@
                 throw new Malformed("hosts: row " + i / ROW + " has no times or sizes");
             }
         }
-        FleetSnapshot s = new FleetSnapshot(
-                n.path("part").asInt(),
-                (int) Codec.count(n, "parts", 1, MOST_PARTS),
-                n.path("at").asLong(),
+        FleetSnapshot snapshot = new FleetSnapshot(
+                node.path("part").asInt(),
+                (int) Codec.count(node, "parts", 1, MOST_PARTS),
+                node.path("at").asLong(),
                 machines);
-        if (!Long.toHexString(s.sum(s.wallMs)).equals(n.path("sum").asText())) {
+        if (!Long.toHexString(snapshot.sum(snapshot.wallMs))
+                .equals(node.path("sum").asText())) {
             throw new Malformed("sum: it is torn");
         }
-        return s;
+        return snapshot;
     }
 
     private static String word(JsonNode words, JsonNode place) throws Malformed {
--- a/src/main/java/org/beechhoist/store/JobRecord.java
+++ b/src/main/java/org/beechhoist/store/JobRecord.java
@@ -80,30 +80,30 @@
 
     /** The record's own value. */
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map();
-        n.set("spec", spec.toNode());
-        n.put("at", submittedWallMs)
+        ObjectNode node = Codec.map();
+        node.set("spec", spec.toNode());
+        node.put("at", submittedWallMs)
                 .put("stride", STRIDE)
                 .put("next", nextAttempt)
                 .put("running", live.size());
-        done.write(n);
+        done.write(node);
         if (cancelled()) {
-            n.put("cancel", cancelWallMs);
+            node.put("cancel", cancelWallMs);
         }
         if (folded > 0) {
-            n.put("folded", folded);
+            node.put("folded", folded);
         }
         if (failures > 0) {
-            n.put("failures", failures).put("reason", reason);
+            node.put("failures", failures).put("reason", reason);
         }
         if (width != null) {
-            n.set("width", width.toNode());
+            node.set("width", width.toNode());
         }
         if (!chunked()) {
-            ArrayNode list = n.putArray("live");
+            ArrayNode list = node.putArray("live");
             live.values().forEach(p -> add(list, p));
         }
-        return n;
+        return node;
     }
 
     /** The live tasks' chunks by key; none for a small job. */
@@ -117,8 +117,11 @@
         return out;
     }
 
-    private static void add(ArrayNode list, Placement p) {
-        list.add(p.task.index()).add(p.attempt).add(p.host.text()).add(p.placedS);
+    private static void add(ArrayNode list, Placement placement) {
+        list.add(placement.task.index())
+                .add(placement.attempt)
+                .add(placement.host.text())
+                .add(placement.placedS);
     }
 
     public ObjectNode endedNode(String state) {
@@ -127,27 +130,28 @@
     }
 
     /** Whether a value at an open key is a final state that has not been moved to its own key yet. */
-    public static boolean isOver(JsonNode n) {
-        return n != null && n.hasNonNull("status") && !n.has("spec");
+    public static boolean isOver(JsonNode node) {
+        return node != null && node.hasNonNull("status") && !node.has("spec");
     }
 
-    public static JobRecord parse(JsonNode n) throws Malformed {
-        if (n == null || !n.isObject() || n.get("spec") == null) {
+    public static JobRecord parse(JsonNode node) throws Malformed {
+        if (node == null || !node.isObject() || node.get("spec") == null) {
             throw new Malformed("not a job record");
         }
-        JobRecord r = new JobRecord(JobSpec.parse(n.get("spec")), n.path("at").longValue());
-        r.stride = (int) (Codec.absent(n, "stride") ? 3 : Codec.count(n, "stride", 3, 16));
-        r.nextAttempt = Codec.count(n, "next", 1, Long.MAX_VALUE);
-        r.done = TaskSet.parse(n, r.spec.tasks());
-        r.cancelWallMs = n.path("cancel").longValue();
-        r.folded = n.path("folded").longValue();
-        r.failures = n.path("failures").intValue();
-        r.reason = n.path("reason").textValue();
-        r.width = Codec.absent(n, "width") ? null : WidthRecord.parse(n.get("width"));
-        if (n.has("live")) {
-            r.addLive(n.get("live"));
+        JobRecord record =
+                new JobRecord(JobSpec.parse(node.get("spec")), node.path("at").longValue());
+        record.stride = (int) (Codec.absent(node, "stride") ? 3 : Codec.count(node, "stride", 3, 16));
+        record.nextAttempt = Codec.count(node, "next", 1, Long.MAX_VALUE);
+        record.done = TaskSet.parse(node, record.spec.tasks());
+        record.cancelWallMs = node.path("cancel").longValue();
+        record.folded = node.path("folded").longValue();
+        record.failures = node.path("failures").intValue();
+        record.reason = node.path("reason").textValue();
+        record.width = Codec.absent(node, "width") ? null : WidthRecord.parse(node.get("width"));
+        if (node.has("live")) {
+            record.addLive(node.get("live"));
         }
-        return r;
+        return record;
     }
 
     /** Adds the live tasks of a chunk. */
@@ -157,10 +161,10 @@
         }
         for (int i = 0; i < list.size(); i += stride) {
             TaskId id = new TaskId(spec.ref(), list.get(i).intValue());
-            Placement p = new Placement(
+            Placement placement = new Placement(
                     id, list.get(i + 1).longValue(), new HostId(list.get(i + 2).textValue()));
-            p.placedS = stride > 3 ? list.get(i + 3).intValue() : 0;
-            live.put(id.index(), p);
+            placement.placedS = stride > 3 ? list.get(i + 3).intValue() : 0;
+            live.put(id.index(), placement);
         }
     }
 
--- a/src/main/java/org/beechhoist/store/LogSegment.java
+++ b/src/main/java/org/beechhoist/store/LogSegment.java
@@ -25,33 +25,34 @@
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map().put("seq", number);
-        ObjectNode all = n.putObject("jobs");
+        ObjectNode node = Codec.map().put("seq", number);
+        ObjectNode all = node.putObject("jobs");
         jobs.forEach((ref, d) -> all.set(ref.text(), d.toNode()));
-        return n;
+        return node;
     }
 
     /**
      * @param tasks the number of a job's tasks; below 0 for a job that is not open any more: what is said of it is over
      * @param unreadable receives the jobs whose part can't be read
      */
-    public static LogSegment parse(JsonNode n, ToIntFunction<JobRef> tasks, Set<JobRef> unreadable) throws Malformed {
-        if (n == null || !n.path("jobs").isObject()) {
+    public static LogSegment parse(JsonNode node, ToIntFunction<JobRef> tasks, Set<JobRef> unreadable)
+            throws Malformed {
+        if (node == null || !node.path("jobs").isObject()) {
             throw new Malformed("not a log segment");
         }
         Map<JobRef, Delta> jobs = new LinkedHashMap<>();
-        for (Map.Entry<String, JsonNode> e : n.get("jobs").properties()) {
-            JobRef ref = new JobRef(e.getKey());
+        for (Map.Entry<String, JsonNode> entry : node.get("jobs").properties()) {
+            JobRef ref = new JobRef(entry.getKey());
             int count = tasks.applyAsInt(ref);
             if (count >= 0) {
                 try {
-                    jobs.put(ref, Delta.parse(ref, count, e.getValue()));
+                    jobs.put(ref, Delta.parse(ref, count, entry.getValue()));
                 } catch (Malformed m) {
                     unreadable.add(ref);
                 }
             }
         }
-        return new LogSegment(Codec.count(n, "seq", 1, Long.MAX_VALUE), jobs);
+        return new LogSegment(Codec.count(node, "seq", 1, Long.MAX_VALUE), jobs);
     }
 
     /** Puts deltas into as few segments as hold them, each within a value's limit. */
@@ -65,35 +66,35 @@
         }
 
         /** How many segments there would be with it, too. */
-        public int with(JobRef ref, Delta d) {
-            return walk(ref, d, (n, part) -> {});
+        public int with(JobRef ref, Delta changes) {
+            return walk(ref, changes, (n, part) -> {});
         }
 
-        public void add(JobRef ref, Delta d) {
-            walk(ref, d, (n, part) -> {
-                if (n > segments.size()) {
+        public void add(JobRef ref, Delta changes) {
+            walk(ref, changes, (segment, part) -> {
+                if (segment > segments.size()) {
                     segments.add(new LinkedHashMap<>());
                     bytes = 0;
                 }
                 bytes += part.bytes(ref);
-                segments.get(n - 1).put(ref, part);
+                segments.get(segment - 1).put(ref, part);
             });
         }
 
         /** Hands over each part with the number of segments that it makes; parts of one job never share one. */
-        private int walk(JobRef ref, Delta d, BiConsumer<Integer, Delta> then) {
-            int n = segments.size();
+        private int walk(JobRef ref, Delta changes, BiConsumer<Integer, Delta> then) {
+            int count = segments.size();
             int filled = bytes;
             boolean first = true;
-            for (Delta part : d.parts(ref, most)) {
+            for (Delta part : changes.parts(ref, most)) {
                 int size = part.bytes(ref);
-                boolean fits = first && n > 0 && filled + size <= most;
+                boolean fits = first && count > 0 && filled + size <= most;
                 filled = fits ? filled + size : size;
-                n += fits ? 0 : 1;
+                count += fits ? 0 : 1;
                 first = false;
-                then.accept(n, part);
+                then.accept(count, part);
             }
-            return n;
+            return count;
         }
 
         public int size() {
--- a/src/main/java/org/beechhoist/store/ServedRecord.java
+++ b/src/main/java/org/beechhoist/store/ServedRecord.java
@@ -20,54 +20,56 @@
 
     /** @param wallMs jobs whose time was up before are in it */
     public static ObjectNode toNode(Ledger ledger, Largest largest, long wallMs, int mostBytes) {
-        ObjectNode n = Codec.map().put("v", VERSION).put("at", wallMs);
+        ObjectNode node = Codec.map().put("v", VERSION).put("at", wallMs);
         int bytes = 40;
-        ObjectNode sizes = n.putObject("sizes");
-        for (Map.Entry<String, long[]> e : largest.known().entrySet()) {
-            bytes += e.getKey().length() + 40;
+        ObjectNode sizes = node.putObject("sizes");
+        for (Map.Entry<String, long[]> entry : largest.known().entrySet()) {
+            bytes += entry.getKey().length() + 40;
             if (bytes > mostBytes / 4) {
                 break;
             }
-            ArrayNode row = sizes.putArray(e.getKey());
-            for (long from : e.getValue()) {
+            ArrayNode row = sizes.putArray(entry.getKey());
+            for (long from : entry.getValue()) {
                 row.add(from);
             }
         }
-        ObjectNode groups = n.putObject("groups");
-        for (Map.Entry<String, Map<Long, Share>> e : ledger.steps(wallMs).entrySet()) {
-            bytes += e.getKey().length() + 8 + 24 * e.getValue().size();
+        ObjectNode groups = node.putObject("groups");
+        for (Map.Entry<String, Map<Long, Share>> entry : ledger.steps(wallMs).entrySet()) {
+            bytes += entry.getKey().length() + 8 + 24 * entry.getValue().size();
             if (bytes > mostBytes) {
                 break; // what is left out is counted anew
             }
-            ArrayNode rows = groups.putArray(e.getKey());
-            e.getValue().forEach((step, s) -> rows.add(step).add(s.asked()).add(s.served()));
+            ArrayNode rows = groups.putArray(entry.getKey());
+            entry.getValue().forEach((step, s) -> rows.add(step).add(s.asked()).add(s.served()));
         }
-        return n;
+        return node;
     }
 
     /** Adds what it says to the ledger; returns when it was written. */
-    public static long read(JsonNode n, Ledger into, Largest largest) throws Malformed {
-        if (n == null || n.path("v").asInt() != VERSION || !n.path("groups").isObject()) {
+    public static long read(JsonNode node, Ledger into, Largest largest) throws Malformed {
+        if (node == null
+                || node.path("v").asInt() != VERSION
+                || !node.path("groups").isObject()) {
             throw new Malformed("v: " + VERSION + " expected");
         }
-        for (Map.Entry<String, JsonNode> e : n.get("groups").properties()) {
-            JsonNode rows = e.getValue();
+        for (Map.Entry<String, JsonNode> entry : node.get("groups").properties()) {
+            JsonNode rows = entry.getValue();
             for (int i = 0; rows.isArray() && i + ROW <= rows.size(); i += ROW) {
                 int asked = rows.get(i + 1).asInt();
                 int served = rows.get(i + 2).asInt();
                 if (asked < 0 || served < 0 || served > asked) {
                     throw new Malformed("groups: " + served + " served of " + asked);
                 }
-                into.add(e.getKey(), rows.get(i).asLong(), new Share(asked, served));
+                into.add(entry.getKey(), rows.get(i).asLong(), new Share(asked, served));
             }
         }
-        for (Map.Entry<String, JsonNode> e : n.path("sizes").properties()) {
-            long[] from = new long[e.getValue().size()];
+        for (Map.Entry<String, JsonNode> entry : node.path("sizes").properties()) {
+            long[] from = new long[entry.getValue().size()];
             for (int i = 0; i < from.length; i++) {
-                from[i] = Math.max(0, e.getValue().get(i).asLong());
+                from[i] = Math.max(0, entry.getValue().get(i).asLong());
             }
-            largest.take(e.getKey(), from);
+            largest.take(entry.getKey(), from);
         }
-        return n.path("at").asLong();
+        return node.path("at").asLong();
     }
 }
--- a/src/main/java/org/beechhoist/store/Sizes.java
+++ b/src/main/java/org/beechhoist/store/Sizes.java
@@ -42,9 +42,9 @@
         if (valueBytes >= USUAL_VALUE_BYTES && txnOps >= USUAL_TXN_OPS) {
             return null;
         }
-        Sizes s = of(valueBytes, txnOps);
+        Sizes sizes = of(valueBytes, txnOps);
         return "deployment.state: value_kb = " + valueBytes / 1024 + " and txn_ops = " + txnOps + " are below "
-                + USUAL_VALUE_BYTES / 1024 + " and " + USUAL_TXN_OPS + ": at most " + s.window()
+                + USUAL_VALUE_BYTES / 1024 + " and " + USUAL_TXN_OPS + ": at most " + sizes.window()
                 + " tasks of a job run at once";
     }
 }
--- a/src/main/java/org/beechhoist/store/StoreClient.java
+++ b/src/main/java/org/beechhoist/store/StoreClient.java
@@ -55,37 +55,42 @@
         this.calls = calls;
     }
 
-    private void strange(String what, Outcome o) {
+    private void strange(String what, Outcome result) {
         if (!strangeLogged) {
             strangeLogged = true;
-            LOG.warn("state service: strange answer to {}: status {}; further ones are not logged", what, o.status());
+            LOG.warn(
+                    "state service: strange answer to {}: status {}; further ones are not logged",
+                    what,
+                    result.status());
         }
     }
 
-    private static Item item(JsonNode n) throws org.beechhoist.wire.Malformed {
+    private static Item item(JsonNode node) throws org.beechhoist.wire.Malformed {
         return new Item(
-                Codec.text(n, "path"),
-                n.get("data"),
-                new Revision(Codec.count(n, "lastTouch", 0, Long.MAX_VALUE)),
-                Codec.absent(n, "hold") ? 0 : Codec.count(n, "hold", 0, Long.MAX_VALUE));
+                Codec.text(node, "path"),
+                node.get("data"),
+                new Revision(Codec.count(node, "lastTouch", 0, Long.MAX_VALUE)),
+                Codec.absent(node, "hold") ? 0 : Codec.count(node, "hold", 0, Long.MAX_VALUE));
     }
 
-    private static Revision revision(JsonNode n) throws org.beechhoist.wire.Malformed {
-        return new Revision(Codec.count(n, "ledgerRev", 0, Long.MAX_VALUE));
+    private static Revision revision(JsonNode node) throws org.beechhoist.wire.Malformed {
+        return new Revision(Codec.count(node, "ledgerRev", 0, Long.MAX_VALUE));
     }
 
     public void get(String key, Consumer<Read> then) {
-        calls.call(Calls.Target.STATE, null, "GET", "/store/" + key, null, TIMEOUT_MS, o -> {
+        calls.call(Calls.Target.STATE, null, "GET", "/store/" + key, null, TIMEOUT_MS, result -> {
             Read read = Read.UNKNOWN;
             try {
-                if (o.ok()) {
-                    read = new Read(true, item(o.body()));
-                } else if (o.is(404) && o.body() != null && o.body().has("ledgerRev")) {
+                if (result.ok()) {
+                    read = new Read(true, item(result.body()));
+                } else if (result.is(404)
+                        && result.body() != null
+                        && result.body().has("ledgerRev")) {
                     // A 404 without the service's own body could come from something else on the way.
                     read = new Read(true, null);
                 }
             } catch (org.beechhoist.wire.Malformed e) {
-                strange("a read", o);
+                strange("a read", result);
             }
             then.accept(read);
         });
@@ -93,18 +98,18 @@
 
     public void list(String prefix, String after, int limit, Consumer<Page> then) {
         String path = "/store?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&limit=" + limit;
-        calls.call(Calls.Target.STATE, null, "GET", path, null, 5000, o -> {
+        calls.call(Calls.Target.STATE, null, "GET", path, null, 5000, result -> {
             Page page = new Page(null, false, Revision.ABSENT);
             try {
-                if (o.ok() && o.body().path("items").isArray()) {
+                if (result.ok() && result.body().path("items").isArray()) {
                     List<Item> items = new ArrayList<>();
-                    for (JsonNode n : o.body().get("items")) {
+                    for (JsonNode n : result.body().get("items")) {
                         items.add(item(n));
                     }
-                    page = new Page(items, Codec.bool(o.body(), "more"), revision(o.body()));
+                    page = new Page(items, Codec.bool(result.body(), "more"), revision(result.body()));
                 }
             } catch (org.beechhoist.wire.Malformed e) {
-                strange("a listing", o);
+                strange("a listing", result);
             }
             then.accept(page);
         });
@@ -114,29 +119,29 @@
         calls.call(Calls.Target.STATE, null, "POST", "/commit", txn.toNode(), TIMEOUT_MS, o -> then.accept(read(o)));
     }
 
-    private Commit read(Outcome o) {
+    private Commit read(Outcome answer) {
         Commit.Result result = Commit.Result.UNCERTAIN;
         Revision revision = Revision.ABSENT;
         Set<String> failed = new HashSet<>();
         try {
-            if (o.kind() == Outcome.Kind.NOT_SENT || o.is(503) || o.is(429)) {
+            if (answer.kind() == Outcome.Kind.NOT_SENT || answer.is(503) || answer.is(429)) {
                 result = Commit.Result.REFUSED;
-            } else if (o.ok()) {
-                revision = revision(o.body());
+            } else if (answer.ok()) {
+                revision = revision(answer.body());
                 result = Commit.Result.DONE;
-            } else if (o.is(409) && o.body() != null) {
-                failed.addAll(Codec.texts(o.body().get("failed"), "failed"));
+            } else if (answer.is(409) && answer.body() != null) {
+                failed.addAll(Codec.texts(answer.body().get("failed"), "failed"));
                 result = Commit.Result.CONFLICT;
-            } else if (o.is(400)) {
-                boolean lease = o.body() != null
-                        && "no such lease".equals(o.body().path("error").asText());
+            } else if (answer.is(400)) {
+                boolean lease = answer.body() != null
+                        && "no such lease".equals(answer.body().path("error").asText());
                 if (!lease) {
-                    LOG.error("state service refuses a transaction of ours as malformed: {}", o.body());
+                    LOG.error("state service refuses a transaction of ours as malformed: {}", answer.body());
                 }
                 result = lease ? Commit.Result.NO_LEASE : Commit.Result.REFUSED;
             }
         } catch (org.beechhoist.wire.Malformed e) {
-            strange("a transaction", o);
+            strange("a transaction", answer);
             result = Commit.Result.UNCERTAIN;
         }
         return new Commit(result, revision, failed);
@@ -151,9 +156,9 @@
                 "/leases",
                 Codec.map().put("ttlMs", ttlMs),
                 TIMEOUT_MS,
-                o -> then.accept(
-                        o.ok() && o.body().path("hold").canConvertToLong()
-                                ? o.body().get("hold").longValue()
+                result -> then.accept(
+                        result.ok() && result.body().path("hold").canConvertToLong()
+                                ? result.body().get("hold").longValue()
                                 : 0L));
     }
 
@@ -167,25 +172,25 @@
 
     public void changes(String prefix, Revision after, long holdMs, Consumer<Changes> then) {
         String path = "/changes?prefix=" + prefix + "&after=" + after.value() + "&holdMs=" + holdMs;
-        calls.call(Calls.Target.STATE, null, "GET", path, null, holdMs + 3000, o -> {
-            Changes out = new Changes(o.kind() == Outcome.Kind.ANSWERED ? o.status() : 0, null, after);
+        calls.call(Calls.Target.STATE, null, "GET", path, null, holdMs + 3000, result -> {
+            Changes out = new Changes(result.kind() == Outcome.Kind.ANSWERED ? result.status() : 0, null, after);
             try {
-                if (o.ok() && o.body().path("log").isArray()) {
+                if (result.ok() && result.body().path("log").isArray()) {
                     List<Item> log = new ArrayList<>();
-                    for (JsonNode n : o.body().get("log")) {
-                        boolean put = n.hasNonNull("put");
+                    for (JsonNode node : result.body().get("log")) {
+                        boolean put = node.hasNonNull("put");
                         log.add(new Item(
-                                Codec.text(n, put ? "put" : "remove"),
-                                put ? n.get("data") : null,
-                                new Revision(Codec.count(n, "lastTouch", 0, Long.MAX_VALUE)),
+                                Codec.text(node, put ? "put" : "remove"),
+                                put ? node.get("data") : null,
+                                new Revision(Codec.count(node, "lastTouch", 0, Long.MAX_VALUE)),
                                 0));
                     }
-                    out = new Changes(200, log, revision(o.body()));
-                } else if (o.is(200)) {
+                    out = new Changes(200, log, revision(result.body()));
+                } else if (result.is(200)) {
                     out = new Changes(0, null, after);
                 }
             } catch (org.beechhoist.wire.Malformed e) {
-                strange("a watch", o);
+                strange("a watch", result);
                 out = new Changes(0, null, after);
             }
             then.accept(out);
--- a/src/main/java/org/beechhoist/store/Stored.java
+++ b/src/main/java/org/beechhoist/store/Stored.java
@@ -17,44 +17,44 @@
     }
 
     /** All that the record says at this moment. */
-    public static Stored of(JobRecord r) {
-        Stored s = new Stored(r.done.copy());
-        r.live.forEach((i, p) -> s.live.put(i, p.attempt));
-        return s;
+    public static Stored of(JobRecord record) {
+        Stored committed = new Stored(record.done.copy());
+        record.live.forEach((i, p) -> committed.live.put(i, p.attempt));
+        return committed;
     }
 
     /** What the record says beyond this. */
-    public Delta until(JobRecord r) {
-        return until(r, false);
+    public Delta until(JobRecord record) {
+        return until(record, false);
     }
 
     /** The same, given that this is the record alone: it stands for all that the log says. */
-    public Delta allUntil(JobRecord r) {
-        return until(r, true);
+    public Delta allUntil(JobRecord record) {
+        return until(record, true);
     }
 
-    private Delta until(JobRecord r, boolean begins) {
+    private Delta until(JobRecord record, boolean begins) {
         List<Placement> placed = new ArrayList<>();
         List<Integer> gone = new ArrayList<>();
-        for (Map.Entry<Integer, Placement> e : r.live.entrySet()) {
-            Long attempt = live.get(e.getKey());
-            if (attempt == null || attempt != e.getValue().attempt) {
-                placed.add(e.getValue());
+        for (Map.Entry<Integer, Placement> entry : record.live.entrySet()) {
+            Long attempt = live.get(entry.getKey());
+            if (attempt == null || attempt != entry.getValue().attempt) {
+                placed.add(entry.getValue());
             }
         }
-        for (Integer i : live.keySet()) {
-            if (!r.live.containsKey(i) && !r.done.contains(i)) {
-                gone.add(i);
+        for (Integer task : live.keySet()) {
+            if (!record.live.containsKey(task) && !record.done.contains(task)) {
+                gone.add(task);
             }
         }
-        return new Delta(r.nextAttempt, placed, gone, r.done.minus(done), begins);
+        return new Delta(record.nextAttempt, placed, gone, record.done.minus(done), begins);
     }
 
     /** The state service holds this now, too. */
-    public void apply(Delta d) {
-        d.gone().forEach(live::remove);
-        d.placed().forEach(p -> live.put(p.task.index(), p.attempt));
-        done = done.plus(d.done());
-        d.done().forEach(live::remove);
+    public void apply(Delta changes) {
+        changes.gone().forEach(live::remove);
+        changes.placed().forEach(p -> live.put(p.task.index(), p.attempt));
+        done = done.plus(changes.done());
+        changes.done().forEach(live::remove);
     }
 }
--- a/src/main/java/org/beechhoist/store/TaskSet.java
+++ b/src/main/java/org/beechhoist/store/TaskSet.java
@@ -34,17 +34,17 @@
         return bits.getCardinality();
     }
 
-    public boolean contains(int i) {
-        return bits.contains(i);
+    public boolean contains(int task) {
+        return bits.contains(task);
     }
 
-    public boolean add(int i) {
-        return bits.checkedAdd(i);
+    public boolean add(int task) {
+        return bits.checkedAdd(task);
     }
 
-    /** The first number from {@code i} on that is not in the set. */
-    public int firstMissing(int i) {
-        return (int) bits.nextAbsentValue(i);
+    /** The first number from {@code task} on that is not in the set. */
+    public int firstMissing(int task) {
+        return (int) bits.nextAbsentValue(task);
     }
 
     TaskSet copy() {
@@ -84,14 +84,14 @@
 
     /** Hands over the set's runs; false, with some of them handed over, where there are more than {@code most}. */
     private static boolean runs(RoaringBitmap bits, int most, BiConsumer<Integer, Integer> run) {
-        int n = 0;
-        for (long a = bits.nextValue(0); a >= 0; n++) {
-            if (n == most) {
+        int count = 0;
+        for (long start = bits.nextValue(0); start >= 0; count++) {
+            if (count == most) {
                 return false;
             }
-            int end = (int) bits.nextAbsentValue((int) a);
-            run.accept((int) a, end - 1);
-            a = bits.nextValue(end);
+            int end = (int) bits.nextAbsentValue((int) start);
+            run.accept((int) start, end - 1);
+            start = bits.nextValue(end);
         }
         return true;
     }
--- a/src/main/java/org/beechhoist/store/Txn.java
+++ b/src/main/java/org/beechhoist/store/Txn.java
@@ -36,9 +36,9 @@
     }
 
     ObjectNode toNode() {
-        ObjectNode n = Codec.map();
-        n.set("guards", guards);
-        n.set("then", then);
-        return n;
+        ObjectNode node = Codec.map();
+        node.set("guards", guards);
+        node.set("then", then);
+        return node;
     }
 }
--- a/src/main/java/org/beechhoist/store/WidthRecord.java
+++ b/src/main/java/org/beechhoist/store/WidthRecord.java
@@ -29,8 +29,8 @@
         return allowed.toNode().put("number", number).put("target", target);
     }
 
-    public static WidthRecord parse(JsonNode n) throws Malformed {
-        return new WidthRecord(Width.parse(n, "width"), Codec.count(n, "number", 0, Long.MAX_VALUE), (int)
-                Codec.count(n, "target", 0, Integer.MAX_VALUE));
+    public static WidthRecord parse(JsonNode node) throws Malformed {
+        return new WidthRecord(Width.parse(node, "width"), Codec.count(node, "number", 0, Long.MAX_VALUE), (int)
+                Codec.count(node, "target", 0, Integer.MAX_VALUE));
     }
 }
--- a/src/main/java/org/beechhoist/triage/Triage.java
+++ b/src/main/java/org/beechhoist/triage/Triage.java
@@ -48,9 +48,9 @@
                     .thenComparing(Demand::job);
         }
 
-        boolean inTime(Demand d, long nowMs) {
-            double through = queuedMs / (FILLED * width) + LONGEST * d.lengthMs() / 2;
-            return nowMs + Math.max(LONGEST * d.lengthMs(), through) <= d.dueMs();
+        boolean inTime(Demand demand, long nowMs) {
+            double through = queuedMs / (FILLED * width) + LONGEST * demand.lengthMs() / 2;
+            return nowMs + Math.max(LONGEST * demand.lengthMs(), through) <= demand.dueMs();
         }
     }
 
@@ -70,11 +70,11 @@
         this.machines = new Line(means.cpus(), means.busyCpuMs(), Demand::cpuMs);
         this.gpus = means.gpus() > 0 ? new Line(means.gpus(), means.busyGpuMs(), Demand::gpuMs) : null;
         means.lately().forEach((group, s) -> kept.put(group, new int[] {s.asked(), s.served()}));
-        for (Demand d : demands) {
-            d.groups().forEach(g -> {
-                int[] k = kept.computeIfAbsent(g, x -> new int[2]);
-                k[0]++;
-                k[1] += d.missed() ? 0 : 1;
+        for (Demand demand : demands) {
+            demand.groups().forEach(group -> {
+                int[] counts = kept.computeIfAbsent(group, x -> new int[2]);
+                counts[0]++;
+                counts[1] += demand.missed() ? 0 : 1;
             });
         }
         means.teams().forEach((name, t) -> teams.put(name, new Line(t.cpus(), t.busyCpuMs(), Demand::cpuMs)));
@@ -85,12 +85,12 @@
         if (means.cpus() <= 0) {
             return Set.of();
         }
-        Triage t = new Triage(demands, means);
+        Triage triage = new Triage(demands, means);
         Map<Integer, List<Demand>> byRank = new TreeMap<>();
         demands.forEach(
                 d -> byRank.computeIfAbsent(d.rank(), k -> new ArrayList<>()).add(d));
-        byRank.values().forEach(t::rank);
-        return t.behind;
+        byRank.values().forEach(triage::rank);
+        return triage.behind;
     }
 
     /** Takes one rank's jobs; what is kept of it goes before the next rank's. */
@@ -101,15 +101,15 @@
             gpus.taken.clear();
         }
         teams.values().forEach(l -> l.taken.clear());
-        for (Demand d : demands) {
-            Line team = teams.get(d.team());
-            if (d.dueMs() == Demand.NO_DUE) {
+        for (Demand demand : demands) {
+            Line team = teams.get(demand.team());
+            if (demand.dueMs() == Demand.NO_DUE) {
                 continue; // it waits for all that can be late, and delays none of them
             }
-            List<Line> lines = lines(d, team);
-            lines.forEach(l -> take(d, l));
+            List<Line> lines = lines(demand, team);
+            lines.forEach(l -> take(demand, l));
             for (Line line : lines) {
-                if (!behind.contains(d.job()) && !line.inTime(d, means.nowMs())) {
+                if (!behind.contains(demand.job()) && !line.inTime(demand, means.nowMs())) {
                     leaveLargest(line);
                 }
             }
@@ -117,39 +117,39 @@
     }
 
     /** What the job has to get through, in the order of looking: its team's limit, GPUs, all machines. */
-    private List<Line> lines(Demand d, Line team) {
+    private List<Line> lines(Demand demand, Line team) {
         List<Line> out = new ArrayList<>();
         if (team != null) {
             out.add(team);
         }
-        if (gpus != null && d.gpuMs() > 0) {
+        if (gpus != null && demand.gpuMs() > 0) {
             out.add(gpus);
         }
         out.add(machines);
         return out;
     }
 
-    private static void take(Demand d, Line line) {
-        line.queuedMs += line.takes.applyAsDouble(d);
-        if (!d.keep()) {
+    private static void take(Demand demand, Line line) {
+        line.queuedMs += line.takes.applyAsDouble(demand);
+        if (!demand.keep()) {
             line.taken
-                    .computeIfAbsent(d.groups(), k -> new PriorityQueue<>(line.largest))
-                    .add(d);
+                    .computeIfAbsent(demand.groups(), k -> new PriorityQueue<>(line.largest))
+                    .add(demand);
         }
     }
 
     private void leaveLargest(Line line) {
         PriorityQueue<Demand> from = null;
         double best = -1;
-        for (Map.Entry<Set<String>, PriorityQueue<Demand>> e : line.taken.entrySet()) {
-            PriorityQueue<Demand> q = e.getValue();
-            while (!q.isEmpty() && behind.contains(q.peek().job())) {
-                q.poll();
+        for (Map.Entry<Set<String>, PriorityQueue<Demand>> entry : line.taken.entrySet()) {
+            PriorityQueue<Demand> queue = entry.getValue();
+            while (!queue.isEmpty() && behind.contains(queue.peek().job())) {
+                queue.poll();
             }
-            double rest = q.isEmpty() ? -1 : leftToIts(e.getKey());
-            if (rest > best || rest == best && from != null && line.largest.compare(q.peek(), from.peek()) < 0) {
+            double rest = queue.isEmpty() ? -1 : leftToIts(entry.getKey());
+            if (rest > best || rest == best && from != null && line.largest.compare(queue.peek(), from.peek()) < 0) {
                 best = rest;
-                from = q;
+                from = queue;
             }
         }
         if (from == null) {
@@ -164,8 +164,8 @@
     /** How much of their halves a job's groups still have without one more job, on the mean; above the half does not count. */
     private double leftToIts(Set<String> groups) {
         double sum = 0;
-        for (String g : groups) {
-            int[] k = kept.get(g);
+        for (String group : groups) {
+            int[] k = kept.get(group);
             sum += Math.min(HALF, (k[1] - 1.0) / k[0]);
         }
         return Math.max(0, sum / groups.size());
--- a/src/main/java/org/beechhoist/wire/ApiClient.java
+++ b/src/main/java/org/beechhoist/wire/ApiClient.java
@@ -66,12 +66,14 @@
                                         ? HttpRequest.BodyPublishers.noBody()
                                         : HttpRequest.BodyPublishers.ofByteArray(body))
                         .build();
-                HttpResponse<byte[]> r = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
-                Answer a = new Answer(r.statusCode(), r.body().length == 0 ? Codec.map() : Codec.decodeMap(r.body()));
-                if (a.status != 503 && a.status != 421 && a.status != 429) {
-                    return a;
+                HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
+                Answer answer = new Answer(
+                        response.statusCode(),
+                        response.body().length == 0 ? Codec.map() : Codec.decodeMap(response.body()));
+                if (answer.status != 503 && answer.status != 421 && answer.status != 429) {
+                    return answer;
                 }
-                refused = a;
+                refused = answer;
             } catch (IOException e) {
                 last = e;
             } catch (Malformed e) {
--- a/src/main/java/org/beechhoist/wire/Baton.java
+++ b/src/main/java/org/beechhoist/wire/Baton.java
@@ -5,7 +5,7 @@
     public static final Baton NONE = new Baton(0);
 
     @Override
-    public int compareTo(Baton o) {
-        return Long.compare(value, o.value);
+    public int compareTo(Baton other) {
+        return Long.compare(value, other.value);
     }
 }
--- a/src/main/java/org/beechhoist/wire/Codec.java
+++ b/src/main/java/org/beechhoist/wire/Codec.java
@@ -58,63 +58,63 @@
         return node;
     }
 
-    public static boolean absent(JsonNode n, String field) {
-        JsonNode v = n.get(field);
+    public static boolean absent(JsonNode node, String field) {
+        JsonNode v = node.get(field);
         return v == null || v.isNull();
     }
 
-    public static String text(JsonNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isTextual()) {
+    public static String text(JsonNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isTextual()) {
             throw new Malformed(field + ": text expected");
         }
-        return v.textValue();
+        return value.textValue();
     }
 
-    public static boolean bool(JsonNode n, String field) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isBoolean()) {
+    public static boolean bool(JsonNode node, String field) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isBoolean()) {
             throw new Malformed(field + ": true or false expected");
         }
-        return v.booleanValue();
+        return value.booleanValue();
     }
 
     /** A finite decimal number of at least {@code least}. */
-    public static double number(JsonNode n, String field, double least) throws Malformed {
-        JsonNode v = n.get(field);
-        if (v == null || !v.isNumber() || !Double.isFinite(v.doubleValue())) {
+    public static double number(JsonNode node, String field, double least) throws Malformed {
+        JsonNode value = node.get(field);
+        if (value == null || !value.isNumber() || !Double.isFinite(value.doubleValue())) {
             throw new Malformed(field + ": number expected");
         }
-        if (v.doubleValue() < least || v.doubleValue() > 1e12) {
+        if (value.doubleValue() < least || value.doubleValue() > 1e12) {
             throw new Malformed(field + ": out of range");
         }
-        return v.doubleValue();
+        return value.doubleValue();
     }
 
     /** A whole number between the bounds; counts may come as 3 or 3.0. */
-    public static long count(JsonNode n, String field, long least, long most) throws Malformed {
-        double d = number(n, field, 0);
-        JsonNode v = n.get(field);
-        if (d != Math.rint(d)) {
+    public static long count(JsonNode node, String field, long least, long most) throws Malformed {
+        double number = number(node, field, 0);
+        JsonNode child = node.get(field);
+        if (number != Math.rint(number)) {
             throw new Malformed(field + ": whole number expected");
         }
-        long value = v.longValue();
+        long value = child.longValue();
         if (value < least || value > most) {
             throw new Malformed(field + ": out of range");
         }
         return value;
     }
 
-    public static List<String> texts(JsonNode v, String field) throws Malformed {
-        if (v == null || !v.isArray()) {
+    public static List<String> texts(JsonNode value, String field) throws Malformed {
+        if (value == null || !value.isArray()) {
             throw new Malformed(field + ": list expected");
         }
-        List<String> out = new ArrayList<>(v.size());
-        for (JsonNode e : v) {
-            if (!e.isTextual()) {
+        List<String> out = new ArrayList<>(value.size());
+        for (JsonNode element : value) {
+            if (!element.isTextual()) {
                 throw new Malformed(field + ": list of texts expected");
             }
-            out.add(e.textValue());
+            out.add(element.textValue());
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/wire/HostReport.java
+++ b/src/main/java/org/beechhoist/wire/HostReport.java
@@ -28,47 +28,47 @@
         OTHER
     }
 
-    public static HostReport parse(JsonNode n) throws Malformed {
+    public static HostReport parse(JsonNode node) throws Malformed {
         List<Entry> tasks = new ArrayList<>();
-        JsonNode pieces = n.get("pieces");
+        JsonNode pieces = node.get("pieces");
         if (pieces == null || !pieces.isArray()) {
             throw new Malformed("pieces: list expected");
         }
-        for (JsonNode p : pieces) {
-            TaskId id = TaskId.parse(Codec.text(p, "piece"));
+        for (JsonNode piece : pieces) {
+            TaskId id = TaskId.parse(Codec.text(piece, "piece"));
             if (id == null) {
                 throw new Malformed("piece: not a task id");
             }
             State state =
-                    switch (Codec.text(p, "status")) {
+                    switch (Codec.text(piece, "status")) {
                         case "fetching" -> State.FETCHING;
                         case "running" -> State.RUNNING;
                         case "saving" -> State.SAVING;
                         case "exited" -> State.EXITED;
                         default -> State.OTHER;
                     };
-            JsonNode stored = p.get("stored");
+            JsonNode stored = piece.get("stored");
             tasks.add(new Entry(
                     id,
-                    Codec.count(p, "try", 0, Long.MAX_VALUE),
+                    Codec.count(piece, "try", 0, Long.MAX_VALUE),
                     state,
-                    Codec.absent(p, "cause") ? null : Codec.text(p, "cause"),
+                    Codec.absent(piece, "cause") ? null : Codec.text(piece, "cause"),
                     stored != null && stored.asBoolean(false)));
         }
-        String host = Codec.text(n, "host");
+        String host = Codec.text(node, "host");
         if (host.isEmpty() || host.length() > 200) {
             throw new Malformed("host: 1 to 200 characters expected");
         }
         return new HostReport(
                 new HostId(host),
-                Codec.text(n, "address"),
-                Codec.text(n, "hosttype"),
-                Codec.text(n, "yard"),
-                Codec.bool(n, "loaner"),
-                Codec.count(n, "shift", 0, Long.MAX_VALUE),
-                Codec.count(n, "counter", 0, Long.MAX_VALUE),
-                new Baton(Codec.absent(n, "baton") ? 0 : Codec.count(n, "baton", 0, Long.MAX_VALUE)),
-                Codec.absent(n, "warningS") ? null : Codec.number(n, "warningS", 0),
+                Codec.text(node, "address"),
+                Codec.text(node, "hosttype"),
+                Codec.text(node, "yard"),
+                Codec.bool(node, "loaner"),
+                Codec.count(node, "shift", 0, Long.MAX_VALUE),
+                Codec.count(node, "counter", 0, Long.MAX_VALUE),
+                new Baton(Codec.absent(node, "baton") ? 0 : Codec.count(node, "baton", 0, Long.MAX_VALUE)),
+                Codec.absent(node, "warningS") ? null : Codec.number(node, "warningS", 0),
                 tasks);
     }
 
--- a/src/main/java/org/beechhoist/wire/HostType.java
+++ b/src/main/java/org/beechhoist/wire/HostType.java
@@ -15,18 +15,18 @@
         double spotPrice,
         double startupS,
         List<String> zones) {
-    public static HostType parse(JsonNode n) throws Malformed {
+    public static HostType parse(JsonNode node) throws Malformed {
         return new HostType(
-                Codec.text(n, "sku"),
-                Codec.number(n, "cores", 0),
-                Codec.number(n, "accelerators", 0),
-                Codec.number(n, "memGb", 0),
-                Codec.number(n, "cacheGb", 0),
-                Math.max(0.001, Codec.number(n, "fetchGbPerS", 0)),
-                Codec.number(n, "rate", 0),
-                Codec.number(n, "lowPrice", 0),
-                Codec.number(n, "startupS", 0),
-                Codec.texts(n.get("yards"), "yards"));
+                Codec.text(node, "sku"),
+                Codec.number(node, "cores", 0),
+                Codec.number(node, "accelerators", 0),
+                Codec.number(node, "memGb", 0),
+                Codec.number(node, "cacheGb", 0),
+                Math.max(0.001, Codec.number(node, "fetchGbPerS", 0)),
+                Codec.number(node, "rate", 0),
+                Codec.number(node, "lowPrice", 0),
+                Codec.number(node, "startupS", 0),
+                Codec.texts(node.get("yards"), "yards"));
     }
 
     public double priceOf(boolean spot) {
--- a/src/main/java/org/beechhoist/wire/JobRef.java
+++ b/src/main/java/org/beechhoist/wire/JobRef.java
@@ -4,16 +4,16 @@
 public record JobRef(String text) implements Comparable<JobRef> {
     private static final int MAX_DIGITS = 40;
 
-    public static boolean valid(String s) {
-        if (s == null || !s.startsWith("job-") || s.length() < 5 || s.length() > 4 + MAX_DIGITS) {
+    public static boolean valid(String text) {
+        if (text == null || !text.startsWith("job-") || text.length() < 5 || text.length() > 4 + MAX_DIGITS) {
             return false;
         }
-        return s.chars().skip(4).allMatch(c -> c >= '0' && c <= '9');
+        return text.chars().skip(4).allMatch(c -> c >= '0' && c <= '9');
     }
 
     @Override
-    public int compareTo(JobRef o) {
-        return text.compareTo(o.text);
+    public int compareTo(JobRef other) {
+        return text.compareTo(other.text);
     }
 
     @Override
--- a/src/main/java/org/beechhoist/wire/JobSpec.java
+++ b/src/main/java/org/beechhoist/wire/JobSpec.java
@@ -48,10 +48,10 @@
             this.text = text;
         }
 
-        private static Shape parse(String s) throws Malformed {
-            for (Shape v : values()) {
-                if (v.text.equals(s)) {
-                    return v;
+        private static Shape parse(String text) throws Malformed {
+            for (Shape shape : values()) {
+                if (shape.text.equals(text)) {
+                    return shape;
                 }
             }
             throw new Malformed("shape: unknown value");
@@ -61,46 +61,46 @@
     public static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
 
-    public static JobSpec parse(JsonNode n) throws Malformed {
-        String ref = Codec.text(n, "ref");
+    public static JobSpec parse(JsonNode node) throws Malformed {
+        String ref = Codec.text(node, "ref");
         if (!JobRef.valid(ref)) {
             throw new Malformed("ref: job- and digits expected");
         }
-        Shape shape = Shape.parse(Codec.text(n, "shape"));
-        if (!Codec.absent(n, "width") && shape != Shape.ARRAY) {
+        Shape shape = Shape.parse(Codec.text(node, "shape"));
+        if (!Codec.absent(node, "width") && shape != Shape.ARRAY) {
             throw new Malformed("width: only an array may carry one; "
                     + (shape == Shape.GANG
                             ? "a gang's tasks start together"
                             : "a standing job's replicas are resized once it is accepted"));
         }
-        List<String> types = Codec.absent(n, "hosttypes") ? null : Codec.texts(n.get("hosttypes"), "hosttypes");
+        List<String> types = Codec.absent(node, "hosttypes") ? null : Codec.texts(node.get("hosttypes"), "hosttypes");
         return new JobSpec(
                 new JobRef(ref),
-                name(n, "jobclass"),
-                name(n, "owner"),
+                name(node, "jobclass"),
+                name(node, "owner"),
                 shape,
-                Urgency.parse(Codec.text(n, "urgency")),
-                (int) Codec.count(n, "pieces", 1, MAX_TASKS),
-                Codec.number(n, "cores", 0),
-                Codec.number(n, "accelerators", 0),
-                Codec.number(n, "memGb", 0),
-                name(n, "bundle"),
-                Codec.number(n, "pullGb", 0),
+                Urgency.parse(Codec.text(node, "urgency")),
+                (int) Codec.count(node, "pieces", 1, MAX_TASKS),
+                Codec.number(node, "cores", 0),
+                Codec.number(node, "accelerators", 0),
+                Codec.number(node, "memGb", 0),
+                name(node, "bundle"),
+                Codec.number(node, "pullGb", 0),
                 types,
-                Codec.absent(n, "yard") ? null : name(n, "yard"),
-                Codec.bool(n, "samePlace"),
-                Codec.bool(n, "apart"),
-                Codec.bool(n, "loaner"),
-                Codec.number(n, "guessS", 0),
-                Codec.number(n, "snapshotEveryS", 0),
-                Codec.number(n, "snapshotCostS", 0),
-                Codec.absent(n, "dueS") ? null : Codec.number(n, "dueS", 0),
-                Codec.absent(n, "width") ? null : Width.parse(n.get("width"), "width"),
-                Codec.absent(n, "onceKey") ? null : name(n, "onceKey"),
-                Codec.absent(n, "origin") ? null : name(n, "origin"),
-                Codec.absent(n, "keySet") ? null : name(n, "keySet"),
-                Codec.absent(n, "pin") ? null : KeyPin.parse(n.get("pin")),
-                Codec.absent(n, "release") ? null : name(n, "release"));
+                Codec.absent(node, "yard") ? null : name(node, "yard"),
+                Codec.bool(node, "samePlace"),
+                Codec.bool(node, "apart"),
+                Codec.bool(node, "loaner"),
+                Codec.number(node, "guessS", 0),
+                Codec.number(node, "snapshotEveryS", 0),
+                Codec.number(node, "snapshotCostS", 0),
+                Codec.absent(node, "dueS") ? null : Codec.number(node, "dueS", 0),
+                Codec.absent(node, "width") ? null : Width.parse(node.get("width"), "width"),
+                Codec.absent(node, "onceKey") ? null : name(node, "onceKey"),
+                Codec.absent(node, "origin") ? null : name(node, "origin"),
+                Codec.absent(node, "keySet") ? null : name(node, "keySet"),
+                Codec.absent(node, "pin") ? null : KeyPin.parse(node.get("pin")),
+                Codec.absent(node, "release") ? null : name(node, "release"));
     }
 
     /** A job as a person describes it: what is left out has a default. */
@@ -122,17 +122,17 @@
         return all;
     }
 
-    private static String name(JsonNode n, String field) throws Malformed {
-        String s = Codec.text(n, field);
-        if (s.length() > MAX_NAME) {
+    private static String name(JsonNode node, String field) throws Malformed {
+        String text = Codec.text(node, field);
+        if (text.length() > MAX_NAME) {
             throw new Malformed(field + ": longer than " + MAX_NAME);
         }
-        return s;
+        return text;
     }
 
     public ObjectNode toNode() {
-        ObjectNode n = Codec.map();
-        n.put("ref", ref.text())
+        ObjectNode node = Codec.map();
+        node.put("ref", ref.text())
                 .put("jobclass", jobClass)
                 .put("owner", team)
                 .put("shape", shape.text)
@@ -144,12 +144,12 @@
                 .put("bundle", image)
                 .put("pullGb", imageGb);
         if (hostTypes == null) {
-            n.putNull("hosttypes");
+            node.putNull("hosttypes");
         } else {
-            ArrayNode types = n.putArray("hosttypes");
+            ArrayNode types = node.putArray("hosttypes");
             hostTypes.forEach(types::add);
         }
-        n.put("yard", zone)
+        node.put("yard", zone)
                 .put("samePlace", sameZone)
                 .put("apart", apart)
                 .put("loaner", spot)
@@ -158,24 +158,24 @@
                 .put("snapshotCostS", saveS)
                 .put("dueS", deadlineS);
         if (width != null) {
-            n.set("width", width.toNode());
+            node.set("width", width.toNode());
         }
         if (onceKey != null) {
-            n.put("onceKey", onceKey);
+            node.put("onceKey", onceKey);
         }
         if (origin != null) {
-            n.put("origin", origin);
+            node.put("origin", origin);
         }
         if (keySet != null) {
-            n.put("keySet", keySet);
+            node.put("keySet", keySet);
         }
         if (pin != null) {
-            n.set("pin", pin.toNode());
+            node.set("pin", pin.toNode());
         }
         if (release != null) {
-            n.put("release", release);
+            node.put("release", release);
         }
-        return n;
+        return node;
     }
 
     public JobSpec withoutWidth() {
@@ -204,11 +204,11 @@
         return release == null ? this : with(width, onceKey, origin, keySet, pin, null);
     }
 
-    private JobSpec with(Width w, String once, String from, String set, KeyPin to) {
-        return with(w, once, from, set, to, release);
+    private JobSpec with(Width newWidth, String once, String from, String set, KeyPin to) {
+        return with(newWidth, once, from, set, to, release);
     }
 
-    private JobSpec with(Width w, String once, String from, String set, KeyPin to, String ships) {
+    private JobSpec with(Width newWidth, String once, String from, String set, KeyPin to, String ships) {
         return new JobSpec(
                 ref,
                 jobClass,
@@ -230,7 +230,7 @@
                 checkpointS,
                 saveS,
                 deadlineS,
-                w,
+                newWidth,
                 once,
                 from,
                 set,
@@ -260,8 +260,8 @@
 
     /** Whether some machine that this job allows is offered where it may run. */
     public boolean fitsAny(Iterable<HostType> types) {
-        for (HostType t : types) {
-            if (allows(t) && (zone == null || t.zones().contains(zone))) {
+        for (HostType type : types) {
+            if (allows(type) && (zone == null || type.zones().contains(zone))) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/wire/KeyPin.java
+++ b/src/main/java/org/beechhoist/wire/KeyPin.java
@@ -5,9 +5,11 @@
 
 /** The key set that a job is bound to for ever: its name, its version and the digest of what that version holds. */
 public record KeyPin(String set, long version, String digest) {
-    public static KeyPin parse(JsonNode n) throws Malformed {
+    public static KeyPin parse(JsonNode node) throws Malformed {
         return new KeyPin(
-                Codec.text(n, "set"), Codec.count(n, "version", 1, Integer.MAX_VALUE), Codec.text(n, "digest"));
+                Codec.text(node, "set"),
+                Codec.count(node, "version", 1, Integer.MAX_VALUE),
+                Codec.text(node, "digest"));
     }
 
     public ObjectNode toNode() {
--- a/src/main/java/org/beechhoist/wire/Order.java
+++ b/src/main/java/org/beechhoist/wire/Order.java
@@ -27,13 +27,13 @@
 
     public static ArrayNode toNode(List<Order> orders) {
         ArrayNode out = Codec.list();
-        for (Order o : orders) {
-            ObjectNode n = out.addObject();
-            n.put("verb", o.verb.name().toLowerCase(java.util.Locale.ROOT))
-                    .put("piece", o.task.toString())
-                    .put("try", o.attempt);
-            if (o.verb == Verb.KILL) {
-                n.put("windDownS", o.graceS);
+        for (Order command : orders) {
+            ObjectNode node = out.addObject();
+            node.put("verb", command.verb.name().toLowerCase(java.util.Locale.ROOT))
+                    .put("piece", command.task.toString())
+                    .put("try", command.attempt);
+            if (command.verb == Verb.KILL) {
+                node.put("windDownS", command.graceS);
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/wire/Resize.java
+++ b/src/main/java/org/beechhoist/wire/Resize.java
@@ -10,14 +10,14 @@
  */
 public record Resize(Width width, Long number) {
     /** Reads {@code {"width":4}} or {@code {"least":2,"most":16,"untilS":3600.0}}, either with {@code "number":17}. */
-    public static Resize parse(JsonNode n) throws Malformed {
-        Long number = Codec.absent(n, "number") ? null : Codec.count(n, "number", 1, Long.MAX_VALUE);
-        if (Codec.absent(n, "width")) {
-            return new Resize(Width.parse(n, "width"), number);
+    public static Resize parse(JsonNode node) throws Malformed {
+        Long number = Codec.absent(node, "number") ? null : Codec.count(node, "number", 1, Long.MAX_VALUE);
+        if (Codec.absent(node, "width")) {
+            return new Resize(Width.parse(node, "width"), number);
         }
-        Width w =
-                Width.parse(Codec.map().<ObjectNode>set("least", n.get("width")).set("most", n.get("width")), "width");
-        return new Resize(w, number);
+        Width width = Width.parse(
+                Codec.map().<ObjectNode>set("least", node.get("width")).set("most", node.get("width")), "width");
+        return new Resize(width, number);
     }
 
     public ObjectNode toNode() {
--- a/src/main/java/org/beechhoist/wire/Revision.java
+++ b/src/main/java/org/beechhoist/wire/Revision.java
@@ -5,7 +5,7 @@
     public static final Revision ABSENT = new Revision(0);
 
     @Override
-    public int compareTo(Revision o) {
-        return Long.compare(value, o.value);
+    public int compareTo(Revision other) {
+        return Long.compare(value, other.value);
     }
 }
--- a/src/main/java/org/beechhoist/wire/Tick.java
+++ b/src/main/java/org/beechhoist/wire/Tick.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public int compareTo(Tick o) {
-        return Long.compare(ms, o.ms);
+    public int compareTo(Tick other) {
+        return Long.compare(ms, other.ms);
     }
 }
--- a/src/main/java/org/beechhoist/wire/Urgency.java
+++ b/src/main/java/org/beechhoist/wire/Urgency.java
@@ -17,10 +17,10 @@
         return text;
     }
 
-    static Urgency parse(String s) throws Malformed {
-        for (Urgency u : values()) {
-            if (u.text.equals(s)) {
-                return u;
+    static Urgency parse(String text) throws Malformed {
+        for (Urgency urgency : values()) {
+            if (urgency.text.equals(text)) {
+                return urgency;
             }
         }
         throw new Malformed("urgency: unknown value");
--- a/src/main/java/org/beechhoist/wire/Width.java
+++ b/src/main/java/org/beechhoist/wire/Width.java
@@ -15,23 +15,23 @@
     }
 
     /** Reads {@code {"least":2,"most":16,"untilS":3600.0}}; {@code field} names it in complaints. */
-    public static Width parse(JsonNode n, String field) throws Malformed {
-        if (n == null || !n.isObject()) {
+    public static Width parse(JsonNode node, String field) throws Malformed {
+        if (node == null || !node.isObject()) {
             throw new Malformed(field + ": a map with least and most is expected");
         }
-        int least = count(n, "least", field);
-        int most = count(n, "most", field);
+        int least = count(node, "least", field);
+        int most = count(node, "most", field);
         if (least > most) {
             throw new Malformed(field + ": least = " + least + " is above most = " + most);
         }
-        return new Width(least, most, Codec.absent(n, "untilS") ? null : Codec.number(n, "untilS", 0));
+        return new Width(least, most, Codec.absent(node, "untilS") ? null : Codec.number(node, "untilS", 0));
     }
 
-    private static int count(JsonNode n, String name, String field) throws Malformed {
+    private static int count(JsonNode node, String name, String field) throws Malformed {
         try {
-            return (int) Codec.count(n, name, 0, JobSpec.MAX_TASKS);
+            return (int) Codec.count(node, name, 0, JobSpec.MAX_TASKS);
         } catch (Malformed e) {
-            throw new Malformed(field + "." + name + " = " + n.get(name) + ": a whole number from 0 to "
+            throw new Malformed(field + "." + name + " = " + node.get(name) + ": a whole number from 0 to "
                     + JobSpec.MAX_TASKS + " is expected");
         }
     }
