--- a/src/main/java/org/beechhoist/cancel/Freshness.java
+++ b/src/main/java/org/beechhoist/cancel/Freshness.java
@@ -1,6 +1,6 @@
 package org.beechhoist.cancel;
 
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * How fresh a leader's knowledge of cancellations must be for it to renew a worker's lease. Of a cancellation that it does not know
@@ -49,7 +49,7 @@
      * @param asOf when the question was sent whose answer told all cancellations up to then, by the leader's clock; null: none was
      * answered and taken up completely. A question that is still open proves nothing.
      */
-    public Tick renewUntil(Tick asOf) {
-        return asOf == null ? Tick.ZERO : asOf.plusMs(mostMs());
+    public MonotonicTime renewUntil(MonotonicTime asOf) {
+        return asOf == null ? MonotonicTime.ZERO : asOf.plusMs(mostMs());
     }
 }
--- a/src/main/java/org/beechhoist/cli/CronCommands.java
+++ b/src/main/java/org/beechhoist/cli/CronCommands.java
@@ -21,7 +21,7 @@
 import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import picocli.CommandLine;
 
 /** Cron tables and calendars; exit codes as of the other users' commands. */
@@ -47,7 +47,7 @@
                 description = "weekdays on which business is done, for .ics files; all if left out")
         private List<String> business;
 
-        private Map<String, Calendar> read() throws Malformed, IOException {
+        private Map<String, Calendar> read() throws MalformedMessageException, IOException {
             Map<String, Calendar> out = new HashMap<>();
             if (dir != null) {
                 try (var files = Files.list(dir)) {
@@ -64,7 +64,8 @@
         }
     }
 
-    private static Calendar calendar(Path file, String name, List<String> business) throws Malformed, IOException {
+    private static Calendar calendar(Path file, String name, List<String> business)
+            throws MalformedMessageException, IOException {
         LocalDate from = LocalDate.now(ZoneId.of("UTC")).withDayOfYear(1);
         return CalendarFile.read(file, name, business, from, from.plusYears(YEARS));
     }
@@ -85,12 +86,12 @@
 
         private Map<String, Calendar> calendars;
 
-        private List<Entry> read(long since) throws Malformed, IOException, CronTable.Bad {
+        private List<Entry> read(long since) throws MalformedMessageException, IOException, CronTable.Bad {
             calendars = source.read();
             List<Entry> all = CronTable.parse(base(file), Files.readString(file), since);
             for (Entry entry : all) {
                 if (source.dir != null && entry.calendar() != null && !calendars.containsKey(entry.calendar())) {
-                    throw new Malformed("line " + entry.line() + ": calendar = " + entry.calendar()
+                    throw new MalformedMessageException("line " + entry.line() + ": calendar = " + entry.calendar()
                             + ": one of those in " + source.dir + " is expected");
                 }
             }
@@ -99,13 +100,13 @@
     }
 
     private interface Look {
-        int at(List<Entry> lines) throws Malformed, IOException;
+        int at(List<Entry> lines) throws MalformedMessageException, IOException;
     }
 
     private static int look(Table table, long since, Look look) {
         try {
             return look.at(table.read(since));
-        } catch (CronTable.Bad | Malformed e) {
+        } catch (CronTable.Bad | MalformedMessageException e) {
             System.err.println("beechhoist: " + table.file + ": " + e.getMessage());
         } catch (IOException e) {
             System.err.println("beechhoist: " + table.file + ": readable files are expected: " + e.getMessage());
@@ -317,7 +318,7 @@
             try {
                 ObjectNode body = calendar(file, calendar, business).toNode();
                 return UserCommands.ask(nodes, "POST", "/v1/calendars/" + calendar, body, calendar);
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 System.err.println("beechhoist: " + file + ": " + e.getMessage());
             } catch (IOException | UncheckedIOException e) {
                 System.err.println("beechhoist: " + file + ": a readable calendar is expected");
--- a/src/main/java/org/beechhoist/cli/JobFile.java
+++ b/src/main/java/org/beechhoist/cli/JobFile.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** A job described in TOML: the fields of {@code POST /v1/jobs}, most of them with defaults. */
 final class JobFile {
@@ -23,12 +23,12 @@
             return spec(new TomlMapper().readTree(file.toFile()));
         } catch (IOException e) {
             throw new Bad(file + ": a readable TOML file is expected");
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             throw new Bad(file + ": " + e.getMessage());
         }
     }
 
-    static JobSpec spec(JsonNode given) throws Malformed {
+    static JobSpec spec(JsonNode given) throws MalformedMessageException {
         return JobSpec.parse(JobSpec.described(given));
     }
 }
--- a/src/main/java/org/beechhoist/cli/KeySetCommands.java
+++ b/src/main/java/org/beechhoist/cli/KeySetCommands.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import picocli.CommandLine;
 
 /** Key sets; exit codes as of the other users' commands. */
@@ -44,7 +44,7 @@
             });
         }
 
-        private static JsonNode strings(JsonNode given, String field) throws Malformed {
+        private static JsonNode strings(JsonNode given, String field) throws MalformedMessageException {
             Codec.texts(given.get(field), field);
             return given.get(field);
         }
--- a/src/main/java/org/beechhoist/cli/ReleaseCommands.java
+++ b/src/main/java/org/beechhoist/cli/ReleaseCommands.java
@@ -10,7 +10,7 @@
 import org.beechhoist.cron.ShipDates;
 import org.beechhoist.release.Release;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import picocli.CommandLine;
 
 /** The release calendar; exit codes as of the other users' commands. */
@@ -86,7 +86,7 @@
                     }
                 }
                 return 0;
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 System.err.println("beechhoist: " + file + ": " + e.getMessage());
             } catch (IOException e) {
                 System.err.println("beechhoist: " + file + ", " + shared + ": readable files are expected");
--- a/src/main/java/org/beechhoist/cli/TomlFile.java
+++ b/src/main/java/org/beechhoist/cli/TomlFile.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.nio.file.Path;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** A command's file: what is wrong with it is one line, and exit code 2. */
 final class TomlFile {
@@ -12,7 +12,7 @@
 
     /** What a command does with a file's content; hands over its exit code. */
     interface Content {
-        int use(ObjectNode given) throws Malformed;
+        int use(ObjectNode given) throws MalformedMessageException;
     }
 
     private TomlFile() {}
@@ -20,7 +20,7 @@
     static int use(Path file, Content content) {
         try {
             return content.use((ObjectNode) new TomlMapper().readTree(file.toFile()));
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             System.err.println("beechhoist: " + file + ": " + e.getMessage());
         } catch (IOException e) {
             System.err.println("beechhoist: " + file + ": a readable TOML file is expected");
--- a/src/main/java/org/beechhoist/cli/Trials.java
+++ b/src/main/java/org/beechhoist/cli/Trials.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.beechhoist.local.LoopbackRegion;
-import org.beechhoist.wire.HostType;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.TaskId;
 
 /** The region that {@code region} and {@code try} run, and what tasks do there: nothing, for as long as was guessed. */
 final class Trials {
     static final LoopbackRegion.Layout REGION = new LoopbackRegion.Layout(
-            List.of(new HostType("c4", 4, 0, 16, 20, 1, 0.2, 0.05, 3, List.of("a", "b"))), 5, 1000, 20_000, 1);
+            List.of(new MachineType("c4", 4, 0, 16, 20, 1, 0.2, 0.05, 3, List.of("a", "b"))), 5, 1000, 20_000, 1);
 
     /** The settings of its controllers from [deployment] on; the file's form is the platform's. */
     static final String DEPLOYMENT =
--- a/src/main/java/org/beechhoist/cli/Try.java
+++ b/src/main/java/org/beechhoist/cli/Try.java
@@ -15,7 +15,7 @@
 import org.beechhoist.wire.ApiClient;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import picocli.CommandLine;
 
 /** Runs a whole region in this process, sees one job through and says how the plan's promise was kept. */
@@ -82,7 +82,7 @@
                     .put("bundle", "img-1")
                     .put("pullGb", 0.5)
                     .put("guessS", 5.0));
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/main/java/org/beechhoist/cli/UserCommands.java
+++ b/src/main/java/org/beechhoist/cli/UserCommands.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.Callable;
 import org.beechhoist.wire.ApiClient;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Resize;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.ResizeRequest;
 import picocli.CommandLine;
 
 /** The commands of users and operators. Exit codes: 0 done, 1 refused or unknown, 2 bad arguments, 3 no node answers. */
@@ -50,7 +50,7 @@
 
     /** What is asked about one job. */
     private interface JobQuestion {
-        ApiClient.Answer ask(ApiClient client, JobRef ref) throws IOException;
+        ApiClient.Answer ask(ApiClient client, JobId ref) throws IOException;
     }
 
     /** The arguments of the commands about one job. */
@@ -62,11 +62,11 @@
         private String job;
 
         private int ask(JobQuestion question) {
-            if (!JobRef.valid(job)) {
+            if (!JobId.valid(job)) {
                 System.err.println("beechhoist: " + job + ": a job id such as job-000412 is expected");
                 return USAGE;
             }
-            return run(() -> question.ask(nodes.client(), new JobRef(job)), job);
+            return run(() -> question.ask(nodes.client(), new JobId(job)), job);
         }
     }
 
@@ -173,10 +173,10 @@
                     .put("most", how.width != null ? how.width : how.bounds.most)
                     .put("untilS", untilS)
                     .put("number", number);
-            Resize resize;
+            ResizeRequest resize;
             try {
-                resize = Resize.parse(node);
-            } catch (Malformed e) {
+                resize = ResizeRequest.parse(node);
+            } catch (MalformedMessageException e) {
                 System.err.println("beechhoist: " + e.getMessage());
                 return USAGE;
             }
--- a/src/main/java/org/beechhoist/cli/Warm.java
+++ b/src/main/java/org/beechhoist/cli/Warm.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Callable;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
-import org.beechhoist.core.Controller;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.Controller;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.metrics.Metrics;
 import org.beechhoist.net.HttpClient;
 import org.beechhoist.net.Loop;
@@ -17,12 +17,12 @@
 import org.beechhoist.peer.PeerCodec;
 import org.beechhoist.peer.PeerState;
 import org.beechhoist.standin.StateService;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.Calls;
+import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Outcome;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.ServiceCalls;
 import picocli.CommandLine;
 
 /**
@@ -43,40 +43,42 @@
         peers.decode(peers.encode(new PeerState(
                 "warm",
                 false,
-                Baton.NONE,
+                FencingToken.NONE,
                 0,
                 false,
                 0,
                 0,
                 0,
-                List.of(new JobCount(new JobRef("job-1"), 1, 1)),
-                List.of(new CancelledJob(new JobRef("job-2"), 1)),
-                List.of(new JobRef("job-3")))));
+                List.of(new JobCount(new JobId("job-1"), 1, 1)),
+                List.of(new CancelledJob(new JobId("job-2"), 1)),
+                List.of(new JobId("job-3")))));
         new HttpClient(new Loop(), "", 1);
         Controller core = new Controller(settings, Policy.DEFAULT, new Metrics(), 1);
         StateService state = new StateService(
                 settings.stateLimits().txnOps(), settings.stateLimits().valueBytes());
         JsonNode types = Codec.decodeMap(Codec.encode(types()));
-        Tick now = new Tick(1_000_000);
+        MonotonicTime now = new MonotonicTime(1_000_000);
         core.start(now, 0);
         for (int i = 0; i < STEPS; i++) {
             now = now.plusMs(500);
             List<Effect> effects = core.drain();
             for (Effect effect : effects) {
-                if (effect instanceof Effect.Call call && call.target() == Calls.Target.STATE) {
-                    Tick at = now;
+                if (effect instanceof Effect.Call call && call.target() == ServiceCalls.Target.STATE) {
+                    MonotonicTime at = now;
                     state.handle(
                             now.ms(),
                             call.method(),
                             call.path(),
                             call.body(),
-                            r -> core.outcome(at, 0, call.id(), Outcome.answered(r.status(), r.body())));
+                            r -> core.outcome(at, 0, call.id(), CallResult.answered(r.status(), r.body())));
                 } else if (effect instanceof Effect.Call outgoing) {
                     core.outcome(
                             now,
                             0,
                             outgoing.id(),
-                            outgoing.path().equals("/machine_types") ? Outcome.answered(200, types) : Outcome.NOT_SENT);
+                            outgoing.path().equals("/machine_types")
+                                    ? CallResult.answered(200, types)
+                                    : CallResult.NOT_SENT);
                 }
             }
             if (i == STEPS / 2) {
--- a/src/main/java/org/beechhoist/config/Settings.java
+++ b/src/main/java/org/beechhoist/config/Settings.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import org.beechhoist.cancel.Freshness;
-import org.beechhoist.store.Sizes;
+import org.beechhoist.store.RecordSizes;
 
 /** The platform's settings file, checked. */
 public record Settings(
@@ -81,7 +81,7 @@
     /** What these limits keep from being served as usual, a line each, for the operator; the node goes on with what it can. */
     public List<String> warnings() {
         List<String> out = new ArrayList<>();
-        String small = Sizes.tooSmall(stateLimits.valueBytes(), stateLimits.txnOps());
+        String small = RecordSizes.tooSmall(stateLimits.valueBytes(), stateLimits.txnOps());
         if (small != null) {
             out.add(small);
         }
--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -1,25 +1,36 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.FaultTracker;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostType;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 
 /** Whether a task may start on a machine now: the rules, the teams' limits and the room, against what may be running. */
 final class Admission {
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Types types;
-    private final Book book;
-    private final Faults faults;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final FaultTracker faults;
     /** Null until it is there. */
-    private MoveDesk moves;
+    private MigrationController moves;
 
-    Admission(Turn turn, Settings settings, Types types, Book book, Faults faults) {
+    Admission(
+            ControllerContext turn,
+            Settings settings,
+            MachineTypeCatalog types,
+            ClusterState book,
+            FaultTracker faults) {
         this.turn = turn;
         this.settings = settings;
         this.types = types;
@@ -28,19 +39,19 @@
     }
 
     /** Room that is kept for tasks on their way, or for whom it was made. */
-    void keeps(MoveDesk desk) {
+    void keeps(MigrationController desk) {
         moves = desk;
     }
 
     /** Whether elastic jobs may grow onto the machine: it is well, heard of, and stays; it was not taken back lately. */
-    boolean mayWiden(Host machine) {
+    boolean mayWiden(Machine machine) {
         return usable(machine)
                 && machine.damping.open(turn.now().ms())
                 && !faults.faulty(machine)
                 && turn.now().since(book.heard(machine)) < settings.workers().reportS() * 1500;
     }
 
-    boolean usable(Host machine) {
+    boolean usable(Machine machine) {
         return machine.up
                 && machine.there
                 && !machine.ears.deaf()
@@ -64,7 +75,7 @@
     }
 
     /** What is free on the host, less what is kept there; null where what is on it is not known. */
-    Room free(Host machine, HostType type) {
+    Room free(Machine machine, MachineType type) {
         Room room = new Room(type.cpus(), type.gpus(), type.memGb());
         for (Placement placement : machine.placements.values()) {
             Job other = book.job(placement.task.job());
@@ -80,7 +91,7 @@
     }
 
     /** What is free on the host once such a task is there too; null where what is on it is not known. */
-    Room roomBeside(Host machine, HostType type, JobSpec spec) {
+    Room roomBeside(Machine machine, MachineType type, JobSpec spec) {
         Room room = new Room(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
         for (Placement placement : machine.placements.values()) {
             Job other = book.job(placement.task.job());
@@ -104,7 +115,7 @@
         Map<String, Integer> out = new HashMap<>();
         if (job.spec().sameZone() || job.spec().apart()) {
             for (Placement placement : job.record.live.values()) {
-                Host machine = book.host(placement.host);
+                Machine machine = book.host(placement.host);
                 // A host that nobody has described yet may be anywhere: no zone is certain until it is.
                 out.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
             }
@@ -113,9 +124,9 @@
     }
 
     /** The rules of placement once more, against what may be running now, whatever the plan says. */
-    boolean admissible(Job job, Host machine, Map<String, double[]> used) {
+    boolean admissible(Job job, Machine machine, Map<String, double[]> used) {
         JobSpec spec = job.spec();
-        HostType type = machine == null || job.hold != null || !usable(machine) ? null : types.get(machine.type);
+        MachineType type = machine == null || job.hold != null || !usable(machine) ? null : types.get(machine.type);
         if (type == null || !spec.mayRunOn(type, machine.zone, machine.spot)) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/Arrangement.java
+++ b/src/main/java/org/beechhoist/controller/Arrangement.java
@@ -1,11 +1,11 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.beechhoist.plan.RandomSearch;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * What the search moves: the order of jobs that no objective speaks for, and the widths of elastic ones. A width that
@@ -13,7 +13,7 @@
  *
  * @param widest the elastic jobs and how wide each may be
  */
-record Arrangement(List<JobRef> order, List<JobRef> elastic, Map<JobRef, Integer> widest, Map<JobRef, Integer> fixed) {
+record Arrangement(List<JobId> order, List<JobId> elastic, Map<JobId, Integer> widest, Map<JobId, Integer> fixed) {
     static final Arrangement NONE = new Arrangement(List.of(), List.of(), Map.of(), Map.of());
 
     /** Whether there is anything to move. */
@@ -32,8 +32,8 @@
         if (index < places) {
             return new Arrangement(RandomSearch.moved(order, index, random), elastic, widest, fixed);
         }
-        JobRef job = elastic.get(index - places);
-        Map<JobRef, Integer> widths = new HashMap<>(fixed);
+        JobId job = elastic.get(index - places);
+        Map<JobId, Integer> widths = new HashMap<>(fixed);
         widths.put(job, random.nextInt(widest.get(job) + 1));
         return new Arrangement(order, elastic, widest, widths);
     }
--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/CalendarDays.java
@@ -1,25 +1,27 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.time.LocalDate;
 import java.util.function.Predicate;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.ScheduleKeys;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** Which days a named calendar has open, as it is installed now. */
-final class OpenDays {
+final class CalendarDays {
     /** What is done with it. */
     interface Use {
-        void with(Predicate<LocalDate> open) throws Malformed;
+        void with(Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
 
-    OpenDays(Turn turn, StoreClient store, Budget requests) {
+    CalendarDays(ControllerContext turn, StoreClient store, TokenBucket requests) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -34,17 +36,17 @@
         requests.take(turn.now(), 1);
         store.get(ScheduleKeys.CALENDARS + name, read -> {
             if (!read.known()) {
-                Amending.unknown(answer);
+                OptimisticUpdate.unknown(answer);
                 return;
             }
             try {
                 if (read.item() == null) {
-                    throw new Malformed("calendar = " + name + ": an installed calendar is expected");
+                    throw new MalformedMessageException("calendar = " + name + ": an installed calendar is expected");
                 }
                 Calendar c = Calendar.parse(read.item().value(), name);
                 use(d -> c.closed(d) == null, answer, use);
-            } catch (Malformed e) {
-                answer.with(400, Amending.error(e.getMessage()));
+            } catch (MalformedMessageException e) {
+                answer.with(400, OptimisticUpdate.error(e.getMessage()));
             }
         });
     }
@@ -52,8 +54,8 @@
     private static void use(Predicate<LocalDate> open, CronApi.Answer answer, Use use) {
         try {
             use.with(open);
-        } catch (Malformed e) {
-            answer.with(400, Amending.error(e.getMessage()));
+        } catch (MalformedMessageException e) {
+            answer.with(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -7,21 +7,24 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.Pacer;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
-import org.beechhoist.wire.Tick;
 
 /**
  * Users poll open jobs whose records seldom change. What was read of one before is not read again: a transaction that only
  * compares asks for many of them at once whether they still have that version. It is decided by the state service after
  * the poll came, so an answer is as new as a read's.
  */
-final class StatusReads {
+final class ConditionalStatusReads {
     private static final int REMEMBERED = 3000;
     /** Of all requests to the state service, what all nodes' polls together are asked with; the polls of one time share one. */
     private static final double POLLS_SHARE = 0.2;
@@ -32,7 +35,7 @@
 
     private record Known(Revision version, ObjectNode state) {}
 
-    private record Poll(JobRef ref, BiConsumer<Result, ObjectNode> then) {}
+    private record Poll(JobId ref, BiConsumer<Result, ObjectNode> then) {}
 
     /** What came of a poll. */
     enum Result {
@@ -44,35 +47,35 @@
         REFUSED
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final int mostGuards;
-    private final Paced pace;
-    private final Map<JobRef, Known> known = Recent.used(REMEMBERED);
+    private final Pacer pace;
+    private final Map<JobId, Known> known = BoundedCollections.used(REMEMBERED);
     private List<Poll> waiting = new ArrayList<>();
     private boolean asking;
 
     /** The state service takes four times as many comparisons as changes in one transaction. */
-    StatusReads(Turn turn, StoreClient store, Budget requests, Settings settings) {
+    ConditionalStatusReads(ControllerContext turn, StoreClient store, TokenBucket requests, Settings settings) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
         this.mostGuards = 4 * settings.stateLimits().txnOps();
-        this.pace = new Paced(turn, gatherMs(settings));
+        this.pace = new Pacer(turn, gatherMs(settings));
     }
 
     /** The job's record was read or written as this version. */
-    void remember(JobRef ref, Revision version, ObjectNode state) {
+    void remember(JobId ref, Revision version, ObjectNode state) {
         known.put(ref, new Known(version, state.deepCopy()));
     }
 
-    void forget(JobRef ref) {
+    void forget(JobId ref) {
         known.remove(ref);
     }
 
     /** Hands over the job's state if it is known and certain, in its own time. */
-    void poll(JobRef ref, BiConsumer<Result, ObjectNode> then) {
+    void poll(JobId ref, BiConsumer<Result, ObjectNode> then) {
         if (!known.containsKey(ref)) {
             then.accept(Result.READ, null);
             return;
@@ -82,7 +85,7 @@
     }
 
     /** Whether enough requests are left for what must not wait for polls. */
-    static boolean spare(Budget requests, Tick now) {
+    static boolean spare(TokenBucket requests, MonotonicTime now) {
         return requests.available(now) >= 1 + LEFT * requests.most();
     }
 
@@ -113,8 +116,8 @@
             return;
         }
         pace.done();
-        Map<JobRef, Known> asked = new LinkedHashMap<>();
-        Txn txn = new Txn();
+        Map<JobId, Known> asked = new LinkedHashMap<>();
+        Transaction txn = new Transaction();
         List<Poll> polls = new ArrayList<>();
         for (Poll poll : batch) {
             Known version = asked.get(poll.ref);
@@ -145,7 +148,7 @@
         });
     }
 
-    private void answered(Commit commit, Map<JobRef, Known> asked, List<Poll> polls) {
+    private void answered(CommitResult commit, Map<JobId, Known> asked, List<Poll> polls) {
         for (Poll poll : polls) {
             switch (commit.result()) {
                 case DONE ->
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -8,20 +8,31 @@
 import java.util.function.ToDoubleFunction;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.Effect;
+import org.beechhoist.controller.context.Pacer;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.leadership.PeerDirectory;
+import org.beechhoist.controller.leadership.RequestShares;
+import org.beechhoist.controller.leadership.WorkerReachability;
+import org.beechhoist.controller.state.CancellationRegistry;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.CancellationAcknowledgements;
 import org.beechhoist.metrics.Metrics;
 import org.beechhoist.peer.CancelledJob;
 import org.beechhoist.peer.JobCount;
 import org.beechhoist.peer.PeerState;
 import org.beechhoist.release.Release;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.Baton;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Outcome;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * One controller node as a state machine: inputs are requests, outcomes of calls and the passing of time, each with
@@ -54,75 +65,76 @@
 
     private final Settings settings;
     private final Metrics metrics;
-    private final Turn turn = new Turn();
-    private final Budget requests;
-    private final Budget writes;
-    private final Types types;
-    private final Election election;
+    private final ControllerContext turn = new ControllerContext();
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final MachineTypeCatalog types;
+    private final LeaderElection election;
     private final Leader leader;
     private final UserApi users;
-    private final Cancellations cancellations;
-    private final CancelConfirmations confirmations;
-    private final Paced newsPace;
-    private final Peers peers;
-    private final Progress progress = new Progress();
-    private final Hearing hearing;
+    private final CancellationRegistry cancellations;
+    private final CancellationAcknowledgements confirmations;
+    private final Pacer newsPace;
+    private final PeerDirectory peers;
+    private final JobProgress progress = new JobProgress();
+    private final WorkerReachability hearing;
     private double writesWanted;
     private double requestsWanted;
     private boolean sharesAsLeader;
     /** Null where it is off. */
     private final CronApi cron;
     /** Null where key sets are off. */
-    private final KeyBook keys;
+    private final KeySetRegistry keys;
 
     private final KeySetApi keySets;
     /** Null where the release calendar is off. */
-    private final ReleaseBook releases;
+    private final ReleaseRegistry releases;
 
     private final ReleaseApi releaseApi;
     /** Null where drains are off. */
-    private final DrainBook drains;
+    private final DrainRegistry drains;
 
     private final DrainApi drainApi;
     private boolean seenStore;
-    private Tick storeServed = Tick.ZERO;
-    private Tick storeHeard = Tick.ZERO;
+    private MonotonicTime storeServed = MonotonicTime.ZERO;
+    private MonotonicTime storeHeard = MonotonicTime.ZERO;
     /** Calls to the state service in a row that had no answer of any kind. */
     private int storeUnheard;
 
-    private Tick nextTell = Tick.ZERO;
+    private MonotonicTime nextTell = MonotonicTime.ZERO;
 
     /** @param seed of the search's random moves */
     public Controller(Settings settings, Policy policy, Metrics metrics, long seed) {
         this.settings = settings;
         this.metrics = metrics;
-        this.requests = new Budget(settings.stateLimits().rps());
-        this.writes = new Budget(settings.stateLimits().writeRps());
+        this.requests = new TokenBucket(settings.stateLimits().rps());
+        this.writes = new TokenBucket(settings.stateLimits().writeRps());
         StoreClient store = new StoreClient((target, address, method, path, body, timeoutMs, then) ->
                 turn.call(target, address, method, path, body, timeoutMs, result -> {
-                    storeUnheard = result.kind() == Outcome.Kind.ANSWERED ? 0 : storeUnheard + 1;
-                    storeHeard = result.kind() == Outcome.Kind.ANSWERED ? turn.now() : storeHeard;
-                    if (result.kind() == Outcome.Kind.ANSWERED && result.status() < 500) {
+                    storeUnheard = result.kind() == CallResult.Kind.ANSWERED ? 0 : storeUnheard + 1;
+                    storeHeard = result.kind() == CallResult.Kind.ANSWERED ? turn.now() : storeHeard;
+                    if (result.kind() == CallResult.Kind.ANSWERED && result.status() < 500) {
                         seenStore = true;
                         storeServed = turn.now();
                     }
                     then.accept(result);
                 }));
-        this.types = new Types(turn);
+        this.types = new MachineTypeCatalog(turn);
         this.keys = policy.keySets()
-                ? new KeyBook(turn, store, requests, writes, settings.node(), this::keysChanged)
+                ? new KeySetRegistry(turn, store, requests, writes, settings.node(), this::keysChanged)
                 : null;
         this.keySets = keys == null ? null : new KeySetApi(turn, settings, store, requests, writes, keys);
-        this.releases = policy.releases() ? new ReleaseBook(turn, store, requests, this::releaseChanged) : null;
+        this.releases = policy.releases() ? new ReleaseRegistry(turn, store, requests, this::releaseChanged) : null;
         this.releaseApi = releases == null ? null : new ReleaseApi(turn, settings, store, requests, writes, releases);
-        this.drains = policy.drains() ? new DrainBook(turn, store, requests, this::drainsChanged) : null;
+        this.drains = policy.drains() ? new DrainRegistry(turn, store, requests, this::drainsChanged) : null;
         this.drainApi = drains == null ? null : new DrainApi(turn, settings, store, requests, writes, types, drains);
-        OnceKeys onceKeys = new OnceKeys(policy.cron(), keys);
-        this.hearing = new Hearing(Math.round(1000 * settings.workers().reportS()));
-        this.peers = new Peers(settings.seeds().keySet());
-        this.cancellations = new Cancellations(turn, settings);
-        this.confirmations = new CancelConfirmations(turn);
-        this.newsPace = new Paced(turn, NEWS_MS);
+        IdempotencyKeys onceKeys = new IdempotencyKeys(policy.cron(), keys);
+        this.hearing =
+                new WorkerReachability(Math.round(1000 * settings.workers().reportS()));
+        this.peers = new PeerDirectory(settings.seeds().keySet());
+        this.cancellations = new CancellationRegistry(turn, settings);
+        this.confirmations = new CancellationAcknowledgements(turn);
+        this.newsPace = new Pacer(turn, NEWS_MS);
         this.users = new UserApi(
                 turn,
                 settings,
@@ -140,9 +152,9 @@
                 confirmations);
         this.cron = policy.cron().on() ? new CronApi(turn, settings, store, requests, writes, users, this::held) : null;
         long ttl = Math.max(3000, Math.min(9000, settings.workers().leaseMs() / 4));
-        this.election = new Election(turn, store, requests, settings.node(), ttl, new Election.Listener() {
+        this.election = new LeaderElection(turn, store, requests, settings.node(), ttl, new LeaderElection.Listener() {
             @Override
-            public void won(Baton baton) {
+            public void won(FencingToken baton) {
                 share(true);
                 leader.begin();
             }
@@ -198,14 +210,14 @@
         }
     }
 
-    private void promised(JobRef ref, ObjectNode state) {
+    private void promised(JobId ref, ObjectNode state) {
         if (keys != null) {
             keys.tell(state);
         }
         Job known = leader.active() ? leader.book().job(ref) : null;
-        Views.counted(known != null ? Progress.count(known) : progress.of(ref, turn.now()), state);
+        OperatorViews.counted(known != null ? JobProgress.count(known) : progress.of(ref, turn.now()), state);
         if (known != null) {
-            Views.promised(leader, ref, state, turn.now().ms());
+            OperatorViews.promised(leader, ref, state, turn.now().ms());
             if (drains != null) {
                 state.put("drained", DrainViews.told(known, leader.book()));
             }
@@ -225,9 +237,9 @@
     }
 
     private double part(double limit, double wanted, ToDoubleFunction<PeerState> others) {
-        List<Shares.Want> wants = new ArrayList<>(List.of(new Shares.Want(sharesAsLeader, wanted)));
+        List<RequestShares.Demand> wants = new ArrayList<>(List.of(new RequestShares.Demand(sharesAsLeader, wanted)));
         wants.addAll(peers.wants(turn.now(), others));
-        return Shares.of(SAFETY * limit, wants);
+        return RequestShares.of(SAFETY * limit, wants);
     }
 
     /** Once a second: tells the others, and takes up what they told. */
@@ -256,7 +268,7 @@
     }
 
     /** A cancellation is committed, and a user of this node is about to be told: whoever leads is to know, with or without the state service. */
-    private void confirmed(JobRef ref, long wallMs) {
+    private void confirmed(JobId ref, long wallMs) {
         cancellations.confirmed(ref, wallMs);
         boolean isNew = cancellations.heard(ref, wallMs);
         pursue(ref, wallMs, isNew);
@@ -266,7 +278,7 @@
     }
 
     /** Some node is about to confirm a cancellation: if this one leads, it ends the job's tasks and acknowledges that none can start any more. */
-    private void pursue(JobRef ref, long committedWallMs, boolean isNew) {
+    private void pursue(JobId ref, long committedWallMs, boolean isNew) {
         if (isNew) {
             leader.cancelled(ref);
         }
@@ -298,7 +310,7 @@
         }
     }
 
-    public void start(Tick now, long wallMs) {
+    public void start(MonotonicTime now, long wallMs) {
         turn.begin(now, wallMs);
         nextTell = now.plusMs(TELL_MS);
         types.start();
@@ -325,7 +337,7 @@
     }
 
     /** A leader that stood still wakes with a leader's share of requests, and with all that users asked meanwhile: not its own any more. */
-    private void begin(Tick now, long wallMs) {
+    private void begin(MonotonicTime now, long wallMs) {
         turn.begin(now, wallMs);
         if (sharesAsLeader && !election.valid()) {
             share(false);
@@ -333,15 +345,15 @@
     }
 
     /** A deadline may have come. */
-    public void time(Tick now, long wallMs) {
+    public void time(MonotonicTime now, long wallMs) {
         begin(now, wallMs);
         turn.runTimers();
         settleTurn();
     }
 
     /** When {@link #time} should be called next, at the latest. */
-    public Tick wakeAt() {
-        Tick t = turn.nextTimer();
+    public MonotonicTime wakeAt() {
+        MonotonicTime t = turn.nextTimer();
         return leader.wantsPlan() && (t == null || leader.nextPlan().before(t)) ? leader.nextPlan() : t;
     }
 
@@ -349,7 +361,7 @@
         return turn.drain();
     }
 
-    public void outcome(Tick now, long wallMs, long call, Outcome result) {
+    public void outcome(MonotonicTime now, long wallMs, long call, CallResult result) {
         begin(now, wallMs);
         turn.outcome(call, result);
         turn.runTimers();
@@ -357,7 +369,7 @@
     }
 
     /** What another controller said of itself. */
-    public void peer(Tick now, long wallMs, PeerState state) {
+    public void peer(MonotonicTime now, long wallMs, PeerState state) {
         begin(now, wallMs);
         peers.heard(state, now);
         progress.heard(state, now);
@@ -389,7 +401,7 @@
     }
 
     /** A request on the public address. Each is answered with one {@link Effect.Answer}, perhaps later. */
-    public void request(Tick now, long wallMs, long id, String method, String target, byte[] body) {
+    public void request(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
         begin(now, wallMs);
         turn.runTimers();
         int query = target.indexOf('?');
@@ -478,7 +490,7 @@
             } else {
                 answer.with(404, Codec.map().put("error", "no such path"));
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             answer.with(400, Codec.map().put("error", e.getMessage()));
         }
     }
@@ -493,13 +505,13 @@
                 id,
                 200,
                 switch (path) {
-                    case "/v1/plan" -> Views.plan(leader, now);
-                    case "/v1/hosts" -> Views.hosts(leader, now);
+                    case "/v1/plan" -> OperatorViews.plan(leader, now);
+                    case "/v1/hosts" -> OperatorViews.hosts(leader, now);
                     case "/v1/falls" -> leader.recovery().view();
                     case "/v1/start" -> leader.starting().view();
                     case "/v1/served" ->
                         leader.floor() == null ? Codec.map() : leader.floor().view();
-                    default -> Views.teams(leader, settings);
+                    default -> OperatorViews.teams(leader, settings);
                 });
     }
 
@@ -507,22 +519,22 @@
         boolean cancel = rest.endsWith("/cancel");
         boolean width = rest.endsWith("/width");
         String ref = cancel || width ? rest.substring(0, rest.lastIndexOf('/')) : rest;
-        if (!JobRef.valid(ref)) {
+        if (!JobId.valid(ref)) {
             turn.answer(id, 404, Codec.map().put("error", "no such job"));
         } else if (cancel) {
-            users.cancel(id, new JobRef(ref), 0);
+            users.cancel(id, new JobId(ref), 0);
         } else if (width) {
-            users.resize(id, new JobRef(ref), body);
+            users.resize(id, new JobId(ref), body);
         } else {
-            users.status(id, new JobRef(ref));
+            users.status(id, new JobId(ref));
         }
     }
 
     private void checkin(long id, byte[] body) {
-        HostReport report;
+        Heartbeat report;
         try {
-            report = HostReport.parse(Codec.decodeMap(body));
-        } catch (Malformed e) {
+            report = Heartbeat.parse(Codec.decodeMap(body));
+        } catch (MalformedMessageException e) {
             turn.answer(id, 400, Codec.map().put("error", e.getMessage()));
             return;
         }
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,23 +12,24 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.CronTable;
 import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
 import org.beechhoist.cron.ScheduleKeys;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 
 /** Installs, shows and removes cron tables and calendars; the same on every node. */
-final class CronApi {
+public final class CronApi {
     /** Lines whose cursors share a value, and the bytes that a part of a table may take, of a value's 8 KiB. */
     private static final int PART_LINES = 30;
 
@@ -40,7 +41,7 @@
     private static final long WAIT_MS = 150;
 
     /** Answers a request. */
-    interface Answer {
+    public interface Answer {
         void with(int status, JsonNode body);
     }
 
@@ -49,15 +50,22 @@
         String why(String table, String id);
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     private final UserApi users;
     private final Held held;
 
-    CronApi(Turn turn, Settings settings, StoreClient store, Budget requests, Budget writes, UserApi users, Held held) {
+    CronApi(
+            ControllerContext turn,
+            Settings settings,
+            StoreClient store,
+            TokenBucket requests,
+            TokenBucket writes,
+            UserApi users,
+            Held held) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
@@ -78,7 +86,8 @@
     // ---- reading ----
 
     /** All of a prefix, or null where it could not be read. */
-    private void all(String prefix, String after, List<StoreClient.Item> items, Consumer<List<StoreClient.Item>> then) {
+    private void all(
+            String prefix, String after, List<StoreClient.KeyValue> items, Consumer<List<StoreClient.KeyValue>> then) {
         requests.take(turn.now(), 1);
         store.list(prefix, after, 500, page -> {
             if (!page.ok()) {
@@ -96,7 +105,7 @@
 
     /** What is installed. */
     private static final class Installed {
-        private final Map<String, StoreClient.Item> tables = new TreeMap<>();
+        private final Map<String, StoreClient.KeyValue> tables = new TreeMap<>();
         private final Map<String, Calendar> calendars = new HashMap<>();
         private final Map<String, JsonNode> parts = new TreeMap<>();
     }
@@ -108,7 +117,7 @@
                 return;
             }
             Installed in = new Installed();
-            for (StoreClient.Item item : items) {
+            for (StoreClient.KeyValue item : items) {
                 try {
                     if (item.key().startsWith(ScheduleKeys.TABLES)) {
                         in.tables.put(item.key().substring(ScheduleKeys.TABLES.length()), item);
@@ -118,7 +127,7 @@
                     } else {
                         in.parts.put(item.key(), item.value());
                     }
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     // shown to nobody; the leader's log names it
                 }
             }
@@ -134,7 +143,7 @@
                     ScheduleKeys.definition(table, meta.path("gen").asLong(), n), Codec.list())) {
                 try {
                     out.add(Entry.parse(table, node));
-                } catch (Malformed m) {
+                } catch (MalformedMessageException m) {
                     // the leader's log names it
                 }
             }
@@ -152,7 +161,7 @@
         List<Entry> parsed;
         try {
             parsed = CronTable.parse(table, Codec.text(body, "text"), turn.wallMs() / 1000);
-        } catch (CronTable.Bad | Malformed e) {
+        } catch (CronTable.Bad | MalformedMessageException e) {
             answer.with(400, error(e.getMessage()));
             return;
         }
@@ -194,7 +203,7 @@
         try {
             JobSpec job = entry.job(Instant.ofEpochMilli(turn.wallMs()));
             return users.judge(job);
-        } catch (Malformed m) {
+        } catch (MalformedMessageException m) {
             return m.getMessage();
         }
     }
@@ -220,7 +229,7 @@
     }
 
     private void write(String table, List<Entry> all, Installed in, Answer answer) {
-        StoreClient.Item old = in.tables.get(table);
+        StoreClient.KeyValue old = in.tables.get(table);
         long gen = Math.max(
                 turn.wallMs(), old == null ? 0 : old.value().path("gen").asLong() + 1);
         List<ArrayNode> parts = parts(all);
@@ -235,7 +244,7 @@
                 return;
             }
             String key = ScheduleKeys.TABLES + table;
-            Txn txn = new Txn()
+            Transaction txn = new Transaction()
                     .guard(key, old == null ? Revision.ABSENT : old.version())
                     .put(key, meta);
             send(txn, commit -> {
@@ -254,7 +263,7 @@
         });
     }
 
-    private static List<String> stale(Installed in, String table, StoreClient.Item old) {
+    private static List<String> stale(Installed in, String table, StoreClient.KeyValue old) {
         return old == null
                 ? List.of()
                 : in.parts.keySet().stream()
@@ -275,13 +284,13 @@
             turn.after(WAIT_MS, () -> writeParts(table, gen, parts, from, then));
             return;
         }
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         int to = Math.min(parts.size(), from + count);
         for (int i = from; i < to; i++) {
             txn.put(ScheduleKeys.definition(table, gen, i), parts.get(i));
         }
         send(txn, commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 writeParts(table, gen, parts, to, then);
             } else {
                 then.accept(false);
@@ -289,7 +298,7 @@
         });
     }
 
-    private void send(Txn txn, Consumer<Commit> then) {
+    private void send(Transaction txn, Consumer<CommitResult> then) {
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
         store.commit(txn, then);
@@ -304,7 +313,7 @@
             turn.after(WAIT_MS, () -> removeKeys(keys));
             return;
         }
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         List<String> first = keys.subList(0, Math.min(PUTS_AT_ONCE, keys.size()));
         first.forEach(txn::delete);
         send(txn, c -> removeKeys(keys.subList(first.size(), keys.size())));
@@ -312,12 +321,12 @@
 
     void remove(String table, Answer answer) {
         installed(answer, in -> {
-            StoreClient.Item old = in.tables.get(table);
+            StoreClient.KeyValue old = in.tables.get(table);
             if (old == null) {
                 answer.with(404, error("no such table"));
                 return;
             }
-            send(new Txn().guard(old.key(), old.version()).delete(old.key()), commit -> {
+            send(new Transaction().guard(old.key(), old.version()).delete(old.key()), commit -> {
                 switch (commit.result()) {
                     case DONE -> {
                         answer.with(200, Codec.map().put("table", table).put("lines", 0));
@@ -434,7 +443,7 @@
             return;
         }
         int row = index;
-        users.peek(new JobRef(rows.get(row).get("last").textValue()), state -> {
+        users.peek(new JobId(rows.get(row).get("last").textValue()), state -> {
             if (state != null) {
                 ((ObjectNode) rows.get(row)).put("outcome", state.path("status").asText());
                 if (state.has("reason")) {
@@ -452,7 +461,7 @@
         Calendar calendar;
         try {
             calendar = Calendar.parse(body, name);
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             answer.with(400, error(e.getMessage()));
             return;
         }
@@ -464,8 +473,8 @@
                             + " are allowed"));
             return;
         }
-        send(new Txn().put(ScheduleKeys.CALENDARS + name, value), commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+        send(new Transaction().put(ScheduleKeys.CALENDARS + name, value), commit -> {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 answer.with(200, Codec.map().put("calendar", name).put("version", calendar.version()));
             } else {
                 unknown(answer);
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,19 +11,24 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.core.ScheduleBook.Line;
-import org.beechhoist.core.ScheduleBook.Shard;
+import org.beechhoist.controller.ScheduleRegistry.Line;
+import org.beechhoist.controller.ScheduleRegistry.Shard;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.StateLoader;
 import org.beechhoist.cron.Catchup;
 import org.beechhoist.cron.ScheduleKeys;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,8 +38,8 @@
  * cursors, guarded by the cursors, the table and the leader's key: whatever is lost, late or repeated, an occurrence's job
  * is made once. It enters as a user's submission does.
  */
-final class Schedules {
-    private static final Logger LOG = LoggerFactory.getLogger(Schedules.class);
+final class CronController {
+    private static final Logger LOG = LoggerFactory.getLogger(CronController.class);
     /** Writes left to launches and users while many lines are due. */
     private static final double KEPT_WRITES = 8;
     /** A line that is due for so long is logged, again and again. */
@@ -43,36 +48,36 @@
     private static final int MAX_BYTES = 45_000;
     private static final int RECORD_BYTES = 1500;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final Loading loading;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final StateLoader loading;
     private final UserApi users;
-    private final OnceKeys onceKeys;
-    private final ScheduleBook lines;
+    private final IdempotencyKeys onceKeys;
+    private final ScheduleRegistry lines;
     private long fired;
     private long refused;
     private long longestDelayMs;
 
-    Schedules(
-            Turn turn,
+    CronController(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
-            Loading loading,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
+            StateLoader loading,
             UserApi users,
-            OnceKeys onceKeys) {
+            IdempotencyKeys onceKeys) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
-        this.lines = new ScheduleBook(turn, store, requests);
+        this.lines = new ScheduleRegistry(turn, store, requests);
         this.election = election;
         this.requests = requests;
         this.writes = writes;
@@ -108,8 +113,8 @@
     }
 
     /** One occurrence that a transaction decides. {@code same}: another's submission is its work already. */
-    private record Firing(Line line, Catchup catchup, JobSpec job, JobRef same, String outcome) {
-        JobRef ref() {
+    private record Firing(Line line, Catchup catchup, JobSpec job, JobId same, String outcome) {
+        JobId ref() {
             return same != null ? same : job == null ? null : job.ref();
         }
     }
@@ -117,7 +122,7 @@
     private void fire(Shard shard, Instant now) {
         double budget = writes.available(turn.now()) - KEPT_WRITES;
         int most = (int) Math.min(settings.stateLimits().txnOps(), Math.floor(budget));
-        Txn txn = election.guarded()
+        Transaction txn = election.guarded()
                 .guard(ScheduleKeys.TABLES + shard.table, lines.version(shard.table))
                 .guard(shard.key, shard.version);
         List<Firing> firings = new ArrayList<>();
@@ -134,7 +139,9 @@
             }
             Firing firing = decide(line, now);
             if (firing == null
-                    || (firing.job != null && firing.job.onceKey() != null && !keys.add(OnceKeys.place(firing.job)))) {
+                    || (firing.job != null
+                            && firing.job.onceKey() != null
+                            && !keys.add(IdempotencyKeys.place(firing.job)))) {
                 continue;
             }
             if (firing.job != null) {
@@ -187,12 +194,12 @@
             return never == null
                     ? new Firing(line, catchup, users.bound(job), null, null)
                     : new Firing(line, catchup, null, null, "refused: " + never);
-        } catch (Malformed m) {
+        } catch (MalformedMessageException m) {
             return new Firing(line, catchup, null, null, "refused: " + m.getMessage());
         }
     }
 
-    private void commit(Shard shard, Txn txn, List<Firing> firings) {
+    private void commit(Shard shard, Transaction txn, List<Firing> firings) {
         Map<String, Firing> byId = new HashMap<>();
         firings.forEach(f -> byId.put(f.line.entry.id(), f));
         ObjectNode value = Codec.map();
@@ -201,7 +208,7 @@
             boolean runs = firing != null && firing.ref() != null;
             ArrayNode row = Codec.list()
                     .add(firing == null ? line.cursorS : firing.catchup.cursor().getEpochSecond());
-            JobRef ref = runs ? firing.ref() : line.last;
+            JobId ref = runs ? firing.ref() : line.last;
             row.add(ref == null ? "" : ref.text()).add(runs ? turn.wallMs() / 1000 : line.firedS);
             value.set(id, row.add(line.dropped + (firing == null ? 0 : firing.catchup.dropped() + (runs ? 0 : 1))));
         });
@@ -219,7 +226,7 @@
         });
     }
 
-    private void committed(Commit commit, Shard shard, List<Firing> firings, ObjectNode value) {
+    private void committed(CommitResult commit, Shard shard, List<Firing> firings, ObjectNode value) {
         switch (commit.result()) {
             case DONE -> {
                 shard.version = commit.revision();
@@ -228,7 +235,7 @@
                 }
             }
             case CONFLICT -> {
-                if (commit.failed().contains(Election.KEY)) {
+                if (commit.failed().contains(LeaderElection.KEY)) {
                     election.lose("the key was rewritten");
                 } else if (sameWork(commit, firings)) {
                     tick(); // the others need not wait
@@ -276,7 +283,7 @@
     }
 
     /** A key or a ref that is taken: the work is there already, and the line goes on after it. */
-    private boolean sameWork(Commit commit, List<Firing> firings) {
+    private boolean sameWork(CommitResult commit, List<Firing> firings) {
         boolean found = false;
         for (Firing firing : firings) {
             if (firing.job == null) {
@@ -284,7 +291,7 @@
             }
             boolean same = commit.failed().contains(JobRecord.openKey(firing.job.ref()))
                     || commit.failed().contains(JobRecord.endedKey(firing.job.ref()));
-            boolean key = firing.job.onceKey() != null && commit.failed().contains(OnceKeys.place(firing.job));
+            boolean key = firing.job.onceKey() != null && commit.failed().contains(IdempotencyKeys.place(firing.job));
             if (same || key) {
                 found = true;
                 settle(firing, same ? firing.job.ref() : null);
@@ -294,7 +301,7 @@
     }
 
     /** Learns whose work it is; the line's next transaction then moves it on, or takes over a key that has run out. */
-    private void settle(Firing firing, JobRef known) {
+    private void settle(Firing firing, JobId known) {
         Line line = firing.line;
         if (known != null) {
             line.taken = known;
@@ -303,14 +310,15 @@
         lines.due().remove(line); // until that is known
         long expectedEpoch = lines.epoch();
         requests.take(turn.now(), 1);
-        store.get(OnceKeys.place(firing.job), read -> {
+        store.get(IdempotencyKeys.place(firing.job), read -> {
             if (expectedEpoch != lines.epoch()) {
                 return;
             }
             lines.due().add(line);
             if (read.known()) {
-                line.taken =
-                        read.item() == null ? null : OnceKeys.owner(read.item().value(), turn.wallMs());
+                line.taken = read.item() == null
+                        ? null
+                        : IdempotencyKeys.owner(read.item().value(), turn.wallMs());
                 line.keyVersion =
                         read.item() == null ? Revision.ABSENT : read.item().version();
             }
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -1,23 +1,35 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.TaskId;
 
 /** Starts what a plan has due. */
 final class Dispatch {
-    private final Turn turn;
-    private final Book book;
+    private final ControllerContext turn;
+    private final ClusterState book;
     private final Admission admission;
-    private final Estimates estimates;
-    private final Elastic elastic;
-    private final Types types;
+    private final DurationEstimates estimates;
+    private final ElasticWidths elastic;
+    private final MachineTypeCatalog types;
 
-    Dispatch(Turn turn, Book book, Admission admission, Estimates estimates, Elastic elastic, Types types) {
+    Dispatch(
+            ControllerContext turn,
+            ClusterState book,
+            Admission admission,
+            DurationEstimates estimates,
+            ElasticWidths elastic,
+            MachineTypeCatalog types) {
         this.types = types;
         this.turn = turn;
         this.book = book;
@@ -29,9 +41,9 @@
     /** Places what the plan starts now: in the book first, launched once that is committed. */
     void dispatch(Plan next) {
         Map<String, double[]> used = null;
-        Map<JobRef, ArrayDeque<Integer>> waiting = new HashMap<>();
-        Map<JobRef, Integer> due = new HashMap<>();
-        Map<JobRef, Long> attempts = new HashMap<>();
+        Map<JobId, ArrayDeque<Integer>> waiting = new HashMap<>();
+        Map<JobId, Integer> due = new HashMap<>();
+        Map<JobId, Long> attempts = new HashMap<>();
         for (Plan.Reservation reservation : next.reservations()) {
             if (reservation.hostUp() && reservation.startMs() <= turn.now().ms()) {
                 due.merge(reservation.job(), 1, Integer::sum);
@@ -45,12 +57,12 @@
             if (job.spec().gang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
                 continue; // all of it or nothing
             }
-            Host machine = book.known(reservation.host());
+            Machine machine = book.known(reservation.host());
             if (used == null) {
                 used = book.usedByTeams();
             }
             if (!admission.admissible(job, machine, used)
-                    || Elastic.mayPlace(job) <= 0
+                    || ElasticWidths.mayPlace(job) <= 0
                     || (reservation.wide() && !admission.mayWiden(machine))) {
                 continue;
             }
@@ -72,7 +84,7 @@
     }
 
     /** Places one task on this machine, if the rules allow it now, whatever the plan says. */
-    boolean place(Job job, int index, Host machine) {
+    boolean place(Job job, int index, Machine machine) {
         if (job.spec().gang() || !admission.admissible(job, machine, book.usedByTeams())) {
             return false;
         }
@@ -85,7 +97,7 @@
         return true;
     }
 
-    private void enter(Job job, TaskId id, long attempt, Host machine, long fetchMs) {
+    private void enter(Job job, TaskId id, long attempt, Machine machine, long fetchMs) {
         Placement placement = new Placement(id, attempt, machine.id);
         placement.since = turn.now();
         placement.placedS =
--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,20 +9,26 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.PrefixReader;
 import org.beechhoist.drain.Account;
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.drain.DisruptionBudget;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,9 +37,9 @@
  * next leader knows; what happens by itself is charged as it happens and written every 15 s. Nothing is kept, read or
  * written where drains are off.
  */
-final class Disruptions {
+public final class DisruptionAccounting {
     static final String PREFIX = "dr/acct/";
-    private static final Logger LOG = LoggerFactory.getLogger(Disruptions.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DisruptionAccounting.class);
     private static final long EVERY_MS = 1000;
     private static final long WRITE_EVERY_MS = 15_000;
     private static final double PLENTY = 0.5;
@@ -42,32 +48,32 @@
     /** What was charged and not stopped for so long may never be: its leader fell in between, and its drain is over. */
     private static final long NEVER_STOPPED_MS = 30_000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final AfterWinning reading;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final PrefixReader reading;
     private final boolean on;
     /** Whether tasks of the machine are about to move, each when its turn comes. */
-    private Predicate<HostId> moving = h -> false;
+    private Predicate<MachineId> moving = h -> false;
 
     private final Map<String, Account> accounts = new TreeMap<>();
     private final Set<String> dirty = new HashSet<>();
     private boolean read;
-    private Tick next = Tick.ZERO;
-    private Tick nextWrite = Tick.ZERO;
+    private MonotonicTime next = MonotonicTime.ZERO;
+    private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
-    Disruptions(
-            Turn turn,
+    DisruptionAccounting(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
             boolean on) {
         this.turn = turn;
         this.settings = settings;
@@ -77,7 +83,7 @@
         this.writes = writes;
         this.book = book;
         this.on = on;
-        this.reading = new AfterWinning(turn, store, requests, book);
+        this.reading = new PrefixReader(turn, store, requests, book);
     }
 
     /** A new leadership begins: what the last one charged is read before anything is disturbed on purpose. */
@@ -95,7 +101,7 @@
     }
 
     /** Who knows which machines' tasks are about to move. */
-    void moving(Predicate<HostId> who) {
+    void moving(Predicate<MachineId> who) {
         moving = who;
     }
 
@@ -107,7 +113,7 @@
     // ---- charging ----
 
     /** CPU seconds that stopping it now throws away. */
-    static double lostCpuS(JobSpec spec, Placement placement, Tick now) {
+    static double lostCpuS(JobSpec spec, Placement placement, MonotonicTime now) {
         if (spec.service() || placement.running == null) {
             return 0;
         }
@@ -116,7 +122,7 @@
     }
 
     /** A task had to leave; what was done on purpose was charged before. */
-    void happened(Placement placement, Cause cause) {
+    public void happened(Placement placement, Cause cause) {
         Job job = on && !cause.onPurpose() ? book.job(placement.task.job()) : null;
         if (job == null || job.cancelled() || !read) {
             return;
@@ -149,7 +155,7 @@
         return Codec.countedBytes(account.toNode()) <= settings.stateLimits().valueBytes();
     }
 
-    void into(Txn txn, String team, Account account) {
+    void into(Transaction txn, String team, Account account) {
         txn.put(PREFIX + team, account.toNode());
     }
 
@@ -209,7 +215,7 @@
      * this leadership began shows it there: an earlier leader's stop can't come any more.
      */
     private boolean neverLeaves(Job job, Placement placement) {
-        Host machine = book.known(placement.host);
+        Machine machine = book.known(placement.host);
         return machine != null
                 && (machine.cordonedBy == null || job.spec().service())
                 && !moving.test(machine.id)
@@ -219,7 +225,7 @@
     }
 
     private void write() {
-        Txn txn = election.guarded();
+        Transaction txn = election.guarded();
         Set<String> teams = new HashSet<>();
         for (String team : dirty) {
             if (teams.size() < MOST_IN_ONE && fits(accounts.get(team))) {
@@ -232,7 +238,7 @@
         writes.take(turn.now(), txn.ops());
         long reign = book.reign();
         store.commit(txn, commit -> {
-            if (reign == book.reign() && commit.result() != Commit.Result.DONE) {
+            if (reign == book.reign() && commit.result() != CommitResult.Outcome.DONE) {
                 dirty.addAll(teams);
             }
         });
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -1,16 +1,19 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Set;
 import java.util.TreeSet;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.drain.DisruptionBudget;
 import org.beechhoist.drain.Drain;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** {@code /v1/drains} and {@code /v1/budgets}: operators have machines emptied or replaced, and say how much may be disturbed for it. */
 final class DrainApi {
@@ -19,27 +22,27 @@
     private static final int MOST_DRAINS = 40;
     private static final int MOST_TEXT = 120;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Types types;
-    private final DrainBook drains;
-    private final Amending amending;
-    private final OpenDays openDays;
+    private final MachineTypeCatalog types;
+    private final DrainRegistry drains;
+    private final OptimisticUpdate amending;
+    private final CalendarDays openDays;
 
     DrainApi(
-            Turn turn,
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Budget requests,
-            Budget writes,
-            Types types,
-            DrainBook drains) {
+            TokenBucket requests,
+            TokenBucket writes,
+            MachineTypeCatalog types,
+            DrainRegistry drains) {
         this.types = types;
         this.turn = turn;
         this.settings = settings;
         this.drains = drains;
-        this.amending = new Amending(turn, settings, store, requests, writes);
-        this.openDays = new OpenDays(turn, store, requests);
+        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
+        this.openDays = new CalendarDays(turn, store, requests);
     }
 
     static boolean mine(String path) {
@@ -50,7 +53,7 @@
     }
 
     /** @param desk null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, DrainDesk desk, CronApi.Answer answer) {
+    void request(String method, String path, byte[] body, DrainController desk, CronApi.Answer answer) {
         boolean budgets = path.startsWith(BUDGETS);
         String base = budgets ? BUDGETS : DRAINS;
         String rest = path.length() > base.length() ? path.substring(base.length() + 1) : "";
@@ -60,34 +63,35 @@
         try {
             JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
             if (!drains.read()) {
-                Amending.unknown(answer);
+                OptimisticUpdate.unknown(answer);
             } else if (node == null && verb.isEmpty()) {
                 show(budgets, name, desk, answer);
             } else if (node == null) {
-                answer.with(404, Amending.error("no such path"));
+                answer.with(404, OptimisticUpdate.error("no such path"));
             } else if (budgets) {
                 budget(name, verb, node, answer);
             } else {
                 drain(name, verb, node, desk, answer);
             }
-        } catch (Malformed e) {
-            answer.with(400, Amending.error(e.getMessage()));
+        } catch (MalformedMessageException e) {
+            answer.with(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
-    private static String text(JsonNode node, String field) throws Malformed {
+    private static String text(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
         if (text.isBlank() || text.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+            throw new MalformedMessageException(
+                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
         return text;
     }
 
-    private void show(boolean budgets, String name, DrainDesk desk, CronApi.Answer answer) {
+    private void show(boolean budgets, String name, DrainController desk, CronApi.Answer answer) {
         if (!budgets && !name.isEmpty() && drains.known(name) == null) {
-            answer.with(404, Amending.error("name = " + name + ": the name of a drain is expected"));
+            answer.with(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
         } else if (desk == null) {
-            answer.with(421, Amending.error("this node does not lead: how far it has come is not known here"));
+            answer.with(421, OptimisticUpdate.error("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
             answer.with(200, desk.budgets());
         } else {
@@ -97,14 +101,14 @@
 
     // ---- drains ----
 
-    private void drain(String name, String verb, JsonNode node, DrainDesk desk, CronApi.Answer answer)
-            throws Malformed {
+    private void drain(String name, String verb, JsonNode node, DrainController desk, CronApi.Answer answer)
+            throws MalformedMessageException {
         if (verb.equals("plan")) {
             Drain described = described(name, node);
             answer.with(
                     desk == null ? 421 : 200,
                     desk == null
-                            ? Amending.error("this node does not lead: it knows no plan")
+                            ? OptimisticUpdate.error("this node does not lead: it knows no plan")
                             : desk.foresee(described));
             return;
         }
@@ -117,14 +121,15 @@
             case "abort" -> change(name, Drain.State.ABORTED, "aborted", who, why, answer);
             case "remove" ->
                 amending.now(
-                        DrainBook.DRAINS + name,
+                        DrainRegistry.DRAINS + name,
                         before -> {
                             if (before == null) {
-                                throw new Amending.Refused(404, "name = " + name + ": the name of a drain is expected");
+                                throw new OptimisticUpdate.RejectedException(
+                                        404, "name = " + name + ": the name of a drain is expected");
                             }
                             if (Drain.parse(before).state() != Drain.State.ABORTED
                                     && (desk == null || !desk.over(name))) {
-                                throw new Amending.Refused(
+                                throw new OptimisticUpdate.RejectedException(
                                         409,
                                         "name = " + name
                                                 + ": a drain that is over, or aborted, is expected; the leading node knows");
@@ -132,31 +137,33 @@
                             return null;
                         },
                         answer);
-            default -> answer.with(404, Amending.error("no such path"));
+            default -> answer.with(404, OptimisticUpdate.error("no such path"));
         }
     }
 
     private void change(String name, Drain.State to, String what, String who, String why, CronApi.Answer answer) {
         amending.now(
-                DrainBook.DRAINS + name,
+                DrainRegistry.DRAINS + name,
                 before -> {
                     if (before == null) {
-                        throw new Amending.Refused(404, "name = " + name + ": the name of a drain is expected");
+                        throw new OptimisticUpdate.RejectedException(
+                                404, "name = " + name + ": the name of a drain is expected");
                     }
                     Drain drain = Drain.parse(before);
                     if (drain.state() == Drain.State.ABORTED) {
-                        throw new Amending.Refused(409, "name = " + name + ": it was aborted; put it again");
+                        throw new OptimisticUpdate.RejectedException(
+                                409, "name = " + name + ": it was aborted; put it again");
                     }
                     return drain.to(to, what, who, turn.wallMs(), why).toNode();
                 },
                 answer);
     }
 
-    private Drain described(String name, JsonNode node) throws Malformed {
+    private Drain described(String name, JsonNode node) throws MalformedMessageException {
         Drain drain = Drain.described(name, node, turn.wallMs());
         if (drain.which().zone() != null
                 && !settings.zones().contains(drain.which().zone())) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "zone = " + drain.which().zone() + ": one of " + new TreeSet<>(settings.zones()) + " is expected");
         }
         type("type", drain.which().type());
@@ -164,17 +171,18 @@
         return drain;
     }
 
-    private void type(String field, String name) throws Malformed {
+    private void type(String field, String name) throws MalformedMessageException {
         if (name != null && types.known() && types.get(name) == null) {
-            throw new Malformed(field + " = " + name + ": one of "
-                    + new TreeSet<>(types.all().stream().map(HostType::name).toList()) + " is expected");
+            throw new MalformedMessageException(field + " = " + name + ": one of "
+                    + new TreeSet<>(types.all().stream().map(MachineType::name).toList()) + " is expected");
         }
     }
 
-    private void put(String name, JsonNode node, String who, String why, CronApi.Answer answer) throws Malformed {
+    private void put(String name, JsonNode node, String who, String why, CronApi.Answer answer)
+            throws MalformedMessageException {
         Drain described = described(name, node);
         if (drains.known(name) == null && drains.drains().size() >= MOST_DRAINS) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "name = " + name + ": at most " + MOST_DRAINS + " drains are allowed; remove some that are over");
         }
         openDays.of(
@@ -192,7 +200,7 @@
 
     private void commit(String name, Drain described, String who, String why, CronApi.Answer answer) {
         amending.now(
-                DrainBook.DRAINS + name,
+                DrainRegistry.DRAINS + name,
                 before -> described
                         .put(before == null ? null : Drain.parse(before), who, turn.wallMs(), why)
                         .toNode(),
@@ -201,15 +209,16 @@
 
     // ---- budgets ----
 
-    private void budget(String key, String verb, JsonNode node, CronApi.Answer answer) throws Malformed {
+    private void budget(String key, String verb, JsonNode node, CronApi.Answer answer)
+            throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         if (verb.equals("remove")) {
             amending.now(
-                    DrainBook.BUDGETS + key,
+                    DrainRegistry.BUDGETS + key,
                     before -> {
                         if (before == null) {
-                            throw new Amending.Refused(
+                            throw new OptimisticUpdate.RejectedException(
                                     404, "name = " + key + ": the team, or team~class, of a budget is expected");
                         }
                         return null;
@@ -218,20 +227,20 @@
             return;
         }
         if (!verb.equals("put")) {
-            answer.with(404, Amending.error("no such path"));
+            answer.with(404, OptimisticUpdate.error("no such path"));
             return;
         }
         DisruptionBudget described = DisruptionBudget.described(node, who, turn.wallMs(), why, 1);
         Set<String> teams = new TreeSet<>(settings.teams().keySet());
         if (!described.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(described.team())) {
-            throw new Malformed("team = " + described.team() + ": " + DisruptionBudget.DEFAULT + ", or one of " + teams
-                    + ", is expected");
+            throw new MalformedMessageException("team = " + described.team() + ": " + DisruptionBudget.DEFAULT
+                    + ", or one of " + teams + ", is expected");
         }
         if (!described.key().equals(key)) {
-            throw new Malformed("name = " + key + ": " + described.key() + " is expected");
+            throw new MalformedMessageException("name = " + key + ": " + described.key() + " is expected");
         }
         amending.now(
-                DrainBook.BUDGETS + key,
+                DrainRegistry.BUDGETS + key,
                 before -> DisruptionBudget.described(
                                 node,
                                 who,
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,34 +11,43 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.state.PrefixReader;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.drain.Account;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Evictions;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.Selector;
 import org.beechhoist.elastic.Ending;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * The leader's room for machines that are to be empty. From a drain's commit on they get no new work; what is there comes to its own
- * end, moves with its place kept ({@link MoveDesk}), or is stopped by what loses least, as far as budgets allow; empty they are
+ * end, moves with its place kept ({@link MigrationController}), or is stopped by what loses least, as far as budgets allow; empty they are
  * returned, or kept. Charges, places and how far it has come are written in one commit before the first stop, so another leader goes
- * on in the middle. Replacements in steps: {@link Rollouts}. Idle where nobody has put a drain.
+ * on in the middle. Replacements in steps: {@link RollingReplacement}. Idle where nobody has put a drain.
  */
-final class DrainDesk {
+final class DrainController {
     static final String RUNS = "dr/run/";
-    private static final Logger LOG = LoggerFactory.getLogger(DrainDesk.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
     private static final long EVERY_MS = 1000;
     private static final long WRITE_EVERY_MS = 10_000;
     /** Machines whose tasks begin to move in one commit, and tasks that leave in one. */
@@ -49,56 +58,56 @@
     /** The cloud's list may be older than twice its lag, with what a look takes. */
     private static final double LAGS = 2.5;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final Types types;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final MachineTypeCatalog types;
     private final Admission admission;
-    private final Stopping stopping;
-    private final Orders orders;
+    private final TaskEviction stopping;
+    private final CommandDispatcher orders;
     private final Provisioner provisioner;
-    private final Elastic elastic;
-    private final MoveDesk moves;
-    private final Disruptions disruptions;
-    private final Rollouts rollouts;
-    private final AfterWinning reading;
+    private final ElasticWidths elastic;
+    private final MigrationController moves;
+    private final DisruptionAccounting disruptions;
+    private final RollingReplacement rollouts;
+    private final PrefixReader reading;
     /** Null where drains are off. */
-    private final DrainBook drains;
+    private final DrainRegistry drains;
 
     private final Map<String, Progress> runs = new TreeMap<>();
     private final Map<String, Map<String, Integer>> blocked = new HashMap<>();
-    private final Map<String, Set<HostId>> cordoned = new HashMap<>();
+    private final Map<String, Set<MachineId>> cordoned = new HashMap<>();
     private final Set<String> dirty = new HashSet<>();
     private boolean read;
     private boolean writing;
     /** Nobody has put a drain, and nothing is left of the last one. */
     private boolean idle;
 
-    private Tick next = Tick.ZERO;
-    private Tick nextWrite = Tick.ZERO;
+    private MonotonicTime next = MonotonicTime.ZERO;
+    private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
-    DrainDesk(
-            Turn turn,
+    DrainController(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
-            Types types,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
+            MachineTypeCatalog types,
             Admission admission,
-            Stopping stopping,
-            Orders orders,
+            TaskEviction stopping,
+            CommandDispatcher orders,
             Provisioner provisioner,
-            Elastic elastic,
-            MoveDesk moves,
-            Disruptions disruptions,
-            Rollouts rollouts,
-            DrainBook drains) {
+            ElasticWidths elastic,
+            MigrationController moves,
+            DisruptionAccounting disruptions,
+            RollingReplacement rollouts,
+            DrainRegistry drains) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
@@ -116,7 +125,7 @@
         this.disruptions = disruptions;
         this.rollouts = rollouts;
         this.drains = drains;
-        this.reading = new AfterWinning(turn, store, requests, book);
+        this.reading = new PrefixReader(turn, store, requests, book);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is begun. */
@@ -128,7 +137,7 @@
         read = false;
         writing = false;
         idle = false;
-        next = Tick.ZERO;
+        next = MonotonicTime.ZERO;
         rollouts.begin();
         disruptions.begin();
         if (drains != null) {
@@ -141,7 +150,7 @@
 
     // ---- which machines ----
 
-    Selector.Machine machine(Host machine) {
+    Selector.Machine machine(Machine machine) {
         return new Selector.Machine(
                 machine.id,
                 machine.type,
@@ -151,9 +160,9 @@
     }
 
     /** Machines that the drain speaks of and that are still there. */
-    private List<Host> matched(Drain drain) {
-        List<Host> out = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+    private List<Machine> matched(Drain drain) {
+        List<Machine> out = new ArrayList<>();
+        for (Machine machine : book.hosts()) {
             if (machine.known() && !machine.returning && drain.which().matches(machine(machine), drain.atMs())) {
                 out.add(machine);
             }
@@ -163,20 +172,20 @@
 
     /** Says of each machine who empties it; the first drain, where several would. */
     private void cordon() {
-        Map<HostId, String> by = new HashMap<>();
+        Map<MachineId, String> by = new HashMap<>();
         for (Drain drain : drains.drains()) {
             Progress progress = runs.get(drain.name());
             if (!drain.holds(turn.wallMs())) {
                 continue;
             }
-            for (Host machine : matched(drain)) {
+            for (Machine machine : matched(drain)) {
                 if (!drain.replace() || progress != null && progress.begun.containsKey(machine.id)) {
                     by.putIfAbsent(machine.id, drain.name());
                 }
             }
         }
         boolean changed = false;
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             String now = by.get(machine.id);
             changed |= now == null ? machine.cordonedBy != null : !now.equals(machine.cordonedBy);
             machine.cordonedBy = now;
@@ -205,11 +214,11 @@
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
-        Map<TaskId, HostId> places = new HashMap<>();
-        Set<HostId> doomed = new HashSet<>();
+        Map<TaskId, MachineId> places = new HashMap<>();
+        Set<MachineId> doomed = new HashSet<>();
         drains.drains().stream().filter(d -> d.holds(turn.wallMs())).forEach(d -> matched(d)
                 .forEach(h -> doomed.add(h.id)));
-        FreeRooms rooms = new FreeRooms(
+        FreeCapacity rooms = new FreeCapacity(
                 book, types, admission, h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
         for (Drain drain : drains.drains()) {
             Progress progress = runs.computeIfAbsent(drain.name(), k -> new Progress());
@@ -241,16 +250,16 @@
             Drain drain,
             Progress progress,
             Planner planner,
-            FreeRooms rooms,
+            FreeCapacity rooms,
             List<Evictions.Candidate> out,
-            Map<TaskId, HostId> places) {
-        List<Host> matched = matched(drain);
+            Map<TaskId, MachineId> places) {
+        List<Machine> matched = matched(drain);
         if (progress.number != drain.number()) {
             boolean first = progress.number == 0;
             progress.number = drain.number();
             progress.overMs = 0;
             if (first) {
-                Foresight.Cost cost = foresight(drain, matched);
+                DrainForecast.Cost cost = foresight(drain, matched);
                 progress.tasksForeseen = cost.tasks();
                 progress.cpuSForeseen = cost.cpuS();
                 progress.endForeseenMs = turn.wallMs() + cost.lastsMs();
@@ -279,7 +288,7 @@
         blocked.remove(drain.name());
         boolean left = false;
         Map<String, Integer> lacking = new HashMap<>();
-        for (Host machine : matched) {
+        for (Machine machine : matched) {
             if (!drain.name().equals(machine.cordonedBy)) {
                 left = true;
                 continue;
@@ -290,7 +299,7 @@
                 provisioner.giveBack(machine, "it is emptied: drain " + drain.name());
             } else if (!empty && works && progress.paused == null && !moves.moves(machine.id)) {
                 if (candidates(drain, progress, machine, rooms, out, places)) {
-                    lacking.merge(Rollouts.kind(machine), 1, Integer::sum);
+                    lacking.merge(RollingReplacement.kind(machine), 1, Integer::sum);
                 }
             }
         }
@@ -317,10 +326,10 @@
 
     /** Which of its machines are gone since the last look. */
     private void count(Drain drain, Progress progress) {
-        Set<HostId> now = new HashSet<>();
+        Set<MachineId> now = new HashSet<>();
         book.hosts().stream().filter(h -> drain.name().equals(h.cordonedBy)).forEach(h -> now.add(h.id));
-        Set<HostId> before = cordoned.put(drain.name(), now);
-        Set<HostId> gone = new HashSet<>(before == null ? Set.of() : before);
+        Set<MachineId> before = cordoned.put(drain.name(), now);
+        Set<MachineId> gone = new HashSet<>(before == null ? Set.of() : before);
         gone.addAll(progress.begun.keySet());
         gone.removeIf(h -> book.known(h) != null && !book.known(h).returning);
         if (!gone.isEmpty()) {
@@ -342,10 +351,10 @@
     private boolean candidates(
             Drain drain,
             Progress run,
-            Host machine,
-            FreeRooms rooms,
+            Machine machine,
+            FreeCapacity rooms,
             List<Evictions.Candidate> out,
-            Map<TaskId, HostId> places) {
+            Map<TaskId, MachineId> places) {
         boolean lacks = false;
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = book.job(placement.task.job());
@@ -368,11 +377,11 @@
     private Evictions.Candidate candidate(
             Drain drain,
             Progress run,
-            Host machine,
+            Machine machine,
             Job job,
             Placement placement,
-            FreeRooms rooms,
-            Map<TaskId, HostId> places) {
+            FreeCapacity rooms,
+            Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
         long since = drain.replace() ? run.begun.getOrDefault(machine.id, turn.wallMs()) : drain.atMs();
         Ending ending = elastic.ending(job, placement, need(drain, since));
@@ -381,7 +390,7 @@
                 && ending.atMs() <= turn.now().ms() + EVERY_MS;
         boolean placed = true;
         if (spec.service() && due) {
-            Host to = rooms.take(spec);
+            Machine to = rooms.take(spec);
             placed = to != null;
             if (placed) {
                 places.put(placement.task, to.id);
@@ -402,28 +411,28 @@
     }
 
     /** Decides who leaves, and has it written before anybody is stopped. */
-    private void leave(List<Evictions.Candidate> all, Map<TaskId, HostId> places) {
+    private void leave(List<Evictions.Candidate> all, Map<TaskId, MachineId> places) {
         if (all.isEmpty()) {
             return;
         }
         Map<String, Account> accounts = disruptions.copies();
         Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, turn.wallMs(), MOST_LEAVE);
         decision.blocked().forEach((why, count) -> {
-            Host machine = book.known(why.host());
+            Machine machine = book.known(why.host());
             if (machine != null && machine.cordonedBy != null) {
                 blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                         .merge(why.text(), count, Integer::sum);
             }
         });
         int ops = settings.stateLimits().txnOps() - 1;
-        Txn txn = election.guarded();
-        Map<HostId, Map<TaskId, HostId>> moving = new TreeMap<>();
+        Transaction txn = election.guarded();
+        Map<MachineId, Map<TaskId, MachineId>> moving = new TreeMap<>();
         List<Evictions.Candidate> stopped = new ArrayList<>();
         Set<String> teams = new HashSet<>();
         Set<String> names = new HashSet<>();
         Map<String, List<Evictions.Candidate>> taken = new HashMap<>();
         for (Evictions.Candidate candidate : decision.leave()) {
-            Host machine = book.known(candidate.host());
+            Machine machine = book.known(candidate.host());
             boolean moves = places.containsKey(candidate.task());
             int more = (teams.contains(candidate.team()) ? 0 : 1)
                     + (names.contains(machine.cordonedBy) ? 0 : 1)
@@ -463,7 +472,7 @@
             if (done) {
                 teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
                 moving.forEach((host, to) -> {
-                    Host machine = book.known(host);
+                    Machine machine = book.known(host);
                     if (machine != null && machine.cordonedBy != null) {
                         moves.relocated(host, machine.cordonedBy, to);
                     }
@@ -484,7 +493,7 @@
     }
 
     private void stop(Evictions.Candidate candidate) {
-        Host machine = book.known(candidate.host());
+        Machine machine = book.known(candidate.host());
         Placement placement = machine == null ? null : machine.placements.get(candidate.task());
         if (placement != null
                 && placement.attempt == candidate.attempt()
@@ -515,7 +524,7 @@
         });
     }
 
-    private void commit(Txn txn, Consumer<Boolean> then) {
+    private void commit(Transaction txn, Consumer<Boolean> then) {
         long reign = book.reign();
         writing = true;
         requests.take(turn.now(), 1);
@@ -523,7 +532,7 @@
         store.commit(txn, commit -> {
             if (reign == book.reign()) {
                 writing = false;
-                then.accept(commit.result() == Commit.Result.DONE);
+                then.accept(commit.result() == CommitResult.Outcome.DONE);
             }
         });
     }
@@ -531,8 +540,8 @@
     // ---- what is told ----
 
     /** What it would cost and how long it would take, were it put now. */
-    private Foresight.Cost foresight(Drain drain, List<Host> hosts) {
-        return Foresight.of(
+    private DrainForecast.Cost foresight(Drain drain, List<Machine> hosts) {
+        return DrainForecast.of(
                 drain,
                 hosts,
                 book,
@@ -542,7 +551,7 @@
     }
 
     ObjectNode foresee(Drain drain) {
-        List<Host> hosts = matched(drain);
+        List<Machine> hosts = matched(drain);
         return foresight(drain, hosts)
                 .into(Codec.map().put("name", drain.name()).put("machines", hosts.size()));
     }
@@ -567,8 +576,8 @@
 
     ObjectNode view(Drain drain) {
         Progress progress = runs.getOrDefault(drain.name(), new Progress());
-        List<Host> matched = progress.overMs > 0 ? List.of() : matched(drain);
-        Foresight.Cost left = progress.overMs == 0 && drain.holds(turn.wallMs()) ? foresight(drain, matched) : null;
+        List<Machine> matched = progress.overMs > 0 ? List.of() : matched(drain);
+        DrainForecast.Cost left = progress.overMs == 0 && drain.holds(turn.wallMs()) ? foresight(drain, matched) : null;
         return DrainViews.row(
                 drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), turn.wallMs());
     }
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -1,18 +1,22 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiFunction;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Waves;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostType;
+import org.beechhoist.wire.MachineType;
 
 /** What emptying machines would cost and how long it would take, by what is known of their tasks now; budgets are not in it. */
-final class Foresight {
+final class DrainForecast {
     private static final long LEAST_MACHINE_MS = 3000;
 
     /**
@@ -28,13 +32,13 @@
         }
     }
 
-    private Foresight() {}
+    private DrainForecast() {}
 
     static Cost of(
             Drain drain,
-            List<Host> hosts,
-            Book book,
-            Types types,
+            List<Machine> hosts,
+            ClusterState book,
+            MachineTypeCatalog types,
             BiFunction<Job, Placement, Ending> ending,
             long nowMs) {
         int tasks = 0;
@@ -43,9 +47,9 @@
         long sum = 0;
         long boot = 0;
         Map<String, double[]> groups = new TreeMap<>();
-        for (Host machine : hosts) {
+        for (Machine machine : hosts) {
             long frees = LEAST_MACHINE_MS;
-            HostType type = types.get(machine.type);
+            MachineType type = types.get(machine.type);
             boot = Math.max(boot, type == null ? 0 : Math.round(1000 * type.startupS()));
             for (Placement placement : machine.placements.values()) {
                 Job job = book.job(placement.task.job());
--- a/src/main/java/org/beechhoist/controller/DrainRegistry.java
+++ b/src/main/java/org/beechhoist/controller/DrainRegistry.java
@@ -1,28 +1,30 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.PrefixWatch;
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.drain.DisruptionBudget;
 import org.beechhoist.drain.Drain;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What a node knows of drains and budgets of disruption: read once, then followed. */
-final class DrainBook {
+final class DrainRegistry {
     static final String PREFIX = "dr/put/";
     static final String DRAINS = PREFIX + "d/";
     static final String BUDGETS = PREFIX + "b/";
-    private static final Logger LOG = LoggerFactory.getLogger(DrainBook.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DrainRegistry.class);
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final Runnable changed;
     private final Map<String, Drain> drains = new TreeMap<>();
     private final Map<String, DisruptionBudget> declared = new TreeMap<>();
@@ -30,7 +32,7 @@
     private Budgets budgets = Budgets.NONE;
     private boolean read;
 
-    DrainBook(Turn turn, StoreClient store, Budget requests, Runnable changed) {
+    DrainRegistry(ControllerContext turn, StoreClient store, TokenBucket requests, Runnable changed) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -38,7 +40,7 @@
     }
 
     void start() {
-        new Following(
+        new PrefixWatch(
                         turn,
                         store,
                         requests,
@@ -69,7 +71,7 @@
         return budgets;
     }
 
-    private void take(StoreClient.Item item) {
+    private void take(StoreClient.KeyValue item) {
         try {
             if (item.key().startsWith(DRAINS)) {
                 String name = item.key().substring(DRAINS.length());
@@ -78,7 +80,7 @@
                 } else {
                     Drain drain = Drain.parse(item.value());
                     if (!drain.name().equals(name)) {
-                        throw new Malformed("name = " + drain.name() + ": it stands at " + item.key());
+                        throw new MalformedMessageException("name = " + drain.name() + ": it stands at " + item.key());
                     }
                     drains.put(name, drain);
                 }
@@ -90,14 +92,14 @@
                     declared.put(key, DisruptionBudget.parse(item.value()));
                 }
             }
-        } catch (Malformed | RuntimeException e) {
+        } catch (MalformedMessageException | RuntimeException e) {
             // A drain that can't be read empties nothing; a budget that can't be read is as it was before.
             LOG.error("{} can't be read: {}", item.key(), e.getMessage());
             drains.remove(item.key().startsWith(DRAINS) ? item.key().substring(DRAINS.length()) : "");
         }
     }
 
-    private void changes(List<StoreClient.Item> log) {
+    private void changes(List<StoreClient.KeyValue> log) {
         log.forEach(this::take);
         if (read && log.isEmpty()) {
             return;
--- a/src/main/java/org/beechhoist/controller/DrainViews.java
+++ b/src/main/java/org/beechhoist/controller/DrainViews.java
@@ -1,9 +1,12 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.store.Placement;
@@ -15,10 +18,10 @@
     private DrainViews() {}
 
     /** What a person asks about a job some of whose tasks are on machines that are emptied, or null. */
-    static String told(Job job, Book book) {
+    static String told(Job job, ClusterState book) {
         Map<String, Integer> by = new TreeMap<>();
         for (Placement placement : job.record.live.values()) {
-            Host machine = book.known(placement.host);
+            Machine machine = book.known(placement.host);
             if (machine != null && machine.cordonedBy != null) {
                 by.merge(machine.cordonedBy, 1, Integer::sum);
             }
@@ -50,15 +53,15 @@
     static ObjectNode row(
             Drain drain,
             Progress progress,
-            List<Host> matched,
-            Foresight.Cost left,
+            List<Machine> matched,
+            DrainForecast.Cost left,
             Map<String, Integer> blocked,
             long wallMs) {
         ObjectNode node = drain.toNode();
         int hand = 0;
         int empty = 0;
         int tasks = 0;
-        for (Host machine : matched) {
+        for (Machine machine : matched) {
             boolean mine = drain.name().equals(machine.cordonedBy);
             hand += mine ? 1 : 0;
             empty += mine && machine.placements.isEmpty() ? 1 : 0;
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -1,10 +1,18 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.beechhoist.config.Policy;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.TaskEviction;
+import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.elastic.Sure;
@@ -12,8 +20,8 @@
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.WidthRecord;
-import org.beechhoist.wire.HostType;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,33 +30,33 @@
  * narrower width is committed before anything is stopped; never more tasks are being stopped than the committed width
  * leaves over, so that a leader that takes over half way goes on from the record alone.
  */
-final class Elastic {
-    private static final Logger LOG = LoggerFactory.getLogger(Elastic.class);
+public final class ElasticWidths {
+    private static final Logger LOG = LoggerFactory.getLogger(ElasticWidths.class);
     /** For a user's own resize, what is over this soon is near: nobody waits for the room. */
     private static final long NEAR_MS = 30_000;
 
     private static final long REPORT_LATE_MS = 2000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Policy.Elastic policy;
-    private final Book book;
-    private final Types types;
-    private final Estimates estimates;
-    private final Stopping stopping;
-    private final Departures departures;
+    private final ClusterState book;
+    private final MachineTypeCatalog types;
+    private final DurationEstimates estimates;
+    private final TaskEviction stopping;
+    private final TaskRemoval departures;
     private final Map<Ending.Way, Integer> ended = new HashMap<>();
     private int widened;
     private int narrowed;
     private int withdrawn;
 
-    Elastic(
-            Turn turn,
+    ElasticWidths(
+            ControllerContext turn,
             Policy.Elastic policy,
-            Book book,
-            Types types,
-            Estimates estimates,
-            Stopping stopping,
-            Departures departures) {
+            ClusterState book,
+            MachineTypeCatalog types,
+            DurationEstimates estimates,
+            TaskEviction stopping,
+            TaskRemoval departures) {
         this.turn = turn;
         this.policy = policy;
         this.book = book;
@@ -109,7 +117,7 @@
 
     private double lowestCostPerCpu(JobSpec spec) {
         double lowest = Double.POSITIVE_INFINITY;
-        for (HostType type : types.all()) {
+        for (MachineType type : types.all()) {
             if (spec.allows(type)) {
                 lowest = Math.min(lowest, type.priceOf(spec.spot()) / Math.max(0.01, type.cpus()));
             }
@@ -136,7 +144,7 @@
     }
 
     /** Whether a committed placement must not be launched any more: its machine has begun to go. */
-    boolean withdraws(Job job, Placement placement, Host machine) {
+    public boolean withdraws(Job job, Placement placement, Machine machine) {
         boolean going = machine.going() || (job != null && job.leaving.containsKey(placement));
         if (job == null || job.record.width == null || placement.sent || !going) {
             return false;
--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -9,13 +9,17 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.FleetSnapshot;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,8 +27,8 @@
  * What the next leader needs of the machines before they speak: written a part at a time, at a stated share of the changes,
  * and read while the records are. Only hints: what the cloud lists and what machines say replaces them.
  */
-final class FleetNotes {
-    private static final Logger LOG = LoggerFactory.getLogger(FleetNotes.class);
+final class FleetSnapshots {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetSnapshots.class);
     /** Written only where this much of a full budget of changes is left. */
     private static final double PLENTY = 0.6;
     /** Of the allowed changes, what the notes may take. */
@@ -39,32 +43,32 @@
     private static final int MOST_IMAGES = 8;
     private static final int USUAL_BYTES = 80;
 
-    private record Written(long content, Tick at) {}
+    private record Written(long content, MonotonicTime at) {}
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
     private final Map<Integer, Written> written = new HashMap<>();
     private final Set<Integer> beyond = new HashSet<>();
-    private Tick next = Tick.ZERO;
+    private MonotonicTime next = MonotonicTime.ZERO;
     private boolean inFlight;
     private int cursor;
     private int parts = 1;
     /** The largest machine that was met, in bytes. */
     private int largest = USUAL_BYTES;
 
-    FleetNotes(
-            Turn turn,
+    FleetSnapshots(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book) {
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
@@ -105,15 +109,15 @@
                 return;
             }
             int bad = unread;
-            for (StoreClient.Item item : page.items()) {
+            for (StoreClient.KeyValue item : page.items()) {
                 try {
                     FleetSnapshot snapshot = FleetSnapshot.parse(item.value());
                     if (!FleetSnapshot.key(snapshot.part()).equals(item.key())) {
-                        throw new Malformed("part: it stands at " + item.key());
+                        throw new MalformedMessageException("part: it stands at " + item.key());
                     }
                     whole.add(snapshot);
                     beyond.add(snapshot.part());
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     LOG.debug("{}: {}", item.key(), e.getMessage());
                     bad++;
                 }
@@ -148,7 +152,7 @@
 
     /** Whether it was not known yet. */
     private boolean enter(FleetSnapshot.Machine machine) {
-        Host known = book.host(machine.id());
+        Machine known = book.host(machine.id());
         if (known.known()) {
             return false; // it has spoken, or the list was quicker
         }
@@ -172,7 +176,7 @@
         if (inFlight || turn.now().before(next) || writes.available(turn.now()) < PLENTY * writes.most()) {
             return;
         }
-        int count = (int) book.hosts().stream().filter(FleetNotes::noted).count();
+        int count = (int) book.hosts().stream().filter(FleetSnapshots::noted).count();
         parts = FleetSnapshot.parts(count, largest, settings.stateLimits().valueBytes());
         int part = cursor++ % parts;
         FleetSnapshot snapshot = new FleetSnapshot(part, parts, turn.wallMs(), machines(part));
@@ -189,13 +193,13 @@
         beyond.stream().filter(p -> p >= parts).findFirst().ifPresent(p -> write(p, null, null));
     }
 
-    private static boolean noted(Host known) {
+    private static boolean noted(Machine known) {
         return known.lastCheckin != null && known.known() && !known.returning;
     }
 
     private List<FleetSnapshot.Machine> machines(int part) {
         List<FleetSnapshot.Machine> out = new ArrayList<>();
-        for (Host known : book.hosts()) {
+        for (Machine known : book.hosts()) {
             if (noted(known) && FleetSnapshot.partOf(known.id, parts) == part) {
                 FleetSnapshot.Machine machine = machine(known);
                 largest = Math.max(largest, FleetSnapshot.bytes(machine));
@@ -205,7 +209,7 @@
         return out;
     }
 
-    private FleetSnapshot.Machine machine(Host known) {
+    private FleetSnapshot.Machine machine(Machine known) {
         Map<String, Double> images = new LinkedHashMap<>();
         int skip = Math.max(0, known.images.size() - MOST_IMAGES); // the least recently used come first
         for (Map.Entry<String, Double> entry : known.images.entrySet()) {
@@ -227,7 +231,7 @@
     }
 
     private void write(int part, ObjectNode value, Written now) {
-        Txn txn = election.guarded();
+        Transaction txn = election.guarded();
         if (value == null) {
             txn.delete(FleetSnapshot.key(part));
         } else {
@@ -245,10 +249,10 @@
                 return;
             }
             inFlight = false;
-            if (commit.result() == StoreClient.Commit.Result.DONE && now != null) {
+            if (commit.result() == StoreClient.CommitResult.Outcome.DONE && now != null) {
                 written.put(part, now);
                 beyond.add(part);
-            } else if (commit.result() == StoreClient.Commit.Result.DONE) {
+            } else if (commit.result() == StoreClient.CommitResult.Outcome.DONE) {
                 written.remove(part);
                 beyond.remove(part);
             }
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -1,21 +1,24 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.beechhoist.wire.HostType;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 
 /** Room on machines that take work now, given away one place after the other within one look; nothing is kept by it. */
-final class FreeRooms {
+final class FreeCapacity {
     private static final class Free {
-        private final Host host;
-        private final HostType type;
+        private final Machine host;
+        private final MachineType type;
         private Admission.Room room;
 
-        private Free(Host host, HostType type, Admission.Room room) {
+        private Free(Machine host, MachineType type, Admission.Room room) {
             this.host = host;
             this.type = type;
             this.room = room;
@@ -27,9 +30,9 @@
     private final Map<String, Integer> tried = new HashMap<>();
 
     /** @param serves whether a machine counts, beside that it takes work */
-    FreeRooms(Book book, Types types, Admission admission, Predicate<Host> serves) {
-        for (Host machine : book.hosts()) {
-            HostType type = admission.usable(machine) && serves.test(machine) ? types.get(machine.type) : null;
+    FreeCapacity(ClusterState book, MachineTypeCatalog types, Admission admission, Predicate<Machine> serves) {
+        for (Machine machine : book.hosts()) {
+            MachineType type = admission.usable(machine) && serves.test(machine) ? types.get(machine.type) : null;
             Admission.Room room = type == null ? null : admission.free(machine, type);
             if (room != null && room.cpus() > 0) {
                 all.add(new Free(machine, type, room));
@@ -38,7 +41,7 @@
     }
 
     /** A machine with a place for such a task, which is taken from then on; null: there is none. What must lie together or apart has none. */
-    Host take(JobSpec spec) {
+    Machine take(JobSpec spec) {
         if (spec.gang() || spec.sameZone() || spec.apart()) {
             return null;
         }
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -1,13 +1,13 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.config.Policy;
 import org.beechhoist.cron.Entry;
 import org.beechhoist.store.JobRecord;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.Revision;
 
@@ -15,12 +15,12 @@
  * Keys that make submissions the same work, whoever comes first: {@code once/<hash of team and key>} holds the first
  * one's ref for as long as its class says. It is written in the transaction that makes the job.
  */
-final class OnceKeys {
+final class IdempotencyKeys {
     private final Policy.Cron policy;
     /** Null where key sets are off. */
-    private final KeyBook keys;
+    private final KeySetRegistry keys;
 
-    OnceKeys(Policy.Cron policy, KeyBook keys) {
+    IdempotencyKeys(Policy.Cron policy, KeySetRegistry keys) {
         this.keys = keys;
         this.policy = policy;
     }
@@ -36,7 +36,7 @@
     }
 
     /** Adds what makes a job enter: its record, guarded against one of its name, and its key where it has one. */
-    void enter(Txn txn, JobSpec spec, Revision keyVersion, long wallMs) {
+    void enter(Transaction txn, JobSpec spec, Revision keyVersion, long wallMs) {
         String key = JobRecord.openKey(spec.ref());
         txn.guard(key, Revision.ABSENT)
                 .guard(JobRecord.endedKey(spec.ref()), Revision.ABSENT)
@@ -58,8 +58,8 @@
     }
 
     /** Whose work the key is, or null where that is long enough ago. */
-    static JobRef owner(JsonNode value, long wallMs) {
+    static JobId owner(JsonNode value, long wallMs) {
         String ref = value.path("ref").asText();
-        return value.path("until").asLong() > wallMs && JobRef.valid(ref) ? new JobRef(ref) : null;
+        return value.path("until").asLong() > wallMs && JobId.valid(ref) ? new JobId(ref) : null;
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,13 +9,17 @@
 import java.util.Set;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
 import org.beechhoist.floor.Aged;
 import org.beechhoist.release.ShipOrder;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 
 /** In which order waiting jobs are planned: by urgency and guarantee, then by what is promised of them. */
-final class Ordering {
+final class JobOrdering {
     /** How long a job may wait that no objective speaks for, or none any more. */
     private static final long NO_OBJECTIVE_MS = 300_000;
     /** Rooms are not free to the second that the plan says. */
@@ -28,15 +32,16 @@
 
     private static final double SERVED_TIMES = 1.5;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final Policy policy;
-    private final Book book;
-    private final Estimates estimates;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
     private boolean overloaded;
-    private ReleaseDesk releases;
+    private ReleaseController releases;
 
-    Ordering(Turn turn, Settings settings, Policy policy, Book book, Estimates estimates) {
+    JobOrdering(
+            ControllerContext turn, Settings settings, Policy policy, ClusterState book, DurationEstimates estimates) {
         this.turn = turn;
         this.settings = settings;
         this.policy = policy;
@@ -45,7 +50,7 @@
     }
 
     /** The release calendar's order and moments; without it jobs go as if there were no releases. */
-    void releases(ReleaseDesk desk) {
+    void releases(ReleaseController desk) {
         releases = desk;
     }
 
@@ -204,25 +209,25 @@
     }
 
     /** The jobs that the last search placed keep its order among themselves, in the places that are theirs. */
-    static List<Job> arranged(List<Job> list, List<JobRef> preferred) {
+    static List<Job> arranged(List<Job> list, List<JobId> preferred) {
         if (preferred.isEmpty()) {
             return list;
         }
-        Map<JobRef, Job> waiting = new HashMap<>();
+        Map<JobId, Job> waiting = new HashMap<>();
         list.forEach(j -> waiting.put(j.ref(), j));
-        Set<JobRef> searched = new HashSet<>(preferred);
+        Set<JobId> searched = new HashSet<>(preferred);
         var next = preferred.stream().filter(waiting::containsKey).iterator();
         List<Job> out = new ArrayList<>(list.size());
         for (Job j : list) {
             out.add(searched.contains(j.ref()) ? waiting.get(next.next()) : j);
         }
-        out.sort(Comparator.comparingInt(Ordering::rank));
+        out.sort(Comparator.comparingInt(JobOrdering::rank));
         return out;
     }
 
     /**
      * More urgent work first, and what a team is guaranteed before what it borrows: no search may trade that. What is lifted
-     * for its class's or team's half comes before all; {@link ServedFloor} lifts nothing over another team's guarantee. What is
+     * for its class's or team's half comes before all; {@link MinimumServiceShare} lifts nothing over another team's guarantee. What is
      * left behind under overload comes after all.
      */
     static int rank(Job job) {
--- a/src/main/java/org/beechhoist/controller/JobProgress.java
+++ b/src/main/java/org/beechhoist/controller/JobProgress.java
@@ -1,21 +1,24 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
 import org.beechhoist.peer.JobCount;
 import org.beechhoist.peer.PeerState;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * How far open jobs are, by the leader's word. Records are written seldom, so that the counts that users see come from
  * here: for display, never for a final state. A node that has not heard the leader lately shows what the record says.
  */
-final class Progress {
+final class JobProgress {
     /** Counts told in one message: those that changed, then others in turn, for nodes that have just started. */
     private static final int MOST_TOLD = 300;
 
@@ -23,13 +26,13 @@
     private static final int REMEMBERED = 10_000;
     private static final long FRESH_MS = 12_000;
 
-    private final Map<JobRef, JobCount> heard = Recent.used(REMEMBERED);
-    private Baton baton = Baton.NONE;
-    private Tick heardAt = Tick.ZERO;
+    private final Map<JobId, JobCount> heard = BoundedCollections.used(REMEMBERED);
+    private FencingToken baton = FencingToken.NONE;
+    private MonotonicTime heardAt = MonotonicTime.ZERO;
     /** What this node, leading, told last. */
-    private final Map<JobRef, JobCount> told = new LinkedHashMap<>();
+    private final Map<JobId, JobCount> told = new LinkedHashMap<>();
 
-    void heard(PeerState state, Tick now) {
+    void heard(PeerState state, MonotonicTime now) {
         if (state.leading() && state.baton().compareTo(baton) >= 0) {
             baton = state.baton();
             heardAt = now;
@@ -38,12 +41,12 @@
     }
 
     /** The counts of an open job, or null where they are not known. */
-    JobCount of(JobRef ref, Tick now) {
-        return heardAt != Tick.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(ref) : null;
+    JobCount of(JobId ref, MonotonicTime now) {
+        return heardAt != MonotonicTime.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(ref) : null;
     }
 
     /** What a leader tells the others now. */
-    List<JobCount> toTell(Book book) {
+    List<JobCount> toTell(ClusterState book) {
         List<JobCount> out = new ArrayList<>();
         for (Job job : book.jobs()) {
             JobCount now = count(job);
--- a/src/main/java/org/beechhoist/controller/JobStates.java
+++ b/src/main/java/org/beechhoist/controller/JobStates.java
@@ -1,9 +1,9 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /** What users are told of a job, by what the state service holds of it. */
 final class JobStates {
@@ -13,11 +13,11 @@
         return Codec.map().put("error", text);
     }
 
-    static ObjectNode state(JobRef ref, String status) {
+    static ObjectNode state(JobId ref, String status) {
         return Codec.map().put("ref", ref.text()).put("status", status);
     }
 
-    static ObjectNode endedState(JobRef ref, JsonNode value) {
+    static ObjectNode endedState(JobId ref, JsonNode value) {
         ObjectNode node = state(ref, value.path("status").asText())
                 .put("done", value.path("done").asInt())
                 .put("running", 0);
@@ -27,7 +27,7 @@
         return node;
     }
 
-    static ObjectNode openState(JobRef ref, JsonNode value) {
+    static ObjectNode openState(JobId ref, JsonNode value) {
         int done = value.path("doneCount").asInt();
         JsonNode runs = value.path("doneCount").isMissingNode() ? value.path("done") : Codec.list(); // an older record
         for (int i = 0; i + 1 < runs.size(); i += 2) {
--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -7,16 +7,20 @@
 import java.util.List;
 import java.util.TreeSet;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.keyset.KeySet;
 import org.beechhoist.keyset.KeySets;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.KeyPin;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.KeySetBinding;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * {@code /v1/keysets}: people propose, approve and revoke versions of key sets, and say which jobs need one. Each change is
@@ -32,29 +36,35 @@
 
     /** Makes the next content of a set from what is stored, null: nothing. */
     private interface Edit {
-        KeySet of(KeySet before) throws Malformed;
+        KeySet of(KeySet before) throws MalformedMessageException;
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
-    private final KeyBook keys;
-    private final Amending amending;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final KeySetRegistry keys;
+    private final OptimisticUpdate amending;
 
-    KeySetApi(Turn turn, Settings settings, StoreClient store, Budget requests, Budget writes, KeyBook keys) {
+    KeySetApi(
+            ControllerContext turn,
+            Settings settings,
+            StoreClient store,
+            TokenBucket requests,
+            TokenBucket writes,
+            KeySetRegistry keys) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
         this.keys = keys;
-        this.amending = new Amending(turn, settings, store, requests, writes);
+        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
     }
 
     /** @param book of the leading node, or null: who is bound to a set is known there alone */
-    void request(String method, String path, byte[] body, Book book, CronApi.Answer answer) {
+    void request(String method, String path, byte[] body, ClusterState book, CronApi.Answer answer) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         try {
@@ -88,41 +98,41 @@
                 long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
                 change(name, false, before -> known(name, before).revoke(version, by), answer);
             } else {
-                answer.with(404, Amending.error("no such path"));
+                answer.with(404, OptimisticUpdate.error("no such path"));
             }
-        } catch (Malformed e) {
-            answer.with(400, Amending.error(e.getMessage()));
+        } catch (MalformedMessageException e) {
+            answer.with(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
-    private KeySet.Change by(JsonNode node) throws Malformed {
+    private KeySet.Change by(JsonNode node) throws MalformedMessageException {
         try {
             return new KeySet.Change(Codec.text(node, "who"), turn.wallMs(), Codec.text(node, "why"));
         } catch (IllegalArgumentException e) {
-            throw new Malformed(e.getMessage());
+            throw new MalformedMessageException(e.getMessage());
         }
     }
 
-    private static KeySet known(String name, KeySet before) throws Malformed {
+    private static KeySet known(String name, KeySet before) throws MalformedMessageException {
         if (before == null) {
-            throw new Malformed("name = " + name + ": the name of a key set is expected");
+            throw new MalformedMessageException("name = " + name + ": the name of a key set is expected");
         }
         return before;
     }
 
     // ---- changes ----
 
-    private void propose(String name, JsonNode node, CronApi.Answer answer) throws Malformed {
+    private void propose(String name, JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
         KeySet.Change by = by(node);
         String owner = Codec.text(node, "owner");
         if (!settings.teams().containsKey(owner)) {
-            throw new Malformed("owner = " + owner + ": one of "
+            throw new MalformedMessageException("owner = " + owner + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
         List<String> classes = Codec.absent(node, "classes") ? List.of() : Codec.texts(node.get("classes"), "classes");
         List<String> fingerprints = Codec.texts(node.get("fingerprints"), "fingerprints");
         if (keys.known() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
-            throw new Malformed("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
+            throw new MalformedMessageException("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
         }
         change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, by), answer);
     }
@@ -130,26 +140,28 @@
     /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
     private void change(String name, boolean clears, Edit edit, CronApi.Answer answer) {
         if (!KeySet.validName(name)) {
-            answer.with(404, Amending.error("no such key set"));
+            answer.with(404, OptimisticUpdate.error("no such key set"));
             return;
         }
         amending.change(
-                KeyBook.SETS + name,
+                KeySetRegistry.SETS + name,
                 (before, then) -> {
                     KeySet next;
                     try {
                         next = edit.of(before == null ? null : KeySet.parse(before));
-                    } catch (Malformed e) {
-                        throw new Amending.Refused(
+                    } catch (MalformedMessageException e) {
+                        throw new OptimisticUpdate.RejectedException(
                                 before == null && !e.getMessage().startsWith("fingerprints") ? 404 : 409,
                                 e.getMessage());
                     }
                     then.becomes(
                             next.toNode(),
                             txn -> {
-                                txn.put(KeyBook.NUMBERS + name, Codec.map().put("number", next.number()));
+                                txn.put(
+                                        KeySetRegistry.NUMBERS + name,
+                                        Codec.map().put("number", next.number()));
                                 if (clears && keys.snapshot().marks().containsKey(name)) {
-                                    txn.delete(KeyBook.MARKS + name);
+                                    txn.delete(KeySetRegistry.MARKS + name);
                                 }
                             },
                             shown(next));
@@ -158,16 +170,16 @@
     }
 
     /** Which classes and teams need a set. */
-    private void require(JsonNode node, CronApi.Answer answer) throws Malformed {
+    private void require(JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
         ObjectNode value = Codec.map();
         for (String field : new String[] {"classes", "teams"}) {
             List<String> names = Codec.absent(node, field) ? List.of() : Codec.texts(node.get(field), field);
             if (names.size() > MOST_REQUIRED) {
-                throw new Malformed(field + ": at most " + MOST_REQUIRED + " are allowed");
+                throw new MalformedMessageException(field + ": at most " + MOST_REQUIRED + " are allowed");
             }
             for (String name : field.equals("teams") ? names : List.<String>of()) {
                 if (!settings.teams().containsKey(name)) {
-                    throw new Malformed("teams = " + name + ": one of "
+                    throw new MalformedMessageException("teams = " + name + ": one of "
                             + new TreeSet<>(settings.teams().keySet()) + " is expected");
                 }
             }
@@ -176,11 +188,11 @@
         }
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
-        store.commit(new Txn().put(KeyBook.REQUIRED, value), commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+        store.commit(new Transaction().put(KeySetRegistry.REQUIRED, value), commit -> {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 answer.with(200, value);
             } else {
-                Amending.unknown(answer);
+                OptimisticUpdate.unknown(answer);
             }
         });
     }
@@ -202,7 +214,7 @@
 
     private void list(CronApi.Answer answer) {
         if (!keys.known()) {
-            Amending.unknown(answer);
+            OptimisticUpdate.unknown(answer);
             return;
         }
         ObjectNode out = Codec.map();
@@ -230,24 +242,24 @@
     private void show(String name, CronApi.Answer answer) {
         KeySets.Known known = keys.snapshot().sets().get(name);
         if (!keys.known()) {
-            Amending.unknown(answer);
+            OptimisticUpdate.unknown(answer);
         } else if (known == null || known.set() == null) {
-            answer.with(404, Amending.error("no such key set"));
+            answer.with(404, OptimisticUpdate.error("no such key set"));
         } else {
             answer.with(200, shown(known.set()));
         }
     }
 
-    private void jobs(String name, Book book, CronApi.Answer answer) {
+    private void jobs(String name, ClusterState book, CronApi.Answer answer) {
         if (book == null) {
-            answer.with(421, Amending.error("who is bound to a key set is known to the leading node"));
+            answer.with(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
             return;
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
         int more = 0;
         for (Job job : book.jobs()) {
-            KeyPin pin = job.spec().pin();
+            KeySetBinding pin = job.spec().pin();
             if (pin == null || !pin.set().equals(name)) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -1,12 +1,18 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.Set;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.keyset.Verdict;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.Txn;
-import org.beechhoist.wire.Order;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,22 +21,28 @@
  * launched, what runs is stopped and proven gone as for a cancellation, and they stay open. Without a key book, where key sets are
  * off on this node, a bound job is held as well: it was bound by somebody who relied on it.
  */
-final class KeyHolds {
-    private static final Logger LOG = LoggerFactory.getLogger(KeyHolds.class);
+public final class KeySetHolds {
+    private static final Logger LOG = LoggerFactory.getLogger(KeySetHolds.class);
     private static final Verdict OFF =
             new Verdict(Verdict.Kind.NOT_KNOWN, 0, "this node", "key sets are off on the leading node");
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Book book;
-    private final Orders orders;
-    private final Departures departures;
+    private final ClusterState book;
+    private final CommandDispatcher orders;
+    private final TaskRemoval departures;
     /** Null where key sets are off. */
-    private final KeyBook keys;
+    private final KeySetRegistry keys;
 
     private boolean due = true;
 
-    KeyHolds(Turn turn, Settings settings, Book book, Orders orders, Departures departures, KeyBook keys) {
+    KeySetHolds(
+            ControllerContext turn,
+            Settings settings,
+            ClusterState book,
+            CommandDispatcher orders,
+            TaskRemoval departures,
+            KeySetRegistry keys) {
         this.turn = turn;
         this.settings = settings;
         this.book = book;
@@ -91,15 +103,15 @@
             if (!placement.sent && (placement.committed || !job.inFlight)) {
                 departures.remove(job, placement);
             } else if (placement.sent && first) {
-                Host machine = book.host(placement.host);
-                machine.outbox.add(Order.kill(placement.task, placement.attempt, 0));
+                Machine machine = book.host(placement.host);
+                machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
                 orders.direct(machine);
             }
         }
     }
 
     /** By when all of it must be gone, by the time of day. */
-    long goneByMs(Job job) {
+    public long goneByMs(Job job) {
         return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
 
@@ -109,7 +121,7 @@
      * Whether what is placed of the job may be written now. It is decided anew by the very content that the guard then names: what
      * was decided for the plan may rest on an older one, and a guard by the newer would let it pass.
      */
-    boolean mayWrite(Job job) {
+    public boolean mayWrite(Job job) {
         return job.uncommitted == 0
                 || job.spec().pin() == null
                 || keys != null
@@ -118,19 +130,19 @@
     }
 
     /** The guard that a job's new placements need; null: none. */
-    String guardKey(Job job) {
+    public String guardKey(Job job) {
         return job.uncommitted == 0 || job.spec().pin() == null
                 ? null
-                : KeyBook.SETS + job.spec().pin().set();
+                : KeySetRegistry.SETS + job.spec().pin().set();
     }
 
-    void guard(Txn txn, Job job) {
+    public void guard(Transaction txn, Job job) {
         keys.guard(txn, job.spec().pin().set());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
-    boolean overtaken(Set<String> failed) {
-        if (keys == null || failed.isEmpty() || !failed.stream().allMatch(k -> k.startsWith(KeyBook.SETS))) {
+    public boolean overtaken(Set<String> failed) {
+        if (keys == null || failed.isEmpty() || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS))) {
             return false;
         }
         LOG.info("commit overtaken by a change of {}", failed);
--- a/src/main/java/org/beechhoist/controller/KeySetRegistry.java
+++ b/src/main/java/org/beechhoist/controller/KeySetRegistry.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,16 +10,18 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.PrefixWatch;
 import org.beechhoist.keyset.KeySet;
 import org.beechhoist.keyset.KeySets;
 import org.beechhoist.keyset.Verdict;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.KeyPin;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.KeySetBinding;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,21 +31,21 @@
  * revision of the set that it was decided by. A set that holds something else than it did, by a hand that is not ours, is marked
  * in the state service for all nodes, and stays so until somebody approves it anew.
  */
-final class KeyBook {
+final class KeySetRegistry {
     static final String PREFIX = "ks/";
     static final String SETS = "ks/set/";
     static final String NUMBERS = "ks/num/";
     static final String MARKS = "ks/bad/";
     static final String REQUIRED = "ks/must";
-    private static final Logger LOG = LoggerFactory.getLogger(KeyBook.class);
+    private static final Logger LOG = LoggerFactory.getLogger(KeySetRegistry.class);
     private static final long AGAIN_MS = 500;
 
     private record Number(long number, Revision revision) {}
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     private final String node;
     /** Something has changed: who may run is to be looked at anew. */
     private final Runnable changed;
@@ -62,7 +64,13 @@
     private KeySets snapshot = KeySets.NONE;
     private boolean known;
 
-    KeyBook(Turn turn, StoreClient store, Budget requests, Budget writes, String node, Runnable changed) {
+    KeySetRegistry(
+            ControllerContext turn,
+            StoreClient store,
+            TokenBucket requests,
+            TokenBucket writes,
+            String node,
+            Runnable changed) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -72,7 +80,7 @@
     }
 
     void start() {
-        new Following(turn, store, requests, PREFIX, this::begun, this::take, this::changes).start();
+        new PrefixWatch(turn, store, requests, PREFIX, this::begun, this::take, this::changes).start();
     }
 
     // ---- what follows from it ----
@@ -82,7 +90,7 @@
         return known ? snapshot.bind(spec.team(), spec.jobClass(), spec.keySet()) : null;
     }
 
-    Verdict verdict(KeyPin pin) {
+    Verdict verdict(KeySetBinding pin) {
         return known ? snapshot.verdict(pin, turn.wallMs()) : Verdict.NOT_KNOWN;
     }
 
@@ -100,7 +108,7 @@
     }
 
     /** The transaction is made only if the set is as it is known here. */
-    void guard(Txn txn, String set) {
+    void guard(Transaction txn, String set) {
         txn.guard(SETS + set, snapshot.revision(set));
     }
 
@@ -144,7 +152,7 @@
             return;
         }
         try {
-            Verdict verdict = verdict(KeyPin.parse(pin));
+            Verdict verdict = verdict(KeySetBinding.parse(pin));
             if (!verdict.mayRun()) {
                 ObjectNode held = state.putObject("held");
                 held.put("set", pin.path("set").asText())
@@ -156,7 +164,7 @@
                 }
                 state.put("reason", "held: key set " + pin.path("set").asText() + ": " + verdict.why());
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             LOG.debug("{}", e.getMessage());
         }
     }
@@ -171,7 +179,7 @@
         teams.clear();
     }
 
-    private void changes(List<StoreClient.Item> log) {
+    private void changes(List<StoreClient.KeyValue> log) {
         Map<String, KeySets.Known> before = new HashMap<>(sets);
         log.forEach(this::take);
         if (!known) {
@@ -186,16 +194,16 @@
         mark();
     }
 
-    private static KeySet read(StoreClient.Item item) {
+    private static KeySet read(StoreClient.KeyValue item) {
         try {
             return KeySet.parse(item.value());
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             LOG.error("{} can't be read, jobs that are bound to it are held: {}", item.key(), e.getMessage());
             return null;
         }
     }
 
-    private void take(StoreClient.Item item) {
+    private void take(StoreClient.KeyValue item) {
         String key = item.key();
         boolean gone = item.value() == null;
         if (key.startsWith(SETS)) {
@@ -270,7 +278,7 @@
     private void mark() {
         for (Map.Entry<String, KeySets.Mark> entry : List.copyOf(toMark.entrySet())) {
             KeySets.Mark mark = entry.getValue();
-            Txn txn = new Txn()
+            Transaction txn = new Transaction()
                     .guard(MARKS + entry.getKey(), Revision.ABSENT)
                     .put(
                             MARKS + entry.getKey(),
@@ -282,8 +290,8 @@
             requests.take(turn.now(), 1);
             writes.take(turn.now(), 1);
             store.commit(txn, commit -> {
-                if (commit.result() == StoreClient.Commit.Result.DONE
-                        || commit.result() == StoreClient.Commit.Result.CONFLICT) {
+                if (commit.result() == StoreClient.CommitResult.Outcome.DONE
+                        || commit.result() == StoreClient.CommitResult.Outcome.CONFLICT) {
                     toMark.remove(entry.getKey(), mark);
                 } else {
                     turn.after(AGAIN_MS, this::mark);
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -9,17 +9,39 @@
 import java.util.SplittableRandom;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.leadership.PeerDirectory;
+import org.beechhoist.controller.leadership.WorkerReachability;
+import org.beechhoist.controller.state.CancellationRegistry;
+import org.beechhoist.controller.state.ChangeLog;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.state.StateLoader;
+import org.beechhoist.controller.state.TransactionCommitter;
+import org.beechhoist.controller.worker.CancellationEnforcer;
+import org.beechhoist.controller.worker.ColdStartRecovery;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.FaultTracker;
+import org.beechhoist.controller.worker.HeartbeatHandler;
+import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.PreemptionNotices;
+import org.beechhoist.controller.worker.TaskEviction;
+import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.release.Release;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.Sizes;
+import org.beechhoist.store.RecordSizes;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -35,76 +57,85 @@
 
     private static final long FIRST_REPORTS_MS = 4000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Election election;
-    private final Peers peers;
-    private final Book book;
-    private final Loading loading;
-    private final Committer committer;
-    private final Starting starting;
-    private final Orders orders;
-    private final Recovery recovery;
-    private final Departures departures;
-    private final Reports reports;
+    private final LeaderElection election;
+    private final PeerDirectory peers;
+    private final ClusterState book;
+    private final StateLoader loading;
+    private final TransactionCommitter committer;
+    private final ColdStartRecovery starting;
+    private final CommandDispatcher orders;
+    private final LossRecovery recovery;
+    private final TaskRemoval departures;
+    private final HeartbeatHandler reports;
     private final Provisioner provisioner;
     private final Admission admission;
-    private final Elastic elastic;
+    private final ElasticWidths elastic;
     private final Planner planner;
     private final Dispatch dispatch;
-    private final Narrowing narrowing;
+    private final WidthReduction narrowing;
     private final Preemption preemption;
     /** Null where cron is off: nothing of it is loaded then. */
-    private final Schedules schedules;
+    private final CronController schedules;
     /** Null where they are off: nothing of them is loaded then. */
-    private final FleetNotes notes;
-
-    private final ServedFloor floor;
-    private final Overload overload;
-    private final KeyHolds holds;
-    private final ReleaseDesk releases;
-    private final MoveDesk moves;
-    private final Notices notices;
-    private final DrainDesk drains;
-    private final Cancellations cancellations;
-    private final Pursuit pursuit;
+    private final FleetSnapshots notes;
+
+    private final MinimumServiceShare floor;
+    private final LoadShedding overload;
+    private final KeySetHolds holds;
+    private final ReleaseController releases;
+    private final MigrationController moves;
+    private final PreemptionNotices notices;
+    private final DrainController drains;
+    private final CancellationRegistry cancellations;
+    private final CancellationEnforcer pursuit;
 
     Leader(
-            Turn turn,
+            ControllerContext turn,
             Settings settings,
             Policy policy,
             SplittableRandom random,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Types types,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            MachineTypeCatalog types,
             UserApi users,
-            OnceKeys onceKeys,
-            Peers peers,
-            KeyBook keys,
-            ReleaseBook releaseBook,
-            DrainBook drainBook,
-            Cancellations cancellations) {
+            IdempotencyKeys onceKeys,
+            PeerDirectory peers,
+            KeySetRegistry keys,
+            ReleaseRegistry releaseBook,
+            DrainRegistry drainBook,
+            CancellationRegistry cancellations) {
         this.cancellations = cancellations;
         this.peers = peers;
         this.turn = turn;
         this.settings = settings;
         this.election = election;
-        Estimates estimates = new Estimates();
-        this.book = new Book(turn, settings);
-        TaskLog log = new TaskLog();
-        Sizes sizes = Sizes.of(
+        DurationEstimates estimates = new DurationEstimates();
+        this.book = new ClusterState(turn, settings);
+        ChangeLog log = new ChangeLog();
+        RecordSizes sizes = RecordSizes.of(
                 settings.stateLimits().valueBytes(), settings.stateLimits().txnOps());
-        this.loading = new Loading(
-                turn, store, election, requests, estimates, book, log, sizes, cancellations, new Loading.Listener() {
+        this.loading = new StateLoader(
+                turn,
+                store,
+                election,
+                requests,
+                estimates,
+                book,
+                log,
+                sizes,
+                cancellations,
+                new StateLoader.Listener() {
                     @Override
                     public void loaded() {
                         reports.bookLoaded();
                     }
 
                     @Override
-                    public void cancelled(JobRef ref) {
+                    public void cancelled(JobId ref) {
                         pursuit.cancelled(ref);
                     }
 
@@ -113,17 +144,17 @@
                         elastic.look(job);
                     }
                 });
-        this.starting = new Starting(turn, settings, book);
-        this.recovery = new Recovery(turn, book);
-        this.orders =
-                new Orders(turn, settings, election, book, loading, starting, cancellations, new Orders.Listener() {
+        this.starting = new ColdStartRecovery(turn, settings, book);
+        this.recovery = new LossRecovery(turn, book);
+        this.orders = new CommandDispatcher(
+                turn, settings, election, book, loading, starting, cancellations, new CommandDispatcher.Listener() {
                     @Override
-                    public void reported(Host machine, HostReport report) {
+                    public void reported(Machine machine, Heartbeat report) {
                         reports.evaluate(machine, report, false);
                     }
 
                     @Override
-                    public void unanswered(Baton baton) {
+                    public void unanswered(FencingToken baton) {
                         if (baton.equals(election.baton())) {
                             committer.wantRotation();
                         }
@@ -134,12 +165,12 @@
                         committer.wantRotationSoon();
                     }
                 });
-        Disruptions disruptions =
-                new Disruptions(turn, settings, store, election, requests, writes, book, drainBook != null);
-        Stopping stopping = new Stopping(book, orders, disruptions);
-        this.departures = new Departures(book, stopping, recovery);
-        this.holds = new KeyHolds(turn, settings, book, orders, departures, keys);
-        this.committer = new Committer(
+        DisruptionAccounting disruptions =
+                new DisruptionAccounting(turn, settings, store, election, requests, writes, book, drainBook != null);
+        TaskEviction stopping = new TaskEviction(book, orders, disruptions);
+        this.departures = new TaskRemoval(book, stopping, recovery);
+        this.holds = new KeySetHolds(turn, settings, book, orders, departures, keys);
+        this.committer = new TransactionCommitter(
                 turn,
                 settings,
                 store,
@@ -152,7 +183,7 @@
                 log,
                 holds,
                 peers::allHeard,
-                new Committer.Listener() {
+                new TransactionCommitter.Listener() {
                     @Override
                     public void placed(List<Placement> placed) {
                         launch(placed);
@@ -173,8 +204,8 @@
                         releases.ended(job);
                     }
                 });
-        Faults faults = new Faults(turn, book);
-        Ordering ordering = new Ordering(turn, settings, policy, book, estimates);
+        FaultTracker faults = new FaultTracker(turn, book);
+        JobOrdering ordering = new JobOrdering(turn, settings, policy, book, estimates);
         this.provisioner = new Provisioner(
                 turn,
                 settings,
@@ -189,8 +220,8 @@
                 recovery,
                 starting,
                 this::beganAnew);
-        this.elastic = new Elastic(turn, policy.elastic(), book, types, estimates, stopping, departures);
-        this.reports = new Reports(
+        this.elastic = new ElasticWidths(turn, policy.elastic(), book, types, estimates, stopping, departures);
+        this.reports = new HeartbeatHandler(
                 turn,
                 settings,
                 election,
@@ -204,14 +235,14 @@
                 elastic,
                 cancellations,
                 orders);
-        this.pursuit =
-                new Pursuit(turn, settings, book, orders, departures, recovery, provisioner, holds, cancellations);
+        this.pursuit = new CancellationEnforcer(
+                turn, settings, book, orders, departures, recovery, provisioner, holds, cancellations);
         this.admission = new Admission(turn, settings, types, book, faults);
         this.releases =
-                new ReleaseDesk(turn, store, election, requests, writes, book, estimates, admission, releaseBook);
+                new ReleaseController(turn, store, election, requests, writes, book, estimates, admission, releaseBook);
         ordering.releases(releases);
         this.dispatch = new Dispatch(turn, book, admission, estimates, elastic, types);
-        this.moves = new MoveDesk(
+        this.moves = new MigrationController(
                 turn,
                 policy,
                 store,
@@ -229,7 +260,7 @@
         disruptions.moving(moves::moves);
         provisioner.kept(h -> !moves.keptOn(h).isEmpty());
         admission.keeps(moves);
-        this.notices = new Notices(turn, book, estimates, stopping, orders);
+        this.notices = new PreemptionNotices(turn, book, estimates, stopping, orders);
         this.planner = new Planner(
                 turn,
                 settings,
@@ -245,15 +276,17 @@
                 starting,
                 moves,
                 notices);
-        this.narrowing = new Narrowing(turn, policy, types, book, ordering, admission, provisioner.renting(), elastic);
+        this.narrowing =
+                new WidthReduction(turn, policy, types, book, ordering, admission, provisioner.renting(), elastic);
         this.preemption = new Preemption(turn, policy, types, book, ordering, admission, stopping);
         this.schedules = policy.cron().on()
-                ? new Schedules(turn, settings, store, election, requests, writes, book, loading, users, onceKeys)
+                ? new CronController(turn, settings, store, election, requests, writes, book, loading, users, onceKeys)
+                : null;
+        this.notes = policy.fleetNotes()
+                ? new FleetSnapshots(turn, settings, store, election, requests, writes, book)
                 : null;
-        this.notes =
-                policy.fleetNotes() ? new FleetNotes(turn, settings, store, election, requests, writes, book) : null;
         this.floor = policy.servedFloor()
-                ? new ServedFloor(
+                ? new MinimumServiceShare(
                         turn,
                         settings,
                         store,
@@ -265,7 +298,7 @@
                         ordering,
                         h -> types.get(h.type) == null ? 0 : types.get(h.type).cpus())
                 : null;
-        this.drains = new DrainDesk(
+        this.drains = new DrainController(
                 turn,
                 settings,
                 store,
@@ -281,7 +314,7 @@
                 elastic,
                 moves,
                 disruptions,
-                new Rollouts(
+                new RollingReplacement(
                         turn,
                         book,
                         provisioner,
@@ -291,7 +324,7 @@
                         () -> floor == null ? Map.of() : floor.shares()),
                 drainBook);
         this.overload = policy.triage()
-                ? new Overload(
+                ? new LoadShedding(
                         turn,
                         settings,
                         types,
@@ -301,7 +334,7 @@
                         admission,
                         provisioner.renting(),
                         () -> floor == null ? Map.of() : floor.shares(),
-                        j -> floor == null ? ServedFloor.groups(j.spec()) : floor.groups(j))
+                        j -> floor == null ? MinimumServiceShare.groups(j.spec()) : floor.groups(j))
                 : null;
     }
 
@@ -342,7 +375,7 @@
     }
 
     /** Answers a worker's report. */
-    void checkin(long request, HostReport heartbeat) {
+    void checkin(long request, Heartbeat heartbeat) {
         reports.checkin(request, heartbeat);
     }
 
@@ -351,7 +384,7 @@
      * nothing. What was on it is gone with that; but commands for its first session, which may still be on their way, would be
      * carried out. So what the new one does not hold is gone once it has seen a newer token.
      */
-    private void beganAnew(Host machine, HostReport heartbeat) {
+    private void beganAnew(Machine machine, Heartbeat heartbeat) {
         LOG.info("{} began anew: session {}, message {}", machine.id, heartbeat.shift(), heartbeat.counter());
         machine.newest(heartbeat, turn.now());
         machine.sessionHeard = turn.now();
@@ -371,7 +404,7 @@
 
     private void launch(List<Placement> placed) {
         placed.forEach(recovery::placed);
-        Set<Host> reached = new LinkedHashSet<>();
+        Set<Machine> reached = new LinkedHashSet<>();
         for (Placement placement : placed) {
             Job job = book.job(placement.task.job());
             if (elastic.withdraws(job, placement, book.host(placement.host))) {
@@ -385,14 +418,14 @@
     }
 
     /** A job's cancellation is committed, as another node says or this one's user was told. */
-    void cancelled(JobRef ref) {
+    void cancelled(JobId ref) {
         if (election.valid()) {
             pursuit.cancelled(ref);
         }
     }
 
     /** Whether it is certain that no task of a cancelled job starts any more: what may have been launched is gone, or was seen running. */
-    boolean noTaskCanStart(JobRef ref) {
+    boolean noTaskCanStart(JobId ref) {
         Job job = book.job(ref);
         return active()
                 && (job == null || job.record.live.values().stream().allMatch(p -> !p.sent || p.running != null));
@@ -410,15 +443,15 @@
 
     // ---- what can be seen of it ----
 
-    ReleaseDesk releases() {
+    ReleaseController releases() {
         return releases;
     }
 
-    DrainDesk drains() {
+    DrainController drains() {
         return drains;
     }
 
-    Book book() {
+    ClusterState book() {
         return book;
     }
 
@@ -427,16 +460,16 @@
         return committer.backlog();
     }
 
-    Recovery recovery() {
+    LossRecovery recovery() {
         return recovery;
     }
 
     /** Null where it is off. */
-    ServedFloor floor() {
+    MinimumServiceShare floor() {
         return floor;
     }
 
-    Starting starting() {
+    ColdStartRecovery starting() {
         return starting;
     }
 
@@ -448,7 +481,7 @@
         return admission;
     }
 
-    Elastic elastic() {
+    ElasticWidths elastic() {
         return elastic;
     }
 
@@ -467,7 +500,7 @@
             return;
         }
         starting.tick();
-        for (Host machine : new ArrayList<>(book.hosts())) {
+        for (Machine machine : new ArrayList<>(book.hosts())) {
             if (!machine.placements.isEmpty()
                     && book.lapse(machine).before(turn.now())
                     && machine.placements.values().stream().allMatch(p -> p.committed)) {
@@ -500,26 +533,27 @@
 
     /** Whether no worker reaches this node while it leads; the lead is given up then. */
     private boolean deaf() {
-        long window = Hearing.window(Math.round(1000 * settings.workers().reportS()));
+        long window =
+                WorkerReachability.window(Math.round(1000 * settings.workers().reportS()));
         if (turn.now().since(book.wonAt()) < window + FIRST_REPORTS_MS) {
             return false;
         }
         int up = 0;
         int heard = 0;
         int unhearing = 0;
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             if (machine.known() && machine.there && !machine.returning && (machine.up || machine.listedUp)) {
                 up++;
                 heard += machine.lastHeard != null && turn.now().since(machine.lastHeard) < window ? 1 : 0;
                 unhearing += machine.ears.speaksOn() ? 1 : 0;
             }
         }
-        if (Hearing.mute(up, unhearing)) {
+        if (WorkerReachability.mute(up, unhearing)) {
             LOG.warn("{} of {} machines speak and don't hear this node: another is to lead", unhearing, up);
             election.makeWay("what this node says does not reach workers", MAKE_WAY_MS);
             return true;
         }
-        if (!Hearing.deaf(up, heard, peers.reportsElsewhere(turn.now()))) {
+        if (!WorkerReachability.deaf(up, heard, peers.reportsElsewhere(turn.now()))) {
             return false;
         }
         LOG.warn("{} of {} machines reach this node: another is to lead", heard, up);
@@ -528,7 +562,7 @@
     }
 
     /** The schedules, or null. */
-    Schedules schedules() {
+    CronController schedules() {
         return schedules;
     }
 
@@ -546,8 +580,8 @@
                         job.record.live.size(),
                         job.hold != null
                                 ? "held: " + job.hold.why()
-                                : Elastic.held(job) != null
-                                        ? Elastic.held(job)
+                                : ElasticWidths.held(job) != null
+                                        ? ElasticWidths.held(job)
                                         : job.record.reason != null
                                                 ? job.record.reason
                                                 : start == null
@@ -592,7 +626,7 @@
     }
 
     /** When the next plan or step of the search is due. */
-    Tick nextPlan() {
+    MonotonicTime nextPlan() {
         return planner.next();
     }
 }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,15 +9,21 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.floor.Share;
 import org.beechhoist.release.ShipOrder;
 import org.beechhoist.store.Placement;
 import org.beechhoist.triage.Demand;
 import org.beechhoist.triage.Means;
 import org.beechhoist.triage.Triage;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,32 +31,32 @@
  * Sees that more is asked than machines, those that boot included, can do while the cloud has no more, and leaves jobs behind so
  * that as many others as possible are in time. Without it all jobs began as late as they might, and nearly all were late.
  */
-final class Overload {
-    private static final Logger LOG = LoggerFactory.getLogger(Overload.class);
+final class LoadShedding {
+    private static final Logger LOG = LoggerFactory.getLogger(LoadShedding.class);
     private static final long EVERY_MS = 1000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Types types;
-    private final Book book;
-    private final Estimates estimates;
-    private final Ordering ordering;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
+    private final JobOrdering ordering;
     private final Admission admission;
-    private final Renting renting;
+    private final ScaleOutPolicy renting;
     private final Supplier<Map<String, Share>> lately;
     private final Function<Job, Set<String>> groups;
     private long next;
-    private Set<JobRef> behind = Set.of();
+    private Set<JobId> behind = Set.of();
 
-    Overload(
-            Turn turn,
+    LoadShedding(
+            ControllerContext turn,
             Settings settings,
-            Types types,
-            Book book,
-            Estimates estimates,
-            Ordering ordering,
+            MachineTypeCatalog types,
+            ClusterState book,
+            DurationEstimates estimates,
+            JobOrdering ordering,
             Admission admission,
-            Renting renting,
+            ScaleOutPolicy renting,
             Supplier<Map<String, Share>> lately,
             Function<Job, Set<String>> groups) {
         this.groups = groups;
@@ -99,7 +105,7 @@
             demands.add(new Demand(
                     job.ref(),
                     groups.apply(job),
-                    job.lifted ? -1 : Ordering.usualRank(job),
+                    job.lifted ? -1 : JobOrdering.usualRank(job),
                     spec.team(),
                     spec.cpus() * length * job.record.waitingCount(),
                     spec.gpus() * length * job.record.waitingCount(),
@@ -108,7 +114,7 @@
                     late,
                     more || begun || job.lifted || ordering.shipKey(job) != ShipOrder.NONE));
         }
-        Set<JobRef> now = !overloaded ? Set.of() : Triage.behind(demands, means());
+        Set<JobId> now = !overloaded ? Set.of() : Triage.behind(demands, means());
         if (!now.isEmpty()) {
             now = new HashSet<>(now);
             for (Job j : missed) {
@@ -135,8 +141,8 @@
         double gpus = 0;
         double busyGpus = 0;
         Map<String, Double> busyTeams = new HashMap<>();
-        for (Host machine : book.hosts()) {
-            HostType type = machine.known() && !machine.returning ? types.get(machine.type) : null;
+        for (Machine machine : book.hosts()) {
+            MachineType type = machine.known() && !machine.returning ? types.get(machine.type) : null;
             if (type == null || machine.up && !admission.usable(machine)) {
                 continue;
             }
