--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -13,6 +13,15 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.beechhoist.config.Policy;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.state.PrefixReader;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.drain.Account;
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.drain.Cause;
@@ -20,15 +29,15 @@
 import org.beechhoist.packing.Moves;
 import org.beechhoist.packing.Sizes;
 import org.beechhoist.plan.Plan;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
 import org.beechhoist.wire.TaskId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -39,10 +48,10 @@
  * the records say of those tasks: on the old machine they are stopped with time to save, gone they begin in their place, there
  * they are done. The place is kept for each, and the room for whom it was made.
  */
-final class MoveDesk {
+final class MigrationController {
     static final String PREFIX = "mv/";
     private static final String RECENT = "mv-recent";
-    private static final Logger LOG = LoggerFactory.getLogger(MoveDesk.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MigrationController.class);
     private static final long LOOK_EVERY_MS = 2000;
     private static final long LONGEST_MS = 150_000;
     /** A task is not moved again so soon. */
@@ -53,17 +62,17 @@
 
     /** Tasks that leave a machine, each with a place kept: for a large one's sake, or because the machine is emptied. */
     private static final class Making {
-        private final HostId host;
+        private final MachineId host;
         /** Null where the machine is emptied. */
-        private final JobRef forJob;
+        private final JobId forJob;
         /** Whose machine it is, where it is emptied; else null. */
         private final String drain;
 
         private final long sinceMs;
-        private final Map<TaskId, HostId> to =
+        private final Map<TaskId, MachineId> to =
                 new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
 
-        private Making(HostId host, JobRef forJob, String drain, long sinceMs) {
+        private Making(MachineId host, JobId forJob, String drain, long sinceMs) {
             this.host = host;
             this.forJob = forJob;
             this.drain = drain;
@@ -82,14 +91,15 @@
 
         private static Making parse(String key, JsonNode node) {
             Making making = new Making(
-                    new HostId(key.substring(PREFIX.length())),
-                    node.hasNonNull("for") ? new JobRef(node.path("for").asText()) : null,
+                    new MachineId(key.substring(PREFIX.length())),
+                    node.hasNonNull("for") ? new JobId(node.path("for").asText()) : null,
                     node.hasNonNull("drain") ? node.path("drain").asText() : null,
                     node.path("at").asLong());
             for (int i = 0; i + 1 < node.path("moves").size(); i += 2) {
                 TaskId task = TaskId.parse(node.get("moves").get(i).asText());
                 if (task != null) {
-                    making.to.put(task, new HostId(node.get("moves").get(i + 1).asText()));
+                    making.to.put(
+                            task, new MachineId(node.get("moves").get(i + 1).asText()));
                 }
             }
             return making;
@@ -100,22 +110,22 @@
         }
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Policy policy;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Types types;
-    private final Book book;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
     private final Admission admission;
-    private final Stopping stopping;
-    private final Orders orders;
+    private final TaskEviction stopping;
+    private final CommandDispatcher orders;
     private final Dispatch dispatch;
-    private final MoveSearch search;
-    private final AfterWinning reading;
-    private final Disruptions disruptions;
-    private final Map<HostId, Making> making = new TreeMap<>();
+    private final MigrationSearch search;
+    private final PrefixReader reading;
+    private final DisruptionAccounting disruptions;
+    private final Map<MachineId, Making> making = new TreeMap<>();
     /** By the time of day when a task was last moved. */
     private final Map<TaskId, Long> moved = new HashMap<>();
 
@@ -127,20 +137,20 @@
     private boolean writing;
     private long nextLook;
 
-    MoveDesk(
-            Turn turn,
+    MigrationController(
+            ControllerContext turn,
             Policy policy,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Types types,
-            Book book,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            MachineTypeCatalog types,
+            ClusterState book,
             Admission admission,
-            Stopping stopping,
-            Orders orders,
+            TaskEviction stopping,
+            CommandDispatcher orders,
             Dispatch dispatch,
-            Disruptions disruptions,
+            DisruptionAccounting disruptions,
             Supplier<Budgets> budgets) {
         this.turn = turn;
         this.policy = policy;
@@ -155,8 +165,8 @@
         this.orders = orders;
         this.dispatch = dispatch;
         this.disruptions = disruptions;
-        this.reading = new AfterWinning(turn, store, requests, book);
-        this.search = new MoveSearch(
+        this.reading = new PrefixReader(turn, store, requests, book);
+        this.search = new MigrationSearch(
                 turn, types, book, admission, (j, p) -> !policy.drains() || mayDisturb(budgets.get(), j, p));
     }
 
@@ -172,7 +182,7 @@
                 spec.jobClass(),
                 spec.service(),
                 spec.service() ? spec.tasks() : 0,
-                Disruptions.lostCpuS(spec, placement, turn.now()));
+                DisruptionAccounting.lostCpuS(spec, placement, turn.now()));
         DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
         return disruptions.known()
                 && account.refuses(budgets.ofTeam(spec.team()), ask, turn.wallMs()) == null
@@ -282,7 +292,7 @@
     }
 
     /** Places that are kept on the machine for tasks on their way to it. */
-    List<JobSpec> keptOn(HostId host) {
+    List<JobSpec> keptOn(MachineId host) {
         if (making.isEmpty()) {
             return List.of();
         }
@@ -300,7 +310,7 @@
     }
 
     /** Whether the room on the machine is kept for another job than this one. */
-    boolean keptFromOthers(HostId host, JobRef job) {
+    boolean keptFromOthers(MachineId host, JobId job) {
         Making m = making.get(host);
         return m != null && !job.equals(m.forJob);
     }
@@ -331,8 +341,8 @@
     /** Before a plan is carried out: what is gone from the old machine begins in its place. */
     void startMoved() {
         for (Making move : making.values()) {
-            for (Map.Entry<TaskId, HostId> entry : move.to.entrySet()) {
-                Host to = book.known(entry.getValue());
+            for (Map.Entry<TaskId, MachineId> entry : move.to.entrySet()) {
+                Machine to = book.known(entry.getValue());
                 if (waits(entry.getKey()) && to != null) {
                     Job job = book.job(entry.getKey().job());
                     if (dispatch.place(job, entry.getKey().index(), to)) {
@@ -364,7 +374,7 @@
 
     private void goOn(Making making) {
         Job large = making.forJob == null ? null : book.job(making.forJob);
-        Host from = book.known(making.host);
+        Machine from = book.known(making.host);
         boolean senseless = making.drain != null
                 ? from == null || !making.drain.equals(from.cordonedBy) || turn.wallMs() - making.sinceMs > LONGEST_MS
                 : large == null
@@ -373,7 +383,7 @@
                         || turn.wallMs() - making.sinceMs > LONGEST_MS
                         || large.record.waitingCount() == 0 && !there(making);
         boolean over = true;
-        for (Map.Entry<TaskId, HostId> entry : List.copyOf(making.to.entrySet())) {
+        for (Map.Entry<TaskId, MachineId> entry : List.copyOf(making.to.entrySet())) {
             Job job = book.job(entry.getKey().job());
             Placement placement =
                     job == null ? null : job.record.live.get(entry.getKey().index());
@@ -394,7 +404,7 @@
                     over = false;
                 }
             } else if (waits(entry.getKey())) {
-                Host to = book.known(entry.getValue());
+                Machine to = book.known(entry.getValue());
                 if (to == null || !admission.usable(to)) {
                     making.to.remove(entry.getKey()); // its place is lost: it is planned like any other
                 } else {
@@ -418,14 +428,14 @@
         ObjectNode recent = Codec.map();
         moved.forEach((t, at) -> recent.put(t.toString(), at));
         write(election.guarded().delete(PREFIX + move.host.text()).put(RECENT, recent), commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 making.remove(move.host, move);
                 book.replan();
             }
         });
     }
 
-    private void write(Txn txn, Consumer<Commit> then) {
+    private void write(Transaction txn, Consumer<CommitResult> then) {
         long reign = book.reign();
         writing = true;
         requests.take(turn.now(), 1);
@@ -441,9 +451,9 @@
     // ---- looking ----
 
     private void look(Plan plan) {
-        MoveSearch.Wish wish = search.look(
+        MigrationSearch.Wish wish = search.look(
                 plan,
-                new MoveSearch.InHand(
+                new MigrationSearch.InHand(
                         tasksInHand(), making.keySet(), moved.keySet(), this::roomsFor, this::zoneOfRooms),
                 sizes());
         if (wish != null) {
@@ -468,18 +478,18 @@
 
     /** Of a service one replica leaves at a time: the next once that one runs in its place. */
     private static boolean mayLeave(Job job) {
-        return !job.spec().service() || MoveSearch.allThere(job);
+        return !job.spec().service() || MigrationSearch.allThere(job);
     }
 
     private void make(Job large, Moves.Found found) {
         Making move = new Making(found.host(), large.ref(), null, turn.wallMs());
         found.moves().forEach(o -> move.to.put(o.task(), o.to()));
-        Txn txn = election.guarded().put(PREFIX + move.host.text(), move.toNode());
+        Transaction txn = election.guarded().put(PREFIX + move.host.text(), move.toNode());
         Map<String, Account> charged = charge(move);
         charged.forEach((team, a) -> disruptions.into(txn, team, a));
         // Nothing is stopped before it is written.
         write(txn, commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 charged.forEach(disruptions::adopt);
                 making.put(move.host, move);
                 LOG.info(
@@ -511,7 +521,7 @@
                                 placement.attempt,
                                 job.spec().jobClass(),
                                 Cause.MOVE,
-                                Disruptions.lostCpuS(job.spec(), placement, turn.now()),
+                                DisruptionAccounting.lostCpuS(job.spec(), placement, turn.now()),
                                 turn.wallMs()));
                 out.put(job.spec().team(), account);
             }
@@ -522,7 +532,7 @@
     // ---- machines that are emptied ----
 
     /** Whether tasks of the machine are on their way, or about to be. */
-    boolean moves(HostId host) {
+    boolean moves(MachineId host) {
         return making.containsKey(host);
     }
 
@@ -532,14 +542,14 @@
     }
 
     /** Tasks leave a machine that is emptied, each for a place that is kept: written with the rest of the transaction. */
-    void relocate(Txn txn, HostId host, String drain, Map<TaskId, HostId> to) {
+    void relocate(Transaction txn, MachineId host, String drain, Map<TaskId, MachineId> to) {
         Making making = new Making(host, null, drain, turn.wallMs());
         making.to.putAll(to);
         txn.put(PREFIX + host.text(), making.toNode());
     }
 
     /** That transaction is made. */
-    void relocated(HostId host, String drain, Map<TaskId, HostId> to) {
+    void relocated(MachineId host, String drain, Map<TaskId, MachineId> to) {
         Making move = new Making(host, null, drain, turn.wallMs());
         move.to.putAll(to);
         making.put(host, move);
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,20 +8,25 @@
 import java.util.function.BiPredicate;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.packing.Moves;
 import org.beechhoist.packing.Sizes;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostType;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.TaskId;
 
 /**
  * Who lacks room though enough is free in pieces, and what moving makes it cheapest. A model over several machines of one zone gets
  * one room after the other, in a zone that has what all of its tasks need.
  */
-final class MoveSearch {
+final class MigrationSearch {
     /** Who begins this soon by the plan needs no room made. */
     private static final long SOON_MS = 10_000;
     /** A job that has just come is planned first. */
@@ -44,7 +49,7 @@
      */
     record InHand(
             Set<TaskId> tasks,
-            Set<HostId> rooms,
+            Set<MachineId> rooms,
             Set<TaskId> lately,
             ToIntFunction<Job> roomsFor,
             Function<Job, String> zoneOfRooms) {}
@@ -52,14 +57,19 @@
     /** Whom to make room for, and how. */
     record Wish(Job large, Moves.Found found) {}
 
-    private final Turn turn;
-    private final Types types;
-    private final Book book;
+    private final ControllerContext turn;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
     private final Admission admission;
     /** Whether its team's budget allows that a task is moved. */
     private final BiPredicate<Job, Placement> allowed;
 
-    MoveSearch(Turn turn, Types types, Book book, Admission admission, BiPredicate<Job, Placement> allowed) {
+    MigrationSearch(
+            ControllerContext turn,
+            MachineTypeCatalog types,
+            ClusterState book,
+            Admission admission,
+            BiPredicate<Job, Placement> allowed) {
         this.allowed = allowed;
         this.turn = turn;
         this.types = types;
@@ -109,8 +119,8 @@
         return new Moves.Room(spec.cpus(), spec.gpus(), spec.memGb());
     }
 
-    private boolean allowed(TaskId task, HostId id) {
-        Host machine = book.known(id);
+    private boolean allowed(TaskId task, MachineId id) {
+        Machine machine = book.known(id);
         JobSpec s = book.job(task.job()).spec();
         return machine != null && s.mayRunOn(types.get(machine.type), machine.zone, machine.spot);
     }
@@ -133,8 +143,8 @@
         }
         // What can be made free counts whole: the zone with the most of it, if that is enough for all.
         Map<String, Integer> fit = new HashMap<>();
-        for (Host machine : book.hosts()) {
-            HostType type = machine.known() ? types.get(machine.type) : null;
+        for (Machine machine : book.hosts()) {
+            MachineType type = machine.known() ? types.get(machine.type) : null;
             if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
                 double gpus = type.gpus();
                 for (Placement placement : machine.placements.values()) {
@@ -161,8 +171,8 @@
                 book.job(t.job()) == null ? "" : book.job(t.job()).spec().team(), 1, Integer::sum));
         String only = onlyZone(large, hand);
         List<Moves.Machine> out = new ArrayList<>();
-        for (Host machine : book.hosts()) {
-            HostType type = machine.known() ? types.get(machine.type) : null;
+        for (Machine machine : book.hosts()) {
+            MachineType type = machine.known() ? types.get(machine.type) : null;
             Admission.Room free =
                     type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
                             ? null
@@ -221,7 +231,7 @@
         JobSpec spec = job.spec();
         double ran = turn.now().since(placement.running) / 1000.0;
         double lost = spec.service() || spec.checkpointS() > 0 ? 0 : ran;
-        HostType t = types.get(book.host(placement.host).type);
+        MachineType t = types.get(book.host(placement.host).type);
         return spec.gpus() * (spec.saveS() + PROVED_GONE_S + spec.imageGb() / t.fetchGbPerS() + lost);
     }
 }
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,62 +9,68 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.floor.Aged;
 import org.beechhoist.floor.Floor;
 import org.beechhoist.floor.Largest;
 import org.beechhoist.floor.Ledger;
 import org.beechhoist.floor.Share;
-import org.beechhoist.store.Budget;
-import org.beechhoist.store.ServedRecord;
+import org.beechhoist.store.ServiceShareRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Counts what each class and team asks and is served, keeps that through take-overs, and lifts jobs where one is behind its half. */
-final class ServedFloor {
-    private static final Logger LOG = LoggerFactory.getLogger(ServedFloor.class);
+final class MinimumServiceShare {
+    private static final Logger LOG = LoggerFactory.getLogger(MinimumServiceShare.class);
     private static final long WRITE_EVERY_MS = 15_000;
     private static final double PLENTY = 0.5;
     private static final long AGAIN_MS = 1000;
     private static final long READ_AFTER_MS = 4000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final Estimates estimates;
-    private final Ordering ordering;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
+    private final JobOrdering ordering;
     private final Ledger ledger = new Ledger();
     private final Largest largest = new Largest();
-    private final ToDoubleFunction<Host> cpus;
-    private final Set<JobRef> counted = new HashSet<>();
-    private Set<JobRef> lifted = Set.of();
+    private final ToDoubleFunction<Machine> cpus;
+    private final Set<JobId> counted = new HashSet<>();
+    private Set<JobId> lifted = Set.of();
     /** Open jobs whose time was up before are in the ledger already. */
     private long countedUntilWallMs;
 
     private boolean known;
-    private Tick nextWrite = Tick.ZERO;
+    private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
-    ServedFloor(
-            Turn turn,
+    MinimumServiceShare(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
-            Estimates estimates,
-            Ordering ordering,
-            ToDoubleFunction<Host> cpus) {
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
+            DurationEstimates estimates,
+            JobOrdering ordering,
+            ToDoubleFunction<Machine> cpus) {
         this.cpus = cpus;
         this.ordering = ordering;
         this.turn = turn;
@@ -97,7 +103,7 @@
     private void read() {
         long reign = book.reign();
         requests.take(turn.now(), 1);
-        store.get(ServedRecord.KEY, read -> {
+        store.get(ServiceShareRecord.KEY, read -> {
             if (reign != book.reign()) {
                 return;
             }
@@ -113,8 +119,8 @@
             countedUntilWallMs = turn.wallMs();
             if (read.item() != null) {
                 try {
-                    countedUntilWallMs = ServedRecord.read(read.item().value(), ledger, largest);
-                } catch (Malformed e) {
+                    countedUntilWallMs = ServiceShareRecord.read(read.item().value(), ledger, largest);
+                } catch (MalformedMessageException e) {
                     LOG.warn("what was served before can't be read, it is counted anew: {}", e.getMessage());
                     ledger.clear();
                     largest.clear();
@@ -203,9 +209,9 @@
                 waiting.add(new Floor.Waiting(job.ref(), groups(job), job.lifted, ends, limit));
             }
         }
-        Set<JobRef> before = lifted;
+        Set<JobId> before = lifted;
         lifted = Floor.lifted(ledger.shares(turn.wallMs()), waiting);
-        Map<JobRef, Integer> aged = aged();
+        Map<JobId, Integer> aged = aged();
         for (Job job : book.jobs()) {
             Integer part = aged.get(job.ref());
             if (part != null && !job.aged) {
@@ -239,10 +245,10 @@
         }
     }
 
-    private Map<JobRef, Integer> aged() {
+    private Map<JobId, Integer> aged() {
         List<Aged.Waiting> waiting = new ArrayList<>();
         double all = 0;
-        for (Host h : book.hosts()) {
+        for (Machine h : book.hosts()) {
             all += h.up && !h.returning ? cpus.applyAsDouble(h) : 0;
         }
         for (Job job : book.jobs()) {
@@ -277,10 +283,10 @@
             return;
         }
         nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
-        Txn txn = election.guarded()
+        Transaction txn = election.guarded()
                 .put(
-                        ServedRecord.KEY,
-                        ServedRecord.toNode(
+                        ServiceShareRecord.KEY,
+                        ServiceShareRecord.toNode(
                                 ledger,
                                 largest,
                                 turn.wallMs(),
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -1,20 +1,22 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.peer.JobCount;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /** What an operator can ask of the leader; cut off before an answer outgrows the protocol's limit. */
-final class Views {
+final class OperatorViews {
     private static final int MAX_ROWS = 250;
 
-    private Views() {}
+    private OperatorViews() {}
 
     static ObjectNode plan(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
@@ -38,8 +40,8 @@
             if (job.record.width != null) {
                 node.set("width", job.record.width.toNode());
             }
-            if (Elastic.held(job) != null) {
-                node.put("reason", Elastic.held(job));
+            if (ElasticWidths.held(job) != null) {
+                node.put("reason", ElasticWidths.held(job));
             } else if (job.record.reason != null) {
                 node.put("reason", job.record.reason);
             }
@@ -56,7 +58,7 @@
     static ObjectNode hosts(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
-        for (Host machine : leader.book().hosts()) {
+        for (Machine machine : leader.book().hosts()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
@@ -112,7 +114,7 @@
     }
 
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
-    static void promised(Leader leader, JobRef ref, ObjectNode state, long nowMs) {
+    static void promised(Leader leader, JobId ref, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().current();
         Job job = leader.book().job(ref);
         if (plan == null || job == null) {
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,17 +9,25 @@
 import java.util.SplittableRandom;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.ColdStartRecovery;
+import org.beechhoist.controller.worker.PreemptionNotices;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.plan.Evaluation;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.plan.PlanHost;
 import org.beechhoist.plan.RandomSearch;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,25 +46,25 @@
     /** Keeps a team that has used nothing yet from outweighing all others. */
     private static final double USAGE_FLOOR = 0.05;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final Policy policy;
     private final SplittableRandom random;
-    private final Types types;
-    private final Book book;
-    private final Estimates estimates;
-    private final Ordering ordering;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
+    private final JobOrdering ordering;
     private final Admission admission;
     private final Provisioner provisioner;
-    private final Elastic elastic;
-    private final Starting starting;
-    private final MoveDesk moves;
-    private final Notices notices;
-    private Tick nextPlan = Tick.ZERO;
+    private final ElasticWidths elastic;
+    private final ColdStartRecovery starting;
+    private final MigrationController moves;
+    private final PreemptionNotices notices;
+    private MonotonicTime nextPlan = MonotonicTime.ZERO;
     private Plan plan;
     private RandomSearch<Arrangement> search;
-    private Tick nextSearch = Tick.ZERO;
-    private Tick searchEnds = Tick.ZERO;
+    private MonotonicTime nextSearch = MonotonicTime.ZERO;
+    private MonotonicTime searchEnds = MonotonicTime.ZERO;
     /** What the last search liked best, for those of its jobs that still wait. */
     private Arrangement preferred = Arrangement.NONE;
 
@@ -64,20 +72,20 @@
     private long searchKept;
 
     Planner(
-            Turn turn,
+            ControllerContext turn,
             Settings settings,
             Policy policy,
             SplittableRandom random,
-            Types types,
-            Book book,
-            Estimates estimates,
-            Ordering ordering,
+            MachineTypeCatalog types,
+            ClusterState book,
+            DurationEstimates estimates,
+            JobOrdering ordering,
             Admission admission,
             Provisioner provisioner,
-            Elastic elastic,
-            Starting starting,
-            MoveDesk moves,
-            Notices notices) {
+            ElasticWidths elastic,
+            ColdStartRecovery starting,
+            MigrationController moves,
+            PreemptionNotices notices) {
         this.moves = moves;
         this.notices = notices;
         this.starting = starting;
@@ -148,7 +156,7 @@
         return book.changed() || search != null;
     }
 
-    Tick next() {
+    MonotonicTime next() {
         return search != null ? turn.now().plusMs(1) : nextPlan;
     }
 
@@ -161,12 +169,12 @@
     }
 
     /** A plan with what runs and, in the given order, what waits; widths that are not given are weighed. */
-    private Plan build(List<Job> order, Map<JobRef, Integer> widths) {
+    private Plan build(List<Job> order, Map<JobId, Integer> widths) {
         long now = turn.now().ms();
         List<PlanHost> planHosts = new ArrayList<>();
-        Set<HostId> planned = new HashSet<>();
-        for (Host machine : book.hosts()) {
-            HostType type = machine.known() ? types.get(machine.type) : null;
+        Set<MachineId> planned = new HashSet<>();
+        for (Machine machine : book.hosts()) {
+            MachineType type = machine.known() ? types.get(machine.type) : null;
             if (type == null
                     || (!admission.usable(machine) && (machine.up || machine.returning))
                     || starting.doubted(machine)) {
@@ -209,7 +217,7 @@
         }
         for (Job job : book.jobs()) {
             for (Placement placement : job.record.live.values()) {
-                Host machine = book.known(placement.host);
+                Machine machine = book.known(placement.host);
                 long end = planned.contains(placement.host)
                                 || machine != null && (machine.noticeEnds != null || machine.cordonedBy != null)
                         ? notices.endOf(machine, placement).ms()
@@ -252,7 +260,7 @@
     }
 
     /** After all others, elastic jobs onto what would stand idle. */
-    private void widen(Plan next, List<Job> order, Map<JobRef, Integer> widths) {
+    private void widen(Plan next, List<Job> order, Map<JobId, Integer> widths) {
         int weighed = 0;
         for (Job job : order) {
             if (job.record.width == null) {
@@ -290,7 +298,7 @@
             searchEnds = turn.now().plusMs(policy.searchMs());
             // Where an objective still speaks for a job it decides the order, and search was measured to spend the
             // slack that objectives need; what none speaks for is ordered by waits, slowdown and fairness.
-            List<JobRef> free = ordered().stream()
+            List<JobId> free = ordered().stream()
                     .filter(j -> !ordering.objectiveOpen(j))
                     .map(Job::ref)
                     .toList();
@@ -320,9 +328,9 @@
         search.step();
     }
 
-    private Arrangement arrangement(List<JobRef> free) {
-        List<JobRef> wide = new ArrayList<>();
-        Map<JobRef, Integer> widest = new HashMap<>();
+    private Arrangement arrangement(List<JobId> free) {
+        List<JobId> wide = new ArrayList<>();
+        Map<JobId, Integer> widest = new HashMap<>();
         for (Job job : book.jobs()) {
             if (job.record.width != null && elastic.wish(job, elastic.sure(job), null) != null) {
                 wide.add(job.ref());
@@ -335,8 +343,8 @@
     }
 
     private Evaluation evaluate(Arrangement arrangement) {
-        List<Job> list = Ordering.arranged(ordering.byObjective(), arrangement.order());
-        Map<JobRef, Evaluation.Facts> facts = new HashMap<>();
+        List<Job> list = JobOrdering.arranged(ordering.byObjective(), arrangement.order());
+        Map<JobId, Evaluation.Facts> facts = new HashMap<>();
         for (Job job : list) {
             facts.put(
                     job.ref(),
@@ -369,6 +377,6 @@
     }
 
     private List<Job> ordered() {
-        return Ordering.arranged(ordering.byObjective(), preferred.order());
+        return JobOrdering.arranged(ordering.byObjective(), preferred.order());
     }
 }
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,11 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import org.beechhoist.config.Policy;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 
 /** Stops lower work, the least of it, where a more urgent task would otherwise begin too late. */
 final class Preemption {
@@ -23,13 +29,13 @@
     /** Jobs that room is looked for in one plan, most urgent first: each costs a look at every machine. */
     private static final int MAX_JOBS = 20;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Policy policy;
-    private final Types types;
-    private final Book book;
-    private final Ordering ordering;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final JobOrdering ordering;
     private final Admission admission;
-    private final Stopping stopping;
+    private final TaskEviction stopping;
 
     /** What would be stopped on one machine, how many tasks that makes room for, and what it throws away. */
     private record Offer(List<Placement> victims, int tasks, double cost, long beginsMs) {
@@ -39,13 +45,13 @@
     }
 
     Preemption(
-            Turn turn,
+            ControllerContext turn,
             Policy policy,
-            Types types,
-            Book book,
-            Ordering ordering,
+            MachineTypeCatalog types,
+            ClusterState book,
+            JobOrdering ordering,
             Admission admission,
-            Stopping stopping) {
+            TaskEviction stopping) {
         this.turn = turn;
         this.policy = policy;
         this.types = types;
@@ -56,8 +62,8 @@
     }
 
     void run(Plan plan, Map<String, double[]> used) {
-        Map<JobRef, List<Long>> late = new LinkedHashMap<>();
-        Map<JobRef, Long> bounds = new LinkedHashMap<>();
+        Map<JobId, List<Long>> late = new LinkedHashMap<>();
+        Map<JobId, Long> bounds = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
             Long bound = bounds.computeIfAbsent(reservation.job(), this::lateFrom);
             if (!reservation.wide() && reservation.beginMs() > bound) {
@@ -65,7 +71,7 @@
             }
         }
         int jobs = 0;
-        for (Map.Entry<JobRef, List<Long>> entry : late.entrySet()) {
+        for (Map.Entry<JobId, List<Long>> entry : late.entrySet()) {
             Job job = book.job(entry.getKey());
             if (!mayAsk(job) || admission.overLimit(job, used) || jobs++ == MAX_JOBS) {
                 continue;
@@ -77,7 +83,7 @@
     }
 
     /** Work that begins by then, or that may stop nobody, is not late. */
-    private long lateFrom(JobRef ref) {
+    private long lateFrom(JobId ref) {
         Job job = book.job(ref);
         return job == null || !mayAsk(job)
                 ? Long.MAX_VALUE
@@ -111,7 +117,7 @@
         double most = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
         long last = begins.stream().mapToLong(Long::longValue).max().orElse(0);
         List<Offer> offers = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             if (machine.placements.isEmpty() || machine.ordersInFlight > 0 || !admission.usable(machine)) {
                 continue;
             }
@@ -143,14 +149,14 @@
     }
 
     /** When a task of the job would begin on the host if room were made there now. */
-    private long roomBegins(Host machine, Job job) {
+    private long roomBegins(Machine machine, Job job) {
         return turn.now().ms() + SOON_MS / 2 + machine.fetchMs(job.spec(), types.get(machine.type));
     }
 
     /** The tasks to stop so that the job's fit on the host, youngest first; null where that can't be. */
-    private Offer offer(Host machine, Job job, int waiting, long beginsMs) {
+    private Offer offer(Machine machine, Job job, int waiting, long beginsMs) {
         JobSpec spec = job.spec();
-        HostType type = types.get(machine.type);
+        MachineType type = types.get(machine.type);
         Admission.Room room =
                 spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null || room.enough()) {
@@ -196,7 +202,7 @@
         return sum;
     }
 
-    private static double fetchCost(Host machine, Job job) {
+    private static double fetchCost(Machine machine, Job job) {
         return machine.images.containsKey(job.spec().image())
                 ? 0
                 : job.spec().imageGb() * job.spec().cpus();
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,20 +11,32 @@
 import java.util.function.Predicate;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.ColdStartRecovery;
+import org.beechhoist.controller.worker.FailureDetector;
+import org.beechhoist.controller.worker.FaultTracker;
+import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.plan.Plan;
-import org.beechhoist.store.Budget;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.Calls;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.ServiceCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Keeps the machines: has them rented, lists them, returns what idles, is lost or never comes up. */
-final class Provisioner {
+public final class Provisioner {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
     private static final int MAX_RETURN = 100;
     private static final int MOST_RETURN_CALLS = 4;
@@ -37,43 +49,43 @@
     /** How long a new leadership waits for the first list before it rents without. */
     private static final long FIRST_LIST_MS = 15_000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final Policy policy;
-    private final Election election;
-    private final Types types;
-    private final Book book;
-    private final Faults faults;
-    private final Departures departures;
-    private final Budget calls;
-    private final Renting renting;
-    private final Silence silence;
-    private final Recovery recovery;
-    private final Starting starting;
-    private final Set<HostId> gone = Recent.added(REMEMBERED_GONE);
-    private Tick nextTurn = Tick.ZERO;
-    private Tick nextList = Tick.ZERO;
+    private final LeaderElection election;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final FaultTracker faults;
+    private final TaskRemoval departures;
+    private final TokenBucket calls;
+    private final ScaleOutPolicy renting;
+    private final FailureDetector silence;
+    private final LossRecovery recovery;
+    private final ColdStartRecovery starting;
+    private final Set<MachineId> gone = BoundedCollections.added(REMEMBERED_GONE);
+    private MonotonicTime nextTurn = MonotonicTime.ZERO;
+    private MonotonicTime nextList = MonotonicTime.ZERO;
     private boolean listing;
     /** Whether this leadership has seen all machines once: before that, it would rent what it already has. */
     private boolean listed;
 
     private int returnCalls;
-    private Predicate<HostId> kept = h -> false;
+    private Predicate<MachineId> kept = h -> false;
 
     Provisioner(
-            Turn turn,
+            ControllerContext turn,
             Settings settings,
             Policy policy,
-            Election election,
-            Types types,
-            Book book,
-            Ordering ordering,
-            Estimates estimates,
-            Faults faults,
-            Departures departures,
-            Recovery recovery,
-            Starting starting,
-            BiConsumer<Host, HostReport> beganAnew) {
+            LeaderElection election,
+            MachineTypeCatalog types,
+            ClusterState book,
+            JobOrdering ordering,
+            DurationEstimates estimates,
+            FaultTracker faults,
+            TaskRemoval departures,
+            LossRecovery recovery,
+            ColdStartRecovery starting,
+            BiConsumer<Machine, Heartbeat> beganAnew) {
         this.starting = starting;
         this.turn = turn;
         this.election = election;
@@ -83,14 +95,14 @@
         this.book = book;
         this.faults = faults;
         this.departures = departures;
-        this.silence = new Silence(turn, settings, policy, election, book, starting, recovery, beganAnew);
+        this.silence = new FailureDetector(turn, settings, policy, election, book, starting, recovery, beganAnew);
         this.recovery = recovery;
-        this.calls = new Budget(settings.cloudLimits().rps() * 0.8);
-        this.renting = new Renting(turn, policy, election, types, book, ordering, estimates, calls);
+        this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8);
+        this.renting = new ScaleOutPolicy(turn, policy, election, types, book, ordering, estimates, calls);
     }
 
-    /** A new leadership begins: its baton makes the names of its rentals. */
-    void reset(Baton newBaton) {
+    /** A new leadership begins: its fencing token makes the names of its rentals. */
+    void reset(FencingToken newBaton) {
         renting.reset(newBaton);
         listed = false;
         listing = false;
@@ -107,19 +119,19 @@
     }
 
     /** Who knows which machines have a place that is kept for a task on its way. */
-    void kept(Predicate<HostId> by) {
+    void kept(Predicate<MachineId> by) {
         kept = by;
     }
 
-    Renting renting() {
+    ScaleOutPolicy renting() {
         return renting;
     }
 
-    boolean gone(HostId id) {
+    public boolean gone(MachineId id) {
         return gone.contains(id);
     }
 
-    long readyAt(Host machine, HostType type) {
+    long readyAt(Machine machine, MachineType type) {
         if (machine.listedUp) {
             return turn.now().ms() + SOON_HEARD_MS; // it runs, and only has to find this node
         }
@@ -161,10 +173,10 @@
         }
     }
 
-    private void list(String after, Map<HostId, JsonNode> found, Tick asked) {
+    private void list(String after, Map<MachineId, JsonNode> found, MonotonicTime asked) {
         long term = book.reign();
         String path = "/machines?limit=500" + (after == null ? "" : "&after=" + after);
-        turn.call(Calls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
+        turn.call(ServiceCalls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
             if (term != book.reign()) {
                 return;
             }
@@ -177,7 +189,7 @@
             for (JsonNode node : result.body().get("hosts")) {
                 last = node.path("ref").asText("");
                 if (!last.isEmpty()) {
-                    found.put(new HostId(last), node);
+                    found.put(new MachineId(last), node);
                 }
             }
             if (result.body().path("more").asBoolean() && last != null) {
@@ -190,14 +202,14 @@
         });
     }
 
-    private void listed(Map<HostId, JsonNode> found, Tick asked) {
+    private void listed(Map<MachineId, JsonNode> found, MonotonicTime asked) {
         listed = true;
         starting.listed();
         found.forEach((id, node) -> {
             if (gone.contains(id)) {
                 return; // the list lags
             }
-            Host machine = book.host(id);
+            Machine machine = book.host(id);
             if (!machine.known()) {
                 machine.type = node.path("hosttype").asText(null);
                 machine.zone = node.path("yard").asText(null);
@@ -215,8 +227,8 @@
             }
         });
         long blind = Math.round(1000 * (2 * settings.cloudLimits().listLagS() + 5));
-        for (Host machine : book.hosts()) {
-            Tick since =
+        for (Machine machine : book.hosts()) {
+            MonotonicTime since =
                     machine.rentedAt != null ? machine.rentedAt : machine.placements.isEmpty() ? asked : book.wonAt();
             boolean old = asked.since(since) > blind;
             if (!found.containsKey(machine.id) && old && turn.now().since(book.heard(machine)) > 6000) {
@@ -227,7 +239,7 @@
 
     // ---- returning ----
 
-    void giveBack(Host machine, String why) {
+    public void giveBack(Machine machine, String why) {
         if (!machine.returning) {
             machine.returning = true;
             LOG.info("{} is returned: {}", machine.id, why);
@@ -235,17 +247,17 @@
     }
 
     private void lookAfterHosts(Plan plan) {
-        Set<HostId> planned = plan == null ? Set.of() : plan.plannedHosts();
+        Set<MachineId> planned = plan == null ? Set.of() : plan.plannedHosts();
         silence.look();
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             if (machine.returning) {
                 continue;
             }
-            HostType type = types.get(machine.type);
+            MachineType type = types.get(machine.type);
             if (!machine.up && !machine.placements.isEmpty() && silence.gone(machine)) {
                 giveBack(machine, "it holds tasks and has not reported to this leader");
             } else if (!machine.up) {
-                Tick since = machine.rentedAt == null ? book.heard(machine) : machine.rentedAt;
+                MonotonicTime since = machine.rentedAt == null ? book.heard(machine) : machine.rentedAt;
                 double allowed = type == null ? 120 : Math.max(3 * type.startupS(), type.startupS() + 45);
                 if (turn.now().since(since) > 1000 * allowed
                         && turn.now().since(book.heard(machine)) > silence.missedMs()) {
@@ -279,7 +291,7 @@
 
     /** Several calls may be on their way: five hundred dead machines are five calls, and their tasks wait for each. */
     private void sendReturns(boolean withTasks) {
-        List<Host> due = recovery.toReturn(withTasks);
+        List<Machine> due = recovery.toReturn(withTasks);
         for (int from = 0; from < due.size() && returnCalls < MOST_RETURN_CALLS; from += MAX_RETURN) {
             if (!calls.tryTake(turn.now(), 1)) {
                 return;
@@ -288,22 +300,29 @@
         }
     }
 
-    private void sendReturn(List<Host> hosts) {
+    private void sendReturn(List<Machine> hosts) {
         ObjectNode body = Codec.map();
         ArrayNode list = body.putArray("hosts");
-        for (Host machine : hosts) {
+        for (Machine machine : hosts) {
             machine.returnAsked = true;
             list.add(machine.id.text());
         }
         returnCalls++;
         long term = book.reign();
         turn.command(
-                election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines/return", body, 5000, result -> {
+                election.validUntil(),
+                ServiceCalls.Target.CLOUD,
+                null,
+                "POST",
+                "/machines/return",
+                body,
+                5000,
+                result -> {
                     if (term != book.reign()) {
                         return;
                     }
                     returnCalls--;
-                    for (Host machine : hosts) {
+                    for (Machine machine : hosts) {
                         machine.returnAsked = false;
                         if (result.is(200)) {
                             gone.add(machine.id);
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,11 +9,13 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.release.Release;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** {@code /v1/releases}: people put, move and remove what makers were promised; every change is a commit with its history. */
 final class ReleaseApi {
@@ -23,25 +25,31 @@
 
     private interface Edit {
         /** @param open whether a day counts for the lead */
-        Release of(Release before, Predicate<LocalDate> open) throws Malformed;
+        Release of(Release before, Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Budget requests;
-    private final ReleaseBook releases;
-    private final Amending amending;
-    private final OpenDays openDays;
+    private final TokenBucket requests;
+    private final ReleaseRegistry releases;
+    private final OptimisticUpdate amending;
+    private final CalendarDays openDays;
 
-    ReleaseApi(Turn turn, Settings settings, StoreClient store, Budget requests, Budget writes, ReleaseBook releases) {
+    ReleaseApi(
+            ControllerContext turn,
+            Settings settings,
+            StoreClient store,
+            TokenBucket requests,
+            TokenBucket writes,
+            ReleaseRegistry releases) {
         this.turn = turn;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
         this.releases = releases;
-        this.amending = new Amending(turn, settings, store, requests, writes);
-        this.openDays = new OpenDays(turn, store, requests);
+        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
+        this.openDays = new CalendarDays(turn, store, requests);
     }
 
     /** @param leader null on a node that does not lead: it knows no plan */
@@ -78,39 +86,40 @@
                 String why = text(node, "why");
                 change(name, null, (before, open) -> before.remove(who, turn.wallMs(), why), answer);
             } else {
-                answer.with(404, Amending.error("no such path"));
+                answer.with(404, OptimisticUpdate.error("no such path"));
             }
-        } catch (Malformed e) {
-            answer.with(400, Amending.error(e.getMessage()));
+        } catch (MalformedMessageException e) {
+            answer.with(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
-    private static String text(JsonNode node, String field) throws Malformed {
+    private static String text(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
         if (text.isBlank() || text.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+            throw new MalformedMessageException(
+                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
         return text;
     }
 
-    private long inTime(String ship, long due) throws Malformed {
+    private long inTime(String ship, long due) throws MalformedMessageException {
         if (due <= turn.wallMs()) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "ship = " + ship + ": a date whose factory moment, less the lead, is yet to come is expected");
         }
         return due;
     }
 
-    private void put(String name, JsonNode node, CronApi.Answer answer) throws Malformed {
+    private void put(String name, JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         Release described = Release.described(name, node);
         if (described.team() != null && !settings.teams().containsKey(described.team())) {
-            throw new Malformed("team = " + described.team() + ": one of "
+            throw new MalformedMessageException("team = " + described.team() + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
         if (releases.known(name) == null && releases.size() >= MOST_RELEASES) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "name = " + name + ": at most " + MOST_RELEASES + " releases are allowed, removed ones too");
         }
         change(
@@ -130,16 +139,17 @@
     /** @param described what is put, or null: what stands is changed */
     private void change(String name, Release described, Edit edit, CronApi.Answer answer) {
         amending.change(
-                ReleaseBook.SETS + name,
+                ReleaseRegistry.SETS + name,
                 (node, then) -> {
                     Release before;
                     try {
                         before = node == null ? null : Release.parse(node);
-                    } catch (Malformed e) {
-                        throw new Amending.Refused(409, "the record can't be read: " + e.getMessage());
+                    } catch (MalformedMessageException e) {
+                        throw new OptimisticUpdate.RejectedException(
+                                409, "the record can't be read: " + e.getMessage());
                     }
                     if (described == null && (before == null || before.removed())) {
-                        throw new Amending.Refused(
+                        throw new OptimisticUpdate.RejectedException(
                                 404, "name = " + name + ": the name of a release that stands is expected");
                     }
                     openDays.of(described != null ? described.calendar() : before.calendar(), answer, open -> {
@@ -153,7 +163,7 @@
     /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
     private void list(Leader leader, boolean orderAlone, CronApi.Answer answer) {
         if (!releases.read()) {
-            Amending.unknown(answer);
+            OptimisticUpdate.unknown(answer);
             return;
         }
         ObjectNode out = Codec.map();
@@ -180,12 +190,12 @@
     private void show(String name, CronApi.Answer answer) {
         Release release = releases.known(name);
         if (!releases.read()) {
-            Amending.unknown(answer);
+            OptimisticUpdate.unknown(answer);
         } else if (release == null) {
-            answer.with(404, Amending.error("no such release"));
+            answer.with(404, OptimisticUpdate.error("no such release"));
         } else {
             requests.take(turn.now(), 1);
-            store.get(ReleaseDesk.REORDERED + name, read -> {
+            store.get(ReleaseController.REORDERED + name, read -> {
                 ObjectNode node = release.toNode();
                 if (read.item() != null) {
                     node.set("reordered", read.item().value());
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,27 +10,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
 import org.beechhoist.release.Calibration;
 import org.beechhoist.release.Forecast;
 import org.beechhoist.release.Release;
 import org.beechhoist.release.Releases;
 import org.beechhoist.release.ShipOrder;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The leader's side of the release calendar: which jobs go first for it, what was done of each release, and whether it will be met. */
-final class ReleaseDesk {
+final class ReleaseController {
     /** What is done of each release: jobs, tasks, CPU seconds, and when the last job ended. Hints, written now and then. */
     static final String TALLY = "rl/tally";
     /** Which jobs' order a change has changed. */
     static final String REORDERED = "rl/moved/";
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReleaseDesk.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReleaseController.class);
     private static final long LOOK_EVERY_MS = 5000;
     private static final long WRITE_EVERY_MS = 15_000;
     private static final double PLENTY = 0.5;
@@ -44,18 +49,18 @@
 
     private record Tally(int jobs, int tasks, double cpuS, long lastMs) {}
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final Estimates estimates;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
     private final Admission admission;
     /** Null where the calendar is off. */
-    private final ReleaseBook releases;
+    private final ReleaseRegistry releases;
 
-    private Map<JobRef, Long> keys = Map.of();
+    private Map<JobId, Long> keys = Map.of();
     private final Map<String, Tally> tallies = new TreeMap<>();
     private final Map<String, String> risks = new HashMap<>();
     private final Calibration calibration = new Calibration();
@@ -72,16 +77,16 @@
         private long writeMs;
     }
 
-    ReleaseDesk(
-            Turn turn,
+    ReleaseController(
+            ControllerContext turn,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
-            Estimates estimates,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
+            DurationEstimates estimates,
             Admission admission,
-            ReleaseBook releases) {
+            ReleaseRegistry releases) {
         this.turn = turn;
         this.store = store;
         this.election = election;
@@ -116,7 +121,7 @@
         keys = on() ? keys(releases.snapshot()) : Map.of();
     }
 
-    private Map<JobRef, Long> keys(Releases of) {
+    private Map<JobId, Long> keys(Releases of) {
         List<ShipOrder.Open> open = new ArrayList<>();
         for (Job job : book.jobs()) {
             if (!job.cancelled()) {
@@ -145,14 +150,14 @@
 
     /** A release has changed: who moved it is in its history; which jobs go in another order for it is written beside it. */
     void changed(Release before, Release now) {
-        Map<JobRef, Long> old = keys;
+        Map<JobId, Long> old = keys;
         look();
         book.replan();
         Release release = now != null ? now : before;
         if (release == null) {
             return;
         }
-        List<JobRef> moved = new ArrayList<>();
+        List<JobId> moved = new ArrayList<>();
         for (Job job : book.jobs()) {
             if (job.record.waitingCount() > 0
                     && !old.getOrDefault(job.ref(), ShipOrder.NONE).equals(key(job))) {
@@ -172,7 +177,7 @@
         write(election.guarded().put(REORDERED + release.name(), value));
     }
 
-    private void write(Txn txn) {
+    private void write(Transaction txn) {
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         store.commit(txn, c -> {}); // a hint: the next change says it again
--- a/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
@@ -1,35 +1,37 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.PrefixWatch;
 import org.beechhoist.release.Release;
 import org.beechhoist.release.Releases;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What a node knows of the release calendar: read once, then followed. */
-final class ReleaseBook {
+final class ReleaseRegistry {
     static final String SETS = "rl/set/";
-    private static final Logger LOG = LoggerFactory.getLogger(ReleaseBook.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReleaseRegistry.class);
 
     /** A release was put, moved or removed, {@code before} or {@code now} being null where there was or is none. */
     interface Listener {
         void changed(Release before, Release now);
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final Listener listener;
     private final Map<String, Release> known = new TreeMap<>();
     private Releases snapshot = Releases.NONE;
     private boolean read;
 
-    ReleaseBook(Turn turn, StoreClient store, Budget requests, Listener listener) {
+    ReleaseRegistry(ControllerContext turn, StoreClient store, TokenBucket requests, Listener listener) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -37,7 +39,7 @@
     }
 
     void start() {
-        new Following(turn, store, requests, SETS, known::clear, this::take, this::changes).start();
+        new PrefixWatch(turn, store, requests, SETS, known::clear, this::take, this::changes).start();
     }
 
     Releases snapshot() {
@@ -57,7 +59,7 @@
         return known.size();
     }
 
-    private void take(StoreClient.Item item) {
+    private void take(StoreClient.KeyValue item) {
         String name = item.key().substring(SETS.length());
         try {
             if (item.value() == null) {
@@ -76,13 +78,13 @@
                 }
                 known.put(name, release);
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             LOG.error("{} can't be read, its jobs go as those without a release: {}", item.key(), e.getMessage());
             known.remove(name);
         }
     }
 
-    private void changes(List<StoreClient.Item> log) {
+    private void changes(List<StoreClient.KeyValue> log) {
         Map<String, Release> before = new TreeMap<>(known);
         log.forEach(this::take);
         boolean first = !read;
@@ -95,7 +97,7 @@
             listener.changed(null, null);
             return;
         }
-        for (StoreClient.Item item : log) {
+        for (StoreClient.KeyValue item : log) {
             String name = item.key().substring(SETS.length());
             listener.changed(before.get(name), known.get(name));
         }
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -1,44 +1,45 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.beechhoist.config.Policy;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.store.WidthRecord;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Resize;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.ResizeRequest;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What width a job's user allows it: the same on every node, committed under the record's version; the leader follows. */
-final class Resizing {
-    private static final Logger LOG = LoggerFactory.getLogger(Resizing.class);
+final class ResizeHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(ResizeHandler.class);
     private static final int MOST_RACES = 6;
 
     /** Reads a job; hands over null where nothing could be learnt. */
     interface Reader {
-        void read(JobRef ref, Consumer<UserApi.Found> then);
+        void read(JobId ref, Consumer<UserApi.Found> then);
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     private final Policy policy;
     private final Reader reader;
     private final LongConsumer refuse;
 
-    Resizing(
-            Turn turn,
+    ResizeHandler(
+            ControllerContext turn,
             StoreClient store,
-            Budget requests,
-            Budget writes,
+            TokenBucket requests,
+            TokenBucket writes,
             Policy policy,
             Reader reader,
             LongConsumer refuse) {
@@ -52,11 +53,11 @@
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
-    void resize(long request, JobRef ref, byte[] body) {
-        Resize resize;
+    void resize(long request, JobId ref, byte[] body) {
+        ResizeRequest resize;
         try {
-            resize = Resize.parse(Codec.decodeMap(body));
-        } catch (Malformed e) {
+            resize = ResizeRequest.parse(Codec.decodeMap(body));
+        } catch (MalformedMessageException e) {
             turn.answer(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
@@ -71,7 +72,7 @@
         resize(request, ref, resize, 0);
     }
 
-    private void resize(long request, JobRef ref, Resize resize, int races) {
+    private void resize(long request, JobId ref, ResizeRequest resize, int races) {
         reader.read(ref, found -> {
             if (found == null || races > MOST_RACES) {
                 refuse.accept(request);
@@ -97,7 +98,7 @@
                 } else {
                     widen(request, ref, resize, found.open(), record, races);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 LOG.error("record of {} can't be read: {}", ref, e.getMessage());
                 refuse.accept(request);
             }
@@ -105,7 +106,7 @@
     }
 
     /** Why a numbered resize has no effect, or null. */
-    private static String older(JobRecord record, Resize resize) {
+    private static String older(JobRecord record, ResizeRequest resize) {
         if (record.width == null || resize.number() == null || resize.number() > record.width.number()) {
             return null;
         }
@@ -117,7 +118,8 @@
                 : "number = " + resize.number() + ": it was another resize; a new one needs a larger number";
     }
 
-    private void widen(long request, JobRef ref, Resize resize, StoreClient.Item open, JobRecord record, int races) {
+    private void widen(
+            long request, JobId ref, ResizeRequest resize, StoreClient.KeyValue open, JobRecord record, int races) {
         long number = resize.number() != null ? resize.number() : record.width == null ? 1 : record.width.number() + 1;
         int now = record.width != null
                 ? record.width.target()
@@ -127,7 +129,7 @@
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         String key = JobRecord.openKey(ref);
-        store.commit(new Txn().guard(key, open.version()).put(key, value), commit -> {
+        store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             switch (commit.result()) {
                 case DONE -> turn.answer(request, 200, JobStates.openState(ref, value));
                 case CONFLICT -> resize(request, ref, resize, races + 1);
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,44 +6,51 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.worker.FaultTracker;
+import org.beechhoist.controller.worker.LossRecovery;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.Waves;
 import org.beechhoist.floor.Share;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.MachineId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Replacements in steps: new machines beside the old ones first, which old ones are begun, and what it pauses for. */
-final class Rollouts {
-    private static final Logger LOG = LoggerFactory.getLogger(Rollouts.class);
+final class RollingReplacement {
+    private static final Logger LOG = LoggerFactory.getLogger(RollingReplacement.class);
     private static final long A_MINUTE_MS = 60_000;
     /** Groups that asked for less say nothing of a half. */
     private static final int LEAST_ASKED = 6;
     /** Machines that boot at once to have a place for what leaves. */
     private static final int MOST_PLACES = 20;
 
-    private final Turn turn;
-    private final Book book;
+    private final ControllerContext turn;
+    private final ClusterState book;
     private final Provisioner provisioner;
-    private final Faults faults;
-    private final Ordering ordering;
-    private final Recovery recovery;
+    private final FaultTracker faults;
+    private final JobOrdering ordering;
+    private final LossRecovery recovery;
     private final Supplier<Map<String, Share>> served;
     /** New machines that were asked for and not answered yet. */
     private final Map<String, Integer> asked = new HashMap<>();
 
-    private final Set<HostId> wasUp = Recent.added(1000);
+    private final Set<MachineId> wasUp = BoundedCollections.added(1000);
 
-    Rollouts(
-            Turn turn,
-            Book book,
+    RollingReplacement(
+            ControllerContext turn,
+            ClusterState book,
             Provisioner provisioner,
-            Faults faults,
-            Ordering ordering,
-            Recovery recovery,
+            FaultTracker faults,
+            JobOrdering ordering,
+            LossRecovery recovery,
             Supplier<Map<String, Share>> served) {
         this.turn = turn;
         this.book = book;
@@ -60,12 +67,12 @@
     }
 
     /** One look at it; whether what is to be written of it has changed. */
-    boolean step(Drain drain, Progress progress, List<Host> matched, boolean works, Planner planner) {
+    boolean step(Drain drain, Progress progress, List<Machine> matched, boolean works, Planner planner) {
         boolean changed = false;
         List<Waves.Waiting> waiting = new ArrayList<>();
         Map<String, Integer> kinds = new HashMap<>();
         Map<String, Integer> inHand = new HashMap<>();
-        for (Host machine : matched) {
+        for (Machine machine : matched) {
             if (progress.begun.containsKey(machine.id)) {
                 inHand.merge(String.valueOf(machine.zone), 1, Integer::sum);
             } else if (machine.cordonedBy == null) {
@@ -107,7 +114,7 @@
                 .map(book::known)
                 .filter(h -> h != null && h.up && h.there && !h.going())
                 .count();
-        List<HostId> next = Waves.next(
+        List<MachineId> next = Waves.next(
                 drain.pace(),
                 new Waves.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
                 turn.wallMs());
@@ -126,11 +133,11 @@
         return changed;
     }
 
-    private double lost(Host machine) {
+    private double lost(Machine machine) {
         double sum = 0;
         for (Placement placement : machine.placements.values()) {
             Job j = book.job(placement.task.job());
-            sum += j == null ? 0 : Disruptions.lostCpuS(j.spec(), placement, turn.now());
+            sum += j == null ? 0 : DisruptionAccounting.lostCpuS(j.spec(), placement, turn.now());
         }
         return sum;
     }
@@ -144,7 +151,7 @@
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
                 Job j = book.job(reservation.job());
-                late += j != null && Recovery.urgent(j) && reservation.beginMs() > ordering.latestStart(j) ? 1 : 0;
+                late += j != null && LossRecovery.urgent(j) && reservation.beginMs() > ordering.latestStart(j) ? 1 : 0;
             }
         }
         double least = 1;
@@ -172,8 +179,8 @@
     /** One spare takes the place of each machine that is gone; those that never came up are counted. */
     boolean spares(Drain drain, Progress progress) {
         boolean changed = false;
-        for (HostId id : List.copyOf(progress.spares.keySet())) {
-            Host machine = book.known(id);
+        for (MachineId id : List.copyOf(progress.spares.keySet())) {
+            Machine machine = book.known(id);
             if (machine == null || machine.returning) {
                 progress.sparesFailed += wasUp.contains(id) ? 0 : 1;
                 progress.spares.remove(id);
@@ -205,7 +212,7 @@
     }
 
     /** What the kind of a machine is called here. */
-    static String kind(Host machine) {
+    static String kind(Machine machine) {
         return machine.type + " " + machine.zone + " " + machine.spot;
     }
 
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,21 +10,28 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.beechhoist.config.Policy;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.plan.Plan;
-import org.beechhoist.store.Budget;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.Calls;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostType;
+import org.beechhoist.wire.FencingToken;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.ServiceCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Rents machines for what the plan can't start in time. */
-final class Renting {
-    private static final Logger LOG = LoggerFactory.getLogger(Renting.class);
+final class ScaleOutPolicy {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOutPolicy.class);
     private static final int MAX_RENTAL = 50;
     private static final long NO_CAPACITY_PAUSE_MS = 20_000;
     /** So long after a refusal the cloud is thought to have no more of the kind. */
@@ -41,19 +48,19 @@
 
     /** A kind of machine to rent, in one zone. */
     private static final class Offer {
-        final HostType type;
+        final MachineType type;
         final String zone;
         final boolean spot;
         /** Machines asked for and not answered yet. */
         int renting;
 
-        Tick refusedUntil = Tick.ZERO;
+        MonotonicTime refusedUntil = MonotonicTime.ZERO;
         /** When it was last refused, or granted in part only; null: it was not since it was granted in full. */
-        Tick shortAt;
+        MonotonicTime shortAt;
         /** Machines this turn's plan would like. */
         int wanted;
 
-        Offer(HostType type, String zone, boolean spot) {
+        Offer(MachineType type, String zone, boolean spot) {
             this.type = type;
             this.zone = zone;
             this.spot = spot;
@@ -99,29 +106,29 @@
         }
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Policy policy;
-    private final Election election;
-    private final Types types;
-    private final Book book;
-    private final Ordering ordering;
-    private final Estimates estimates;
-    private final Budget calls;
+    private final LeaderElection election;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final JobOrdering ordering;
+    private final DurationEstimates estimates;
+    private final TokenBucket calls;
     private final Map<String, Offer> offers = new LinkedHashMap<>();
-    private Baton baton = Baton.NONE;
+    private FencingToken baton = FencingToken.NONE;
     private long sequence;
-    private Tick lastRented = Tick.ZERO;
+    private MonotonicTime lastRented = MonotonicTime.ZERO;
 
     /** @param calls the cloud calls left, shared with whoever else calls it */
-    Renting(
-            Turn turn,
+    ScaleOutPolicy(
+            ControllerContext turn,
             Policy policy,
-            Election election,
-            Types types,
-            Book book,
-            Ordering ordering,
-            Estimates estimates,
-            Budget calls) {
+            LeaderElection election,
+            MachineTypeCatalog types,
+            ClusterState book,
+            JobOrdering ordering,
+            DurationEstimates estimates,
+            TokenBucket calls) {
         this.turn = turn;
         this.election = election;
         this.policy = policy;
@@ -132,17 +139,17 @@
         this.calls = calls;
     }
 
-    /** A new leadership begins: its baton makes the names of its rentals. */
-    void reset(Baton newBaton) {
+    /** A new leadership begins: its fencing token makes the names of its rentals. */
+    void reset(FencingToken newBaton) {
         baton = newBaton;
         sequence = 0;
         offers.clear();
-        lastRented = Tick.ZERO;
+        lastRented = MonotonicTime.ZERO;
     }
 
     private List<Offer> offers() {
         List<Offer> out = new ArrayList<>();
-        for (HostType type : types.all()) {
+        for (MachineType type : types.all()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     Offer offer = new Offer(type, zone, spot);
@@ -175,7 +182,7 @@
     }
 
     /** Room is being made at this moment: plans made before don't know it, and nothing is rented by them. */
-    void wait(Tick now) {
+    void wait(MonotonicTime now) {
         lastRented = lastRented.before(now) ? now : lastRented;
     }
 
@@ -193,10 +200,10 @@
             }
         }
         // Room on machines that boot counts, as far as this plan has not given it away.
-        Map<HostId, Space> booting = new LinkedHashMap<>();
-        for (Host machine : book.hosts()) {
+        Map<MachineId, Space> booting = new LinkedHashMap<>();
+        for (Machine machine : book.hosts()) {
             if (!machine.up && !machine.returning && machine.known() && !machine.listedUp) {
-                HostType type = types.get(machine.type);
+                MachineType type = types.get(machine.type);
                 if (type != null) {
                     booting.put(machine.id, new Space(new Offer(type, machine.zone, machine.spot)));
                 }
@@ -308,7 +315,7 @@
      *
      * @param then told which were had, none perhaps
      */
-    boolean spare(String type, String zone, boolean spot, int number, Consumer<List<HostId>> then) {
+    boolean spare(String type, String zone, boolean spot, int number, Consumer<List<MachineId>> then) {
         Offer offer = offers().stream()
                 .filter(x -> x.type.name().equals(type) && x.zone.equals(zone) && x.spot == spot)
                 .findFirst()
@@ -325,7 +332,7 @@
     }
 
     /** The name is never used for anything else; it is repeated until there is an answer. */
-    private void rent(Offer offer, int number, String name, Consumer<List<HostId>> then) {
+    private void rent(Offer offer, int number, String name, Consumer<List<MachineId>> then) {
         offer.renting += number;
         ObjectNode body = Codec.map()
                 .put("rental", name)
@@ -337,60 +344,66 @@
     }
 
     private void attempt(
-            Offer asked, int number, String name, ObjectNode body, Tick first, Consumer<List<HostId>> then) {
+            Offer asked,
+            int number,
+            String name,
+            ObjectNode body,
+            MonotonicTime first,
+            Consumer<List<MachineId>> then) {
         long term = book.reign();
-        turn.command(election.validUntil(), Calls.Target.CLOUD, null, "POST", "/machines", body, 5000, result -> {
-            if (term != book.reign()) {
-                return;
-            }
-            Offer offer = offers.get(asked.key());
-            if (result.ok() && result.body().path("hosts").isArray()) {
-                offer.renting -= number;
-                lastRented = turn.now();
-                List<HostId> had = new ArrayList<>();
-                for (JsonNode node : result.body().get("hosts")) {
-                    had.add(new HostId(node.asText()));
-                    Host machine = book.host(new HostId(node.asText()));
-                    machine.type = offer.type.name();
-                    machine.zone = offer.zone;
-                    machine.spot = offer.spot;
-                    machine.there = true;
-                    machine.rentedAt = first;
-                }
-                int got = had.size();
-                LOG.info(
-                        "rental {}: {} of {} {} in {}{}",
-                        name,
-                        got,
-                        number,
-                        offer.type.name(),
-                        offer.zone,
-                        offer.spot ? ", spot" : "");
-                offer.shortAt = got < number ? turn.now() : null;
-                if (got < number) {
-                    offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
-                }
-                then.accept(had);
-            } else if (result.is(400)) {
-                offer.renting -= number;
-                offer.refusedUntil = turn.now().plusMs(300_000);
-                LOG.warn("rental {} is refused as malformed", name);
-                then.accept(List.of());
-            } else if (result.is(503)
-                    && result.body() != null
-                    && "no capacity".equals(result.body().path("error").asText())) {
-                offer.renting -= number;
-                offer.shortAt = turn.now();
-                offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
-                then.accept(List.of());
-            } else {
-                turn.after(1500, () -> {
-                    if (term == book.reign()) {
-                        calls.take(turn.now(), 1);
-                        attempt(asked, number, name, body, first, then);
+        turn.command(
+                election.validUntil(), ServiceCalls.Target.CLOUD, null, "POST", "/machines", body, 5000, result -> {
+                    if (term != book.reign()) {
+                        return;
+                    }
+                    Offer offer = offers.get(asked.key());
+                    if (result.ok() && result.body().path("hosts").isArray()) {
+                        offer.renting -= number;
+                        lastRented = turn.now();
+                        List<MachineId> had = new ArrayList<>();
+                        for (JsonNode node : result.body().get("hosts")) {
+                            had.add(new MachineId(node.asText()));
+                            Machine machine = book.host(new MachineId(node.asText()));
+                            machine.type = offer.type.name();
+                            machine.zone = offer.zone;
+                            machine.spot = offer.spot;
+                            machine.there = true;
+                            machine.rentedAt = first;
+                        }
+                        int got = had.size();
+                        LOG.info(
+                                "rental {}: {} of {} {} in {}{}",
+                                name,
+                                got,
+                                number,
+                                offer.type.name(),
+                                offer.zone,
+                                offer.spot ? ", spot" : "");
+                        offer.shortAt = got < number ? turn.now() : null;
+                        if (got < number) {
+                            offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
+                        }
+                        then.accept(had);
+                    } else if (result.is(400)) {
+                        offer.renting -= number;
+                        offer.refusedUntil = turn.now().plusMs(300_000);
+                        LOG.warn("rental {} is refused as malformed", name);
+                        then.accept(List.of());
+                    } else if (result.is(503)
+                            && result.body() != null
+                            && "no capacity".equals(result.body().path("error").asText())) {
+                        offer.renting -= number;
+                        offer.shortAt = turn.now();
+                        offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
+                        then.accept(List.of());
+                    } else {
+                        turn.after(1500, () -> {
+                            if (term == book.reign()) {
+                                calls.take(turn.now(), 1);
+                                attempt(asked, number, name, body, first, then);
+                            }
+                        });
                     }
                 });
-            }
-        });
     }
 }
--- a/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Instant;
@@ -11,38 +11,39 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
 import org.beechhoist.cron.ScheduleKeys;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
-import org.beechhoist.wire.Tick;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The lines of all installed tables on the leader, by when each is next due; read after winning and when one changes. */
-final class ScheduleBook {
-    private static final Logger LOG = LoggerFactory.getLogger(ScheduleBook.class);
+final class ScheduleRegistry {
+    private static final Logger LOG = LoggerFactory.getLogger(ScheduleRegistry.class);
 
     /** A line, where it has got to, and what holds it. */
     static final class Line {
         final Entry entry;
         final Shard shard;
         long cursorS;
-        JobRef last;
+        JobId last;
         long firedS;
         int dropped;
         Instant next;
-        Tick dueSince;
-        Tick nextLog = Tick.ZERO;
+        MonotonicTime dueSince;
+        MonotonicTime nextLog = MonotonicTime.ZERO;
         String held;
         boolean replacing;
         /** Whose work its occurrence was found to be, and the version of a key that has run out. */
-        JobRef taken;
+        JobId taken;
 
         Revision keyVersion = Revision.ABSENT;
 
@@ -66,9 +67,9 @@
         }
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final Map<String, Calendar> calendars = new HashMap<>();
     private final Map<String, Revision> tables = new HashMap<>();
     private final Map<String, Shard> shards = new HashMap<>();
@@ -78,7 +79,7 @@
     private long epoch;
     private Instant servedSince;
 
-    ScheduleBook(Turn turn, StoreClient store, Budget requests) {
+    ScheduleRegistry(ControllerContext turn, StoreClient store, TokenBucket requests) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -189,11 +190,16 @@
     }
 
     private interface Pages {
-        void all(List<StoreClient.Item> items, Revision first);
+        void all(List<StoreClient.KeyValue> items, Revision first);
     }
 
     private void page(
-            long expectedEpoch, String prefix, String after, List<StoreClient.Item> items, Revision first, Pages then) {
+            long expectedEpoch,
+            String prefix,
+            String after,
+            List<StoreClient.KeyValue> items,
+            Revision first,
+            Pages then) {
         requests.take(turn.now(), 1);
         store.list(prefix, after, 500, page -> {
             if (expectedEpoch != epoch) {
@@ -217,11 +223,11 @@
         });
     }
 
-    private void build(List<StoreClient.Item> definitions, List<StoreClient.Item> cursors) {
+    private void build(List<StoreClient.KeyValue> definitions, List<StoreClient.KeyValue> cursors) {
         clear();
         Map<String, JsonNode> chunks = new HashMap<>();
         Map<String, JsonNode> metas = new HashMap<>();
-        for (StoreClient.Item item : definitions) {
+        for (StoreClient.KeyValue item : definitions) {
             try {
                 if (item.key().startsWith(ScheduleKeys.CALENDARS)) {
                     String name = item.key().substring(ScheduleKeys.CALENDARS.length());
@@ -233,13 +239,13 @@
                 } else {
                     chunks.put(item.key(), item.value());
                 }
-            } catch (Malformed m) {
+            } catch (MalformedMessageException m) {
                 LOG.error("{} can't be read, left alone: {}", item.key(), m.getMessage());
             }
         }
         Map<String, JsonNode> byId = new HashMap<>();
         Map<String, Revision> versions = new HashMap<>();
-        for (StoreClient.Item item : cursors) {
+        for (StoreClient.KeyValue item : cursors) {
             versions.put(item.key(), item.version());
             String table = ScheduleKeys.tableOfCursor(item.key());
             item.value()
@@ -279,15 +285,15 @@
             line.cursorS = Math.max(
                     line.entry.since(), cursor == null ? 0 : cursor.path(0).asLong());
             if (cursor != null) {
-                line.last = JobRef.valid(cursor.path(1).asText())
-                        ? new JobRef(cursor.path(1).asText())
+                line.last = JobId.valid(cursor.path(1).asText())
+                        ? new JobId(cursor.path(1).asText())
                         : null;
                 line.firedS = cursor.path(2).asLong();
                 line.dropped = cursor.path(3).asInt();
             }
             shard.lines.put(line.entry.id(), line);
             schedule(line);
-        } catch (Malformed m) {
+        } catch (MalformedMessageException m) {
             LOG.error("table {}: a line can't be read, left alone: {}", shard.table, m.getMessage());
         }
     }
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,19 +8,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.Pacer;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Read;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.store.StoreClient.ReadResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * Reads of open records for polls. One each while requests are plentiful. Where they run short none is refused for that: those
  * that come within a moment share listings, which begin at whoever has waited longest. With all nodes started anew each poll was a
  * read, and some jobs were unlucky again and again.
  */
-final class OpenReads {
+final class SharedRecordReads {
     private static final String LISTED = JobRecord.OPEN;
     /** Of one listing: some hundred records are a few hundred KB at the most. */
     private static final int MOST_LISTED = 100;
@@ -29,28 +31,28 @@
     /** Users wait 2 s; who waited this long is told to come back. */
     private static final long LONGEST_WAIT_MS = 1400;
 
-    private record Waiting(JobRef ref, Tick since, Consumer<Read> then) {}
+    private record Waiting(JobId ref, MonotonicTime since, Consumer<ReadResult> then) {}
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
-    private final Paced pace;
+    private final TokenBucket requests;
+    private final Pacer pace;
     private List<Waiting> waiting = new ArrayList<>();
     private boolean asking;
 
-    OpenReads(Turn turn, StoreClient store, Budget requests, Settings settings) {
+    SharedRecordReads(ControllerContext turn, StoreClient store, TokenBucket requests, Settings settings) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
-        this.pace = new Paced(turn, StatusReads.gatherMs(settings));
+        this.pace = new Pacer(turn, ConditionalStatusReads.gatherMs(settings));
     }
 
     /** Hands over what the state service holds, or {@link Read#UNKNOWN}. */
-    void read(JobRef ref, Consumer<Read> then) {
-        if (StatusReads.spare(requests, turn.now()) && requests.tryTake(turn.now(), 1)) {
+    void read(JobId ref, Consumer<ReadResult> then) {
+        if (ConditionalStatusReads.spare(requests, turn.now()) && requests.tryTake(turn.now(), 1)) {
             store.get(JobRecord.openKey(ref), then);
         } else if (waiting.size() >= MOST_WAITING) {
-            then.accept(Read.UNKNOWN);
+            then.accept(ReadResult.UNKNOWN);
         } else {
             waiting.add(new Waiting(ref, turn.now(), then));
             ask();
@@ -86,9 +88,9 @@
     }
 
     private void listed(String first, Set<Waiting> asked, StoreClient.Page page) {
-        Map<String, StoreClient.Item> items = new HashMap<>();
+        Map<String, StoreClient.KeyValue> items = new HashMap<>();
         String end = first;
-        for (StoreClient.Item item : page.items()) {
+        for (StoreClient.KeyValue item : page.items()) {
             items.put(item.key(), item);
             end = item.key();
         }
@@ -106,12 +108,12 @@
                 // told
             }
         }
-        out.forEach(w -> w.then.accept(new Read(true, items.get(JobRecord.openKey(w.ref)))));
+        out.forEach(w -> w.then.accept(new ReadResult(true, items.get(JobRecord.openKey(w.ref)))));
     }
 
     private void refuseLate() {
         List<Waiting> late = new ArrayList<>();
         waiting.removeIf(w -> turn.now().since(w.since) > LONGEST_WAIT_MS && late.add(w));
-        late.forEach(w -> w.then.accept(Read.UNKNOWN));
+        late.forEach(w -> w.then.accept(ReadResult.UNKNOWN));
     }
 }
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,16 +12,21 @@
 import java.util.function.Consumer;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.RequestShares;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.CancellationAcknowledgements;
 import org.beechhoist.keyset.KeySets;
-import org.beechhoist.store.Budget;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -47,64 +52,64 @@
     /** {@code key}: the version of its once key that it was found to replace. */
     private record Submission(long request, JobSpec spec, Revision key) {}
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final Policy policy;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
-    private final Types types;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final MachineTypeCatalog types;
     /** Adds to an open job's state what this node knows beyond its record. */
-    private final BiConsumer<JobRef, ObjectNode> promised;
+    private final BiConsumer<JobId, ObjectNode> promised;
 
-    private final Map<JobRef, JsonNode> ended = Recent.used(CACHED_ENDED);
-    private final OnceKeys onceKeys;
-    private final StatusReads reads;
-    private final OpenReads openReads;
-    private final TeamTurns turns = new TeamTurns();
+    private final Map<JobId, JsonNode> ended = BoundedCollections.used(CACHED_ENDED);
+    private final IdempotencyKeys onceKeys;
+    private final ConditionalStatusReads reads;
+    private final SharedRecordReads openReads;
+    private final TeamRoundRobin turns = new TeamRoundRobin();
     /**
      * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
      * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
      */
-    private final Budget beside;
+    private final TokenBucket beside;
 
     private final BooleanSupplier leaderWrites;
     /** Whether this node reaches neither the state service nor another node: what it would ask is not asked. */
     private final BooleanSupplier cutOff;
     /** Null where key sets are off. */
-    private final KeyBook keys;
+    private final KeySetRegistry keys;
     /** Told of each cancellation that is committed, and when that was, by the time of day, before its user is. */
-    private final BiConsumer<JobRef, Long> confirmed;
+    private final BiConsumer<JobId, Long> confirmed;
 
-    private final CancelConfirmations confirmations;
+    private final CancellationAcknowledgements confirmations;
     private final List<Submission> queue = new ArrayList<>();
-    private final Resizing resizing;
+    private final ResizeHandler resizing;
     private int commits;
 
     UserApi(
-            Turn turn,
+            ControllerContext turn,
             Settings settings,
             Policy policy,
             StoreClient store,
-            Budget requests,
-            Budget writes,
-            Types types,
-            BiConsumer<JobRef, ObjectNode> promised,
-            OnceKeys onceKeys,
+            TokenBucket requests,
+            TokenBucket writes,
+            MachineTypeCatalog types,
+            BiConsumer<JobId, ObjectNode> promised,
+            IdempotencyKeys onceKeys,
             BooleanSupplier leaderWrites,
             BooleanSupplier cutOff,
-            KeyBook keys,
-            BiConsumer<JobRef, Long> confirmed,
-            CancelConfirmations confirmations) {
+            KeySetRegistry keys,
+            BiConsumer<JobId, Long> confirmed,
+            CancellationAcknowledgements confirmations) {
         this.confirmed = confirmed;
         this.confirmations = confirmations;
         this.keys = keys;
         this.cutOff = cutOff;
         this.leaderWrites = leaderWrites;
-        this.beside =
-                new Budget(Math.max(1, Shares.usersPart(settings.stateLimits().writeRps(), settings.nodes())));
+        this.beside = new TokenBucket(
+                Math.max(1, RequestShares.usersPart(settings.stateLimits().writeRps(), settings.nodes())));
         this.onceKeys = onceKeys;
-        this.resizing = new Resizing(
+        this.resizing = new ResizeHandler(
                 turn,
                 store,
                 requests,
@@ -112,8 +117,8 @@
                 policy,
                 (ref, then) -> read(ref, requests.tryTake(turn.now(), 1), then),
                 r -> refuse(r, STORE));
-        this.reads = new StatusReads(turn, store, requests, settings);
-        this.openReads = new OpenReads(turn, store, requests, settings);
+        this.reads = new ConditionalStatusReads(turn, store, requests, settings);
+        this.openReads = new SharedRecordReads(turn, store, requests, settings);
         this.turn = turn;
         this.settings = settings;
         this.policy = policy;
@@ -124,7 +129,7 @@
         this.promised = promised;
     }
 
-    void ended(JobRef ref, JsonNode state) {
+    void ended(JobId ref, JsonNode state) {
         reads.forget(ref);
         ended.put(ref, state);
     }
@@ -148,7 +153,7 @@
                     .pinned(null);
             spec = policy.releases() ? spec : spec.withoutRelease();
             spec = keys == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             turn.answer(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
@@ -254,15 +259,15 @@
             List<Submission> twins = new ArrayList<>();
             int puts = 0;
             Set<String> keys = new HashSet<>();
-            while (!queue.isEmpty() && (batch.isEmpty() || puts + OnceKeys.puts(queue.get(0).spec) <= room)) {
+            while (!queue.isEmpty() && (batch.isEmpty() || puts + IdempotencyKeys.puts(queue.get(0).spec) <= room)) {
                 Submission submission = queue.get(0);
-                if (submission.spec.onceKey() != null && !keys.add(OnceKeys.place(submission.spec))) {
+                if (submission.spec.onceKey() != null && !keys.add(IdempotencyKeys.place(submission.spec))) {
                     break; // the same work twice: the second is answered after the first
                 }
                 queue.remove(0);
                 boolean twin = batch.stream().anyMatch(o -> o.spec.ref().equals(submission.spec.ref()));
                 (twin ? twins : batch).add(submission);
-                puts += OnceKeys.puts(submission.spec);
+                puts += IdempotencyKeys.puts(submission.spec);
             }
             writes.take(turn.now(), puts);
             beside.take(turn.now(), puts);
@@ -272,14 +277,14 @@
     }
 
     private void send(List<Submission> batch) {
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         for (Submission s : batch) {
             onceKeys.enter(txn, s.spec, s.key, turn.wallMs());
         }
         commits++;
         store.commit(txn, commit -> {
             commits--;
-            if (commit.result() == Commit.Result.DONE) {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 for (Submission submission : batch) {
                     reads.remember(
                             submission.spec.ref(),
@@ -288,20 +293,21 @@
                                     submission.spec.ref(), new JobRecord(submission.spec, turn.wallMs()).toNode()));
                     turn.answer(submission.request, 201, JobStates.state(submission.spec.ref(), "queued"));
                 }
-            } else if (commit.result() == Commit.Result.CONFLICT) {
+            } else if (commit.result() == CommitResult.Outcome.CONFLICT) {
                 for (Submission submission : batch) {
                     if (commit.failed().contains(JobRecord.openKey(submission.spec.ref()))
                             || commit.failed().contains(JobRecord.endedKey(submission.spec.ref()))) {
                         answerKnown(submission.request, submission.spec.ref());
                     } else if (submission.spec.onceKey() != null
-                            && commit.failed().contains(OnceKeys.place(submission.spec))) {
+                            && commit.failed().contains(IdempotencyKeys.place(submission.spec))) {
                         sameWork(submission);
                     } else if (submission.spec.pin() != null
                             && commit.failed()
-                                    .contains(
-                                            KeyBook.SETS + submission.spec.pin().set())) {
+                                    .contains(KeySetRegistry.SETS
+                                            + submission.spec.pin().set())) {
                         keys.overtaken(
-                                Set.of(KeyBook.SETS + submission.spec.pin().set()),
+                                Set.of(KeySetRegistry.SETS
+                                        + submission.spec.pin().set()),
                                 () -> enter(submission.request, submission.spec.pinned(null)));
                     } else {
                         queue.add(submission);
@@ -317,9 +323,10 @@
     /** Its key is taken: the answer is the first one's, unless that is longer ago than its class says. */
     private void sameWork(Submission submission) {
         requests.take(turn.now(), 1);
-        store.get(OnceKeys.place(submission.spec), read -> {
-            JobRef owner =
-                    read.item() == null ? null : OnceKeys.owner(read.item().value(), turn.wallMs());
+        store.get(IdempotencyKeys.place(submission.spec), read -> {
+            JobId owner = read.item() == null
+                    ? null
+                    : IdempotencyKeys.owner(read.item().value(), turn.wallMs());
             if (!read.known()) {
                 refuse(submission.request, STORE);
             } else if (owner != null) {
@@ -334,7 +341,7 @@
         });
     }
 
-    private void answerKnown(long request, JobRef ref) {
+    private void answerKnown(long request, JobId ref) {
         requests.take(turn.now(), 1);
         read(ref, true, found -> {
             if (found == null || found.status == null) {
@@ -348,10 +355,10 @@
     // ---- state ----
 
     /** What the state service holds of a job; {@code status} is null where it holds nothing. */
-    record Found(JsonNode status, StoreClient.Item open) {}
+    record Found(JsonNode status, StoreClient.KeyValue open) {}
 
     /** Reads a job; hands over null where nothing could be learnt. */
-    private void read(JobRef ref, boolean allowed, Consumer<Found> then) {
+    private void read(JobId ref, boolean allowed, Consumer<Found> then) {
         JsonNode over = ended.get(ref);
         if (over != null) {
             then.accept(new Found(JobStates.endedState(ref, over), null));
@@ -365,7 +372,7 @@
     }
 
     /** Open before ended: a job moves from the one to the other, so this order can't miss it. */
-    private void found(JobRef ref, StoreClient.Read open, Consumer<Found> then) {
+    private void found(JobId ref, StoreClient.ReadResult open, Consumer<Found> then) {
         if (!open.known()) {
             then.accept(null);
         } else if (open.item() != null && JobRecord.isOver(open.item().value())) {
@@ -389,11 +396,11 @@
     }
 
     /** A job's state for somebody else's answer, or null where it can't be told now. */
-    void peek(JobRef ref, Consumer<JsonNode> then) {
+    void peek(JobId ref, Consumer<JsonNode> then) {
         read(ref, requests.tryTake(turn.now(), 1), found -> then.accept(found == null ? null : found.status));
     }
 
-    void status(long request, JobRef ref) {
+    void status(long request, JobId ref) {
         if (ended.containsKey(ref)) {
             read(ref, true, found -> told(request, ref, found));
             return;
@@ -414,7 +421,7 @@
         });
     }
 
-    private void readStatus(long request, JobRef ref, StoreClient.Read open) {
+    private void readStatus(long request, JobId ref, StoreClient.ReadResult open) {
         JsonNode over = ended.get(ref);
         if (over != null) {
             told(request, ref, new Found(JobStates.endedState(ref, over), null));
@@ -423,7 +430,7 @@
         }
     }
 
-    private void told(long request, JobRef ref, Found found) {
+    private void told(long request, JobId ref, Found found) {
         if (found == null) {
             refuse(request, STORE);
         } else if (found.status == null) {
@@ -439,7 +446,7 @@
 
     // ---- cancellation ----
 
-    void cancel(long request, JobRef ref, int races) {
+    void cancel(long request, JobId ref, int races) {
         read(ref, requests.tryTake(turn.now(), 1), found -> {
             if (found == null || races > MAX_RACES) {
                 refuse(request, STORE);
@@ -460,7 +467,7 @@
     }
 
     /** Cancels a run that another of its schedule replaces; {@code then} is told whether that is certain. */
-    void replace(JobRef ref, Consumer<Boolean> then) {
+    void replace(JobId ref, Consumer<Boolean> then) {
         read(ref, requests.tryTake(turn.now(), 1), found -> {
             if (found == null
                     || found.open == null
@@ -468,25 +475,25 @@
                 then.accept(found != null);
                 return;
             }
-            commitCancel(ref, found.open, c -> then.accept(c.result() == Commit.Result.DONE));
+            commitCancel(ref, found.open, c -> then.accept(c.result() == CommitResult.Outcome.DONE));
         });
     }
 
-    private void commitCancel(JobRef ref, StoreClient.Item open, Consumer<Commit> then) {
+    private void commitCancel(JobId ref, StoreClient.KeyValue open, Consumer<CommitResult> then) {
         long at = Math.max(1, turn.wallMs());
         ObjectNode value = ((ObjectNode) open.value()).deepCopy().put("cancel", at);
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
         String key = JobRecord.openKey(ref);
-        store.commit(new Txn().guard(key, open.version()).put(key, value), commit -> {
-            if (commit.result() == Commit.Result.DONE) {
+        store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
+            if (commit.result() == CommitResult.Outcome.DONE) {
                 confirmed.accept(ref, at);
             }
             then.accept(commit);
         });
     }
 
-    private void mark(long request, JobRef ref, StoreClient.Item open, int races) {
+    private void mark(long request, JobId ref, StoreClient.KeyValue open, int races) {
         commitCancel(ref, open, commit -> {
             switch (commit.result()) {
                 case DONE -> answerCancelled(request, ref);
@@ -496,12 +503,12 @@
         });
     }
 
-    private void answerCancelled(long request, JobRef ref) {
+    private void answerCancelled(long request, JobId ref) {
         confirmations.answer(ref, () -> turn.answer(request, 200, JobStates.state(ref, "cancelled")));
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
-    void resize(long request, JobRef ref, byte[] body) {
+    void resize(long request, JobId ref, byte[] body) {
         resizing.resize(request, ref, body);
     }
 }
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,19 +7,24 @@
 import java.util.List;
 import java.util.Map;
 import org.beechhoist.config.Policy;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.elastic.Surplus;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 
 /**
  * Lets elastic jobs give room to work that would else begin too late: before a machine is rented for it, and before
  * lower work is stopped.
  */
-final class Narrowing {
+final class WidthReduction {
     private static final int MAX_JOBS = 20;
     private static final long PAUSE_MS = 600;
     /** What begins this soon is not helped, and room must gain at least this much. */
@@ -27,17 +32,18 @@
     /** By when room is made for guaranteed work that no objective speaks for. */
     private static final long GUARANTEED_MS = 10_000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Policy policy;
-    private final Types types;
-    private final Book book;
-    private final Ordering ordering;
+    private final MachineTypeCatalog types;
+    private final ClusterState book;
+    private final JobOrdering ordering;
     private final Admission admission;
-    private final Renting renting;
-    private final Elastic elastic;
+    private final ScaleOutPolicy renting;
+    private final ElasticWidths elastic;
 
     /** Tasks on one machine that could go, and how many tasks that makes room for by when. */
-    private record Offer(Host host, List<Surplus.Choice<Placement>> going, int tasks, long freesAtMs, double lostCpuS) {
+    private record Offer(
+            Machine host, List<Surplus.Choice<Placement>> going, int tasks, long freesAtMs, double lostCpuS) {
         double lostEach() {
             return lostCpuS / tasks;
         }
@@ -50,15 +56,15 @@
         }
     }
 
-    Narrowing(
-            Turn turn,
+    WidthReduction(
+            ControllerContext turn,
             Policy policy,
-            Types types,
-            Book book,
-            Ordering ordering,
+            MachineTypeCatalog types,
+            ClusterState book,
+            JobOrdering ordering,
             Admission admission,
-            Renting renting,
-            Elastic elastic) {
+            ScaleOutPolicy renting,
+            ElasticWidths elastic) {
         this.turn = turn;
         this.policy = policy;
         this.types = types;
@@ -102,7 +108,7 @@
     private static int spare(Job job) {
         return job.record.width == null || job.spec().service() || job.cancelled()
                 ? 0
-                : Elastic.staying(job) - job.record.width.allowed().least();
+                : ElasticWidths.staying(job) - job.record.width.allowed().least();
     }
 
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
@@ -115,7 +121,7 @@
 
     /** Which jobs begin later than they should, or late enough for a machine to be rented. */
     private Map<Job, Late> late(Plan plan) {
-        Map<JobRef, Long> bounds = new HashMap<>();
+        Map<JobId, Long> bounds = new HashMap<>();
         Map<Job, Late> out = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
             long bound = bounds.computeIfAbsent(reservation.job(), ref -> bound(book.job(ref)));
@@ -167,7 +173,7 @@
     private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         List<Offer> offers = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             if (!machine.placements.isEmpty() && admission.usable(machine)) {
                 Offer offer = offer(machine, job, late, givers, limited);
                 // What may be thrown away for one task's sake is the same whoever gives the room.
@@ -200,10 +206,10 @@
     }
 
     /** The tasks that would go so that some of the job's fit on the host; null where that can't be. */
-    private Offer offer(Host machine, Job job, Late late, List<Job> givers, boolean limited) {
+    private Offer offer(Machine machine, Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         JobSpec spec = job.spec();
-        HostType type = types.get(machine.type);
+        MachineType type = types.get(machine.type);
         Admission.Room room =
                 spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null) {
@@ -216,7 +222,7 @@
             Job giver = book.job(placement.task.job());
             boolean counts =
                     givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
-            if (counts && Elastic.mayGo(giver, placement)) {
+            if (counts && ElasticWidths.mayGo(giver, placement)) {
                 could.add(new Surplus.Choice<>(placement, elastic.ending(giver, placement, need)));
             }
         }
--- a/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
+++ b/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.context;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /** Memories of a bounded size, which forget what is oldest. */
-final class Recent {
-    private Recent() {}
+public final class BoundedCollections {
+    private BoundedCollections() {}
 
     /** Keeps the entries that were used last. */
-    static <K, V> Map<K, V> used(int most) {
+    public static <K, V> Map<K, V> used(int most) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
@@ -20,7 +20,7 @@
     }
 
     /** Keeps what was added last. */
-    static <K> Set<K> added(int most) {
+    public static <K> Set<K> added(int most) {
         return Collections.newSetFromMap(new LinkedHashMap<>() {
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, Boolean> eldest) {
--- a/src/main/java/org/beechhoist/controller/context/Pacer.java
+++ b/src/main/java/org/beechhoist/controller/context/Pacer.java
@@ -1,21 +1,21 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.context;
 
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /** Something that is done at once after a quiet while, and then no more often than every so long: what comes in between shares one. */
-final class Paced {
-    private final Turn turn;
+public final class Pacer {
+    private final ControllerContext turn;
     private final long everyMs;
-    private Tick next = Tick.ZERO;
+    private MonotonicTime next = MonotonicTime.ZERO;
     private boolean timed;
 
-    Paced(Turn turn, long everyMs) {
+    public Pacer(ControllerContext turn, long everyMs) {
         this.turn = turn;
         this.everyMs = everyMs;
     }
 
     /** Whether it is too soon; {@code again} is called when it is not any more. */
-    boolean tooSoon(Runnable again) {
+    public boolean tooSoon(Runnable again) {
         if (!turn.now().before(next)) {
             return false;
         }
@@ -30,7 +30,7 @@
     }
 
     /** It is done now. */
-    void done() {
+    public void done() {
         next = turn.now().plusMs(everyMs);
     }
 }
--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -1,26 +1,27 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.leadership;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
-import org.beechhoist.wire.Baton;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Outcome;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
-import org.beechhoist.wire.Tick;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: a key held by a lease. The baton is the revision of the commit that wrote the key, and every commit of
+ * Who leads: a key held by a lease. The fencing token is the revision of the commit that wrote the key, and every commit of
  * a leader is guarded by it. A leader trusts its lease only as long as the last extension it sent can vouch for.
  */
-final class Election {
-    static final String KEY = "lead";
-    private static final Logger LOG = LoggerFactory.getLogger(Election.class);
+public final class LeaderElection {
+    public static final String KEY = "lead";
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     /** Covers the drift of two clocks, 0.05% each, and rounding. */
     private static final double DRIFT = 0.0015;
 
@@ -34,36 +35,42 @@
     private static final long TOLD_MS = 6000;
 
     /** What a change of leadership means to the rest. */
-    interface Listener {
-        void won(Baton baton);
+    public interface Listener {
+        void won(FencingToken baton);
 
         void lost();
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final String node;
     private final long ttlMs;
     private final Listener listener;
     private String leader;
     private long lease;
     private boolean leading;
-    private Baton baton = Baton.NONE;
-    private Baton firstBaton = Baton.NONE;
-    private Tick validUntil = Tick.ZERO;
+    private FencingToken baton = FencingToken.NONE;
+    private FencingToken firstBaton = FencingToken.NONE;
+    private MonotonicTime validUntil = MonotonicTime.ZERO;
     /** When the state service last told whose the key is. */
-    private Tick told = Tick.ZERO;
+    private MonotonicTime told = MonotonicTime.ZERO;
     /** After giving the lead up: others come first. */
-    private Tick standFrom = Tick.ZERO;
+    private MonotonicTime standFrom = MonotonicTime.ZERO;
 
     private long round;
-    /** How many short reigns in a row this node has had, its earlier lives included, and when the present one began. */
+    /** How many short terms in a row this node has had, its earlier lives included, and when the present one began. */
     private int shortReigns;
 
     private long wonWallMs;
 
-    Election(Turn turn, StoreClient store, Budget requests, String node, long ttlMs, Listener listener) {
+    public LeaderElection(
+            ControllerContext turn,
+            StoreClient store,
+            TokenBucket requests,
+            String node,
+            long ttlMs,
+            Listener listener) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -73,12 +80,12 @@
     }
 
     /** True while this node may command workers. */
-    boolean valid() {
+    public boolean valid() {
         return leading && turn.now().before(validUntil);
     }
 
     /** Until when this node may command workers, by what is known now. */
-    Tick validUntil() {
+    public MonotonicTime validUntil() {
         return validUntil;
     }
 
@@ -87,58 +94,58 @@
         return leading;
     }
 
-    Baton baton() {
+    public FencingToken baton() {
         return baton;
     }
 
     /** The first token of this leadership: whoever has seen it has spoken since. */
-    Baton firstBaton() {
+    public FencingToken firstBaton() {
         return firstBaton;
     }
 
     /** The other node that leads, or null: none does, or who did so is only remembered. */
-    String otherLeader() {
+    public String otherLeader() {
         return leading || turn.now().since(told) > TOLD_MS ? null : leader;
     }
 
     /** Guards a leader's transaction: late ones die when the key changes hands or is written anew. */
-    Txn guarded() {
-        return new Txn().guard(KEY, new Revision(baton.value()));
+    public Transaction guarded() {
+        return new Transaction().guard(KEY, new Revision(baton.value()));
     }
 
-    /** Adds a rewrite of the key, so that the commit's revision becomes the new baton. */
-    void rotateIn(Txn txn) {
+    /** Adds a rewrite of the key, so that the commit's revision becomes the new fencing token. */
+    public void rotateIn(Transaction txn) {
         txn.put(KEY, value(), lease);
     }
 
-    void rotated(Revision revision) {
-        baton = new Baton(revision.value());
+    public void rotated(Revision revision) {
+        baton = new FencingToken(revision.value());
     }
 
     /** What a leader finds when it reads its key. */
-    enum Own {
+    public enum KeyOwnership {
         STILL,
         GONE,
         NOT_KNOWN
     }
 
-    /** Reads whether the key is still held by this leadership's lease; its newest revision is the baton then. */
-    void readOwn(Consumer<Own> then) {
+    /** Reads whether the key is still held by this leadership's lease; its newest revision is the fencing token then. */
+    public void readOwn(Consumer<KeyOwnership> then) {
         requests.take(turn.now(), 1);
         long held = lease;
         store.get(KEY, read -> {
             if (!read.known() || !leading || held != lease) {
-                then.accept(Own.NOT_KNOWN);
+                then.accept(KeyOwnership.NOT_KNOWN);
             } else if (read.item() == null || read.item().lease() != held) {
-                then.accept(Own.GONE);
+                then.accept(KeyOwnership.GONE);
             } else {
                 rotated(read.item().version());
-                then.accept(Own.STILL);
+                then.accept(KeyOwnership.STILL);
             }
         });
     }
 
-    void start() {
+    public void start() {
         readKey(++round);
     }
 
@@ -162,8 +169,8 @@
                 later(700, expectedRound);
                 return;
             }
-            StoreClient.Item item = null;
-            for (StoreClient.Item i : page.items()) {
+            StoreClient.KeyValue item = null;
+            for (StoreClient.KeyValue i : page.items()) {
                 item = i.key().equals(KEY) ? i : item;
             }
             leader = item == null ? null : item.value().path("node").asText(null);
@@ -189,8 +196,8 @@
         return Codec.map().put("node", node).put("at", wonWallMs).put("short", shortReigns);
     }
 
-    /** This node's earlier life held the key: was that one short reign too many? It stands again after a pause that grows. */
-    private boolean endsAgainAndAgain(StoreClient.Item own) {
+    /** This node's earlier life held the key: was that one short term too many? It stands again after a pause that grows. */
+    private boolean endsAgainAndAgain(StoreClient.KeyValue own) {
         boolean brief = turn.wallMs() - own.value().path("at").longValue() < SHORT_REIGN_MS;
         shortReigns = brief ? own.value().path("short").intValue() + 1 : 0;
         if (shortReigns <= MOST_SHORT_REIGNS) {
@@ -213,8 +220,8 @@
                 return;
             }
             told = turn.now();
-            StoreClient.Item last = null;
-            for (StoreClient.Item i : changes.log()) {
+            StoreClient.KeyValue last = null;
+            for (StoreClient.KeyValue i : changes.log()) {
                 last = i.key().equals(KEY) ? i : last;
             }
             if (last == null) {
@@ -235,7 +242,7 @@
     }
 
     private void stand(long expectedRound, Revision expected) {
-        Tick sent = turn.now();
+        MonotonicTime sent = turn.now();
         requests.take(turn.now(), 2);
         store.grant(ttlMs, hold -> {
             if (expectedRound != round || hold == 0) {
@@ -243,28 +250,28 @@
                 return;
             }
             wonWallMs = turn.wallMs();
-            Txn txn = new Txn().guard(KEY, expected).put(KEY, value(), hold);
+            Transaction txn = new Transaction().guard(KEY, expected).put(KEY, value(), hold);
             store.commit(txn, commit -> {
                 if (expectedRound != round) {
                     return;
                 }
-                if (commit.result() == Commit.Result.DONE) {
+                if (commit.result() == CommitResult.Outcome.DONE) {
                     win(hold, commit.revision(), sent);
                 } else {
                     // Ending the lease also ends a transaction that may still be on its way.
                     store.revoke(hold);
-                    later(commit.result() == Commit.Result.CONFLICT ? 20 : 500, expectedRound);
+                    later(commit.result() == CommitResult.Outcome.CONFLICT ? 20 : 500, expectedRound);
                 }
             });
         });
     }
 
-    private void win(long hold, Revision revision, Tick sent) {
+    private void win(long hold, Revision revision, MonotonicTime sent) {
         lease = hold;
         leading = true;
-        baton = new Baton(revision.value());
+        baton = new FencingToken(revision.value());
         firstBaton = baton;
-        validUntil = Tick.ZERO;
+        validUntil = MonotonicTime.ZERO;
         vouch(sent);
         LOG.info("leader from now on, baton {}", baton.value());
         long expectedRound = ++round;
@@ -272,8 +279,8 @@
         listener.won(baton);
     }
 
-    private void vouch(Tick sent) {
-        Tick until = sent.plusMs((long) (ttlMs * (1 - DRIFT)) - MARGIN_MS);
+    private void vouch(MonotonicTime sent) {
+        MonotonicTime until = sent.plusMs((long) (ttlMs * (1 - DRIFT)) - MARGIN_MS);
         if (validUntil.before(until)) {
             validUntil = until;
         }
@@ -283,7 +290,7 @@
         if (expectedRound != round || !leading) {
             return;
         }
-        Tick sent = turn.now();
+        MonotonicTime sent = turn.now();
         requests.take(turn.now(), 1);
         store.extend(lease, result -> {
             if (expectedRound != round || !leading) {
@@ -294,7 +301,7 @@
                 turn.after(Math.max(100, ttlMs / 5 - turn.now().since(sent)), () -> extend(expectedRound));
             } else if (result.is(404)) {
                 lose("the lease ended");
-            } else if (result.kind() == Outcome.Kind.UNKNOWN && !valid()) {
+            } else if (result.kind() == CallResult.Kind.UNKNOWN && !valid()) {
                 // Its requests may arrive all the same, and would keep the key from all others for as long as they do.
                 lose("the state service has not answered for a lease");
             } else {
@@ -304,13 +311,13 @@
     }
 
     /** Gives the lead up for another node to take; this one stands again after a while. */
-    void makeWay(String cause, long forMs) {
+    public void makeWay(String cause, long forMs) {
         standFrom = turn.now().plusMs(forMs);
         lose(cause);
     }
 
     /** Called when the key turned out not to be this leader's any more. */
-    void lose(String cause) {
+    public void lose(String cause) {
         if (!leading) {
             return;
         }
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.leadership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,55 +7,56 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 import org.beechhoist.peer.PeerState;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * What the other controllers last said of themselves. These are hints: they make a redirect quicker and tell an
  * outage that all nodes share from one that this node has alone. No right to command follows from them.
  */
-final class Peers {
+public final class PeerDirectory {
     private static final long FRESH_MS = 5000;
     private static final long SERVED_MS = 2500;
 
-    private record Heard(PeerState state, Tick at) {}
+    private record LastMessage(PeerState state, MonotonicTime at) {}
 
     private final Set<String> seeds;
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, LastMessage> heard = new HashMap<>();
 
-    Peers(Set<String> seeds) {
+    public PeerDirectory(Set<String> seeds) {
         this.seeds = seeds;
     }
 
-    void heard(PeerState state, Tick now) {
+    public void heard(PeerState state, MonotonicTime now) {
         if (seeds.contains(state.node())) {
-            heard.put(state.node(), new Heard(state, now));
+            heard.put(state.node(), new LastMessage(state, now));
         }
     }
 
-    private boolean fresh(Heard message, Tick now) {
+    private boolean fresh(LastMessage message, MonotonicTime now) {
         return now.since(message.at) < FRESH_MS;
     }
 
     /** Whether every other node has been heard since this one began: they are of a version that speaks as this one does. */
-    boolean allHeard() {
+    public boolean allHeard() {
         return heard.size() == seeds.size();
     }
 
     /** What each of the others wants of the state service's changes, or of all requests; not known where nothing was heard lately. */
-    List<Shares.Want> wants(Tick now, ToDoubleFunction<PeerState> of) {
-        List<Shares.Want> out = new ArrayList<>();
+    public List<RequestShares.Demand> wants(MonotonicTime now, ToDoubleFunction<PeerState> of) {
+        List<RequestShares.Demand> out = new ArrayList<>();
         for (String node : seeds) {
-            Heard message = heard.get(node);
+            LastMessage message = heard.get(node);
             boolean fresh = message != null && fresh(message, now);
-            out.add(new Shares.Want(fresh && message.state.leading(), fresh ? of.applyAsDouble(message.state) : -1));
+            out.add(new RequestShares.Demand(
+                    fresh && message.state.leading(), fresh ? of.applyAsDouble(message.state) : -1));
         }
         return out;
     }
 
     /** How many workers' reports have lately reached each of the others that is heard of. */
-    List<Integer> reportsElsewhere(Tick now) {
+    public List<Integer> reportsElsewhere(MonotonicTime now) {
         List<Integer> out = new ArrayList<>();
-        for (Heard message : heard.values()) {
+        for (LastMessage message : heard.values()) {
             if (fresh(message, now)) {
                 out.add(message.state.reportsHeard());
             }
@@ -63,10 +64,10 @@
         return out;
     }
 
-    /** Who says that it leads, or null; of two the one with the newer baton. */
-    String leader(Tick now) {
+    /** Who says that it leads, or null; of two the one with the newer fencing token. */
+    public String leader(MonotonicTime now) {
         PeerState best = null;
-        for (Heard message : heard.values()) {
+        for (LastMessage message : heard.values()) {
             if (fresh(message, now)
                     && message.state.leading()
                     && (best == null || message.state.baton().compareTo(best.baton()) > 0)) {
@@ -77,13 +78,13 @@
     }
 
     /** Whether there are others, and none has been heard for so long. */
-    boolean silent(Tick now, long forMs) {
+    public boolean silent(MonotonicTime now, long forMs) {
         return !seeds.isEmpty() && heard.values().stream().allMatch(h -> now.since(h.at) > forMs);
     }
 
     /** Whether the state service serves some other node that users can turn to. */
-    boolean servedElsewhere(Tick now) {
-        for (Heard message : heard.values()) {
+    public boolean servedElsewhere(MonotonicTime now) {
+        for (LastMessage message : heard.values()) {
             if (fresh(message, now) && message.state.ready() && message.state.storeAnswersMs() < SERVED_MS) {
                 return true;
             }
--- a/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
+++ b/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.leadership;
 
 import java.util.Arrays;
 import java.util.List;
@@ -8,7 +8,7 @@
  * want more than their part, in proportion to the parts. All nodes work that out from what they told one another, so
  * they agree as far as that is fresh; a node that nothing is heard of is taken to want its part.
  */
-final class Shares {
+public final class RequestShares {
     /** The leader's sure part; the other nodes' users have the rest in equal parts. */
     private static final double LEADER = 0.55;
     /** How much of what nobody asked for a node may take at once, for bursts come before anybody has heard of them. */
@@ -17,24 +17,24 @@
     private static final double SLACK = 0.5;
 
     /** What a node wants a second; below 0: not known. */
-    record Want(boolean leads, double perSecond) {}
+    public record Demand(boolean leads, double perSecond) {}
 
-    private Shares() {}
+    private RequestShares() {}
 
     /** What users of one node may count on while a leader is busy. */
-    static double usersPart(double total, int nodes) {
+    public static double usersPart(double total, int nodes) {
         return (1 - LEADER) * total / nodes;
     }
 
     /** @param total changes a second for all nodes together; {@code wants} of all nodes, the asking one first */
-    static double of(double total, List<Want> wants) {
+    public static double of(double total, List<Demand> wants) {
         int nodes = wants.size();
         double[] part = new double[nodes];
         double[] open = new double[nodes];
         double[] got = new double[nodes];
         long others = wants.stream().filter(w -> !w.leads).count();
         for (int i = 0; i < nodes; i++) {
-            Want want = wants.get(i);
+            Demand want = wants.get(i);
             boolean led = others < nodes;
             part[i] = !led
                     ? total / nodes
--- a/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
+++ b/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
@@ -1,15 +1,15 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.leadership;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * How many workers reach this node. A leader that the state service serves and that no worker reaches would keep its
  * lease, find all machines silent and return every one of them: it once did. It gives the lead up instead, to a node
  * that workers can reach.
  */
-final class Hearing {
+public final class WorkerReachability {
     /** Fewer of its machines than this share in the time in which all should have reported: something is in between. */
     private static final double DEAF_SHARE = 0.3;
 
@@ -22,19 +22,19 @@
     private static final int MOST_REMEMBERED = 20_000;
 
     private final long windowMs;
-    private final ArrayDeque<Tick> reports = new ArrayDeque<>();
+    private final ArrayDeque<MonotonicTime> reports = new ArrayDeque<>();
 
     /** @param reportMs how often a worker reports */
-    Hearing(long reportMs) {
+    public WorkerReachability(long reportMs) {
         this.windowMs = window(reportMs);
     }
 
     /** The time in which a worker that can reach a node has reported: a quarter late, and some for the way. */
-    static long window(long reportMs) {
+    public static long window(long reportMs) {
         return reportMs * 3 / 2 + 2000;
     }
 
-    void report(Tick now) {
+    public void report(MonotonicTime now) {
         reports.addLast(now);
         if (reports.size() > MOST_REMEMBERED) {
             reports.removeFirst();
@@ -42,7 +42,7 @@
     }
 
     /** Reports that have reached this node lately, answered or turned away. */
-    int lately(Tick now) {
+    public int lately(MonotonicTime now) {
         while (!reports.isEmpty() && now.since(reports.peekFirst()) > windowMs) {
             reports.removeFirst();
         }
@@ -50,7 +50,7 @@
     }
 
     /** Whether what a leader says reaches so few of its machines that another should say it. */
-    static boolean mute(int up, int unhearing) {
+    public static boolean mute(int up, int unhearing) {
         return up >= LEAST_MACHINES && unhearing >= MUTE_SHARE * up;
     }
 
@@ -60,7 +60,7 @@
      * @param up machines that have reported to it before and are not on their way out; {@code heard} of them lately
      * @param elsewhere reports that reached each other node that is heard of; empty: none is heard of
      */
-    static boolean deaf(int up, int heard, Collection<Integer> elsewhere) {
+    public static boolean deaf(int up, int heard, Collection<Integer> elsewhere) {
         int missing = up - heard;
         if (up < LEAST_MACHINES || heard >= DEAF_SHARE * up) {
             return false;
--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,16 +7,17 @@
 import java.util.Map;
 import org.beechhoist.cancel.Freshness;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.peer.CancelledJob;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * What this node knows of cancellations that are committed: by its own users, by the records, by what another node tells. Each of
  * them is certain, whoever told it, and stops work at once; but only the records tell all, and as of when they last did says
  * whether workers' leases may be renewed.
  */
-final class Cancellations {
+public final class CancellationRegistry {
     /** Remembered for so many times as long as a task may go on after one. */
     private static final int REMEMBERED_TIMES = 4;
 
@@ -26,38 +27,38 @@
 
     private static final int MOST_NEWEST = 100;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Freshness freshness;
     private final long cancelMs;
     /** When each was committed, by the time of day, in the order in which they were heard of. */
-    private final Map<JobRef, Long> known = new LinkedHashMap<>();
+    private final Map<JobId, Long> known = new LinkedHashMap<>();
     /** Those of them that this node's users were told of. */
-    private final Map<JobRef, Long> own = new LinkedHashMap<>();
+    private final Map<JobId, Long> own = new LinkedHashMap<>();
     /** The records told of all that had been committed when this was sent; null: in this leadership they have not yet. */
-    private Tick asOf;
+    private MonotonicTime asOf;
 
-    Cancellations(Turn turn, Settings settings) {
+    public CancellationRegistry(ControllerContext turn, Settings settings) {
         this.turn = turn;
         this.freshness = settings.freshness();
         this.cancelMs = settings.workers().cancelMs();
     }
 
     /** A leadership begins or ends: what was known of the records counts no more. */
-    void begin() {
+    public void begin() {
         asOf = null;
     }
 
     /** All that was committed when this was sent is known and taken up. */
-    void knownAsOf(Tick sent) {
+    void knownAsOf(MonotonicTime sent) {
         asOf = asOf == null || asOf.before(sent) ? sent : asOf;
     }
 
     /** Until when a worker's lease may be renewed. */
-    Tick renewUntil() {
+    public MonotonicTime renewUntil() {
         return freshness.renewUntil(asOf);
     }
 
-    boolean mayRenew() {
+    public boolean mayRenew() {
         return turn.now().before(renewUntil());
     }
 
@@ -66,17 +67,17 @@
         return asOf != null && turn.now().since(asOf) <= 2 * freshness.holdMs() ? freshness.holdMs() : 0;
     }
 
-    boolean knows(JobRef ref) {
+    public boolean knows(JobId ref) {
         return known.containsKey(ref);
     }
 
     /** When it was committed, by the time of day; 0: nothing is known of that. */
-    long at(JobRef ref) {
+    public long at(JobId ref) {
         return known.getOrDefault(ref, 0L);
     }
 
     /** It is committed; whether that is news. */
-    boolean heard(JobRef ref, long wallMs) {
+    public boolean heard(JobId ref, long wallMs) {
         if (known.putIfAbsent(ref, wallMs) != null) {
             return false;
         }
@@ -85,7 +86,7 @@
     }
 
     /** A user of this node is told of it: the others are to know at once. */
-    void confirmed(JobRef ref, long wallMs) {
+    public void confirmed(JobId ref, long wallMs) {
         own.put(ref, wallMs);
     }
 
@@ -98,7 +99,7 @@
     }
 
     /** What the others are told now: the newest, and of the rest those that are due soonest. */
-    List<CancelledJob> toTell() {
+    public List<CancelledJob> toTell() {
         own.values().removeIf(at -> turn.wallMs() - at > cancelMs);
         List<CancelledJob> all = new ArrayList<>();
         own.forEach((ref, at) -> all.add(new CancelledJob(ref, at)));
--- a/src/main/java/org/beechhoist/controller/state/ChangeLog.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLog.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.ArrayDeque;
 import java.util.BitSet;
@@ -10,20 +10,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * Which slots of the log are in use, and whose news they hold. A slot is free once every job in it has ended or has a
  * record that says the same; it is then written anew, so the log costs no deletions.
  */
-final class TaskLog {
+public final class ChangeLog {
     /** Beyond this many segments what the oldest say is gathered in new ones: a take-over has to read them all. */
     private static final int MANY = 40;
 
-    private record Segment(long number, int slot, Set<JobRef> jobs) {}
+    private record Segment(long number, int slot, Set<JobId> jobs) {}
 
     private final TreeMap<Long, Segment> inUse = new TreeMap<>();
-    private final Map<JobRef, Deque<Segment>> byJob = new HashMap<>();
+    private final Map<JobId, Deque<Segment>> byJob = new HashMap<>();
     private final BitSet slots = new BitSet();
     private long lastNumber;
 
@@ -60,7 +60,7 @@
     }
 
     /** The state service holds a segment with these jobs' news. */
-    void holds(long number, int slot, Collection<JobRef> jobs) {
+    void holds(long number, int slot, Collection<JobId> jobs) {
         if (jobs.isEmpty()) {
             slots.clear(slot);
             return;
@@ -72,7 +72,7 @@
     }
 
     /** The job has ended, or its record says all that the log does. */
-    void settled(JobRef job) {
+    void settled(JobId job) {
         Deque<Segment> of = byJob.remove(job);
         if (of == null) {
             return;
@@ -87,7 +87,7 @@
     }
 
     /** Whether the job's record lacks what the log says. */
-    boolean beyond(JobRef job) {
+    boolean beyond(JobId job) {
         return byJob.containsKey(job);
     }
 
@@ -100,8 +100,8 @@
     }
 
     /** The jobs that keep the oldest segments in use, about so many. */
-    Set<JobRef> oldest(int most) {
-        Set<JobRef> out = new LinkedHashSet<>();
+    Set<JobId> oldest(int most) {
+        Set<JobId> out = new LinkedHashSet<>();
         for (Segment segment : inUse.values()) {
             if (out.size() >= most) {
                 break;
--- a/src/main/java/org/beechhoist/controller/state/ClusterState.java
+++ b/src/main/java/org/beechhoist/controller/state/ClusterState.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -9,12 +9,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.beechhoist.config.Settings;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.controller.context.BoundedCollections;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
 
 /** What the leader knows: the open jobs, the machines, and what of it the state service does not hold yet. */
-final class Book {
+public final class ClusterState {
     /** Clock drift of two machines and rounding, on top of a worker's lease. */
     private static final double LEASE_SLACK = 1.002;
 
@@ -22,29 +24,29 @@
 
     private static final int REMEMBERED_ENDED = 2000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Map<JobRef, Job> jobs = new LinkedHashMap<>();
-    private final Map<HostId, Host> hosts = new TreeMap<>();
+    private final Map<JobId, Job> jobs = new LinkedHashMap<>();
+    private final Map<MachineId, Machine> hosts = new TreeMap<>();
     /** Jobs whose record the state service does not hold as it is here. */
     private final Set<Job> dirty = new LinkedHashSet<>();
     /** CPU milliseconds that each team has used, by this leadership's knowledge. */
     private final Map<String, Double> teamCpuMs = new HashMap<>();
     /** Jobs whose record, or part of the log, can't be read: only that it is there is known of them. */
-    private final Set<JobRef> unreadable = new HashSet<>();
+    private final Set<JobId> unreadable = new HashSet<>();
 
-    private final Set<JobRef> ended = Recent.added(REMEMBERED_ENDED);
-    private Tick wonAt = Tick.ZERO;
+    private final Set<JobId> ended = BoundedCollections.added(REMEMBERED_ENDED);
+    private MonotonicTime wonAt = MonotonicTime.ZERO;
     private long reign;
     private boolean changed;
 
-    Book(Turn turn, Settings settings) {
+    public ClusterState(ControllerContext turn, Settings settings) {
         this.turn = turn;
         this.settings = settings;
     }
 
     /** Leadership begins or ends: nothing that was known counts any more. */
-    void reset() {
+    public void reset() {
         reign++;
         wonAt = turn.now();
         jobs.clear();
@@ -55,22 +57,22 @@
     }
 
     /** When this leadership began. */
-    Tick wonAt() {
+    public MonotonicTime wonAt() {
         return wonAt;
     }
 
     /** Changes with leadership; answers to calls of an earlier one are left alone. */
-    long reign() {
+    public long reign() {
         return reign;
     }
 
     // ---- jobs ----
 
-    Collection<Job> jobs() {
+    public Collection<Job> jobs() {
         return jobs.values();
     }
 
-    Job job(JobRef ref) {
+    public Job job(JobId ref) {
         return jobs.get(ref);
     }
 
@@ -89,22 +91,22 @@
     }
 
     /** What is stored of the job can't be read: it is left alone, and so are its tasks. */
-    void leaveAlone(JobRef ref) {
+    void leaveAlone(JobId ref) {
         jobs.remove(ref);
         unreadable.add(ref);
     }
 
-    boolean unreadable(JobRef ref) {
+    public boolean unreadable(JobId ref) {
         return unreadable.contains(ref);
     }
 
-    boolean hasEnded(JobRef ref) {
+    boolean hasEnded(JobId ref) {
         return ended.contains(ref);
     }
 
     /** Forgets all jobs and what was to be written of them, for they are read anew; hands over what was known. */
-    Map<JobRef, Job> dropJobs() {
-        Map<JobRef, Job> old = new HashMap<>(jobs);
+    Map<JobId, Job> dropJobs() {
+        Map<JobId, Job> old = new HashMap<>(jobs);
         jobs.clear();
         unreadable.clear();
         dirty.clear();
@@ -112,7 +114,7 @@
     }
 
     /** The job's record is to be written. */
-    void touch(Job job) {
+    public void touch(Job job) {
         if (!job.dirty) {
             job.dirty = true;
             job.dirtySince = turn.now();
@@ -133,47 +135,48 @@
 
     // ---- machines ----
 
-    Collection<Host> hosts() {
+    public Collection<Machine> hosts() {
         return hosts.values();
     }
 
     /** The machine, entered if it was not known. */
-    Host host(HostId id) {
-        return hosts.computeIfAbsent(id, k -> new Host(k, turn.now()));
+    public Machine host(MachineId id) {
+        return hosts.computeIfAbsent(id, k -> new Machine(k, turn.now()));
     }
 
     /** The machine, or null. */
-    Host known(HostId id) {
+    public Machine known(MachineId id) {
         return hosts.get(id);
     }
 
-    Host drop(HostId id) {
+    public Machine drop(MachineId id) {
         return hosts.remove(id);
     }
 
     /** When the worker's lease has certainly run out, whoever answered it last, and whenever its session began. */
-    Tick lapse(Host machine) {
-        Tick last = machine.lastAnswered == null || machine.lastAnswered.before(wonAt) ? wonAt : machine.lastAnswered;
+    public MonotonicTime lapse(Machine machine) {
+        MonotonicTime last =
+                machine.lastAnswered == null || machine.lastAnswered.before(wonAt) ? wonAt : machine.lastAnswered;
         last = last.before(machine.sessionHeard) ? machine.sessionHeard : last;
         return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
     }
 
-    Tick heard(Host machine) {
+    public MonotonicTime heard(Machine machine) {
         return machine.lastHeard == null || machine.lastHeard.before(wonAt) ? wonAt : machine.lastHeard;
     }
 
     // ---- teams ----
 
-    void used(String team, double cpuMs) {
+    public void used(String team, double cpuMs) {
         teamCpuMs.merge(team, cpuMs, Double::sum);
     }
 
-    Map<String, Double> teamCpuMs() {
+    public Map<String, Double> teamCpuMs() {
         return teamCpuMs;
     }
 
     /** CPUs and accelerators of each team's tasks that may be on machines. */
-    Map<String, double[]> usedByTeams() {
+    public Map<String, double[]> usedByTeams() {
         Map<String, double[]> used = new HashMap<>();
         for (Job job : jobs.values()) {
             double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
@@ -186,15 +189,15 @@
     // ---- the plan's age ----
 
     /** Something happened that a new plan should know. */
-    void replan() {
+    public void replan() {
         changed = true;
     }
 
-    boolean changed() {
+    public boolean changed() {
         return changed;
     }
 
-    void planned() {
+    public void planned() {
         changed = false;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
+++ b/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
@@ -1,25 +1,25 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.HashMap;
 import java.util.Map;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /** Run times as owners guess them, corrected per class by what was seen. */
-final class Estimates {
+public final class DurationEstimates {
     private static final long SERVICE_MS = 24L * 3600 * 1000;
     private static final double WEIGHT = 0.08;
     private final Map<String, Double> ratios = new HashMap<>();
 
-    long lengthMs(JobSpec spec) {
+    public long lengthMs(JobSpec spec) {
         if (spec.service()) {
             return SERVICE_MS;
         }
         return Math.max(1000, Math.round(1000 * spec.estimateS() * ratios.getOrDefault(spec.jobClass(), 1.0)));
     }
 
-    void observed(JobSpec spec, long ms) {
+    public void observed(JobSpec spec, long ms) {
         if (spec.service() || spec.estimateS() <= 0) {
             return;
         }
@@ -28,14 +28,14 @@
     }
 
     /** When the task is expected to be over. */
-    Tick endOf(Placement placement, Tick now) {
-        Tick begin = placement.running != null ? placement.running : placement.since.plusMs(placement.fetchMs);
-        Tick end = begin.plusMs(placement.expectedMs);
+    public MonotonicTime endOf(Placement placement, MonotonicTime now) {
+        MonotonicTime begin = placement.running != null ? placement.running : placement.since.plusMs(placement.fetchMs);
+        MonotonicTime end = begin.plusMs(placement.expectedMs);
         if (placement.killSent) {
             return now.plusMs(300);
         }
         if (placement.leavesAt > 0) {
-            return new Tick(Math.max(now.ms() + 300, placement.leavesAt));
+            return new MonotonicTime(Math.max(now.ms() + 300, placement.leavesAt));
         }
         long late = now.since(end);
         // Past its estimate: the end moves ahead, further the longer it has run.
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.HashMap;
@@ -9,105 +9,105 @@
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.keyset.Verdict;
 import org.beechhoist.release.Release;
+import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Stored;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
-import org.beechhoist.wire.Tick;
 
 /** An open job in the leader's book. */
-final class Job {
+public final class Job {
     private static final int SUSPECT_MACHINES = 2;
     private static final int SUSPECT_FAILURES = 3;
     /** Failures that an earlier leader counted, on machines that nobody knows any more. */
     private static final int SUSPECT_BEFORE = 8;
 
-    final JobRecord record;
+    public final JobRecord record;
     Revision version;
     /** Chunks as last committed, to write only what changed. */
     Map<String, ArrayNode> chunks = new HashMap<>();
 
     boolean dirty;
-    Tick dirtySince = Tick.ZERO;
-    boolean inFlight;
+    MonotonicTime dirtySince = MonotonicTime.ZERO;
+    public boolean inFlight;
     /** What the watch brought of the record while a commit of the job was on its way, or null. */
-    StoreClient.Item news;
+    StoreClient.KeyValue news;
     /** When its cancellation was committed, where that was heard before the record told; 0: it was not. */
-    long cancelHeardMs;
+    public long cancelHeardMs;
     /** Placements that no transaction holds yet: their launches wait for one. */
-    int uncommitted;
+    public int uncommitted;
     /** Chosen from the time of day the job was accepted. */
-    final Tick submitted;
+    public final MonotonicTime submitted;
 
-    Tick notBefore = Tick.ZERO;
-    Tick nextPreemption = Tick.ZERO;
-    Tick nextNarrowing = Tick.ZERO;
+    public MonotonicTime notBefore = MonotonicTime.ZERO;
+    public MonotonicTime nextPreemption = MonotonicTime.ZERO;
+    public MonotonicTime nextNarrowing = MonotonicTime.ZERO;
     /** Tasks that are to go, and how; most are not stopped yet. */
-    final Map<Placement, Ending> leaving = new LinkedHashMap<>();
+    public final Map<Placement, Ending> leaving = new LinkedHashMap<>();
     /** The width that the state service holds. */
-    int committedWidth;
+    public int committedWidth;
     /** Failures that the record in the state service counts. */
     int storedFailures;
     /** Its tasks as the state service holds them, by record and log. */
-    Stored stored;
+    CommittedTasks stored;
     /** The same by the record alone. */
-    Stored recorded;
+    CommittedTasks recorded;
 
-    final Set<HostId> failedOn = new HashSet<>();
+    public final Set<MachineId> failedOn = new HashSet<>();
     /** Failures since it was first thought to be submitted with a mistake. */
-    int trials;
+    public int trials;
 
-    Tick lastProgress;
+    public MonotonicTime lastProgress;
     /** Whether it fits into its team's guarantee together with the team's earlier open jobs. */
-    boolean guaranteed;
+    public boolean guaranteed;
     /** Whether it goes first, for its class, its team or its class's largest are below their half. */
-    boolean lifted;
+    public boolean lifted;
     /** So many of its tasks are to begin before others' do, for nothing of it has begun for long; none is to be stopped while it is {@link #aged}. */
-    int firstUpTo;
+    public int firstUpTo;
 
-    boolean aged;
+    public boolean aged;
     /** Why nothing of it may start, and perhaps nothing run: its key set; null: nothing stands against it. */
-    Verdict hold;
+    public Verdict hold;
 
-    long heldSinceMs;
+    public long heldSinceMs;
     /** What of the release calendar it counts for, as of the last plan, or null. */
-    Release release;
+    public Release release;
     /** What it counts for: its class, its team, and its class's largest; null until it is first asked. */
-    Set<String> groups;
+    public Set<String> groups;
     /** Whether it is left behind under overload, so that others are in time. */
-    boolean behind;
+    public boolean behind;
 
-    Job(JobRecord record, Revision version, Tick submitted) {
+    Job(JobRecord record, Revision version, MonotonicTime submitted) {
         this.record = record;
         this.version = version;
         this.submitted = submitted;
         this.lastProgress = submitted;
         this.committedWidth = width();
         this.storedFailures = record.failures;
-        this.stored = Stored.of(record);
-        this.recorded = Stored.of(record);
+        this.stored = CommittedTasks.of(record);
+        this.recorded = CommittedTasks.of(record);
         this.hold = record.spec.pin() == null ? null : Verdict.NOT_KNOWN;
     }
 
-    JobRef ref() {
+    public JobId ref() {
         return record.spec.ref();
     }
 
-    JobSpec spec() {
+    public JobSpec spec() {
         return record.spec;
     }
 
     /** The width that was decided; without one, any number of its tasks may be live. */
-    int width() {
+    public int width() {
         return record.width == null ? Integer.MAX_VALUE : record.width.target();
     }
 
     /** Whether its tasks may have the other job's stopped. */
-    boolean outranks(Job other) {
+    public boolean outranks(Job other) {
         if (other.lifted || other.aged) {
             return false; // it would be lifted again, and stopped again
         }
@@ -121,39 +121,39 @@
      * Whether it may have been submitted with a mistake: several tasks failed, on more than one machine as far as this leader
      * saw them, and none is done. It is tried with one task at a time then, and nobody makes room or rents for it.
      */
-    boolean suspect() {
+    public boolean suspect() {
         return record.done.size() == 0
                 && (failedOn.size() >= SUSPECT_MACHINES && record.failures >= SUSPECT_FAILURES
                         || record.failures >= SUSPECT_BEFORE);
     }
 
     /** Whether it is held: nothing of it may run. */
-    boolean held() {
+    public boolean held() {
         return hold != null && hold.held();
     }
 
     /** Tasks of it that go first now. */
-    int firstPart() {
+    public int firstPart() {
         return Math.max(0, firstUpTo - record.live.size() - record.done.size());
     }
 
     /** Whether something of it has begun. */
-    boolean begun() {
+    public boolean begun() {
         return !record.live.isEmpty() || record.done.size() > 0;
     }
 
     /** How many of its tasks may be placed now beside those that are. */
-    int mayTry(int waiting) {
+    public int mayTry(int waiting) {
         return suspect() ? Math.min(waiting, record.live.isEmpty() ? 1 : 0) : waiting;
     }
 
     /** Whether its cancellation is committed, as far as is known: by its record, or by who heard of it first. */
-    boolean cancelled() {
+    public boolean cancelled() {
         return record.cancelled() || cancelHeardMs > 0;
     }
 
     /** When that was, by the time of day. */
-    long cancelledAtMs() {
+    public long cancelledAtMs() {
         return record.cancelled() ? record.cancelWallMs : cancelHeardMs;
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** Whether what the leader holds of it is what the state service holds. */
-    boolean settled() {
+    public boolean settled() {
         return !dirty && !inFlight;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,112 +6,111 @@
 import java.util.List;
 import java.util.Map;
 import org.beechhoist.elastic.Damping;
-import org.beechhoist.reach.Ears;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Order;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.WorkerCommand;
 
 /** What the leader knows of one machine. */
-final class Host {
-    final HostId id;
-    String address;
-    String type;
-    String zone;
-    boolean spot;
+public final class Machine {
+    public final MachineId id;
+    public String address;
+    public String type;
+    public String zone;
+    public boolean spot;
 
     /** Newest message of the worker. */
-    long shift;
+    public long shift;
 
-    long counter;
+    public long counter;
     /** When its worker's session was first heard of: the session's lease can have begun as late as that, though nothing was answered. */
-    Tick sessionHeard = Tick.ZERO;
+    public MonotonicTime sessionHeard = MonotonicTime.ZERO;
     /** When the newest message of the worker came; no report older than that is more than a copy. */
-    Tick newestAt = Tick.ZERO;
+    public MonotonicTime newestAt = MonotonicTime.ZERO;
     /** Its newest message is a report that was answered with 200. */
-    boolean answeredNewest;
+    public boolean answeredNewest;
     /** Orders and questions that it may have counted, though no answer came, since its newest message. */
-    boolean callsLost;
+    public boolean callsLost;
     /** Whether it hears; what it says does not prove that. */
-    Ears ears;
+    public MachineReachability ears;
     /** It is there: the cloud has listed or rented it, or it has answered this leadership. A report alone may be a copy. */
-    boolean there;
+    public boolean there;
     /** Reports that have seen no newer token than this may be of an earlier worker of the machine's name. */
-    Baton ghosts = Baton.NONE;
+    public FencingToken ghosts = FencingToken.NONE;
     /** Newest {@code /checkin} report: only these prove that a task is absent. */
-    HostReport lastCheckin;
+    public Heartbeat lastCheckin;
 
-    Tick lastHeard;
+    public MonotonicTime lastHeard;
     /** When this leadership last answered a report with 200; its worker's lease can't start later. */
-    Tick lastAnswered;
+    public MonotonicTime lastAnswered;
 
-    Tick noticeEnds;
+    public MonotonicTime noticeEnds;
     /** The drain that empties it, or null; nothing new is placed there. */
-    String cordonedBy;
+    public String cordonedBy;
     /** The replacement that it stands by for, or null: it is not returned for being idle. */
-    String spareOf;
+    public String spareOf;
 
     /** Where the records say that tasks may be on it. */
-    final Map<TaskId, Placement> placements = new HashMap<>();
+    public final Map<TaskId, Placement> placements = new HashMap<>();
     /** Running tasks that no record explains, until they are gone. */
-    int strangers;
+    public int strangers;
     /** Placements of earlier leaderships that its newest report says nothing of, and does not prove gone either. */
-    int inDoubt;
+    public int inDoubt;
 
     /** Orders sent straight to the worker that are not answered yet. */
-    int ordersInFlight;
+    public int ordersInFlight;
     /** A launch sent with this token or a lower one may still be executed, minutes late. */
-    Baton limbo = Baton.NONE;
+    public FencingToken limbo = FencingToken.NONE;
 
-    final List<Order> outbox = new ArrayList<>();
+    public final List<WorkerCommand> outbox = new ArrayList<>();
 
-    boolean returning;
+    public boolean returning;
     /** The time of day by which something on it must be gone. */
-    long goneByMs = Long.MAX_VALUE;
+    public long goneByMs = Long.MAX_VALUE;
     /** The cloud was asked to end it, and has not answered yet. */
-    boolean returnAsked;
+    public boolean returnAsked;
     /** It was asked for its report and has not answered yet; how often in a row it did not; when it last did. */
-    boolean asked;
+    public boolean asked;
 
-    int unanswered;
-    Tick answersAt = Tick.ZERO;
+    public int unanswered;
+    public MonotonicTime answersAt = MonotonicTime.ZERO;
     /** Until then it is not given up: an old report of it has come, and it is asked whether it is there. */
-    Tick mayAnswerUntil = Tick.ZERO;
+    public MonotonicTime mayAnswerUntil = MonotonicTime.ZERO;
 
-    Tick rentedAt;
-    boolean up;
+    public MonotonicTime rentedAt;
+    public boolean up;
     /** The cloud lists it as running, though it may not have reported to this leadership yet. */
-    boolean listedUp;
+    public boolean listedUp;
 
-    Tick idleSince;
-    Tick avoidUntil = Tick.ZERO;
+    public MonotonicTime idleSince;
+    public MonotonicTime avoidUntil = MonotonicTime.ZERO;
     /** When elastic jobs may grow onto it again. */
-    Damping damping = Damping.NONE;
+    public Damping damping = Damping.NONE;
     /** The session that the images are from, where an earlier leader noted them; 0: none did. */
-    long imagesShift;
+    public long imagesShift;
     /** Images it should hold, least recently used first, with their sizes. */
-    final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+    public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
     /** Jobs whose tasks failed on it since one last completed, and how many of each. */
-    final Map<JobRef, Integer> failedJobs = new HashMap<>();
+    public final Map<JobId, Integer> failedJobs = new HashMap<>();
 
-    Host(HostId id, Tick now) {
+    Machine(MachineId id, MonotonicTime now) {
         this.id = id;
-        this.ears = Ears.from(now);
+        this.ears = MachineReachability.from(now);
     }
 
-    boolean known() {
+    public boolean known() {
         return type != null;
     }
 
     /** A newer message of its worker has come. */
-    void newest(HostReport heartbeat, Tick now) {
-        sessionHeard = heartbeat.shift() == shift && sessionHeard != Tick.ZERO ? sessionHeard : now;
+    public void newest(Heartbeat heartbeat, MonotonicTime now) {
+        sessionHeard = heartbeat.shift() == shift && sessionHeard != MonotonicTime.ZERO ? sessionHeard : now;
         shift = heartbeat.shift();
         counter = heartbeat.counter();
         newestAt = now;
@@ -120,35 +119,35 @@
     }
 
     /** It has answered a question or command of this leadership. */
-    void answers(Tick now) {
+    public void answers(MonotonicTime now) {
         ears = ears.proved(now);
         there = true;
     }
 
     /** A question or command was not answered; where this node itself is late, that tells nothing of the machine. */
-    void missed(Tick now, boolean late) {
+    public void missed(MonotonicTime now, boolean late) {
         ears = late ? ears : ears.missed(1, now);
         callsLost = true;
     }
 
     /** It is about to be taken, returned or emptied: nothing new is launched there, whatever was decided before. */
-    boolean going() {
+    public boolean going() {
         return noticeEnds != null || returning || cordonedBy != null;
     }
 
     /** Tasks given to it that it has shown, or that it has not. */
-    int placedAndSeen(boolean seen) {
+    public int placedAndSeen(boolean seen) {
         return (int) placements.values().stream()
                 .filter(p -> p.sent && seen == p.seen)
                 .count();
     }
 
     /** How long a task of the job would wait for its image here. */
-    long fetchMs(JobSpec spec, HostType type) {
+    public long fetchMs(JobSpec spec, MachineType type) {
         return images.containsKey(spec.image()) ? 0 : Math.round(1000 * spec.imageGb() / type.fetchGbPerS());
     }
 
-    void cached(String image, double gb, double cacheGb) {
+    public void cached(String image, double gb, double cacheGb) {
         images.put(image, gb);
         double sum = images.values().stream().mapToDouble(Double::doubleValue).sum();
         var it = images.entrySet().iterator();
--- a/src/main/java/org/beechhoist/controller/state/MachineReachability.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineReachability.java
@@ -1,6 +1,6 @@
-package org.beechhoist.reach;
+package org.beechhoist.controller.state;
 
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * Whether a machine hears. That it speaks proves nothing of that: its reports may arrive while answers and commands don't
@@ -11,7 +11,7 @@
  * @param deafFrom when that became too many; null: it is thought to hear
  * @param spokeAt when it last spoke, having missed something; null: it has not
  */
-public record Ears(Tick provedAt, int missed, Tick deafFrom, Tick spokeAt) {
+public record MachineReachability(MonotonicTime provedAt, int missed, MonotonicTime deafFrom, MonotonicTime spokeAt) {
     /** So many lost messages in a row: one may be lost on the way, or be late because this node was. */
     public static final int ENOUGH = 2;
     /** What was given to it and never seen there waits no longer than this. */
@@ -19,24 +19,25 @@
     /** Where most of a zone is deaf, its machines are kept for so many leases. */
     private static final int DARK_LEASES = 4;
 
-    public static Ears from(Tick now) {
-        return new Ears(now, 0, null, null);
+    public static MachineReachability from(MonotonicTime now) {
+        return new MachineReachability(now, 0, null, null);
     }
 
     /** Something that it can only know from us, or an answer to a question. */
-    public Ears proved(Tick now) {
+    public MachineReachability proved(MonotonicTime now) {
         return from(now);
     }
 
     /** A message of ours was lost, or its answer. */
-    public Ears missed(int times, Tick now) {
+    public MachineReachability missed(int times, MonotonicTime now) {
         int sum = missed + times;
-        return new Ears(provedAt, sum, deafFrom != null ? deafFrom : sum >= ENOUGH ? now : null, spokeAt);
+        return new MachineReachability(
+                provedAt, sum, deafFrom != null ? deafFrom : sum >= ENOUGH ? now : null, spokeAt);
     }
 
     /** A new report of it has come. */
-    public Ears spoke(Tick now) {
-        return missed == 0 ? this : new Ears(provedAt, missed, deafFrom, now);
+    public MachineReachability spoke(MonotonicTime now) {
+        return missed == 0 ? this : new MachineReachability(provedAt, missed, deafFrom, now);
     }
 
     public boolean deaf() {
@@ -58,7 +59,7 @@
      * @param callsLost orders or questions to it that it may have counted, though we have no answer
      * @param answeredWithinLease we answered a report of its last session so lately that its lease can't have ended if it heard
      */
-    public record Message(
+    public record MessageContext(
             boolean same,
             boolean afterOurAnswer,
             boolean next,
@@ -67,11 +68,11 @@
             boolean answeredWithinLease) {}
 
     /** A new report has come. */
-    public Ears after(Message message, Tick now) {
+    public MachineReachability after(MessageContext message, MonotonicTime now) {
         if (message.newToken || message.same && message.afterOurAnswer && message.next) {
             return proved(now);
         }
-        Ears then = spoke(now);
+        MachineReachability then = spoke(now);
         if (!message.same) {
             return message.answeredWithinLease ? then.missed(ENOUGH, now).spoke(now) : then;
         }
@@ -88,7 +89,7 @@
      * @param seen tasks that it has shown
      * @param dark most of its zone, or of all, is silent or does not hear: the network is the likelier cause
      */
-    public boolean givenUp(int waiting, int seen, boolean dark, long leaseMs, Tick now) {
+    public boolean givenUp(int waiting, int seen, boolean dark, long leaseMs, MonotonicTime now) {
         if (!deaf()) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
@@ -1,29 +1,30 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.beechhoist.wire.Calls;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.ServiceCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The machine types with their current prices; every node keeps them to judge submissions. */
-final class Types {
-    private static final Logger LOG = LoggerFactory.getLogger(Types.class);
+public final class MachineTypeCatalog {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
     private static final long REFRESH_MS = 30_000;
-    private final Turn turn;
-    private Map<String, HostType> types = Map.of();
+    private final ControllerContext turn;
+    private Map<String, MachineType> types = Map.of();
     private boolean strangeLogged;
 
-    Types(Turn turn) {
+    public MachineTypeCatalog(ControllerContext turn) {
         this.turn = turn;
     }
 
-    void start() {
-        turn.call(Calls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
+    public void start() {
+        turn.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
             boolean read = false;
             if (result.ok() && result.body().path("hosttypes").isArray()) {
                 read = take(result.body().get("hosttypes"));
@@ -33,12 +34,12 @@
     }
 
     private boolean take(JsonNode list) {
-        Map<String, HostType> next = new LinkedHashMap<>();
+        Map<String, MachineType> next = new LinkedHashMap<>();
         for (JsonNode node : list) {
             try {
-                HostType t = HostType.parse(node);
+                MachineType t = MachineType.parse(node);
                 next.put(t.name(), t);
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 if (!strangeLogged) {
                     strangeLogged = true;
                     LOG.warn("cloud: a machine type can't be read: {}", e.getMessage());
@@ -52,15 +53,15 @@
         return !next.isEmpty();
     }
 
-    boolean known() {
+    public boolean known() {
         return !types.isEmpty();
     }
 
-    HostType get(String name) {
+    public MachineType get(String name) {
         return name == null ? null : types.get(name);
     }
 
-    Collection<HostType> all() {
+    public Collection<MachineType> all() {
         return types.values();
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
+++ b/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
@@ -1,56 +1,59 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.CronApi;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 
 /** A person's change of one record: read, edited and committed under its version, and once more where somebody was quicker. */
-final class Amending {
+public final class OptimisticUpdate {
     private static final int MOST_RACES = 6;
 
     /** An answer other than that the change is made. */
-    static final class Refused extends Exception {
+    public static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1;
         private final int status;
 
-        Refused(int status, String text) {
+        public RejectedException(int status, String text) {
             super(text, null, false, false);
             this.status = status;
         }
     }
 
     /** What becomes of the record. */
-    interface Edit {
+    public interface Edit {
         /** @param before null where there is none; {@code then} is told, now or later, what it becomes */
-        void of(JsonNode before, Then then) throws Malformed, Refused;
+        void of(JsonNode before, Completion then) throws MalformedMessageException, RejectedException;
     }
 
     /** The same, decided at once; null: the record goes. */
-    interface Now {
-        ObjectNode of(JsonNode before) throws Malformed, Refused;
+    public interface ImmediateEdit {
+        ObjectNode of(JsonNode before) throws MalformedMessageException, RejectedException;
     }
 
     /** Where an edit's outcome goes. */
-    interface Then {
+    public interface Completion {
         /** @param more what is written in the same transaction, {@code shown} what is answered */
-        void becomes(ObjectNode value, Consumer<Txn> more, ObjectNode shown);
+        void becomes(ObjectNode value, Consumer<Transaction> more, ObjectNode shown);
     }
 
     private final int valueBytes;
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
-    private final Budget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
 
-    Amending(Turn turn, Settings settings, StoreClient store, Budget requests, Budget writes) {
+    public OptimisticUpdate(
+            ControllerContext turn, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {
         this.valueBytes = settings.stateLimits().valueBytes();
         this.turn = turn;
         this.store = store;
@@ -58,16 +61,16 @@
         this.writes = writes;
     }
 
-    static ObjectNode error(String text) {
+    public static ObjectNode error(String text) {
         return Codec.map().put("error", text);
     }
 
-    static void unknown(CronApi.Answer answer) {
+    public static void unknown(CronApi.Answer answer) {
         answer.with(503, error("the state service does not answer, or what it holds is not read yet"));
     }
 
     /** Answers with the record as it stands then. */
-    void now(String key, Now edit, CronApi.Answer answer) {
+    public void now(String key, ImmediateEdit edit, CronApi.Answer answer) {
         change(
                 key,
                 (before, then) -> {
@@ -77,7 +80,7 @@
                 answer);
     }
 
-    void change(String key, Edit edit, CronApi.Answer answer) {
+    public void change(String key, Edit edit, CronApi.Answer answer) {
         change(key, edit, answer, 0);
     }
 
@@ -102,7 +105,7 @@
                                         + " bytes, as much as a value may have"));
                         return;
                     }
-                    Txn txn = new Txn().guard(key, version);
+                    Transaction txn = new Transaction().guard(key, version);
                     if (value == null) {
                         txn.delete(key);
                     } else {
@@ -112,24 +115,24 @@
                     requests.take(turn.now(), 1);
                     writes.take(turn.now(), txn.ops());
                     store.commit(txn, commit -> {
-                        if (commit.result() == Commit.Result.DONE) {
+                        if (commit.result() == CommitResult.Outcome.DONE) {
                             answer.with(200, shown);
-                        } else if (commit.result() == Commit.Result.CONFLICT) {
+                        } else if (commit.result() == CommitResult.Outcome.CONFLICT) {
                             change(key, edit, answer, races + 1);
                         } else {
                             unknown(answer);
                         }
                     });
                 });
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 answer.with(400, error(e.getMessage()));
-            } catch (Refused e) {
+            } catch (RejectedException e) {
                 refuse(answer, e);
             }
         });
     }
 
-    static void refuse(CronApi.Answer answer, Refused refused) {
+    static void refuse(CronApi.Answer answer, RejectedException refused) {
         answer.with(refused.status, error(refused.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/PrefixReader.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixReader.java
@@ -1,31 +1,32 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.function.Consumer;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.TokenBucket;
 
 /** What a leader reads once when it has won: all of a prefix, page by page, asked again until there is an answer or the leadership is over. */
-final class AfterWinning {
+public final class PrefixReader {
     private static final long AGAIN_MS = 700;
     private static final int PAGE = 60;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
-    private final Book book;
+    private final TokenBucket requests;
+    private final ClusterState book;
 
-    AfterWinning(Turn turn, StoreClient store, Budget requests, Book book) {
+    public PrefixReader(ControllerContext turn, StoreClient store, TokenBucket requests, ClusterState book) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
         this.book = book;
     }
 
-    void read(String prefix, Consumer<StoreClient.Item> each, Runnable done) {
+    public void read(String prefix, Consumer<StoreClient.KeyValue> each, Runnable done) {
         page(book.reign(), prefix, null, each, done);
     }
 
-    private void page(long reign, String prefix, String after, Consumer<StoreClient.Item> each, Runnable done) {
+    private void page(long reign, String prefix, String after, Consumer<StoreClient.KeyValue> each, Runnable done) {
         if (reign != book.reign()) {
             return;
         }
