--- a/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
@@ -1,13 +1,14 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Revision;
 
 /** Reads all of a prefix, page by page, and follows its changes; read anew where the state service has forgotten some. */
-final class Following {
+public final class PrefixWatch {
     private static final long HOLD_MS = 20_000;
     private static final long AGAIN_MS = 500;
     /** Several changes a second are taken together. */
@@ -15,13 +16,13 @@
 
     private static final int PAGE = 200;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Budget requests;
+    private final TokenBucket requests;
     private final String prefix;
     private final Runnable begun;
-    private final Consumer<StoreClient.Item> found;
-    private final Consumer<List<StoreClient.Item>> changes;
+    private final Consumer<StoreClient.KeyValue> found;
+    private final Consumer<List<StoreClient.KeyValue>> changes;
     private long round;
 
     /**
@@ -29,14 +30,14 @@
      * @param found one item of a page; pages are of different moments, and only with the changes in between they are one
      * @param changes since, none perhaps: the first call is for those in between, and all is known with it
      */
-    Following(
-            Turn turn,
+    public PrefixWatch(
+            ControllerContext turn,
             StoreClient store,
-            Budget requests,
+            TokenBucket requests,
             String prefix,
             Runnable begun,
-            Consumer<StoreClient.Item> found,
-            Consumer<List<StoreClient.Item>> changes) {
+            Consumer<StoreClient.KeyValue> found,
+            Consumer<List<StoreClient.KeyValue>> changes) {
         this.turn = turn;
         this.store = store;
         this.requests = requests;
@@ -46,7 +47,7 @@
         this.changes = changes;
     }
 
-    void start() {
+    public void start() {
         begun.run();
         page(++round, null, null);
     }
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayList;
@@ -12,27 +12,29 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.elastic.Ending;
-import org.beechhoist.store.Budget;
+import org.beechhoist.store.ChangeLogSegment;
+import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
-import org.beechhoist.store.LogSegment;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.Sizes;
+import org.beechhoist.store.RecordSizes;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.Stored;
+import org.beechhoist.store.TokenBucket;
 import org.beechhoist.store.WidthRecord;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Reads the open records into the book, all of them after winning or when in doubt, then the changes as they come. */
-final class Loading {
-    private static final Logger LOG = LoggerFactory.getLogger(Loading.class);
+public final class StateLoader {
+    private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
     /** The oldest placement taken at its word. */
     private static final long LONGEST_AGO_MS = 24L * 3600 * 1000;
 
@@ -45,44 +47,44 @@
     }
 
     /** What others do when the records say so. */
-    interface Listener {
+    public interface Listener {
         /** All open records are known, as of a revision after the last win or doubt. */
         void loaded();
 
         /** A job's cancellation is committed, on whatever node; its record is taken up before or after that. */
-        void cancelled(JobRef ref);
+        void cancelled(JobId ref);
 
         /** Its user allows a job another width. */
         void resized(Job job);
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Estimates estimates;
-    private final Book book;
-    private final TaskLog log;
-    private final Sizes sizes;
-    private final Cancellations cancellations;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final DurationEstimates estimates;
+    private final ClusterState book;
+    private final ChangeLog log;
+    private final RecordSizes sizes;
+    private final CancellationRegistry cancellations;
     private final Listener listener;
-    private final Set<StoreClient.Item> over = new LinkedHashSet<>();
+    private final Set<StoreClient.KeyValue> over = new LinkedHashSet<>();
     private Phase phase = Phase.IDLE;
     /** Changes whenever the book is read anew, and with leadership. */
     private long epoch;
     /** Changes with each reading that is followed by a watch of its own, and with leadership: an earlier watch ends. */
     private long watching;
 
-    Loading(
-            Turn turn,
+    public StateLoader(
+            ControllerContext turn,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Estimates estimates,
-            Book book,
-            TaskLog log,
-            Sizes sizes,
-            Cancellations cancellations,
+            LeaderElection election,
+            TokenBucket requests,
+            DurationEstimates estimates,
+            ClusterState book,
+            ChangeLog log,
+            RecordSizes sizes,
+            CancellationRegistry cancellations,
             Listener listener) {
         this.cancellations = cancellations;
         this.log = log;
@@ -97,11 +99,11 @@
     }
 
     /** Final states that stand where open records do, to be moved to their own keys. */
-    Collection<StoreClient.Item> over() {
+    Collection<StoreClient.KeyValue> over() {
         return over;
     }
 
-    void standsOver(StoreClient.Item item) {
+    void standsOver(StoreClient.KeyValue item) {
         over.add(item);
     }
 
@@ -110,17 +112,17 @@
     }
 
     /** Whether the book holds all open records. */
-    boolean complete() {
+    public boolean complete() {
         return phase == Phase.ACTIVE;
     }
 
     /** Whether commands may be given: the book holds all open records and this node still leads. */
-    boolean active() {
+    public boolean active() {
         return complete() && election.valid();
     }
 
     /** Reads the book, all of it; what an earlier reading still brings is left alone. */
-    void reload() {
+    public void reload() {
         epoch++;
         load();
     }
@@ -131,7 +133,7 @@
         phase = Phase.LOADING;
     }
 
-    void end() {
+    public void end() {
         epoch++;
         watching++;
         phase = Phase.IDLE;
@@ -139,9 +141,9 @@
 
     private void load() {
         phase = Phase.LOADING;
-        List<StoreClient.Item> records = new ArrayList<>();
-        List<StoreClient.Item> segments = new ArrayList<>();
-        Tick asked = turn.now();
+        List<StoreClient.KeyValue> records = new ArrayList<>();
+        List<StoreClient.KeyValue> segments = new ArrayList<>();
+        MonotonicTime asked = turn.now();
         // Records before the log: a job that enters in between has nothing in the log yet.
         loadPage(
                 epoch,
@@ -151,7 +153,7 @@
                 null,
                 start -> loadPage(
                         epoch,
-                        LogSegment.PREFIX,
+                        ChangeLogSegment.PREFIX,
                         null,
                         segments,
                         start,
@@ -162,7 +164,7 @@
             long expectedEpoch,
             String prefix,
             String after,
-            List<StoreClient.Item> items,
+            List<StoreClient.KeyValue> items,
             Revision first,
             Consumer<Revision> then) {
         requests.take(turn.now(), 1);
@@ -193,18 +195,22 @@
         });
     }
 
-    private void loaded(List<StoreClient.Item> items, List<StoreClient.Item> segments, Revision start, Tick asked) {
+    private void loaded(
+            List<StoreClient.KeyValue> items,
+            List<StoreClient.KeyValue> segments,
+            Revision start,
+            MonotonicTime asked) {
         Map<TaskId, Placement> before = new HashMap<>();
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             before.putAll(machine.placements);
             machine.placements.clear();
         }
-        Map<JobRef, Job> old = book.dropJobs();
+        Map<JobId, Job> old = book.dropJobs();
         over.clear();
-        for (StoreClient.Item item : items) {
+        for (StoreClient.KeyValue item : items) {
             try {
                 takeRecord(item, old);
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 LOG.error(
                         "record {} can't be read, the job and its tasks are left alone: {}",
                         item.key(),
@@ -265,31 +271,31 @@
     }
 
     /** Brings the records up to what the log says; false where a segment can't be read, and nothing is certain. */
-    private boolean takeLog(List<StoreClient.Item> items) {
+    private boolean takeLog(List<StoreClient.KeyValue> items) {
         log.reset();
-        book.jobs().forEach(j -> j.recorded = Stored.of(j.record));
-        Map<LogSegment, Integer> segments = new TreeMap<>(Comparator.comparingLong(LogSegment::number));
-        Set<JobRef> unreadable = new HashSet<>();
-        for (StoreClient.Item item : items) {
+        book.jobs().forEach(j -> j.recorded = CommittedTasks.of(j.record));
+        Map<ChangeLogSegment, Integer> segments = new TreeMap<>(Comparator.comparingLong(ChangeLogSegment::number));
+        Set<JobId> unreadable = new HashSet<>();
+        for (StoreClient.KeyValue item : items) {
             try {
                 segments.put(
-                        LogSegment.parse(
+                        ChangeLogSegment.parse(
                                 item.value(),
                                 r -> book.job(r) == null
                                         ? -1
                                         : book.job(r).spec().tasks(),
                                 unreadable),
-                        Integer.parseInt(item.key().substring(LogSegment.PREFIX.length())));
-            } catch (Malformed | NumberFormatException e) {
+                        Integer.parseInt(item.key().substring(ChangeLogSegment.PREFIX.length())));
+            } catch (MalformedMessageException | NumberFormatException e) {
                 LOG.error("log segment {} can't be read, so nothing is started: {}", item.key(), e.getMessage());
                 return false;
             }
         }
-        for (JobRef ref : unreadable) {
+        for (JobId ref : unreadable) {
             LOG.error("what the log says of {} can't be read, the job and its tasks are left alone", ref);
             book.leaveAlone(ref);
         }
-        Map<JobRef, Long> from = new HashMap<>();
+        Map<JobId, Long> from = new HashMap<>();
         segments.forEach((segment, slot) -> segment.jobs().forEach((ref, delta) -> {
             if (delta.begins()) {
                 from.put(ref, segment.number());
@@ -297,7 +303,7 @@
         }));
         segments.forEach((segment, slot) -> {
             log.numbered(segment.number());
-            Set<JobRef> holds = new HashSet<>();
+            Set<JobId> holds = new HashSet<>();
             segment.jobs().forEach((ref, delta) -> {
                 Job job = book.job(ref);
                 if (job != null
@@ -311,21 +317,21 @@
         });
         for (Job job : book.jobs()) {
             log.numbered(job.record.folded);
-            job.stored = Stored.of(job.record);
+            job.stored = CommittedTasks.of(job.record);
         }
         return true;
     }
 
-    private static JobRef jobOf(String key) {
+    private static JobId jobOf(String key) {
         int slash = key.indexOf('/', JobRecord.OPEN.length());
-        return new JobRef(key.substring(JobRecord.OPEN.length(), slash < 0 ? key.length() : slash));
+        return new JobId(key.substring(JobRecord.OPEN.length(), slash < 0 ? key.length() : slash));
     }
 
-    private void takeRecord(StoreClient.Item item, Map<JobRef, Job> old) throws Malformed {
+    private void takeRecord(StoreClient.KeyValue item, Map<JobId, Job> old) throws MalformedMessageException {
         String rest = item.key().substring(JobRecord.OPEN.length());
         int slash = rest.indexOf('/');
         if (slash >= 0) {
-            Job job = book.job(new JobRef(rest.substring(0, slash)));
+            Job job = book.job(new JobId(rest.substring(0, slash)));
             if (job != null) {
                 job.record.addLive(item.value());
                 job.chunks.put(item.key(), (ArrayNode) item.value());
@@ -357,7 +363,7 @@
         return job;
     }
 
-    private JobRecord record(StoreClient.Item item) throws Malformed {
+    private JobRecord record(StoreClient.KeyValue item) throws MalformedMessageException {
         JobRecord record = JobRecord.parse(item.value());
         record.sizes = sizes;
         return record;
@@ -369,7 +375,7 @@
      */
     private void watch(long expectedWatch, Revision after) {
         requests.take(turn.now(), 1);
-        Tick asked = turn.now();
+        MonotonicTime asked = turn.now();
         store.changes(JobRecord.OPEN, after, cancellations.holdMs(), changes -> {
             if (expectedWatch != watching) {
                 return;
@@ -400,12 +406,12 @@
     }
 
     /** A change says that a job is cancelled: that counts at once, whatever is on its way of the job. */
-    private void cancelled(StoreClient.Item item) {
+    private void cancelled(StoreClient.KeyValue item) {
         long at = item.value() == null || JobRecord.isOver(item.value())
                 ? 0
                 : item.value().path("cancel").longValue();
         if (at > 0 && item.key().indexOf('/', JobRecord.OPEN.length()) < 0) {
-            JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
+            JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
             if (cancellations.heard(ref, at)) {
                 listener.cancelled(ref);
             }
@@ -414,20 +420,20 @@
 
     /** The job's commit is over: what came of its record meanwhile counts now, if it is not our own. */
     void takeUp(Job job) {
-        StoreClient.Item item = job.news;
+        StoreClient.KeyValue item = job.news;
         job.news = null;
         if (item != null && book.job(job.ref()) == job) {
             changed(item);
         }
     }
 
-    private void changed(StoreClient.Item item) {
+    private void changed(StoreClient.KeyValue item) {
         if (item.value() == null
                 || JobRecord.isOver(item.value())
                 || item.key().indexOf('/', JobRecord.OPEN.length()) >= 0) {
             return;
         }
-        JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
+        JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
         Job job = book.job(ref);
         if (job == null ? book.hasEnded(ref) : item.version().compareTo(job.version) <= 0) {
             return; // our own
@@ -479,7 +485,7 @@
                 }
             }
             book.replan();
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             LOG.error("record {} can't be read: {}", item.key(), e.getMessage());
         }
     }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,21 +7,24 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Budget;
+import org.beechhoist.controller.KeySetHolds;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.Sizes;
+import org.beechhoist.store.RecordSizes;
 import org.beechhoist.store.StoreClient;
-import org.beechhoist.store.StoreClient.Commit;
-import org.beechhoist.store.Txn;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Writes what the book holds and the state service does not, one transaction at a time, the most urgent first. */
-final class Committer {
-    private static final Logger LOG = LoggerFactory.getLogger(Committer.class);
+public final class TransactionCommitter {
+    private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
     private static final int GATHERED = 10;
     /** Finished tasks are gathered this long before their job is written for them alone. */
     private static final long GATHER_MS = 2000;
@@ -58,7 +61,7 @@
     private static final int GATHERED_SEGMENTS = 2;
 
     /** What may follow only once it is written. */
-    interface Listener {
+    public interface Listener {
         /** These placements are committed: their launches may be sent. */
         void placed(List<Placement> placed);
 
@@ -69,43 +72,43 @@
         void ended(Job job, JsonNode state);
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final StoreClient store;
-    private final Election election;
-    private final Budget requests;
-    private final Budget writes;
-    private final Book book;
-    private final Loading loading;
-    private final Sizes sizes;
-    private final TaskLog log;
-    private final KeyHolds holds;
+    private final LeaderElection election;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final ClusterState book;
+    private final StateLoader loading;
+    private final RecordSizes sizes;
+    private final ChangeLog log;
+    private final KeySetHolds holds;
     private final BooleanSupplier logAllowed;
     private final Listener listener;
-    private Tick nextFold = Tick.ZERO;
+    private MonotonicTime nextFold = MonotonicTime.ZERO;
     private boolean commitInFlight;
     private boolean rotateWanted;
     /** Whether changes run short: what can be done later is. */
     private boolean tight;
 
-    private Tick lastRotation = Tick.ZERO;
+    private MonotonicTime lastRotation = MonotonicTime.ZERO;
     private boolean rotateSoon;
-    private Tick nextCommit = Tick.ZERO;
-    private Tick nextMove = Tick.ZERO;
+    private MonotonicTime nextCommit = MonotonicTime.ZERO;
+    private MonotonicTime nextMove = MonotonicTime.ZERO;
 
     /** @param logAllowed whether every node that may lead reads the log */
-    Committer(
-            Turn turn,
+    public TransactionCommitter(
+            ControllerContext turn,
             Settings settings,
             StoreClient store,
-            Election election,
-            Budget requests,
-            Budget writes,
-            Book book,
-            Loading loading,
-            Sizes sizes,
-            TaskLog log,
-            KeyHolds holds,
+            LeaderElection election,
+            TokenBucket requests,
+            TokenBucket writes,
+            ClusterState book,
+            StateLoader loading,
+            RecordSizes sizes,
+            ChangeLog log,
+            KeySetHolds holds,
             BooleanSupplier logAllowed,
             Listener listener) {
         this.holds = holds;
@@ -123,29 +126,29 @@
         this.listener = listener;
     }
 
-    void reset() {
+    public void reset() {
         commitInFlight = false;
         rotateWanted = false;
         rotateSoon = false;
     }
 
     /** A command may be executed late as long as no worker has seen a newer token: one is to be made. */
-    void wantRotation() {
+    public void wantRotation() {
         rotateWanted = true;
     }
 
     /** The same, and sooner: a cancelled job's launch may be executed late. Workers report a newer token at most twice a lease. */
-    void wantRotationSoon() {
+    public void wantRotationSoon() {
         rotateWanted = true;
         rotateSoon = true;
     }
 
     /** Writes what changed, one transaction at a time. */
-    void pump() {
+    public void pump() {
         if (!loading.active() || commitInFlight || turn.now().before(nextCommit)) {
             return;
         }
-        // Each new baton makes every worker report once more, so that many lost orders share one.
+        // Each new fencing token makes every worker report once more, so that many lost orders share one.
         boolean rotating =
                 rotateWanted && turn.now().since(lastRotation) >= (rotateSoon ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
         boolean foldDue = log.segments() > 0 && !turn.now().before(nextFold);
@@ -158,15 +161,15 @@
         }
         tight = budget < TIGHT * writes.most()
                 && book.dirty().stream()
-                                .filter(Committer::ends)
+                                .filter(TransactionCommitter::ends)
                                 .limit(MANY_ENDS)
                                 .count()
                         == MANY_ENDS;
-        Txn txn = election.guarded();
+        Transaction txn = election.guarded();
         if (rotating) {
             election.rotateIn(txn);
         }
-        Batch batch = new Batch(txn, settings.stateLimits(), sizes, log, holds, (int) Math.floor(budget));
+        WriteBatch batch = new WriteBatch(txn, settings.stateLimits(), sizes, log, holds, (int) Math.floor(budget));
         gather(batch, budget > KEPT_WRITES * writes.rate());
         if (foldDue) {
             fold(batch, budget > PLENTY * writes.most());
@@ -190,7 +193,7 @@
     }
 
     /** Sends the one transaction that is on its way at a time; its outcome is handed over if it is still the book's matter. */
-    private void send(Txn txn, Consumer<Commit> then) {
+    private void send(Transaction txn, Consumer<CommitResult> then) {
         commitInFlight = true;
         requests.take(turn.now(), 1);
         writes.take(turn.now(), txn.ops());
@@ -227,17 +230,17 @@
             return;
         }
         nextMove = turn.now().plusMs(MOVE_EVERY_MS);
-        Txn txn = election.guarded();
-        List<StoreClient.Item> moved = loading.over().stream().limit(most).toList();
-        for (StoreClient.Item item : moved) {
-            JobRef ref = new JobRef(item.key().substring(JobRecord.OPEN.length()));
+        Transaction txn = election.guarded();
+        List<StoreClient.KeyValue> moved = loading.over().stream().limit(most).toList();
+        for (StoreClient.KeyValue item : moved) {
+            JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
             txn.guard(item.key(), item.version()).delete(item.key()).put(JobRecord.endedKey(ref), item.value());
         }
         send(txn, commit -> {
             switch (commit.result()) {
                 case DONE -> loading.over().removeAll(moved);
                 case CONFLICT -> {
-                    if (commit.failed().contains(Election.KEY)) {
+                    if (commit.failed().contains(LeaderElection.KEY)) {
                         election.lose("the key was rewritten");
                     } else {
                         loading.reload();
@@ -251,11 +254,11 @@
         });
     }
 
-    private record Due(Job job, int rank) {}
+    private record DueWrite(Job job, int rank) {}
 
     /** Takes in what is due, the most urgent first, and of the rest what costs no more. */
-    private void gather(Batch batch, boolean spare) {
-        List<Due> due = new ArrayList<>();
+    private void gather(WriteBatch batch, boolean spare) {
+        List<DueWrite> due = new ArrayList<>();
         List<Job> rest = new ArrayList<>();
         for (Job job : new ArrayList<>(book.dirty())) {
             if (job.overtaken()) {
@@ -268,27 +271,28 @@
             // A finished task frees its machine without this: the worker's report proves it, to a later leader too.
             if (rank == GATHERED && !(spare && turn.now().since(job.dirtySince) >= GATHER_MS)) {
                 rest.add(job);
-            } else if (way(job) == Batch.Way.LOG && job.stored.until(job.record).isEmpty()) {
+            } else if (way(job) == WriteBatch.WriteMode.LOG
+                    && job.stored.until(job.record).isEmpty()) {
                 book.sent(job); // it was touched, and is as the state service holds it
                 job.inFlight = false;
             } else {
-                due.add(new Due(job, rank));
+                due.add(new DueWrite(job, rank));
             }
         }
-        due.sort(Comparator.comparingInt(Due::rank).thenComparing(d -> d.job.dirtySince));
-        for (Due next : due) {
+        due.sort(Comparator.comparingInt(DueWrite::rank).thenComparing(d -> d.job.dirtySince));
+        for (DueWrite next : due) {
             if (!take(batch, next.job) && next.rank < GATHERED && turn.now().since(next.job.dirtySince) > STARVED_MS) {
                 break; // let the budget fill up for it instead of spending it on smaller ones for ever
             }
         }
         for (Job job : batch.logged() == 0 ? List.<Job>of() : rest) {
-            if (way(job) == Batch.Way.LOG && batch.free(job)) {
+            if (way(job) == WriteBatch.WriteMode.LOG && batch.free(job)) {
                 take(batch, job);
             }
         }
     }
 
-    private boolean take(Batch batch, Job job) {
+    private boolean take(WriteBatch batch, Job job) {
         boolean taken = (ends(job) || holds.mayWrite(job)) && batch.take(job, way(job));
         if (taken) {
             book.sent(job);
@@ -296,21 +300,21 @@
         return taken;
     }
 
-    private Batch.Way way(Job job) {
+    private WriteBatch.WriteMode way(Job job) {
         return ends(job)
-                ? tight && logAllowed.getAsBoolean() ? Batch.Way.END_HERE : Batch.Way.END
+                ? tight && logAllowed.getAsBoolean() ? WriteBatch.WriteMode.END_HERE : WriteBatch.WriteMode.END
                 : !logAllowed.getAsBoolean()
                                 || job.width() != job.committedWidth
                                 || job.record.failures != job.storedFailures
-                        ? Batch.Way.RECORD
-                        : Batch.Way.LOG;
+                        ? WriteBatch.WriteMode.RECORD
+                        : WriteBatch.WriteMode.LOG;
     }
 
     /**
      * Keeps the log short. Where it is long, what the oldest segments say of jobs that are still open is gathered in new
      * ones, a segment or two each time; where writes are to spare, a job that has been open for long has its record written.
      */
-    private void fold(Batch batch, boolean plenty) {
+    private void fold(WriteBatch batch, boolean plenty) {
         nextFold = turn.now().plusMs(FOLD_EVERY_MS);
         boolean gather = log.crowded() && logAllowed.getAsBoolean();
         if (!gather && !plenty) {
@@ -318,7 +322,7 @@
         }
         int before = batch.logged();
         int records = 0;
-        for (JobRef ref : log.oldest(gather ? MOST_GATHERED : MOST_RECORDS)) {
+        for (JobId ref : log.oldest(gather ? MOST_GATHERED : MOST_RECORDS)) {
             Job job = book.job(ref);
             if (job == null
                     || job.inFlight
@@ -330,7 +334,7 @@
             }
             if (batch.logged() - before > GATHERED_SEGMENTS
                     || records == MOST_RECORDS
-                    || !batch.take(job, gather ? Batch.Way.GATHER : Batch.Way.RECORD)) {
+                    || !batch.take(job, gather ? WriteBatch.WriteMode.GATHER : WriteBatch.WriteMode.RECORD)) {
                 return;
             }
             book.sent(job);
@@ -356,11 +360,11 @@
     }
 
     /** Jobs that wait to be written, for whoever shares out the state service's limits. */
-    int backlog() {
+    public int backlog() {
         return loading.active() ? book.dirty().size() : 0;
     }
 
-    private void committed(Commit commit, boolean rotating, Batch batch, List<Placement> placed) {
+    private void committed(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
         batch.parts().forEach(p -> p.job.inFlight = false);
         result(commit, rotating, batch, placed);
         if (loading.complete()) {
@@ -368,7 +372,7 @@
         }
     }
 
-    private void result(Commit commit, boolean rotating, Batch batch, List<Placement> placed) {
+    private void result(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
         switch (commit.result()) {
             case DONE -> {
                 if (rotating) {
@@ -376,13 +380,13 @@
                     LOG.info("baton rewritten: {}", election.baton().value());
                 }
                 batch.made();
-                for (Batch.Part part : batch.parts()) {
-                    if (part.way == Batch.Way.RECORD) {
+                for (WriteBatch.JobWrite part : batch.parts()) {
+                    if (part.way == WriteBatch.WriteMode.RECORD) {
                         part.job.version = commit.revision();
                     } else if (part.way.ends()) {
                         JsonNode state = part.job.record.endedNode(part.job.finalState());
-                        if (part.way == Batch.Way.END_HERE) {
-                            loading.standsOver(new StoreClient.Item(
+                        if (part.way == WriteBatch.WriteMode.END_HERE) {
+                            loading.standsOver(new StoreClient.KeyValue(
                                     JobRecord.openKey(part.job.ref()), state, commit.revision(), 0));
                         }
                         book.ended(part.job);
@@ -404,7 +408,7 @@
                 batch.parts().forEach(p -> listener.written(p.job));
             }
             case CONFLICT -> {
-                if (commit.failed().contains(Election.KEY)) {
+                if (commit.failed().contains(LeaderElection.KEY)) {
                     election.lose("the key was rewritten");
                 } else if (holds.overtaken(commit.failed())) {
                     notMade(batch, rotating);
@@ -427,7 +431,7 @@
         }
     }
 
-    private void notMade(Batch batch, boolean rotating) {
+    private void notMade(WriteBatch batch, boolean rotating) {
         batch.dropped();
         rotateWanted |= rotating;
         batch.parts().forEach(p -> book.touch(p.job));
@@ -440,7 +444,7 @@
     private void settle() {
         loading.suspend();
         long expectedEpoch = loading.epoch();
-        Txn txn = election.guarded();
+        Transaction txn = election.guarded();
         election.rotateIn(txn);
         requests.take(turn.now(), 1);
         writes.take(turn.now(), 1);
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayList;
@@ -8,19 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.store.Delta;
+import org.beechhoist.controller.KeySetHolds;
+import org.beechhoist.store.ChangeLogSegment;
+import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
-import org.beechhoist.store.LogSegment;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.Sizes;
-import org.beechhoist.store.Stored;
-import org.beechhoist.store.Txn;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.store.RecordSizes;
+import org.beechhoist.store.TaskChanges;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.JobId;
 
 /** One transaction of the leader under construction, and what the state service holds once it is done. */
-final class Batch {
+final class WriteBatch {
     /** How a job's news are written. */
-    enum Way {
+    enum WriteMode {
         /** Its final state, under a key of its own; its record goes. */
         END,
         /** Its final state where its record stood: one change instead of two, moved later. */
@@ -38,17 +39,17 @@
     }
 
     /** A job's part, as it was when it was sent. */
-    static final class Part {
+    static final class JobWrite {
         final Job job;
-        final Way way;
+        final WriteMode way;
         Map<String, ArrayNode> chunks;
-        Delta delta;
-        Stored stored;
-        Stored recorded;
+        TaskChanges delta;
+        CommittedTasks stored;
+        CommittedTasks recorded;
         int width;
         int failures;
 
-        Part(Job job, Way way) {
+        JobWrite(Job job, WriteMode way) {
             this.job = job;
             this.way = way;
         }
@@ -58,35 +59,36 @@
     private static final int RECORD_BYTES = 2500;
     private static final int GUARD_BYTES = 60;
 
-    private final Txn txn;
-    private final Sizes sizes;
-    private final TaskLog log;
+    private final Transaction txn;
+    private final RecordSizes sizes;
+    private final ChangeLog log;
     private final int mostOps;
     private final int mostGuards;
-    private final LogSegment.Writer writer;
-    private final List<Part> parts = new ArrayList<>();
+    private final ChangeLogSegment.Writer writer;
+    private final List<JobWrite> parts = new ArrayList<>();
     private final Map<Long, Integer> slots = new HashMap<>();
-    private final Map<Long, Set<JobRef>> written = new HashMap<>();
+    private final Map<Long, Set<JobId>> written = new HashMap<>();
     private int bytes;
-    private final KeyHolds holds;
+    private final KeySetHolds holds;
     private final Set<String> keyGuards = new HashSet<>();
 
     /** @param txn with the leader's guard in it; {@code mostOps} changes may be made by now */
-    Batch(Txn txn, Settings.State limits, Sizes sizes, TaskLog log, KeyHolds holds, int mostOps) {
+    WriteBatch(
+            Transaction txn, Settings.State limits, RecordSizes sizes, ChangeLog log, KeySetHolds holds, int mostOps) {
         this.holds = holds;
         this.txn = txn;
         this.sizes = sizes;
         this.log = log;
         this.mostOps = Math.min(limits.txnOps(), mostOps);
         this.mostGuards = 4 * limits.txnOps() - 1;
-        this.writer = new LogSegment.Writer(sizes.segmentBytes());
+        this.writer = new ChangeLogSegment.Writer(sizes.segmentBytes());
     }
 
     boolean isEmpty() {
         return txn.ops() == 0 && parts.isEmpty();
     }
 
-    List<Part> parts() {
+    List<JobWrite> parts() {
         return parts;
     }
 
@@ -95,9 +97,9 @@
     }
 
     /** Takes the job's news in, if there is room; false where there is none. */
-    boolean take(Job job, Way way) {
-        Part part = new Part(job, way);
-        boolean fits = way == Way.LOG || way == Way.GATHER ? log(part) : record(part);
+    boolean take(Job job, WriteMode way) {
+        JobWrite part = new JobWrite(job, way);
+        boolean fits = way == WriteMode.LOG || way == WriteMode.GATHER ? log(part) : record(part);
         String key = fits && !way.ends() ? holds.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
             holds.guard(txn, job);
@@ -124,8 +126,8 @@
                 && (parts.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MOST_BYTES);
     }
 
-    private boolean log(Part part) {
-        part.delta = part.way == Way.LOG
+    private boolean log(JobWrite part) {
+        part.delta = part.way == WriteMode.LOG
                 ? part.job.stored.until(part.job.record)
                 : part.job.recorded.allUntil(part.job.record);
         if (!room(0, GUARD_BYTES, writer.with(part.job.ref(), part.delta))) {
@@ -133,14 +135,14 @@
         }
         bytes += GUARD_BYTES;
         writer.add(part.job.ref(), part.delta);
-        part.stored = part.way == Way.LOG ? null : Stored.of(part.job.record);
+        part.stored = part.way == WriteMode.LOG ? null : CommittedTasks.of(part.job.record);
         return true;
     }
 
-    private boolean record(Part part) {
+    private boolean record(JobWrite part) {
         Job job = part.job;
         part.chunks = job.record.chunks();
-        boolean ends = part.way == Way.END;
+        boolean ends = part.way == WriteMode.END;
         int changed = changedChunks(job, part.chunks);
         int size =
                 RECORD_BYTES + 30 * sizes.chunk() * changed + (job.record.chunked() ? 0 : 40 * job.record.live.size());
@@ -159,14 +161,14 @@
             }
         }
         String key = JobRecord.openKey(job.ref());
-        if (part.way == Way.END_HERE) {
+        if (part.way == WriteMode.END_HERE) {
             txn.put(key, job.record.endedNode(job.finalState()));
         } else if (ends) {
             txn.delete(key).put(JobRecord.endedKey(job.ref()), job.record.endedNode(job.finalState()));
         } else {
             job.record.folded = log.lastNumber();
-            part.stored = Stored.of(job.record);
-            part.recorded = Stored.of(job.record);
+            part.stored = CommittedTasks.of(job.record);
+            part.recorded = CommittedTasks.of(job.record);
             txn.put(key, job.record.toNode());
         }
         return true;
@@ -184,13 +186,13 @@
     }
 
     /** The whole transaction; nothing more is taken in. */
-    Txn close() {
-        for (Map<JobRef, Delta> jobs : writer.segments()) {
+    Transaction close() {
+        for (Map<JobId, TaskChanges> jobs : writer.segments()) {
             long number = log.nextNumber();
             int slot = log.reserve();
             slots.put(number, slot);
             written.put(number, jobs.keySet());
-            txn.put(LogSegment.key(slot), new LogSegment(number, jobs).toNode());
+            txn.put(ChangeLogSegment.key(slot), new ChangeLogSegment(number, jobs).toNode());
         }
         return txn;
     }
@@ -198,7 +200,7 @@
     /** Placements that are committed with it. */
     List<Placement> placed() {
         List<Placement> out = new ArrayList<>();
-        for (Part part : parts) {
+        for (JobWrite part : parts) {
             if (!part.way.ends()) {
                 part.job.record.live.values().stream().filter(l -> !l.committed).forEach(out::add);
             }
@@ -213,10 +215,10 @@
 
     /** It was made: what the state service holds now. */
     void made() {
-        for (Part part : parts) {
-            if (part.way == Way.LOG) {
+        for (JobWrite part : parts) {
+            if (part.way == WriteMode.LOG) {
                 part.job.stored.apply(part.delta);
-            } else if (part.way == Way.GATHER) {
+            } else if (part.way == WriteMode.GATHER) {
                 log.settled(part.job.ref());
                 part.job.stored = part.stored;
             } else {
--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -1,10 +1,10 @@
-package org.beechhoist.start;
+package org.beechhoist.controller.worker;
 
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.HostReport;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
 
 /** What a worker's report proves of a task that is not in it. Silence, and an old report, prove nothing. */
-public enum Evidence {
+public enum AbsenceEvidence {
     /** A launch may still be on its way, or the report is older than it. */
     NONE,
     /** The report was made after any command in flight could have arrived. */
@@ -20,7 +20,7 @@
      * @param shift the session it was for, and {@code counter} the newest message of the worker when it was sent; 0: another
      *     leadership sent it, if anybody did
      */
-    public record Launch(boolean maybeSent, Baton provenFrom, long shift, long counter) {}
+    public record Launch(boolean maybeSent, FencingToken provenFrom, long shift, long counter) {}
 
     /**
      * What may still reach a worker.
@@ -28,15 +28,15 @@
      * @param ordersOut orders sent straight to it have not been answered yet
      * @param limbo a launch sent with this token or a lower one may be executed minutes late
      */
-    public record InFlight(boolean ordersOut, Baton limbo) {
+    public record PendingCommands(boolean ordersOut, FencingToken limbo) {
         /** Whether a worker that has seen the token can get no command any more that was sent before. */
-        public boolean over(Baton seen) {
+        public boolean over(FencingToken seen) {
             return !ordersOut && seen.compareTo(limbo) > 0;
         }
     }
 
     /** What the worker's own report (never an answer to a command or a question) says of a task that it does not hold. */
-    public static Evidence ofAbsence(Launch launch, InFlight inFlight, HostReport heartbeat) {
+    public static AbsenceEvidence ofAbsence(Launch launch, PendingCommands inFlight, Heartbeat heartbeat) {
         if (!launch.maybeSent) {
             return NONE; // it was not launched yet: there is nothing to be proven
         }
--- a/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,15 +6,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * Delays the answer to a committed cancellation for a moment, until the leader acknowledges that no task of the job can start any
  * more. It is an optimization that no rule depends on: the commit alone decides, and after {@link #LONGEST_MS} the user is answered
  * without an acknowledgement. It keeps a launch that is in flight at that moment from being executed just after the answer.
  */
-final class CancelConfirmations {
+public final class CancellationAcknowledgements {
     /** The longest delay of an answer. */
     static final long LONGEST_MS = 60;
     /** A leader that could not acknowledge a cancellation for so long after the commit does not do it later: nobody waits any more. */
@@ -22,20 +23,20 @@
     /** Well under the size limit of a message between nodes. */
     private static final int MOST_IN_A_MESSAGE = 500;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     /** Answers to users of this node. */
-    private final Map<JobRef, List<Runnable>> answers = new HashMap<>();
+    private final Map<JobId, List<Runnable>> answers = new HashMap<>();
     /** Cancellations that this node, leading, has heard of and not acknowledged yet. */
-    private final Map<JobRef, Tick> unacknowledged = new HashMap<>();
+    private final Map<JobId, MonotonicTime> unacknowledged = new HashMap<>();
     /** Acknowledgements to be sent to the other nodes. */
-    private final List<JobRef> toSend = new ArrayList<>();
+    private final List<JobId> toSend = new ArrayList<>();
 
-    CancelConfirmations(Turn turn) {
+    public CancellationAcknowledgements(ControllerContext turn) {
         this.turn = turn;
     }
 
     /** Answers a user once the leader has acknowledged the cancellation, or after the longest delay. */
-    void answer(JobRef ref, Runnable answer) {
+    public void answer(JobId ref, Runnable answer) {
         List<Runnable> waiting = answers.computeIfAbsent(ref, k -> new ArrayList<>());
         waiting.add(answer);
         if (waiting.size() == 1) {
@@ -43,7 +44,7 @@
         }
     }
 
-    private void release(JobRef ref) {
+    private void release(JobId ref) {
         List<Runnable> waiting = answers.remove(ref);
         if (waiting != null) {
             waiting.forEach(Runnable::run);
@@ -51,21 +52,23 @@
     }
 
     /** The leader has acknowledged it. */
-    void acknowledged(JobRef ref) {
+    public void acknowledged(JobId ref) {
         release(ref);
     }
 
     /** This node leads, and some node is about to confirm a cancellation, or has done so: it is told of each again and again. */
-    void heard(JobRef ref, long committedWallMs) {
+    public void heard(JobId ref, long committedWallMs) {
         if (turn.wallMs() - committedWallMs < ACKNOWLEDGED_WITHIN_MS) {
             unacknowledged.putIfAbsent(ref, turn.now());
         }
     }
 
     /** Acknowledges what can be, to users of this node at once; whether there is something to be sent to the others. */
-    boolean acknowledge(Predicate<JobRef> noTaskCanStart) {
-        for (Iterator<Map.Entry<JobRef, Tick>> it = unacknowledged.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<JobRef, Tick> next = it.next();
+    public boolean acknowledge(Predicate<JobId> noTaskCanStart) {
+        for (Iterator<Map.Entry<JobId, MonotonicTime>> it =
+                        unacknowledged.entrySet().iterator();
+                it.hasNext(); ) {
+            Map.Entry<JobId, MonotonicTime> next = it.next();
             if (turn.now().since(next.getValue()) > ACKNOWLEDGED_WITHIN_MS) {
                 it.remove();
             } else if (noTaskCanStart.test(next.getKey())) {
@@ -78,9 +81,9 @@
     }
 
     /** The acknowledgements that the next message to the other nodes carries. */
-    List<JobRef> takeAcknowledgements() {
-        List<JobRef> next = toSend.subList(0, Math.min(MOST_IN_A_MESSAGE, toSend.size()));
-        List<JobRef> out = List.copyOf(next);
+    public List<JobId> takeAcknowledgements() {
+        List<JobId> next = toSend.subList(0, Math.min(MOST_IN_A_MESSAGE, toSend.size()));
+        List<JobId> out = List.copyOf(next);
         next.clear();
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -1,11 +1,18 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.ArrayList;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.KeySetHolds;
+import org.beechhoist.controller.Provisioner;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.CancellationRegistry;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -14,8 +21,8 @@
  * there is evidence, and a machine on which neither a kill nor the end of its lease is sure to come in time is returned. It waits
  * for no commit and for no reading of the book, only for the right to command.
  */
-final class Pursuit {
-    private static final Logger LOG = LoggerFactory.getLogger(Pursuit.class);
+public final class CancellationEnforcer {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
     private static final long KILL_AGAIN_MS = 3000;
     /** A launch is usually answered within some ten milliseconds. */
     private static final long UNANSWERED_MS = 100;
@@ -29,27 +36,27 @@
     /** How much sooner than a lease's end the time must not be over, and how long a worker waits for an answer. */
     private static final long SPARE_MS = 4000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Book book;
-    private final Orders orders;
-    private final Departures departures;
-    private final Recovery recovery;
+    private final ClusterState book;
+    private final CommandDispatcher orders;
+    private final TaskRemoval departures;
+    private final LossRecovery recovery;
     private final Provisioner provisioner;
-    private final KeyHolds holds;
-    private final Cancellations cancellations;
-    private Tick nextKills = Tick.ZERO;
+    private final KeySetHolds holds;
+    private final CancellationRegistry cancellations;
+    private MonotonicTime nextKills = MonotonicTime.ZERO;
 
-    Pursuit(
-            Turn turn,
+    public CancellationEnforcer(
+            ControllerContext turn,
             Settings settings,
-            Book book,
-            Orders orders,
-            Departures departures,
-            Recovery recovery,
+            ClusterState book,
+            CommandDispatcher orders,
+            TaskRemoval departures,
+            LossRecovery recovery,
             Provisioner provisioner,
-            KeyHolds holds,
-            Cancellations cancellations) {
+            KeySetHolds holds,
+            CancellationRegistry cancellations) {
         this.turn = turn;
         this.settings = settings;
         this.book = book;
@@ -62,7 +69,7 @@
     }
 
     /** The job's cancellation is committed, whether its record has been read again or not. */
-    void cancelled(JobRef ref) {
+    public void cancelled(JobId ref) {
         Job job = book.job(ref);
         if (job == null) {
             return;
@@ -82,18 +89,19 @@
         }
         kill(job);
         book.replan();
-        Fence fence = new Fence(ref, book.reign(), orders.token(), turn.now().plusMs(FENCED_WITHIN_MS));
+        LaunchFence fence =
+                new LaunchFence(ref, book.reign(), orders.token(), turn.now().plusMs(FENCED_WITHIN_MS));
         turn.after(UNANSWERED_MS, () -> fenceOff(fence));
     }
 
     /** @param token the one that launches of the job were sent with, or a later one */
-    private record Fence(JobRef ref, long term, Baton token, Tick until) {}
+    private record LaunchFence(JobId ref, long term, FencingToken token, MonotonicTime until) {}
 
     /**
      * A launch that has no answer by now may be executed seconds later, after the user was told. A new token makes the worker refuse it; a
      * kill that does not wait for the launch's answer brings that token to the worker.
      */
-    private void fenceOff(Fence fence) {
+    private void fenceOff(LaunchFence fence) {
         Job job = book.job(fence.ref);
         if (fence.term != book.reign()
                 || job == null
@@ -120,7 +128,7 @@
     }
 
     /** While this node may command, whether or not it knows all records now. */
-    void tick() {
+    public void tick() {
         boolean again = !turn.now().before(nextKills);
         if (again) {
             nextKills = turn.now().plusMs(KILL_AGAIN_MS);
@@ -147,7 +155,7 @@
             return;
         }
         for (Placement placement : job.record.live.values()) {
-            Host machine = book.host(placement.host);
+            Machine machine = book.host(placement.host);
             boolean lapsesInTime = book.lapse(machine).since(turn.now()) < left - SPARE_MS
                     && turn.now().since(book.heard(machine)) > SPARE_MS;
             if (!lapsesInTime && !machine.returning) {
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -1,14 +1,15 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Locale;
 import org.beechhoist.config.Settings;
-import org.beechhoist.start.Pace;
-import org.beechhoist.start.Presence;
-import org.beechhoist.start.Progression;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,20 +17,20 @@
  * The start of a leadership: how far it has come, which machines that have not spoken are counted on, and how fast they
  * may be asked and commanded. What each report means is decided as at any other time. See docs/design/start.md.
  */
-final class Starting {
-    private static final Logger LOG = LoggerFactory.getLogger(Starting.class);
+public final class ColdStartRecovery {
+    private static final Logger LOG = LoggerFactory.getLogger(ColdStartRecovery.class);
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Book book;
+    private final ClusterState book;
     private final long reportMs;
-    private Progression progression;
-    private Pace pace;
+    private RecoveryProgress progression;
+    private RecoveryPacer pace;
     private boolean listed;
     /** What was counted last, for whoever asks. */
-    private Progression.Facts facts = new Progression.Facts(false, false, 0, 0, 0, 0);
+    private RecoveryProgress.Facts facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
 
-    Starting(Turn turn, Settings settings, Book book) {
+    public ColdStartRecovery(ControllerContext turn, Settings settings, ClusterState book) {
         this.turn = turn;
         this.settings = settings;
         this.book = book;
@@ -38,34 +39,35 @@
     }
 
     /** A new leadership begins. */
-    void begin() {
-        progression = new Progression(turn.now(), reportMs, settings.workers().leaseMs());
-        pace = new Pace(settings.maxSockets());
+    public void begin() {
+        progression =
+                new RecoveryProgress(turn.now(), reportMs, settings.workers().leaseMs());
+        pace = new RecoveryPacer(settings.maxSockets());
         listed = false;
-        facts = new Progression.Facts(false, false, 0, 0, 0, 0);
+        facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
     }
 
     /** The cloud has told of all its machines. */
-    void listed() {
+    public void listed() {
         listed = true;
     }
 
     boolean over() {
-        return progression.phase() == Progression.Phase.OVER;
+        return progression.phase() == RecoveryProgress.Phase.OVER;
     }
 
     /** Whether work may be stopped for another's sake: not before most of the machines that have room could say so. */
-    boolean mayStop() {
-        return progression.phase().compareTo(Progression.Phase.LISTENING) > 0;
+    public boolean mayStop() {
+        return progression.phase().compareTo(RecoveryProgress.Phase.LISTENING) > 0;
     }
 
     /** Looks how far it has come, all records being known; every phase leaves a line. */
-    void tick() {
+    public void tick() {
         if (over()) {
             return;
         }
         facts = count();
-        Progression.Phase before = progression.phase();
+        RecoveryProgress.Phase before = progression.phase();
         while (progression.advance(turn.now(), facts)) {
             LOG.info(
                     "start: {} is over after {} s, {} of {} machines heard, {} placements in doubt, {} orders waiting",
@@ -80,59 +82,59 @@
         }
     }
 
-    private Progression.Facts count() {
+    private RecoveryProgress.Facts count() {
         int expected = 0;
         int heard = 0;
         int doubt = 0;
         int waiting = 0;
-        for (Host machine : book.hosts()) {
+        for (Machine machine : book.hosts()) {
             boolean spoke = machine.lastCheckin != null;
             if (spoke
                     || (machine.listedUp || !machine.placements.isEmpty())
-                            && presence(machine) != Presence.Verdict.DOUBTED) {
+                            && presence(machine) != MachinePresence.Assessment.DOUBTED) {
                 expected++;
                 heard += spoke ? 1 : 0;
             }
             doubt += spoke ? machine.inDoubt : machine.placements.size();
             waiting += machine.outbox.size();
         }
-        return new Progression.Facts(true, listed, expected, heard, doubt, waiting);
+        return new RecoveryProgress.Facts(true, listed, expected, heard, doubt, waiting);
     }
 
     // ---- machines that have not spoken ----
 
-    private Presence.Verdict presence(Host machine) {
-        return Presence.of(
-                new Presence.Unheard(
+    private MachinePresence.Assessment presence(Machine machine) {
+        return MachinePresence.of(
+                new MachinePresence.SilentMachine(
                         !machine.placements.isEmpty(),
                         machine.listedUp,
                         machine.unanswered,
-                        machine.answersAt != Tick.ZERO),
+                        machine.answersAt != MonotonicTime.ZERO),
                 turn.now().since(progression.began()),
-                Progression.allReportedMs(reportMs));
+                RecoveryProgress.allReportedMs(reportMs));
     }
 
     /** Whether the plan should not count on the machine: it has not spoken, and should have, or does not answer. */
-    boolean doubted(Host machine) {
-        return machine.lastCheckin == null && presence(machine) == Presence.Verdict.DOUBTED;
+    public boolean doubted(Machine machine) {
+        return machine.lastCheckin == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
     }
 
     /** Whether the machine is to be asked though its report is not late yet. */
-    boolean asksEarly(Host machine) {
+    boolean asksEarly(Machine machine) {
         return machine.lastCheckin == null
                 && progression.gathering(turn.now())
-                && presence(machine) != Presence.Verdict.COUNTED_ON;
+                && presence(machine) != MachinePresence.Assessment.COUNTED_ON;
     }
 
     // ---- what may be sent ----
 
     /** Whether a question may be sent to the machine now. */
-    boolean mayAsk(Host machine) {
-        return over() || pace.take(Pace.Kind.QUESTION, machine.zone, turn.now());
+    boolean mayAsk(Machine machine) {
+        return over() || pace.take(RecoveryPacer.CallKind.QUESTION, machine.zone, turn.now());
     }
 
     /** Whether the orders that wait for the machine may be sent straight to it now; they go with the answer to its report otherwise. */
-    boolean mayCommand(Host machine) {
+    boolean mayCommand(Machine machine) {
         return over() || pace.take(kind(machine), machine.zone, turn.now());
     }
 
@@ -141,18 +143,18 @@
         pace.over();
     }
 
-    private Pace.Kind kind(Host machine) {
+    private RecoveryPacer.CallKind kind(Machine machine) {
         for (Placement placement : machine.placements.values()) {
             Job job = book.job(placement.task.job());
-            if (job != null && (job.cancelled() || Recovery.urgent(job))) {
-                return Pace.Kind.URGENT;
+            if (job != null && (job.cancelled() || LossRecovery.urgent(job))) {
+                return RecoveryPacer.CallKind.URGENT;
             }
         }
-        return Pace.Kind.ORDINARY;
+        return RecoveryPacer.CallKind.ORDINARY;
     }
 
     /** For operators: see docs/operations/start.md. */
-    ObjectNode view() {
+    public ObjectNode view() {
         ObjectNode node = Codec.map()
                 .put("phase", progression.phase().name().toLowerCase(Locale.ROOT))
                 .put("agoS", turn.now().since(progression.began()) / 1000.0)
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -1,58 +1,65 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.CancellationRegistry;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.StateLoader;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.Calls;
+import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Order;
-import org.beechhoist.wire.Outcome;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.ServiceCalls;
+import org.beechhoist.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Sends commands straight to workers, and keeps track of those that may be executed late. */
-final class Orders {
-    private static final Logger LOG = LoggerFactory.getLogger(Orders.class);
+public final class CommandDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
     static final int MAX_ORDERS = 200;
     private static final long DIRECT_TIMEOUT_MS = 3000;
     /** Commands to one worker that may be without an answer when a kill is sent all the same. */
     private static final int MOST_UNANSWERED = 4;
 
     /** What answers to commands tell. */
-    interface Listener {
+    public interface Listener {
         /** The worker's report after the commands. */
-        void reported(Host machine, HostReport report);
+        void reported(Machine machine, Heartbeat report);
 
         /** A launch sent with this token may be executed minutes late. */
-        void unanswered(Baton baton);
+        void unanswered(FencingToken baton);
 
         /** What was sent so far must not be executed any more. */
         void fence();
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Election election;
-    private final Book book;
-    private final Loading loading;
-    private final Starting starting;
-    private final Cancellations cancellations;
+    private final LeaderElection election;
+    private final ClusterState book;
+    private final StateLoader loading;
+    private final ColdStartRecovery starting;
+    private final CancellationRegistry cancellations;
     private final Listener listener;
 
-    Orders(
-            Turn turn,
+    public CommandDispatcher(
+            ControllerContext turn,
             Settings settings,
-            Election election,
-            Book book,
-            Loading loading,
-            Starting starting,
-            Cancellations cancellations,
+            LeaderElection election,
+            ClusterState book,
+            StateLoader loading,
+            ColdStartRecovery starting,
+            CancellationRegistry cancellations,
             Listener listener) {
         this.cancellations = cancellations;
         this.starting = starting;
@@ -64,7 +71,7 @@
         this.listener = listener;
     }
 
-    private boolean reachable(Host machine) {
+    private boolean reachable(Machine machine) {
         return machine.up
                 && machine.address != null
                 && machine.lastHeard != null
@@ -74,22 +81,22 @@
     }
 
     /** Also a worker that can't report, and answers when it is asked. */
-    private boolean killable(Host machine) {
+    private boolean killable(Machine machine) {
         return reachable(machine)
                 || machine.address != null
                         && !machine.returning
                         && !machine.ears.deaf()
-                        && machine.answersAt != Tick.ZERO
+                        && machine.answersAt != MonotonicTime.ZERO
                         && machine.unanswered == 0
                         && turn.now().since(machine.answersAt)
                                 < settings.workers().reportS() * 2500;
     }
 
     /** Kills the task where it may be, unless that is waiting to be sent already. */
-    void kill(Host machine, Placement placement) {
+    void kill(Machine machine, Placement placement) {
         if (machine.outbox.stream()
-                .noneMatch(o -> o.verb() == Order.Verb.KILL && o.task().equals(placement.task))) {
-            machine.outbox.add(Order.kill(placement.task, placement.attempt, 0));
+                .noneMatch(o -> o.verb() == WorkerCommand.Verb.KILL && o.task().equals(placement.task))) {
+            machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
             direct(machine);
         }
     }
@@ -103,7 +110,7 @@
         return placement.sent && !placement.seen && book.host(placement.host).ordersInFlight > 0;
     }
 
-    Baton token() {
+    FencingToken token() {
         return election.baton();
     }
 
@@ -115,32 +122,32 @@
     /** Kills what was launched without an answer so far; unlike other commands these do not wait for that answer. */
     void killUnanswered(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
-            Host machine = book.host(placement.host);
+            Machine machine = book.host(placement.host);
             if (launchUnanswered(placement)
                     && machine.ordersInFlight <= MOST_UNANSWERED
                     && killable(machine)
                     && election.valid()
                     && starting.mayCommand(machine)) {
-                send(machine, List.of(Order.kill(placement.task, placement.attempt, 0)), List.of());
+                send(machine, List.of(WorkerCommand.kill(placement.task, placement.attempt, 0)), List.of());
             }
         }
     }
 
     /** Sends waiting orders straight to the worker; one call at a time, so that each report is easy to judge. */
-    void direct(Host machine) {
+    public void direct(Machine machine) {
         if (machine.outbox.isEmpty() || machine.ordersInFlight > 0 || !election.valid()) {
             return;
         }
         if (!reachable(machine)) {
             boolean kills = killable(machine);
-            machine.outbox.removeIf(o ->
-                    !kills || o.verb() != Order.Verb.KILL); // launches not sent go with the next reply to its report
+            machine.outbox.removeIf(o -> !kills
+                    || o.verb() != WorkerCommand.Verb.KILL); // launches not sent go with the next reply to its report
         }
         // While the book is not certain, or a cancellation may not be known, nothing is begun; what is to be ended is
         // ended.
         boolean all = loading.active() && cancellations.mayRenew();
-        List<Order> orders = new ArrayList<>(machine.outbox.stream()
-                .filter(o -> all || o.verb() == Order.Verb.KILL)
+        List<WorkerCommand> orders = new ArrayList<>(machine.outbox.stream()
+                .filter(o -> all || o.verb() == WorkerCommand.Verb.KILL)
                 .limit(MAX_ORDERS)
                 .toList());
         if (orders.isEmpty() || !starting.mayCommand(machine)) {
@@ -149,7 +156,7 @@
         machine.outbox.removeAll(orders);
         List<Placement> launches = new ArrayList<>();
         orders.removeIf(command -> {
-            if (command.verb() != Order.Verb.LAUNCH) {
+            if (command.verb() != WorkerCommand.Verb.LAUNCH) {
                 return false;
             }
             Placement placement = machine.placements.get(command.task());
@@ -174,16 +181,16 @@
         send(machine, orders, launches);
     }
 
-    private void send(Host machine, List<Order> orders, List<Placement> launches) {
-        Baton baton = election.baton();
+    private void send(Machine machine, List<WorkerCommand> orders, List<Placement> launches) {
+        FencingToken baton = election.baton();
         long shift = machine.shift;
         ObjectNode body = Codec.map().put("baton", baton.value()).put("shift", shift);
-        body.set("orders", Order.toNode(orders));
+        body.set("orders", WorkerCommand.toNode(orders));
         machine.ordersInFlight++;
         long term = book.reign();
         turn.command(
                 election.validUntil(),
-                Calls.Target.HOST,
+                ServiceCalls.Target.HOST,
                 machine.address,
                 "POST",
                 "/orders",
@@ -202,21 +209,21 @@
     }
 
     /** Its address belongs to another machine now, which has been given its launches: they are ended there, and count as on their way here. */
-    private void anotherAnswered(Host machine, HostReport report, List<Placement> launches) {
+    private void anotherAnswered(Machine machine, Heartbeat report, List<Placement> launches) {
         LOG.warn("{}: {} answers at its address", machine.id, report.host());
         machine.address = null;
-        Host there = book.known(report.host());
+        Machine there = book.known(report.host());
         for (Placement p : there == null ? List.<Placement>of() : launches) {
-            there.outbox.add(Order.kill(p.task, p.attempt, 0));
+            there.outbox.add(WorkerCommand.kill(p.task, p.attempt, 0));
         }
     }
 
-    private void ordersDone(Host machine, Outcome result, List<Placement> launches, Baton baton) {
-        HostReport report = null;
-        if (result.kind() == Outcome.Kind.ANSWERED && result.body() != null) {
+    private void ordersDone(Machine machine, CallResult result, List<Placement> launches, FencingToken baton) {
+        Heartbeat report = null;
+        if (result.kind() == CallResult.Kind.ANSWERED && result.body() != null) {
             try {
-                report = HostReport.parse(result.body());
-            } catch (Malformed e) {
+                report = Heartbeat.parse(result.body());
+            } catch (MalformedMessageException e) {
                 LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
             }
         }
@@ -227,11 +234,11 @@
         }
         if (report != null) {
             machine.answers(turn.now());
-        } else if (result.kind() != Outcome.Kind.NOT_SENT) {
+        } else if (result.kind() != CallResult.Kind.NOT_SENT) {
             machine.missed(turn.now(), turn.late());
         }
         boolean refused =
-                result.kind() == Outcome.Kind.NOT_SENT || (report != null && result.is(409)) || result.is(400);
+                result.kind() == CallResult.Kind.NOT_SENT || (report != null && result.is(409)) || result.is(400);
         if (refused) {
             launches.forEach(p -> p.sent = false);
         } else if (!(result.is(200) && report != null) && !launches.isEmpty()) {
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,10 +8,14 @@
 import java.util.function.BiConsumer;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
-import org.beechhoist.wire.Calls;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Outcome;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.wire.CallResult;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.ServiceCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,8 +24,8 @@
  * cloud is asked to end it. A report that is late is asked for: a machine that answers is left alone, one that does not
  * is given up sooner than one that nobody asked.
  */
-final class Silence {
-    private static final Logger LOG = LoggerFactory.getLogger(Silence.class);
+public final class FailureDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
     /** Questions on their way at once: each takes a socket, and those to dead machines hang. */
     private static final int MOST_ASKED = 60;
 
@@ -36,7 +40,7 @@
     private static final int LEAST_IN_ZONE = 5;
 
     /** What is known of a zone's machines in this turn. */
-    private static final class Zone {
+    private static final class ZoneHealth {
         private int up;
         private int dark;
 
@@ -46,29 +50,29 @@
         }
     }
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
     private final Policy policy;
-    private final Election election;
-    private final Book book;
-    private final Starting starting;
-    private final Recovery recovery;
+    private final LeaderElection election;
+    private final ClusterState book;
+    private final ColdStartRecovery starting;
+    private final LossRecovery recovery;
     /** A worker is asked and says less than it has said before. */
-    private final BiConsumer<Host, HostReport> beganAnew;
+    private final BiConsumer<Machine, Heartbeat> beganAnew;
 
-    private final Map<String, Zone> zones = new HashMap<>();
+    private final Map<String, ZoneHealth> zones = new HashMap<>();
     private boolean blind;
     private int asked;
 
-    Silence(
-            Turn turn,
+    public FailureDetector(
+            ControllerContext turn,
             Settings settings,
             Policy policy,
-            Election election,
-            Book book,
-            Starting starting,
-            Recovery recovery,
-            BiConsumer<Host, HostReport> beganAnew) {
+            LeaderElection election,
+            ClusterState book,
+            ColdStartRecovery starting,
+            LossRecovery recovery,
+            BiConsumer<Machine, Heartbeat> beganAnew) {
         this.beganAnew = beganAnew;
         this.turn = turn;
         this.settings = settings;
@@ -80,12 +84,12 @@
     }
 
     /** A new leadership begins. */
-    void reset() {
+    public void reset() {
         asked = 0;
     }
 
     /** Machines that miss two reports; never less than the operator's setting. */
-    long missedMs() {
+    public long missedMs() {
         return Math.max(
                 policy.silentMs(), Math.round(2 * LATE * settings.workers().reportS() * 1000) + 3000);
     }
@@ -95,12 +99,12 @@
     }
 
     /** Counts the silent ones, and asks those whose report is late. */
-    void look() {
+    public void look() {
         zones.clear();
         int up = 0;
         int silent = 0;
-        List<Host> early = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+        List<Machine> early = new ArrayList<>();
+        for (Machine machine : book.hosts()) {
             if (!expected(machine) || machine.returning) {
                 continue;
             }
@@ -109,7 +113,7 @@
                 ask(machine); // nothing but a report tells of it, which may be a copy: it counts for no zone
                 continue;
             }
-            Zone zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new Zone());
+            ZoneHealth zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new ZoneHealth());
             up++;
             zone.up++;
             boolean dark = quiet > lateMs() || machine.ears.deaf();
@@ -133,11 +137,11 @@
     }
 
     /** Machines that should report: also those that never did to this leadership, but hold tasks or are listed as running. */
-    private static boolean expected(Host machine) {
+    private static boolean expected(Machine machine) {
         return machine.up || machine.listedUp || !machine.placements.isEmpty();
     }
 
-    private void ask(Host machine) {
+    private void ask(Machine machine) {
         if (machine.asked
                 || asked >= MOST_ASKED
                 || machine.unanswered >= ENOUGH
@@ -151,7 +155,14 @@
         long counter = machine.counter;
         long reign = book.reign();
         turn.command(
-                election.validUntil(), Calls.Target.HOST, machine.address, "GET", "/show", null, ANSWER_MS, result -> {
+                election.validUntil(),
+                ServiceCalls.Target.HOST,
+                machine.address,
+                "GET",
+                "/show",
+                null,
+                ANSWER_MS,
+                result -> {
                     if (reign != book.reign()) {
                         return;
                     }
@@ -163,15 +174,15 @@
     }
 
     /** @param shift the newest message known when the question was sent, and {@code counter} */
-    private void answered(Host machine, Outcome result, long shift, long counter) {
-        HostReport heartbeat = null;
+    private void answered(Machine machine, CallResult result, long shift, long counter) {
+        Heartbeat heartbeat = null;
         try {
-            heartbeat = result.ok() ? HostReport.parse(result.body()) : null;
-        } catch (Malformed e) {
+            heartbeat = result.ok() ? Heartbeat.parse(result.body()) : null;
+        } catch (MalformedMessageException e) {
             LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
         }
         if (heartbeat == null || !heartbeat.host().equals(machine.id)) { // another machine may have its address
-            if (result.kind() != Outcome.Kind.NOT_SENT) {
+            if (result.kind() != CallResult.Kind.NOT_SENT) {
                 machine.unanswered++;
                 machine.missed(turn.now(), turn.late());
             }
@@ -188,8 +199,8 @@
     }
 
     /** Whether a machine that does not hear is to be returned for that. */
-    boolean deaf(Host machine) {
-        Zone zone = zones.get(String.valueOf(machine.zone));
+    public boolean deaf(Machine machine) {
+        ZoneHealth zone = zones.get(String.valueOf(machine.zone));
         return machine.ears.givenUp(
                 machine.placedAndSeen(false),
                 machine.placedAndSeen(true),
@@ -199,9 +210,9 @@
     }
 
     /** Whether the machine is to be returned for its silence. */
-    boolean gone(Host machine) {
+    public boolean gone(Machine machine) {
         long quiet = turn.now().since(book.heard(machine));
-        Zone zone = zones.get(String.valueOf(machine.zone));
+        ZoneHealth zone = zones.get(String.valueOf(machine.zone));
         if (turn.now().before(machine.mayAnswerUntil)) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
@@ -1,27 +1,31 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.Map;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Whether a job or a machine is to blame for a failed task. */
-final class Faults {
-    private static final Logger LOG = LoggerFactory.getLogger(Faults.class);
+public final class FaultTracker {
+    private static final Logger LOG = LoggerFactory.getLogger(FaultTracker.class);
     private static final long FIRST_PAUSE_MS = 2000;
     private static final long LONGEST_PAUSE_MS = 60_000;
 
-    private final Turn turn;
-    private final Book book;
+    private final ControllerContext turn;
+    private final ClusterState book;
 
-    Faults(Turn turn, Book book) {
+    public FaultTracker(ControllerContext turn, ClusterState book) {
         this.turn = turn;
         this.book = book;
     }
 
     /** A task of the job has failed on the machine. */
-    void failed(Host machine, Job job, Placement placement) {
+    void failed(Machine machine, Job job, Placement placement) {
         job.failedOn.add(machine.id);
         job.record.failures++;
         job.record.reason = "task " + placement.task.index() + " failed on " + machine.id + "; " + job.record.failures
@@ -44,9 +48,9 @@
      * A host is suspect once tasks of several jobs fail on it that did not fail everywhere else, or several of one job of which
      * others were done. Counted from the last task that was done on it.
      */
-    boolean faulty(Host machine) {
+    public boolean faulty(Machine machine) {
         int failures = 0;
-        for (Map.Entry<JobRef, Integer> entry : machine.failedJobs.entrySet()) {
+        for (Map.Entry<JobId, Integer> entry : machine.failedJobs.entrySet()) {
             Job job = book.job(entry.getKey());
             boolean others = job != null && job.record.done.size() > 0;
             failures += job != null && toBlame(job) ? 0 : others ? entry.getValue() : 1;
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -6,56 +6,64 @@
 import java.util.List;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.reach.Ears;
-import org.beechhoist.reach.Standing;
-import org.beechhoist.start.Evidence;
-import org.beechhoist.start.Squaring;
+import org.beechhoist.controller.ElasticWidths;
+import org.beechhoist.controller.Provisioner;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.state.CancellationRegistry;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineReachability;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.state.StateLoader;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostReport;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.Order;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What workers' reports prove, and the commands that answer them. */
-final class Reports {
-    private static final Logger LOG = LoggerFactory.getLogger(Reports.class);
+public final class HeartbeatHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     /** What a recovered task's placement and image took. */
     private static final long USUAL_FETCH_MS = 3000;
     /** How long a machine whose silence was noticed has to answer, once a report of it has come that may be old. */
     private static final long ANSWERS_MS = 3000;
 
-    private final Turn turn;
+    private final ControllerContext turn;
     private final Settings settings;
-    private final Election election;
-    private final Book book;
-    private final Loading loading;
-    private final Types types;
-    private final Estimates estimates;
-    private final Departures departures;
-    private final Faults faults;
+    private final LeaderElection election;
+    private final ClusterState book;
+    private final StateLoader loading;
+    private final MachineTypeCatalog types;
+    private final DurationEstimates estimates;
+    private final TaskRemoval departures;
+    private final FaultTracker faults;
     private final Provisioner provisioner;
-    private final Elastic elastic;
-    private final Cancellations cancellations;
-    private final Orders direct;
+    private final ElasticWidths elastic;
+    private final CancellationRegistry cancellations;
+    private final CommandDispatcher direct;
 
-    Reports(
-            Turn turn,
+    public HeartbeatHandler(
+            ControllerContext turn,
             Settings settings,
-            Election election,
-            Book book,
-            Loading loading,
-            Types types,
-            Estimates estimates,
-            Departures departures,
-            Faults faults,
+            LeaderElection election,
+            ClusterState book,
+            StateLoader loading,
+            MachineTypeCatalog types,
+            DurationEstimates estimates,
+            TaskRemoval departures,
+            FaultTracker faults,
             Provisioner provisioner,
-            Elastic elastic,
-            Cancellations cancellations,
-            Orders direct) {
+            ElasticWidths elastic,
+            CancellationRegistry cancellations,
+            CommandDispatcher direct) {
         this.cancellations = cancellations;
         this.direct = direct;
         this.turn = turn;
@@ -72,8 +80,8 @@
     }
 
     /** The records were read anew: what the machines last said is held against them. */
-    void bookLoaded() {
-        for (Host machine : book.hosts()) {
+    public void bookLoaded() {
+        for (Machine machine : book.hosts()) {
             if (machine.lastCheckin != null) {
                 evaluate(machine, machine.lastCheckin, true);
             }
@@ -81,16 +89,16 @@
     }
 
     /** Answers a worker's report. */
-    void checkin(long request, HostReport heartbeat) {
+    public void checkin(long request, Heartbeat heartbeat) {
         if (provisioner.gone(heartbeat.host())) {
             turn.answer(request, 503, null); // a late report: the machine has been returned
             return;
         }
-        Host machine = book.host(heartbeat.host());
+        Machine machine = book.host(heartbeat.host());
         boolean fresh = machine.lastCheckin == null
                 ? heartbeat.newerThan(machine.shift, machine.counter - 1)
                 : heartbeat.newerThan(machine.shift, machine.counter);
-        Standing standing = Standing.of(
+        HeartbeatValidity standing = HeartbeatValidity.of(
                 heartbeat,
                 fresh,
                 machine.ghosts,
@@ -105,7 +113,7 @@
         if (standing.tells()) {
             take(machine, heartbeat, standing);
         }
-        List<Order> orders = new ArrayList<>();
+        List<WorkerCommand> orders = new ArrayList<>();
         boolean renews = cancellations.mayRenew();
         if (loading.complete() && standing.tells()) {
             orders.addAll(evaluate(machine, heartbeat, true));
@@ -131,27 +139,27 @@
         machine.answeredNewest = standing.tells();
         machine.lastAnswered = turn.now();
         ObjectNode body = Codec.map().put("baton", election.baton().value());
-        body.set("orders", Order.toNode(orders));
-        Tick until = cancellations.renewUntil();
+        body.set("orders", WorkerCommand.toNode(orders));
+        MonotonicTime until = cancellations.renewUntil();
         turn.answer(request, 200, body, until.before(election.validUntil()) ? until : election.validUntil());
     }
 
     /** Kills of what is there though its job is known to be cancelled; nothing else is known of the book now. */
-    private List<Order> kills(HostReport heartbeat) {
-        List<Order> out = new ArrayList<>();
-        for (HostReport.Entry status : heartbeat.tasks()) {
-            if (status.state() != HostReport.State.EXITED
+    private List<WorkerCommand> kills(Heartbeat heartbeat) {
+        List<WorkerCommand> out = new ArrayList<>();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            if (status.state() != Heartbeat.TaskState.EXITED
                     && cancellations.knows(status.task().job())) {
-                out.add(Order.kill(status.task(), status.attempt(), 0));
+                out.add(WorkerCommand.kill(status.task(), status.attempt(), 0));
             }
         }
         return out;
     }
 
     /** The answer is none that a worker acts on: what it is to end goes straight to it. */
-    private void killAtOnce(Host machine, List<Order> orders) {
-        List<Order> kills = orders.stream()
-                .filter(o -> o.verb() == Order.Verb.KILL && !machine.outbox.contains(o))
+    private void killAtOnce(Machine machine, List<WorkerCommand> orders) {
+        List<WorkerCommand> kills = orders.stream()
+                .filter(o -> o.verb() == WorkerCommand.Verb.KILL && !machine.outbox.contains(o))
                 .toList();
         machine.outbox.addAll(kills);
         if (!kills.isEmpty()) {
@@ -160,7 +168,7 @@
     }
 
     /** Nothing newer is known of the machine; whether it is more than a copy is what its standing says. */
-    private void take(Host machine, HostReport heartbeat, Standing standing) {
+    private void take(Machine machine, Heartbeat heartbeat, HeartbeatValidity standing) {
         if (!machine.up) {
             machine.up = true;
             book.replan();
@@ -186,7 +194,7 @@
         if (machine.lastCheckin != null) {
             boolean newToken = standing.current() && heartbeat.baton().compareTo(machine.lastCheckin.baton()) > 0;
             machine.ears = machine.ears.after(
-                    new Ears.Message(
+                    new MachineReachability.MessageContext(
                             heartbeat.shift() == machine.shift,
                             machine.answeredNewest,
                             heartbeat.counter() == machine.counter + 1,
@@ -221,7 +229,7 @@
     }
 
     /** What is to be launched there goes with the answer; what doesn't hear, or is about to go, gets nothing, and what was never sent there waits again. */
-    private void launch(Host machine, HostReport heartbeat, List<Order> orders) {
+    private void launch(Machine machine, Heartbeat heartbeat, List<WorkerCommand> orders) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = book.job(placement.task.job());
             if (job == null) {
@@ -239,12 +247,12 @@
                     && machine.ordersInFlight == 0;
             if (placement.committed
                     && (!placement.sent || again)
-                    && orders.size() < Orders.MAX_ORDERS
+                    && orders.size() < CommandDispatcher.MAX_ORDERS
                     && !machine.returning
                     && !machine.ears.deaf()
                     && job.hold == null
                     && !job.cancelled()) {
-                orders.add(Order.launch(placement.task, placement.attempt));
+                orders.add(WorkerCommand.launch(placement.task, placement.attempt));
                 placement.sent = true;
                 placement.sentShift = heartbeat.shift();
                 placement.sentCounter = heartbeat.counter();
@@ -252,8 +260,8 @@
         }
     }
 
-    private static HostReport.Entry find(HostReport heartbeat, Placement placement) {
-        for (HostReport.Entry status : heartbeat.tasks()) {
+    private static Heartbeat.TaskStatus find(Heartbeat heartbeat, Placement placement) {
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             if (status.task().equals(placement.task) && status.attempt() == placement.attempt) {
                 return status;
             }
@@ -262,43 +270,51 @@
     }
 
     /** What is stored of the task that the machine speaks of. */
-    private Squaring.Stored stored(Host machine, HostReport.Entry status) {
+    private Reconciliation.RecordedState stored(Machine machine, Heartbeat.TaskStatus status) {
         Job job = book.job(status.task().job());
         if (job == null) {
-            return book.unreadable(status.task().job()) ? Squaring.Stored.UNREADABLE : Squaring.Stored.NO_JOB;
+            return book.unreadable(status.task().job())
+                    ? Reconciliation.RecordedState.UNREADABLE
+                    : Reconciliation.RecordedState.NO_JOB;
         }
         Placement placement = job.record.live.get(status.task().index());
         if (placement == null) {
-            return job.record.done.contains(status.task().index()) ? Squaring.Stored.DONE : Squaring.Stored.NOTHING;
+            return job.record.done.contains(status.task().index())
+                    ? Reconciliation.RecordedState.DONE
+                    : Reconciliation.RecordedState.NOTHING;
         }
         if (placement.attempt > status.attempt()) {
-            return Squaring.Stored.PLACED_LATER;
+            return Reconciliation.RecordedState.PLACED_LATER;
         }
         return placement.attempt < status.attempt() || !placement.host.equals(machine.id)
-                ? Squaring.Stored.PLACED_OTHERWISE
-                : job.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
+                ? Reconciliation.RecordedState.PLACED_OTHERWISE
+                : job.cancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
     }
 
     /**
      * Takes what a report says of tasks; returns the orders that follow. In the answer to a command, absence counts for placements of earlier
      * leaderships alone: launches of this one may be in flight in the reply to a check-in that the worker has not read yet.
      */
-    List<Order> evaluate(Host machine, HostReport heartbeat, boolean checkin) {
-        List<Order> orders = new ArrayList<>();
-        Evidence.InFlight inFlight = new Evidence.InFlight(machine.ordersInFlight > 0, machine.limbo);
+    public List<WorkerCommand> evaluate(Machine machine, Heartbeat heartbeat, boolean checkin) {
+        List<WorkerCommand> orders = new ArrayList<>();
+        AbsenceEvidence.PendingCommands inFlight =
+                new AbsenceEvidence.PendingCommands(machine.ordersInFlight > 0, machine.limbo);
         // A launch in limbo finds its exited attempt and does nothing; once forgotten, it would start it once more.
         boolean over = inFlight.over(heartbeat.baton());
         int strangers = 0;
         Set<TaskId> seen = new HashSet<>();
-        for (HostReport.Entry status : heartbeat.tasks()) {
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             Job job = book.job(status.task().job());
-            Squaring.Stored stored = stored(machine, status);
-            Squaring.Decision decision = Squaring.of(
-                    stored, Squaring.Said.of(status), Evidence.NONE, over && (job == null || job.settled()));
-            if (stored == Squaring.Stored.PLACED || stored == Squaring.Stored.CANCELLED) {
+            Reconciliation.RecordedState stored = stored(machine, status);
+            Reconciliation.Decision decision = Reconciliation.of(
+                    stored,
+                    Reconciliation.ReportedState.of(status),
+                    AbsenceEvidence.NONE,
+                    over && (job == null || job.settled()));
+            if (stored == Reconciliation.RecordedState.PLACED || stored == Reconciliation.RecordedState.CANCELLED) {
                 seen.add(status.task());
                 Placement placement = job.record.live.get(status.task().index());
-                if (status.state() == HostReport.State.EXITED) {
+                if (status.state() == Heartbeat.TaskState.EXITED) {
                     exited(machine, job, placement, status, decision);
                 } else {
                     present(machine, job, placement, status, decision, orders);
@@ -310,24 +326,31 @@
         machine.strangers = strangers;
         int doubt = absent(machine, heartbeat, seen, inFlight, checkin);
         machine.inDoubt = checkin ? doubt : Math.min(machine.inDoubt, doubt);
-        return orders.size() > Orders.MAX_ORDERS ? orders.subList(0, Orders.MAX_ORDERS) : orders;
+        return orders.size() > CommandDispatcher.MAX_ORDERS ? orders.subList(0, CommandDispatcher.MAX_ORDERS) : orders;
     }
 
     /** A task that no record explains, on the machine or ended there; whether it takes room. */
     private static boolean stranger(
-            Host machine, HostReport.Entry status, Squaring.Decision decision, List<Order> orders) {
-        if (decision == Squaring.Decision.KILL) {
+            Machine machine,
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision,
+            List<WorkerCommand> orders) {
+        if (decision == Reconciliation.Decision.KILL) {
             LOG.info("{}: {} try {} is explained by no record, killed", machine.id, status.task(), status.attempt());
-            orders.add(Order.kill(status.task(), status.attempt(), 0));
-        } else if (decision == Squaring.Decision.FORGET) {
-            orders.add(Order.forget(status.task(), status.attempt()));
+            orders.add(WorkerCommand.kill(status.task(), status.attempt(), 0));
+        } else if (decision == Reconciliation.Decision.FORGET) {
+            orders.add(WorkerCommand.forget(status.task(), status.attempt()));
         }
-        return status.state() != HostReport.State.EXITED;
+        return status.state() != Heartbeat.TaskState.EXITED;
     }
 
     /** Takes off what the report proves gone; how many of earlier leaderships' placements stay in doubt. */
     private int absent(
-            Host machine, HostReport heartbeat, Set<TaskId> seen, Evidence.InFlight inFlight, boolean checkin) {
+            Machine machine,
+            Heartbeat heartbeat,
+            Set<TaskId> seen,
+            AbsenceEvidence.PendingCommands inFlight,
+            boolean checkin) {
         int doubt = 0;
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = book.job(placement.task.job());
@@ -335,13 +358,15 @@
             if (job == null || seen.contains(placement.task) || !placement.committed || !checkin && !neverLaunched) {
                 continue;
             }
-            Evidence evidence = Evidence.ofAbsence(
-                    new Evidence.Launch(
+            AbsenceEvidence evidence = AbsenceEvidence.ofAbsence(
+                    new AbsenceEvidence.Launch(
                             placement.sent, placement.provenFrom, placement.sentShift, placement.sentCounter),
                     inFlight,
                     heartbeat);
-            Squaring.Stored stored = job.cancelled() ? Squaring.Stored.CANCELLED : Squaring.Stored.PLACED;
-            if (Squaring.of(stored, Squaring.Said.ABSENT, evidence, false) == Squaring.Decision.GONE) {
+            Reconciliation.RecordedState stored =
+                    job.cancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
+            if (Reconciliation.of(stored, Reconciliation.ReportedState.ABSENT, evidence, false)
+                    == Reconciliation.Decision.GONE) {
                 LOG.info("{} try {} is not on {} any more", placement.task, placement.attempt, machine.id);
                 departures.remove(job, placement);
             } else {
@@ -355,12 +380,12 @@
     }
 
     private void present(
-            Host machine,
+            Machine machine,
             Job job,
             Placement placement,
-            HostReport.Entry status,
-            Squaring.Decision decision,
-            List<Order> orders) {
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision,
+            List<WorkerCommand> orders) {
         if (!placement.seen) {
             placement.seen = true;
             if (placement.sent && !placement.recovered) {
@@ -372,26 +397,30 @@
             placement.sentShift = machine.shift;
             placement.sentCounter = machine.counter;
         }
-        if (status.state() != HostReport.State.FETCHING && placement.running == null) {
+        if (status.state() != Heartbeat.TaskState.FETCHING && placement.running == null) {
             // Taken for just begun, a take-over's tasks would all seem to end a whole run later, and machines be
             // rented.
-            Tick begun = placement.since.plusMs(USUAL_FETCH_MS);
+            MonotonicTime begun = placement.since.plusMs(USUAL_FETCH_MS);
             placement.running = placement.recovered && begun.before(turn.now()) ? begun : turn.now();
             job.lastProgress = turn.now();
-            HostType type = types.get(machine.type);
+            MachineType type = types.get(machine.type);
             machine.cached(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
             book.replan();
         }
-        if (decision == Squaring.Decision.KILL || job.held()) {
-            orders.add(Order.kill(placement.task, placement.attempt, 0));
-        } else if (placement.killSent && status.state() != HostReport.State.SAVING) {
-            orders.add(Order.kill(
+        if (decision == Reconciliation.Decision.KILL || job.held()) {
+            orders.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
+        } else if (placement.killSent && status.state() != Heartbeat.TaskState.SAVING) {
+            orders.add(WorkerCommand.kill(
                     placement.task, placement.attempt, job.spec().saveS())); // the first one may have been lost
         }
     }
 
     private void exited(
-            Host machine, Job job, Placement placement, HostReport.Entry status, Squaring.Decision decision) {
+            Machine machine,
+            Job job,
+            Placement placement,
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision) {
         LOG.info(
                 "{} try {} on {} ended: {}",
                 placement.task,
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
@@ -1,13 +1,13 @@
-package org.beechhoist.reach;
+package org.beechhoist.controller.worker;
 
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.HostReport;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
 
 /**
  * What a report may change. Copies come late, many times, out of order, from machines long returned; only two things tell them
  * from the first sending: a newer message of the worker, and a token that no report can have had before this leadership began.
  */
-public enum Standing {
+public enum HeartbeatValidity {
     /** It names a token of this leadership: it was made since, and nothing newer of the worker is known. */
     OURS,
     /** Nothing newer is known, and it may be of any age: it is the worker's first since this leadership began, or a copy. */
@@ -28,7 +28,8 @@
      * @param first the first token of this leadership
      * @param sinceNewestMs since the newest message of the worker came
      */
-    public static Standing of(HostReport heartbeat, boolean fresh, Baton ghosts, Baton first, long sinceNewestMs) {
+    public static HeartbeatValidity of(
+            Heartbeat heartbeat, boolean fresh, FencingToken ghosts, FencingToken first, long sinceNewestMs) {
         if (ghosts.value() > 0 && heartbeat.baton().compareTo(ghosts) <= 0) {
             return GHOST;
         }
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
@@ -1,4 +1,4 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,13 +9,17 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.Priority;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
-import org.beechhoist.wire.Urgency;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,8 +28,8 @@
  * anew before the cloud confirms that they are gone, the most urgent work first; then new machines; then the list; then
  * machines that only cost money. What it knows of a fall is this leadership's knowledge; it decides nothing alone.
  */
-final class Recovery {
-    private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
+public final class LossRecovery {
+    private static final Logger LOG = LoggerFactory.getLogger(LossRecovery.class);
     /** Losses are one fall while they follow one another this closely, and count as one from so many tasks on. */
     private static final long TOGETHER_MS = 20_000;
 
@@ -33,52 +37,52 @@
     private static final int REMEMBERED = 20;
 
     /** Losses that came together. */
-    private static final class Fall {
-        private final Tick began;
-        private Tick last;
-        private final Set<HostId> machines = new HashSet<>();
+    private static final class LossEvent {
+        private final MonotonicTime began;
+        private MonotonicTime last;
+        private final Set<MachineId> machines = new HashSet<>();
         private final Set<TaskId> urgent = new HashSet<>();
         private final Set<TaskId> open = new HashSet<>();
         private int tasks;
         private int urgentTasks;
-        private Tick urgentAgain;
-        private Tick allAgain;
+        private MonotonicTime urgentAgain;
+        private MonotonicTime allAgain;
 
-        private Fall(Tick began) {
+        private LossEvent(MonotonicTime began) {
             this.began = began;
             this.last = began;
         }
     }
 
-    private final Turn turn;
-    private final Book book;
-    private final Deque<Fall> falls = new ArrayDeque<>();
+    private final ControllerContext turn;
+    private final ClusterState book;
+    private final Deque<LossEvent> falls = new ArrayDeque<>();
 
-    Recovery(Turn turn, Book book) {
+    public LossRecovery(ControllerContext turn, ClusterState book) {
         this.turn = turn;
         this.book = book;
     }
 
-    void reset() {
+    public void reset() {
         falls.clear();
     }
 
-    static boolean urgent(Job job) {
-        return job.spec().urgency().compareTo(Urgency.URGENT) <= 0;
+    public static boolean urgent(Job job) {
+        return job.spec().urgency().compareTo(Priority.URGENT) <= 0;
     }
 
     // ---- what comes first ----
 
     /** Machines on their way out that the cloud has not been asked to end yet, those first on which something must be gone soon, then those whose tasks wait for it. */
-    List<Host> toReturn(boolean withTasks) {
-        List<Host> out = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+    public List<Machine> toReturn(boolean withTasks) {
+        List<Machine> out = new ArrayList<>();
+        for (Machine machine : book.hosts()) {
             if (machine.returning && !machine.returnAsked && withTasks != machine.placements.isEmpty()) {
                 out.add(machine);
             }
         }
         if (withTasks) {
-            out.sort(Comparator.<Host>comparingLong(h -> h.goneByMs)
+            out.sort(Comparator.<Machine>comparingLong(h -> h.goneByMs)
                     .thenComparingInt(this::firstUrgency)
                     .thenComparing(h -> book.heard(h)));
         }
@@ -86,8 +90,8 @@
     }
 
     /** The most urgent work on it; beyond all urgencies where there is none. */
-    int firstUrgency(Host machine) {
-        int least = Urgency.values().length;
+    int firstUrgency(Machine machine) {
+        int least = Priority.values().length;
         for (Placement placement : machine.placements.values()) {
             Job j = book.job(placement.task.job());
             least = j == null ? least : Math.min(least, j.spec().urgency().ordinal());
@@ -102,12 +106,12 @@
         if (job.cancelled() || job.record.done.contains(placement.task.index())) {
             return;
         }
-        Fall loss = falls.peekLast();
+        LossEvent loss = falls.peekLast();
         if (loss == null || turn.now().since(loss.last) > TOGETHER_MS) {
             if (loss != null && loss.tasks < LEAST_TASKS) {
                 falls.removeLast();
             }
-            loss = new Fall(turn.now());
+            loss = new LossEvent(turn.now());
             falls.addLast(loss);
             if (falls.size() > REMEMBERED) {
                 falls.removeFirst();
@@ -127,20 +131,20 @@
     }
 
     /** The task is placed again, and that is committed. */
-    void placed(Placement placement) {
+    public void placed(Placement placement) {
         falls.forEach(f -> back(f, placement.task));
     }
 
     /** Nothing of the job is wanted any more. */
-    void over(JobRef job) {
-        for (Fall loss : falls) {
+    public void over(JobId job) {
+        for (LossEvent loss : falls) {
             for (TaskId t : loss.open.stream().filter(t -> t.job().equals(job)).toList()) {
                 back(loss, t);
             }
         }
     }
 
-    private void back(Fall loss, TaskId task) {
+    private void back(LossEvent loss, TaskId task) {
         if (!loss.open.remove(task)) {
             return;
         }
@@ -154,7 +158,7 @@
         }
     }
 
-    private void tell(Fall loss, String what) {
+    private void tell(LossEvent loss, String what) {
         if (loss.tasks >= LEAST_TASKS) {
             LOG.info(
                     "{} tasks lost on {} machines from {} s ago on: {}",
@@ -166,7 +170,7 @@
     }
 
     /** Machines with work on them that were lost within the last so many ms, by the falls that go on. */
-    int machinesLost(long withinMs) {
+    public int machinesLost(long withinMs) {
         return falls.stream()
                 .filter(f -> turn.now().since(f.last) <= withinMs)
                 .mapToInt(f -> f.machines.size())
@@ -174,10 +178,10 @@
     }
 
     /** The falls of this leadership, the newest last. */
-    ObjectNode view() {
+    public ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("falls");
-        for (Fall loss : falls) {
+        for (LossEvent loss : falls) {
             if (loss.tasks < LEAST_TASKS) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -1,13 +1,13 @@
-package org.beechhoist.start;
+package org.beechhoist.controller.worker;
 
 /**
  * Whether a machine that has not spoken to this leadership is there. The cloud's list lags: right after a start it names
  * machines that the last leader has returned, and a plan that counted on them once kept work waiting for 50 machines that
  * were gone, and then stopped 62 tasks for it.
  */
-public final class Presence {
+public final class MachinePresence {
     /** What is to be done about a machine that is silent so far. */
-    public enum Verdict {
+    public enum Assessment {
         /** The plan counts on it: it will find this node. */
         COUNTED_ON,
         /** The same, and it is asked. */
@@ -24,27 +24,27 @@
      * @param unanswered questions to it in a row that nobody answered
      * @param answered it has answered a question
      */
-    public record Unheard(boolean holdsTasks, boolean listedUp, int unanswered, boolean answered) {}
+    public record SilentMachine(boolean holdsTasks, boolean listedUp, int unanswered, boolean answered) {}
 
     /** Workers without a leader try node after node, a second each; what a start asks before is mostly on its way anyway. */
     static final long FIRST_ASKED_MS = 1000;
 
-    private Presence() {}
+    private MachinePresence() {}
 
     /**
      * @param sinceMs since this leadership began
      * @param allReportedMs by when every living machine should have found this node
      */
-    public static Verdict of(Unheard machine, long sinceMs, long allReportedMs) {
+    public static Assessment of(SilentMachine machine, long sinceMs, long allReportedMs) {
         if (!machine.holdsTasks && !machine.listedUp) {
-            return Verdict.COUNTED_ON; // it boots
+            return Assessment.COUNTED_ON; // it boots
         }
         if (machine.answered) {
-            return Verdict.COUNTED_ON;
+            return Assessment.COUNTED_ON;
         }
         if (machine.unanswered > 0 || sinceMs > allReportedMs) {
-            return Verdict.DOUBTED;
+            return Assessment.DOUBTED;
         }
-        return sinceMs < FIRST_ASKED_MS ? Verdict.COUNTED_ON : Verdict.ASKED;
+        return sinceMs < FIRST_ASKED_MS ? Assessment.COUNTED_ON : Assessment.ASKED;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
@@ -1,26 +1,36 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.ArrayList;
 import java.util.List;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * Tasks on machines that the cloud is about to take: what will be over in time goes on, the rest is stopped at once, so that it begins
  * elsewhere. (Tried: let it go on to the last moment where there is no room elsewhere; docs/design/drains.md.)
  */
-final class Notices {
+public final class PreemptionNotices {
     /** What can't save in time is not waited for. */
     private static final double WAY_S = 1;
 
-    private final Turn turn;
-    private final Book book;
-    private final Estimates estimates;
-    private final Stopping stopping;
-    private final Orders orders;
+    private final ControllerContext turn;
+    private final ClusterState book;
+    private final DurationEstimates estimates;
+    private final TaskEviction stopping;
+    private final CommandDispatcher orders;
 
-    Notices(Turn turn, Book book, Estimates estimates, Stopping stopping, Orders orders) {
+    public PreemptionNotices(
+            ControllerContext turn,
+            ClusterState book,
+            DurationEstimates estimates,
+            TaskEviction stopping,
+            CommandDispatcher orders) {
         this.turn = turn;
         this.book = book;
         this.estimates = estimates;
@@ -28,9 +38,9 @@
         this.orders = orders;
     }
 
-    private List<Host> going() {
-        List<Host> out = new ArrayList<>();
-        for (Host machine : book.hosts()) {
+    private List<Machine> going() {
+        List<Machine> out = new ArrayList<>();
+        for (Machine machine : book.hosts()) {
             if (machine.noticeEnds != null && !machine.returning && !machine.placements.isEmpty()) {
                 out.add(machine);
             }
@@ -39,7 +49,7 @@
     }
 
     /** Whether it goes on for now, and will not be over before its machine is taken. */
-    private boolean cutShort(Host machine, Placement placement, Job job) {
+    private boolean cutShort(Machine machine, Placement placement, Job job) {
         return job != null
                 && placement.sent
                 && !placement.killSent
@@ -47,8 +57,8 @@
                 && machine.noticeEnds.before(estimates.endOf(placement, turn.now()));
     }
 
-    void tick() {
-        for (Host machine : going()) {
+    public void tick() {
+        for (Machine machine : going()) {
             long left = machine.noticeEnds.since(turn.now());
             boolean stopped = false;
             for (Placement placement : new ArrayList<>(machine.placements.values())) {
@@ -64,8 +74,8 @@
     }
 
     /** By when what is on the machine is over, or is stopped. */
-    Tick endOf(Host machine, Placement placement) {
-        Tick end = estimates.endOf(placement, turn.now());
+    public MonotonicTime endOf(Machine machine, Placement placement) {
+        MonotonicTime end = estimates.endOf(placement, turn.now());
         return machine.noticeEnds != null && machine.noticeEnds.before(end) ? machine.noticeEnds : end;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -1,14 +1,14 @@
-package org.beechhoist.start;
+package org.beechhoist.controller.worker;
 
-import org.beechhoist.wire.HostReport;
+import org.beechhoist.wire.Heartbeat;
 
 /**
  * What is stored of a task, held against what a machine says of it: one decision for every pair. The table stands, with
  * the proof of each row, in docs/design/start.md; a test goes through all pairs. It serves each report, not those of a start alone.
  */
-public final class Squaring {
+public final class Reconciliation {
     /** What records and log say of a task and this machine. */
-    public enum Stored {
+    public enum RecordedState {
         /** The job is open, the task neither done nor placed anywhere. */
         NOTHING,
         /** Placed on this machine, with the attempt that the machine names. */
@@ -28,7 +28,7 @@
     }
 
     /** What the machine says. */
-    public enum Said {
+    public enum ReportedState {
         /** It has not reported to this leadership. */
         NOTHING_YET,
         ABSENT,
@@ -46,7 +46,7 @@
         /** Ended for a cause that this version has no word for. */
         EXITED_OTHERWISE;
 
-        public static Said of(HostReport.Entry status) {
+        public static ReportedState of(Heartbeat.TaskStatus status) {
             return switch (status.state()) {
                 case FETCHING -> FETCHING;
                 case RUNNING -> RUNNING;
@@ -102,22 +102,22 @@
         LEAVE_ALONE
     }
 
-    private Squaring() {}
+    private Reconciliation() {}
 
     /**
      * @param absence what the report proves of a task that is not in it
      * @param mayForget no command sent before can reach the machine any more, and what is known of the job is committed
      */
-    public static Decision of(Stored stored, Said said, Evidence absence, boolean mayForget) {
-        if (stored == Stored.UNREADABLE) {
+    public static Decision of(RecordedState stored, ReportedState said, AbsenceEvidence absence, boolean mayForget) {
+        if (stored == RecordedState.UNREADABLE) {
             return Decision.LEAVE_ALONE;
         }
-        boolean ours = stored == Stored.PLACED || stored == Stored.CANCELLED;
-        if (said == Said.NOTHING_YET) {
+        boolean ours = stored == RecordedState.PLACED || stored == RecordedState.CANCELLED;
+        if (said == ReportedState.NOTHING_YET) {
             return ours ? Decision.WAIT : Decision.KEEP;
         }
-        if (said == Said.ABSENT) {
-            return !ours ? Decision.KEEP : absence == Evidence.NONE ? Decision.WAIT : Decision.GONE;
+        if (said == ReportedState.ABSENT) {
+            return !ours ? Decision.KEEP : absence == AbsenceEvidence.NONE ? Decision.WAIT : Decision.GONE;
         }
         if (!ours) {
             return said.there() ? Decision.KILL : mayForget ? Decision.FORGET : Decision.HOLD;
@@ -128,7 +128,7 @@
             case REFUSED_FULL, REFUSED_BUSY -> Decision.AVOID_MACHINE;
             case REFUSED_NO_SUCH -> Decision.ASK_LATER;
             case EXITED_STOPPED, EXITED_OTHERWISE -> Decision.PLACE_ANEW;
-            default -> stored == Stored.CANCELLED ? Decision.KILL : Decision.KEEP;
+            default -> stored == RecordedState.CANCELLED ? Decision.KILL : Decision.KEEP;
         };
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -1,9 +1,9 @@
-package org.beechhoist.start;
+package org.beechhoist.controller.worker;
 
 import java.util.HashMap;
 import java.util.Map;
-import org.beechhoist.store.Budget;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * How fast a start may turn to machines: so many commands and questions a second in all and in each zone, and so many on
@@ -11,9 +11,9 @@
  * or a moment later; nothing is lost by it. Calls of cloud and state service have budgets of their own, which hold in a
  * start as at any other time.
  */
-public final class Pace {
+public final class RecoveryPacer {
     /** What is paced. */
-    public enum Kind {
+    public enum CallKind {
         /** Commands that launch or end urgent work, or end what must not run. */
         URGENT,
         ORDINARY,
@@ -37,17 +37,17 @@
 
     private final double atOnce;
     private final double perSecond;
-    private final Budget all;
-    private final Map<String, Budget> zones = new HashMap<>();
+    private final TokenBucket all;
+    private final Map<String, TokenBucket> zones = new HashMap<>();
     private int inFlight;
     private int heldBack;
     private int sent;
 
     /** @param sockets that this node may have open; 0: no limit */
-    public Pace(int sockets) {
+    public RecoveryPacer(int sockets) {
         this.atOnce = sockets <= 0 ? MOST : Math.max(LEAST, Math.min(MOST, sockets * SOCKETS_SHARE));
         this.perSecond = CALLS_A_SOCKET * atOnce;
-        this.all = new Budget(perSecond * AT_ONCE);
+        this.all = new TokenBucket(perSecond * AT_ONCE);
     }
 
     /** Commands and questions a second, at most; half as many may be on their way at once. */
@@ -56,9 +56,10 @@
     }
 
     /** Whether one may be sent now; it is on its way then, until {@link #over}. */
-    public boolean take(Kind kind, String zone, Tick now) {
-        Budget bucket = zones.computeIfAbsent(String.valueOf(zone), k -> new Budget(perSecond * AT_ONCE * ZONE_SHARE));
-        double left = kind == Kind.URGENT ? 0 : KEPT;
+    public boolean take(CallKind kind, String zone, MonotonicTime now) {
+        TokenBucket bucket =
+                zones.computeIfAbsent(String.valueOf(zone), k -> new TokenBucket(perSecond * AT_ONCE * ZONE_SHARE));
+        double left = kind == CallKind.URGENT ? 0 : KEPT;
         boolean may = all.available(now) >= 1 + left * all.most()
                 && bucket.available(now) >= 1 + left * bucket.most()
                 && inFlight < atOnce * (1 - left);
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -1,12 +1,12 @@
-package org.beechhoist.start;
+package org.beechhoist.controller.worker;
 
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * How far a start has come. The phases tell what is being waited for; no machine waits for another: one that is squared
  * works while others are unheard. Each phase ends by its condition or at its deadline.
  */
-public final class Progression {
+public final class RecoveryProgress {
     /** What a start waits for. */
     public enum Phase {
         /** Records, log and snapshot are being read. Nothing may be commanded. */
@@ -43,15 +43,15 @@
     private final long listeningMs;
     private final long leaseMs;
     private Phase phase = Phase.READING;
-    private final Tick began;
-    private Tick phaseBegan;
-    private Tick read;
+    private final MonotonicTime began;
+    private MonotonicTime phaseBegan;
+    private MonotonicTime read;
 
     /**
      * @param reportMs how often a worker reports
      * @param leaseMs after which an unheard machine's tasks are certainly gone
      */
-    public Progression(Tick now, long reportMs, long leaseMs) {
+    public RecoveryProgress(MonotonicTime now, long reportMs, long leaseMs) {
         this.began = now;
         this.phaseBegan = now;
         this.allReportedMs = allReportedMs(reportMs);
@@ -68,17 +68,17 @@
         return phase;
     }
 
-    public Tick began() {
+    public MonotonicTime began() {
         return began;
     }
 
     /** When all records were known, or null. */
-    public Tick read() {
+    public MonotonicTime read() {
         return read;
     }
 
     /** Takes the next step, if it is time; whether there was one. At most one a call, so that each is seen. */
-    public boolean advance(Tick now, Facts facts) {
+    public boolean advance(MonotonicTime now, Facts facts) {
         Phase next = next(now, facts);
         if (next == phase) {
             return false;
@@ -91,7 +91,7 @@
         return true;
     }
 
-    private Phase next(Tick now, Facts facts) {
+    private Phase next(MonotonicTime now, Facts facts) {
         long here = now.since(phaseBegan);
         return switch (phase) {
             case READING ->
@@ -105,7 +105,7 @@
     }
 
     /** By when the start is over at the latest, if the records are read by now. */
-    public long longestLeftMs(Tick now) {
+    public long longestLeftMs(MonotonicTime now) {
         return switch (phase) {
             case READING, LISTENING, SQUARING -> Math.max(0, leaseMs - now.since(began)) + LONGEST_OPENING_MS;
             case OPENING -> Math.max(0, LONGEST_OPENING_MS - now.since(phaseBegan));
@@ -114,7 +114,7 @@
     }
 
     /** Whether living machines may still be on their way to this node for the first time. */
-    public boolean gathering(Tick now) {
+    public boolean gathering(MonotonicTime now) {
         return phase != Phase.OVER && now.since(began) <= allReportedMs;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -1,43 +1,46 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
+import org.beechhoist.controller.DisruptionAccounting;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.Order;
+import org.beechhoist.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * Has tasks stopped that could go on: whoever wants that for a reason of its own comes here and says why. What is stopped on purpose
- * was allowed by its team's budget, and charged, before ({@link Disruptions}); the rest is charged as it happens.
+ * was allowed by its team's budget, and charged, before ({@link DisruptionAccounting}); the rest is charged as it happens.
  */
-final class Stopping {
-    private static final Logger LOG = LoggerFactory.getLogger(Stopping.class);
-    private final Book book;
-    private final Orders orders;
-    private final Disruptions disruptions;
+public final class TaskEviction {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
+    private final ClusterState book;
+    private final CommandDispatcher orders;
+    private final DisruptionAccounting disruptions;
 
-    Stopping(Book book, Orders orders, Disruptions disruptions) {
+    public TaskEviction(ClusterState book, CommandDispatcher orders, DisruptionAccounting disruptions) {
         this.book = book;
         this.orders = orders;
         this.disruptions = disruptions;
     }
 
     /** Has a task stopped, with time to save; sent with the host's next orders. */
-    void stop(Placement placement, Cause cause) {
+    public void stop(Placement placement, Cause cause) {
         stop(placement, book.job(placement.task.job()).spec().saveS(), cause);
     }
 
     /** The same with so long to save; 0: at once. */
-    void stop(Placement placement, double graceS, Cause cause) {
+    public void stop(Placement placement, double graceS, Cause cause) {
         if (!placement.killSent) {
             disruptions.happened(placement, cause);
         }
         placement.killSent = true;
-        book.host(placement.host).outbox.add(Order.kill(placement.task, placement.attempt, graceS));
+        book.host(placement.host).outbox.add(WorkerCommand.kill(placement.task, placement.attempt, graceS));
     }
 
     /** Has a task stopped at once, for another's sake. */
-    void makeRoom(Placement placement, Job forJob) {
+    public void makeRoom(Placement placement, Job forJob) {
         LOG.info("{} try {} on {} makes room for {}", placement.task, placement.attempt, placement.host, forJob.ref());
         stop(placement, Cause.PREEMPTION);
         orders.direct(book.host(placement.host));
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -1,27 +1,30 @@
-package org.beechhoist.core;
+package org.beechhoist.controller.worker;
 
 import java.util.ArrayList;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.Order;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.WorkerCommand;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Takes tasks off machines in the book, once it is certain that they are not there or were never sent. */
-final class Departures {
-    private static final Logger LOG = LoggerFactory.getLogger(Departures.class);
-    private final Book book;
-    private final Stopping stopping;
-    private final Recovery recovery;
+public final class TaskRemoval {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskRemoval.class);
+    private final ClusterState book;
+    private final TaskEviction stopping;
+    private final LossRecovery recovery;
 
-    Departures(Book book, Stopping stopping, Recovery recovery) {
+    public TaskRemoval(ClusterState book, TaskEviction stopping, LossRecovery recovery) {
         this.recovery = recovery;
         this.book = book;
         this.stopping = stopping;
     }
 
     /** Sends a committed placement on its way, unless its job was cancelled meanwhile or its machine is about to go. */
-    void launch(Placement placement) {
+    public void launch(Placement placement) {
         Job job = book.job(placement.task.job());
         if (job == null || job.record.live.get(placement.task.index()) != placement) {
             return;
@@ -33,11 +36,11 @@
             return;
         }
         LOG.info("{} try {} goes to {}", placement.task, placement.attempt, placement.host);
-        book.host(placement.host).outbox.add(Order.launch(placement.task, placement.attempt));
+        book.host(placement.host).outbox.add(WorkerCommand.launch(placement.task, placement.attempt));
     }
 
     /** The task is certainly not there. */
-    void remove(Job job, Placement placement) {
+    public void remove(Job job, Placement placement) {
         job.leaving.remove(placement);
         if (job.record.live.remove(placement.task.index(), placement) && !placement.committed) {
             job.uncommitted--;
@@ -51,14 +54,14 @@
     }
 
     /** The cloud has confirmed that the machine and all on it are gone. */
-    void hostGone(HostId id) {
-        Host machine = book.drop(id);
+    public void hostGone(MachineId id) {
+        Machine machine = book.drop(id);
         if (machine != null) {
             clear(machine, "the machine is gone");
         }
     }
 
-    void clear(Host machine, String why) {
+    public void clear(Machine machine, String why) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = book.job(placement.task.job());
             machine.placements.remove(placement.task);
--- a/src/main/java/org/beechhoist/controller/worker/package-info.java
+++ b/src/main/java/org/beechhoist/controller/worker/package-info.java
@@ -1,6 +1,9 @@
 /**
- * What messages prove of a machine beside what they say: that it is there, that it hears ({@link
- * org.beechhoist.reach.Ears}), and what an old copy of a report may still tell ({@link org.beechhoist.reach.Standing}). Pure
- * decisions; the leader's rooms {@code core.Reports}, {@code core.Orders} and {@code core.Silence} feed and ask them.
+ * Everything between the leader and the workers: heartbeats and the reconciliation of what they say with what is stored, commands
+ * and those without an acknowledgement, evidence that a task is gone, the failure detector, the recovery after a cold start, the
+ * removal and eviction of tasks, and the enforcement of cancellations.
+ *
+ * <p>Owns commands in flight, probes of silent machines and the phases of recovery; changes {@code state} only by its methods.
+ * Depends on {@code state}, {@code leadership} and {@code context}.
  */
-package org.beechhoist.reach;
+package org.beechhoist.controller.worker;
--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * A named calendar: the weekdays on which business is done, and days on which it isn't (or is, though the weekday
@@ -60,9 +60,10 @@
     }
 
     /** Reads the form that {@link #toNode} writes, which is also that of a TOML file. */
-    public static Calendar parse(JsonNode node, String name) throws Malformed {
+    public static Calendar parse(JsonNode node, String name) throws MalformedMessageException {
         if (!validName(name)) {
-            throw new Malformed("calendar = " + name + ": letters, digits, - and _ are expected, at most " + MAX_NAME);
+            throw new MalformedMessageException(
+                    "calendar = " + name + ": letters, digits, - and _ are expected, at most " + MAX_NAME);
         }
         Set<DayOfWeek> week = EnumSet.noneOf(DayOfWeek.class);
         for (String text : node.has("business")
@@ -71,34 +72,35 @@
             week.add(weekday(text));
         }
         if (week.isEmpty()) {
-            throw new Malformed("business = []: at least one weekday is expected");
+            throw new MalformedMessageException("business = []: at least one weekday is expected");
         }
         Calendar calendar =
                 new Calendar(name, Codec.text(node, "version"), week, days(node, "holidays"), days(node, "workdays"));
         if (calendar.holidays.size() + calendar.workdays.size() > MAX_DAYS) {
-            throw new Malformed("holidays: " + (calendar.holidays.size() + calendar.workdays.size()) + " days, at most "
-                    + MAX_DAYS + " are allowed; leave out years that are over");
+            throw new MalformedMessageException("holidays: " + (calendar.holidays.size() + calendar.workdays.size())
+                    + " days, at most " + MAX_DAYS + " are allowed; leave out years that are over");
         }
         return calendar;
     }
 
-    private static DayOfWeek weekday(String text) throws Malformed {
+    private static DayOfWeek weekday(String text) throws MalformedMessageException {
         for (DayOfWeek day : DayOfWeek.values()) {
             if (text.length() >= 3 && day.name().startsWith(text.toUpperCase(Locale.ROOT))) {
                 return day;
             }
         }
-        throw new Malformed("business: " + text + ": mon to sun is expected");
+        throw new MalformedMessageException("business: " + text + ": mon to sun is expected");
     }
 
-    private static Map<LocalDate, String> days(JsonNode node, String field) throws Malformed {
+    private static Map<LocalDate, String> days(JsonNode node, String field) throws MalformedMessageException {
         Map<LocalDate, String> out = new TreeMap<>();
         for (JsonNode otherDate : node.path(field)) {
             String date = otherDate.path("date").asText();
             try {
                 out.put(LocalDate.parse(date), Codec.text(otherDate, "name"));
             } catch (DateTimeException e) {
-                throw new Malformed(field + ".date = " + date + ": a date such as 2026-04-29 is expected");
+                throw new MalformedMessageException(
+                        field + ".date = " + date + ": a date such as 2026-04-29 is expected");
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/cron/CalendarFile.java
+++ b/src/main/java/org/beechhoist/cron/CalendarFile.java
@@ -17,7 +17,7 @@
 import java.util.TimeZone;
 import java.util.TreeMap;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * A calendar as a person keeps it: TOML, or iCalendar (RFC 5545), whose all-day events are holidays. Recurring events are
@@ -30,18 +30,18 @@
 
     /** @param business weekdays for an iCalendar file, which can't say them; null: all */
     public static Calendar read(Path file, String name, List<String> business, LocalDate from, LocalDate until)
-            throws Malformed, IOException {
+            throws MalformedMessageException, IOException {
         String text = Files.readString(file);
         if (!file.getFileName().toString().endsWith(".ics")) {
             try {
                 return Calendar.parse(new TomlMapper().readTree(text), name);
             } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-                throw new Malformed(file + ": TOML is expected: " + e.getOriginalMessage());
+                throw new MalformedMessageException(file + ": TOML is expected: " + e.getOriginalMessage());
             }
         }
         ICalendar ics = Biweekly.parse(text).first();
         if (ics == null) {
-            throw new Malformed(file + ": an iCalendar object (BEGIN:VCALENDAR) is expected");
+            throw new MalformedMessageException(file + ": an iCalendar object (BEGIN:VCALENDAR) is expected");
         }
         TreeMap<LocalDate, String> days = new TreeMap<>();
         for (VEvent e : ics.getEvents()) {
@@ -64,11 +64,11 @@
     }
 
     private static void take(VEvent event, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
-            throws Malformed {
+            throws MalformedMessageException {
         String what =
                 event.getSummary() == null ? "holiday" : event.getSummary().getValue();
         if (event.getDateStart() == null || event.getDateStart().getValue().hasTime()) {
-            throw new Malformed("event " + what + ": a whole day (DTSTART;VALUE=DATE) is expected");
+            throw new MalformedMessageException("event " + what + ": a whole day (DTSTART;VALUE=DATE) is expected");
         }
         ZoneId zone = ZoneId.systemDefault(); // how the library reads a date without a zone
         LocalDate first = day(event.getDateStart().getValue(), zone);
--- a/src/main/java/org/beechhoist/cron/CronTable.java
+++ b/src/main/java/org/beechhoist/cron/CronTable.java
@@ -30,7 +30,7 @@
 import org.beechhoist.cron.grammar.CrontabLexer;
 import org.beechhoist.cron.grammar.CrontabParser;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** Reads a cron table's text, by the grammar in Crontab.g4; docs/operations/cron.md explains what it says. */
 public final class CronTable {
@@ -277,7 +277,7 @@
                 sinceS);
         try {
             entry.job(Instant.ofEpochSecond(sinceS));
-        } catch (Malformed m) {
+        } catch (MalformedMessageException m) {
             throw bad(entryContext.name(), m.getMessage());
         }
         if (Occurrences.next(entry, null, Instant.ofEpochSecond(sinceS)) == null) {
--- a/src/main/java/org/beechhoist/cron/Entry.java
+++ b/src/main/java/org/beechhoist/cron/Entry.java
@@ -17,9 +17,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * One line of a cron table: when it runs and what job it makes.
@@ -79,8 +79,8 @@
     }
 
     /** The ref of the job that an occurrence makes; the same whoever makes it, and whenever. */
-    public JobRef ref(Instant at) {
-        return new JobRef("job-"
+    public JobId ref(Instant at) {
+        return new JobId("job-"
                 + new BigInteger(
                         1, hash(table + "\n" + id + "\n" + at.getEpochSecond()).toByteArray()));
     }
@@ -115,7 +115,7 @@
     }
 
     /** The job of one occurrence, as a user would submit it. */
-    public JobSpec job(Instant at) throws Malformed {
+    public JobSpec job(Instant at) throws MalformedMessageException {
         Map<String, String> variables = variables(at);
         ObjectNode node = JobSpec.described(template);
         template.fields().forEachRemaining(entry -> {
@@ -153,7 +153,7 @@
         return node;
     }
 
-    public static Entry parse(String table, JsonNode node) throws Malformed {
+    public static Entry parse(String table, JsonNode node) throws MalformedMessageException {
         try {
             return new Entry(
                     table,
@@ -171,7 +171,7 @@
                     node.path("once").textValue(),
                     Codec.count(node, "since", 0, Long.MAX_VALUE));
         } catch (DateTimeException | IllegalArgumentException | ClassCastException e) {
-            throw new Malformed("not a schedule: " + e.getMessage());
+            throw new MalformedMessageException("not a schedule: " + e.getMessage());
         }
     }
 
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.LocalDate;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * The five fields of a crontab line as sets of bits: minutes 0 to 59, hours 0 to 23, days 1 to 31, months 1 to 12,
@@ -53,7 +53,7 @@
                 .put("free", (everyHour ? 1 : 0) + (anyDay ? 2 : 0) + (anyWeekday ? 4 : 0));
     }
 
-    static Expression parse(JsonNode node) throws Malformed {
+    static Expression parse(JsonNode node) throws MalformedMessageException {
         int free = (int) Codec.count(node, "free", 0, 7);
         return new Expression(
                 bits(node, "m"),
@@ -66,11 +66,11 @@
                 (free & 4) != 0);
     }
 
-    private static long bits(JsonNode node, String field) throws Malformed {
+    private static long bits(JsonNode node, String field) throws MalformedMessageException {
         try {
             return Long.parseUnsignedLong(Codec.text(node, field), 16);
         } catch (NumberFormatException e) {
-            throw new Malformed(field + ": a set of bits in hexadecimal is expected");
+            throw new MalformedMessageException(field + ": a set of bits in hexadecimal is expected");
         }
     }
 }
--- a/src/main/java/org/beechhoist/cron/ShipDates.java
+++ b/src/main/java/org/beechhoist/cron/ShipDates.java
@@ -11,7 +11,7 @@
 import java.time.ZoneId;
 import java.util.Map;
 import java.util.TreeMap;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** Ship dates as a maker keeps them: the events of an iCalendar file (RFC 5545), each once, by name. */
 public final class ShipDates {
@@ -20,16 +20,16 @@
     private ShipDates() {}
 
     /** Names with the local time in the zone at which each event begins; a whole day begins at midnight. */
-    public static Map<String, String> read(Path file, String zone) throws Malformed, IOException {
+    public static Map<String, String> read(Path file, String zone) throws MalformedMessageException, IOException {
         ZoneId zoneId;
         try {
             zoneId = ZoneId.of(zone);
         } catch (DateTimeException e) {
-            throw new Malformed("zone = " + zone + ": a zone such as Asia/Tokyo is expected");
+            throw new MalformedMessageException("zone = " + zone + ": a zone such as Asia/Tokyo is expected");
         }
         ICalendar ics = Biweekly.parse(Files.readString(file)).first();
         if (ics == null) {
-            throw new Malformed("an iCalendar object (BEGIN:VCALENDAR) is expected");
+            throw new MalformedMessageException("an iCalendar object (BEGIN:VCALENDAR) is expected");
         }
         Map<String, String> out = new TreeMap<>();
         for (VEvent event : ics.getEvents()) {
@@ -37,10 +37,11 @@
                     ? ""
                     : event.getSummary().getValue().trim().replaceAll("[^A-Za-z0-9._-]+", "-");
             if (name.isEmpty() || event.getDateStart() == null) {
-                throw new Malformed("event " + name + ": SUMMARY and DTSTART are expected");
+                throw new MalformedMessageException("event " + name + ": SUMMARY and DTSTART are expected");
             }
             if (event.getRecurrenceRule() != null) {
-                throw new Malformed("event " + name + ": one that happens once is expected, without RRULE");
+                throw new MalformedMessageException(
+                        "event " + name + ": one that happens once is expected, without RRULE");
             }
             // A date without a zone is read by the machine's own; its wall clock is what is meant.
             boolean timed = event.getDateStart().getValue().hasTime();
@@ -48,10 +49,10 @@
                     event.getDateStart().getValue().toInstant(),
                     timed && fixed(ics, event) ? zoneId : ZoneId.systemDefault());
             if (out.put(name, dateTime.toString()) != null) {
-                throw new Malformed("event " + name + ": it is there twice");
+                throw new MalformedMessageException("event " + name + ": it is there twice");
             }
             if (out.size() > MOST) {
-                throw new Malformed("at most " + MOST + " events are allowed");
+                throw new MalformedMessageException("at most " + MOST + " events are allowed");
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -10,8 +10,8 @@
 import org.beechhoist.config.Addresses;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
-import org.beechhoist.core.Controller;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.Controller;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.http.HttpMessage;
 import org.beechhoist.metrics.Metrics;
 import org.beechhoist.net.HttpClient;
@@ -19,9 +19,9 @@
 import org.beechhoist.net.Loop;
 import org.beechhoist.peer.PeerCodec;
 import org.beechhoist.peer.PeerState;
+import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
-import org.beechhoist.wire.Outcome;
+import org.beechhoist.wire.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -136,7 +136,7 @@
         try {
             core.peer(loop.now(), System.currentTimeMillis(), peerCodec().decode(message.body()));
             responder.answer(200, TEXT, EMPTY, 0);
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             responder.answer(400, TEXT, e.getMessage().getBytes(StandardCharsets.US_ASCII), 0);
         }
     }
@@ -169,7 +169,7 @@
                                     answer.retryAfterS());
                 } else if (effect instanceof Effect.Call call) {
                     call(call);
-                } else if (effect instanceof Effect.Tell tell) {
+                } else if (effect instanceof Effect.PublishToPeers tell) {
                     tell(tell.state());
                 }
             }
@@ -202,7 +202,7 @@
                     case HOST -> Addresses.parse(call.address());
                 };
         if (address == null || call.expired(loop.now())) {
-            loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), Outcome.NOT_SENT));
+            loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), CallResult.NOT_SENT));
             return;
         }
         client.request(
@@ -215,21 +215,21 @@
                 o -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), read(o)));
     }
 
-    private static Outcome read(HttpClient.Outcome result) {
+    private static CallResult read(HttpClient.Outcome result) {
         if (result instanceof HttpClient.NotSent) {
-            return Outcome.NOT_SENT;
+            return CallResult.NOT_SENT;
         }
         if (!(result instanceof HttpClient.Answer answer)) {
-            return Outcome.UNKNOWN;
+            return CallResult.UNKNOWN;
         }
         JsonNode body = null;
         if (answer.body().length > 0) {
             try {
                 body = Codec.decodeMap(answer.body());
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 LOG.debug("an answer with status {} is no CBOR map", answer.status());
             }
         }
-        return Outcome.answered(answer.status(), body);
+        return CallResult.answered(answer.status(), body);
     }
 }
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * How much of a team's work, or of one of its classes, may be disturbed on purpose.
@@ -49,11 +49,11 @@
 
     /** What a person puts, checked; what is left out is as {@link #USUAL} says. */
     public static DisruptionBudget described(JsonNode node, String who, long atMs, String why, long number)
-            throws Malformed {
+            throws MalformedMessageException {
         String team = Fields.name("team", Codec.text(node, "team"));
         String jobClass = Fields.text(node, "class");
         if (team.equals(DEFAULT) && jobClass != null) {
-            throw new Malformed("class = " + jobClass + ": the default is for all classes");
+            throw new MalformedMessageException("class = " + jobClass + ": the default is for all classes");
         }
         int atOnce = (int) Fields.count(node, "atOnce", USUAL.atOnce, 0, MOST_AT_ONCE);
         double lost = Fields.number(node, "lostCpuSPerHour", USUAL.lostCpuSPerHour, 0, MOST_LOST);
@@ -90,9 +90,9 @@
                 .put("number", number);
     }
 
-    public static DisruptionBudget parse(JsonNode node) throws Malformed {
+    public static DisruptionBudget parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject()) {
-            throw new Malformed("not a budget");
+            throw new MalformedMessageException("not a budget");
         }
         return described(
                 node,
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * What operators have asked for, as the state service holds it: {@code dr/put/NAME}. Machines are emptied, at once or in steps; from
@@ -53,21 +53,22 @@
     public record Past(String what, String who, long atMs, String why) {}
 
     /** What a person puts, checked; times count from now. */
-    public static Drain described(String name, JsonNode node, long nowMs) throws Malformed {
+    public static Drain described(String name, JsonNode node, long nowMs) throws MalformedMessageException {
         Fields.name("name", name);
         boolean replace = Fields.flag(node, "replace");
         boolean keep = Fields.flag(node, "keep");
         String with = Fields.text(node, "with");
         if (with != null && !replace) {
-            throw new Malformed("with = " + with + ": only machines that are replaced have others in their place");
+            throw new MalformedMessageException(
+                    "with = " + with + ": only machines that are replaced have others in their place");
         }
         if (replace && keep) {
-            throw new Malformed("keep = true: machines that are replaced are returned");
+            throw new MalformedMessageException("keep = true: machines that are replaced are returned");
         }
         long by = seconds(node, "inS", nowMs);
         long until = seconds(node, "forS", nowMs);
         if (until > 0 && until < by) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "forS = " + node.path("forS") + ": at least inS, " + node.path("inS") + ", is expected");
         }
         return new Drain(
@@ -86,7 +87,7 @@
                 List.of());
     }
 
-    private static long seconds(JsonNode node, String field, long nowMs) throws Malformed {
+    private static long seconds(JsonNode node, String field, long nowMs) throws MalformedMessageException {
         long s = Fields.count(node, field, 0, 1, LONGEST_S);
         return s == 0 ? 0 : nowMs + 1000 * s;
     }
@@ -156,9 +157,9 @@
         return node;
     }
 
-    public static Drain parse(JsonNode node) throws Malformed {
+    public static Drain parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject()) {
-            throw new Malformed("not a drain");
+            throw new MalformedMessageException("not a drain");
         }
         String name = Codec.text(node, "name");
         boolean replace = Codec.bool(node, "replace");
@@ -166,7 +167,8 @@
         try {
             state = State.valueOf(Codec.text(node, "state").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new Malformed("state = " + node.path("state").asText() + ": running, paused or aborted is expected");
+            throw new MalformedMessageException(
+                    "state = " + node.path("state").asText() + ": running, paused or aborted is expected");
         }
         List<Past> history = new ArrayList<>();
         for (JsonNode earlier : node.path("history")) {
--- a/src/main/java/org/beechhoist/drain/Evictions.java
+++ b/src/main/java/org/beechhoist/drain/Evictions.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MachineId;
 import org.beechhoist.wire.TaskId;
 
 /**
@@ -28,7 +28,7 @@
     public record Candidate(
             TaskId task,
             long attempt,
-            HostId host,
+            MachineId host,
             String team,
             String jobClass,
             Cause cause,
@@ -43,7 +43,7 @@
     }
 
     /** What keeps tasks on a machine. */
-    public record Why(HostId host, String text) {}
+    public record Why(MachineId host, String text) {}
 
     /** Who leaves, and why others can't, with how many tasks. */
     public record Decision(List<Candidate> leave, Map<Why, Integer> blocked) {}
@@ -56,7 +56,7 @@
      */
     public static Decision decide(
             List<Candidate> all, Budgets budgets, Map<String, Account> accounts, long nowMs, int most) {
-        Map<HostId, Double> loss = new HashMap<>();
+        Map<MachineId, Double> loss = new HashMap<>();
         all.forEach(c -> loss.merge(c.host, c.lostCpuS, Double::sum));
         List<Candidate> order = new ArrayList<>(all);
         order.sort(Comparator.comparingDouble((Candidate c) -> loss.get(c.host))
@@ -65,7 +65,7 @@
                 .thenComparing(c -> c.task.toString()));
         List<Candidate> leave = new ArrayList<>();
         Map<Why, Integer> blocked = new HashMap<>();
-        Set<JobRef> gangs = new HashSet<>();
+        Set<JobId> gangs = new HashSet<>();
         for (Candidate candidate : order) {
             if (!candidate.due || leave.size() >= most) {
                 continue; // it comes to its own end, or to its next save
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** Checked reading of what people put: what is wrong names field, value and what is allowed. */
 final class Fields {
@@ -10,7 +10,8 @@
 
     private Fields() {}
 
-    static long count(JsonNode node, String field, long fallback, long least, long most) throws Malformed {
+    static long count(JsonNode node, String field, long fallback, long least, long most)
+            throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             return fallback;
@@ -19,39 +20,41 @@
                 || value.doubleValue() != Math.rint(value.doubleValue())
                 || value.doubleValue() < least
                 || value.doubleValue() > most) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     field + " = " + value + ": a whole number from " + least + " to " + most + " is expected");
         }
         return value.longValue();
     }
 
-    static double number(JsonNode node, String field, double fallback, double least, double most) throws Malformed {
+    static double number(JsonNode node, String field, double fallback, double least, double most)
+            throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             return fallback;
         }
         if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            throw new Malformed(field + " = " + value + ": a number from " + least + " to " + most + " is expected");
+            throw new MalformedMessageException(
+                    field + " = " + value + ": a number from " + least + " to " + most + " is expected");
         }
         return value.doubleValue();
     }
 
-    static boolean flag(JsonNode node, String field) throws Malformed {
+    static boolean flag(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value != null && !value.isNull() && !value.isBoolean()) {
-            throw new Malformed(field + " = " + value + ": true or false is expected");
+            throw new MalformedMessageException(field + " = " + value + ": true or false is expected");
         }
         return value != null && value.booleanValue();
     }
 
     /** Null where it is left out. */
-    static String text(JsonNode node, String field) throws Malformed {
+    static String text(JsonNode node, String field) throws MalformedMessageException {
         return Codec.absent(node, field) ? null : name(field, Codec.text(node, field));
     }
 
-    static String name(String field, String text) throws Malformed {
+    static String name(String field, String text) throws MalformedMessageException {
         if (!text.matches(NAME)) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     field + " = " + text + ": 1 to 60 letters, digits, dots, dashes and underlines are expected");
         }
         return text;
--- a/src/main/java/org/beechhoist/drain/Pace.java
+++ b/src/main/java/org/beechhoist/drain/Pace.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * How fast machines are emptied. A plain drain takes all at once; a replacement goes in steps.
@@ -22,7 +22,7 @@
     private static final int USUAL_AT_ONCE = 20;
 
     /** @param steps whether it goes in steps */
-    public static Pace parse(JsonNode node, boolean steps) throws Malformed {
+    public static Pace parse(JsonNode node, boolean steps) throws MalformedMessageException {
         int atOnce = !steps ? Integer.MAX_VALUE : count(node, "atOnce", USUAL_AT_ONCE, 1, MOST_AT_ONCE);
         int perZone = !steps ? Integer.MAX_VALUE : count(node, "perZone", atOnce, 1, MOST_AT_ONCE);
         int canary = !steps ? 0 : count(node, "canary", 1, 0, MOST_AT_ONCE);
@@ -31,7 +31,8 @@
         return new Pace(canary, atOnce, perZone, spare, hold, count(node, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
     }
 
-    private static int count(JsonNode node, String field, long fallback, long least, long most) throws Malformed {
+    private static int count(JsonNode node, String field, long fallback, long least, long most)
+            throws MalformedMessageException {
         return (int) Fields.count(node, field, fallback, least, most);
     }
 
--- a/src/main/java/org/beechhoist/drain/Progress.java
+++ b/src/main/java/org/beechhoist/drain/Progress.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.MachineId;
 
 /**
  * How far a drain has come, as the leader keeps it: {@code dr/run/NAME}. What was begun, and the machines that stand beside, are named;
@@ -16,9 +16,9 @@
     /** Of which change of the drain it tells. */
     public long number;
     /** Machines in hand, and since when, by the time of day. */
-    public final Map<HostId, Long> begun = new TreeMap<>();
+    public final Map<MachineId, Long> begun = new TreeMap<>();
     /** New machines that stand beside the old ones. */
-    public final Map<HostId, Long> spares = new TreeMap<>();
+    public final Map<MachineId, Long> spares = new TreeMap<>();
 
     public int gone;
     /** Of the new ones, those that have become ordinary machines: one for each that is gone. */
@@ -66,7 +66,7 @@
         return node;
     }
 
-    private static void hosts(ArrayNode out, Map<HostId, Long> hosts) {
+    private static void hosts(ArrayNode out, Map<MachineId, Long> hosts) {
         hosts.forEach((h, at) -> out.add(h.text()).add(at));
     }
 
@@ -93,9 +93,9 @@
         return progress;
     }
 
-    private static void read(JsonNode rows, Map<HostId, Long> out) {
+    private static void read(JsonNode rows, Map<MachineId, Long> out) {
         for (int i = 0; i + 1 < rows.size(); i += 2) {
-            out.put(new HostId(rows.get(i).asText()), rows.get(i + 1).asLong());
+            out.put(new MachineId(rows.get(i).asText()), rows.get(i + 1).asLong());
         }
     }
 }
--- a/src/main/java/org/beechhoist/drain/Rest.java
+++ b/src/main/java/org/beechhoist/drain/Rest.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * When it rests. It works from one time of day to another by a zone's clock, over midnight too, on days that are open in a named
@@ -27,7 +27,7 @@
     public static final Rest NEVER = new Rest(null, null, ZoneId.of("UTC"), null, Set.of());
     private static final int DAYS = 90;
 
-    public static Rest parse(JsonNode node) throws Malformed {
+    public static Rest parse(JsonNode node) throws MalformedMessageException {
         boolean hours = !Codec.absent(node, "from") || !Codec.absent(node, "to");
         String calendar = Codec.absent(node, "calendar") ? null : Codec.text(node, "calendar");
         if (!hours && calendar == null) {
@@ -37,7 +37,8 @@
         try {
             zone = ZoneId.of(Codec.text(node, "clock"));
         } catch (DateTimeException e) {
-            throw new Malformed("clock = " + node.path("clock").asText() + ": a zone such as Asia/Tokyo is expected");
+            throw new MalformedMessageException(
+                    "clock = " + node.path("clock").asText() + ": a zone such as Asia/Tokyo is expected");
         }
         Set<LocalDate> closed = new TreeSet<>();
         if (!Codec.absent(node, "closed")) {
@@ -45,18 +46,18 @@
                 try {
                     closed.add(LocalDate.parse(day));
                 } catch (DateTimeParseException e) {
-                    throw new Malformed("closed = " + day + ": a date such as 2026-12-29 is expected");
+                    throw new MalformedMessageException("closed = " + day + ": a date such as 2026-12-29 is expected");
                 }
             }
         }
         return new Rest(hours ? time(node, "from") : null, hours ? time(node, "to") : null, zone, calendar, closed);
     }
 
-    private static LocalTime time(JsonNode node, String field) throws Malformed {
+    private static LocalTime time(JsonNode node, String field) throws MalformedMessageException {
         try {
             return LocalTime.parse(Codec.text(node, field));
         } catch (DateTimeParseException e) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     field + " = " + node.path(field).asText() + ": a time of day such as 22:00 is expected");
         }
     }
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * Which machines: by name, or all that were rented before the drain began and are of a type, a zone, a kind, an age, or a share of
@@ -25,7 +25,7 @@
     private static final double HASHES = 4294967296.0;
 
     /** @param rentedWallMs by the time of day; 0: not known */
-    public record Machine(HostId id, String type, String zone, boolean spot, long rentedWallMs) {}
+    public record Machine(MachineId id, String type, String zone, boolean spot, long rentedWallMs) {}
 
     /** @param atMs when the drain was put, by the time of day */
     public boolean matches(Machine machine, long atMs) {
@@ -42,12 +42,13 @@
                                 < share * HASHES);
     }
 
-    public static Selector parse(JsonNode node) throws Malformed {
+    public static Selector parse(JsonNode node) throws MalformedMessageException {
         Set<String> names = new TreeSet<>();
         if (!Codec.absent(node, "machines")) {
             names.addAll(Codec.texts(node.get("machines"), "machines"));
             if (names.isEmpty() || names.size() > MOST_NAMES) {
-                throw new Malformed("machines = " + names.size() + " names: 1 to " + MOST_NAMES + " are expected");
+                throw new MalformedMessageException(
+                        "machines = " + names.size() + " names: 1 to " + MOST_NAMES + " are expected");
             }
         }
         String type = Fields.text(node, "type");
@@ -58,7 +59,7 @@
         boolean all = Fields.flag(node, "all");
         boolean some = type != null || zone != null || spot != null || older > 0 || share < 1;
         if (names.isEmpty() ? !all && !some : all || some) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "machines, type, zone, spot, olderThanS, share, all: names alone, or some of the others, or all = true are expected");
         }
         return new Selector(names, type, zone, spot, older, share);
--- a/src/main/java/org/beechhoist/drain/Waves.java
+++ b/src/main/java/org/beechhoist/drain/Waves.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.MachineId;
 
 /** In which order machines are begun, how many now, and what a replacement waits for. */
 public final class Waves {
     /** A machine that is to be emptied and has not been begun; {@code lostCpuS} what it would throw away now. */
-    public record Waiting(HostId host, String zone, double lostCpuS, int tasks) {}
+    public record Waiting(MachineId host, String zone, double lostCpuS, int tasks) {}
 
     /**
      * How far it has come.
@@ -76,7 +76,7 @@
     }
 
     /** Machines to begin now: what loses least first, no more than the pace allows, and only as many as spares are up for. */
-    public static List<HostId> next(Pace pace, Facts facts, long nowMs) {
+    public static List<MachineId> next(Pace pace, Facts facts, long nowMs) {
         boolean canary = facts.gone < pace.canary();
         boolean held = pace.canary() == 0
                 || !canary && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= 1000 * pace.holdS();
@@ -90,7 +90,7 @@
                 .thenComparingInt(Waiting::tasks)
                 .thenComparing(Waiting::host));
         Map<String, Integer> inZone = new HashMap<>(facts.handByZone);
-        List<HostId> out = new ArrayList<>();
+        List<MachineId> out = new ArrayList<>();
         for (Waiting waiting : order) {
             if (out.size() >= most) {
                 break;
--- a/src/main/java/org/beechhoist/floor/Aged.java
+++ b/src/main/java/org/beechhoist/floor/Aged.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * Of which of the largest jobs a first part goes before all others, because nothing of them has begun for long: they too have to
@@ -33,7 +33,7 @@
      * @param cpus of one task
      */
     public record Waiting(
-            JobRef job, long sinceMs, boolean whole, int tasks, int begun, long begunMs, int waiting, double cpus) {
+            JobId job, long sinceMs, boolean whole, int tasks, int begun, long begunMs, int waiting, double cpus) {
         private long fromMs() {
             return sinceMs + FROM_MS;
         }
@@ -47,8 +47,8 @@
     private Aged() {}
 
     /** How many tasks of which jobs go first; none of a job that is named may be stopped for another's sake. */
-    public static Map<JobRef, Integer> first(List<Waiting> waiting, double allCpus, long nowMs) {
-        Map<JobRef, Integer> out = new LinkedHashMap<>();
+    public static Map<JobId, Integer> first(List<Waiting> waiting, double allCpus, long nowMs) {
+        Map<JobId, Integer> out = new LinkedHashMap<>();
         List<Waiting> old = new ArrayList<>();
         for (Waiting claim : waiting) {
             if (nowMs >= claim.fromMs() && (claim.part() > 0 || claim.begunMs < SAFE_MS)) {
--- a/src/main/java/org/beechhoist/floor/Floor.java
+++ b/src/main/java/org/beechhoist/floor/Floor.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * Which waiting jobs go first so that their class or team keeps its half. Only under overload, and only as many as it takes:
@@ -34,13 +34,13 @@
      * @param endsIfFirstMs when it would be over if it came first now
      * @param limitMs by when it counts as served
      */
-    public record Waiting(JobRef job, Set<String> groups, boolean lifted, long endsIfFirstMs, long limitMs) {}
+    public record Waiting(JobId job, Set<String> groups, boolean lifted, long endsIfFirstMs, long limitMs) {}
 
     private Floor() {}
 
     /** Groups are named {@code kind:name}; only groups of one kind are held against one another, and a class's largest against classes. */
-    public static Set<JobRef> lifted(Map<String, Share> shares, List<Waiting> waiting) {
-        Set<JobRef> out = new HashSet<>();
+    public static Set<JobId> lifted(Map<String, Share> shares, List<Waiting> waiting) {
+        Set<JobId> out = new HashSet<>();
         List<Waiting> inTime = new ArrayList<>();
         for (Waiting claim : waiting) {
             if (claim.lifted) {
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * A key set as the state service holds it, {@code ks/set/NAME}.
@@ -41,13 +41,14 @@
             return name().toLowerCase(Locale.ROOT);
         }
 
-        static State parse(String text) throws Malformed {
+        static State parse(String text) throws MalformedMessageException {
             for (State state : values()) {
                 if (state.text().equals(text)) {
                     return state;
                 }
             }
-            throw new Malformed("state = " + text + ": proposed, approved, superseded or revoked is expected");
+            throw new MalformedMessageException(
+                    "state = " + text + ": proposed, approved, superseded or revoked is expected");
         }
     }
 
@@ -124,26 +125,27 @@
     /** A new set, or a new version of one; {@code before} is null for the first. */
     public static KeySet propose(
             KeySet before, String name, String owner, List<String> classes, List<String> fingerprints, Change by)
-            throws Malformed {
+            throws MalformedMessageException {
         if (!validName(name)) {
-            throw new Malformed("name = " + name + ": a to z, 0 to 9, dot, dash and underline, " + MOST_NAME
-                    + " at most, are expected");
+            throw new MalformedMessageException("name = " + name + ": a to z, 0 to 9, dot, dash and underline, "
+                    + MOST_NAME + " at most, are expected");
         }
         if (before != null && !before.owner.equals(owner)) {
-            throw new Malformed("owner = " + owner + ": " + before.owner + ", whose set it is, is expected");
+            throw new MalformedMessageException(
+                    "owner = " + owner + ": " + before.owner + ", whose set it is, is expected");
         }
         if (fingerprints.isEmpty() || fingerprints.size() > MOST_FINGERPRINTS) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "fingerprints: 1 to " + MOST_FINGERPRINTS + " are expected, not " + fingerprints.size());
         }
         for (String fingerprint : fingerprints) {
             if (!fingerprint.matches(FINGERPRINT)) {
-                throw new Malformed(
+                throw new MalformedMessageException(
                         "fingerprints: " + fingerprint + ": 8 to 100 letters, digits, and + / = : _ - are expected");
             }
         }
         if (fingerprints.stream().distinct().count() < fingerprints.size()) {
-            throw new Malformed("fingerprints: each is expected once");
+            throw new MalformedMessageException("fingerprints: each is expected once");
         }
         List<Version> all = new ArrayList<>(before == null ? List.of() : before.versions);
         if (all.size() == MOST_VERSIONS) {
@@ -151,8 +153,8 @@
             // dropped.
             State oldest = all.get(0).state;
             if (oldest != State.REVOKED && !(oldest == State.SUPERSEDED && all.get(0).drainUntilMs < by.atMs)) {
-                throw new Malformed("versions: " + MOST_VERSIONS + " at most, and version " + all.get(0).version
-                        + " is still in use");
+                throw new MalformedMessageException("versions: " + MOST_VERSIONS + " at most, and version "
+                        + all.get(0).version + " is still in use");
             }
             all.remove(0);
         }
@@ -164,17 +166,18 @@
     }
 
     /** Approves this very version; the one approved before is superseded, and what is bound to it may run on until {@code drainUntilMs}. */
-    public KeySet approve(long version, String digest, long drainUntilMs, Change by) throws Malformed {
+    public KeySet approve(long version, String digest, long drainUntilMs, Change by) throws MalformedMessageException {
         Version keyVersion = known(version);
         if (!keyVersion.digest.equals(digest) || !digestNow(keyVersion).equals(digest)) {
-            throw new Malformed("digest = " + digest + ": version " + version + " holds " + digestNow(keyVersion));
+            throw new MalformedMessageException(
+                    "digest = " + digest + ": version " + version + " holds " + digestNow(keyVersion));
         }
         if (keyVersion.state == State.APPROVED) {
             return changed(keyVersion, keyVersion);
         }
         Version last = approved();
         if (last != null && last.version > version && keyVersion.state != State.REVOKED) {
-            throw new Malformed("version = " + version + ": version " + last.version
+            throw new MalformedMessageException("version = " + version + ": version " + last.version
                     + " is approved; only a newer one may follow, or one that was revoked");
         }
         KeySet out =
@@ -182,15 +185,15 @@
         return out.changed(keyVersion, keyVersion.is(State.APPROVED, by.who, by.atMs, by.why, 0));
     }
 
-    public KeySet revoke(long version, Change by) throws Malformed {
+    public KeySet revoke(long version, Change by) throws MalformedMessageException {
         Version v = known(version);
         return changed(v, v.is(State.REVOKED, by.who, by.atMs, by.why, 0));
     }
 
-    private Version known(long version) throws Malformed {
+    private Version known(long version) throws MalformedMessageException {
         Version keyVersion = version(version);
         if (keyVersion == null) {
-            throw new Malformed("version = " + version + ": one of "
+            throw new MalformedMessageException("version = " + version + ": one of "
                     + versions.stream().map(Version::version).toList() + " is expected");
         }
         return keyVersion;
@@ -229,9 +232,9 @@
         return node;
     }
 
-    public static KeySet parse(JsonNode node) throws Malformed {
+    public static KeySet parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.path("versions").isArray()) {
-            throw new Malformed("versions: a list is expected");
+            throw new MalformedMessageException("versions: a list is expected");
         }
         List<Version> versions = new ArrayList<>();
         for (JsonNode version : node.get("versions")) {
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.beechhoist.wire.KeyPin;
+import org.beechhoist.wire.KeySetBinding;
 import org.beechhoist.wire.Revision;
 
 /**
@@ -33,7 +33,7 @@
      * @param pin null: to nothing, for nothing binds it
      * @param refusal why it can't be accepted; null: it can
      */
-    public record Binding(KeyPin pin, String refusal) {
+    public record Binding(KeySetBinding pin, String refusal) {
         private static Binding refused(String why) {
             return new Binding(null, why);
         }
@@ -91,7 +91,7 @@
             return Binding.refused("keySet = " + keySet.name() + ": mismatch, "
                     + (mark != null ? mark.text() : "it does not hold what was approved"));
         }
-        return new Binding(new KeyPin(keySet.name(), version.version(), version.digest()), null);
+        return new Binding(new KeySetBinding(keySet.name(), version.version(), version.digest()), null);
     }
 
     private static boolean isFor(KeySet keySet, String team, String jobClass) {
@@ -100,7 +100,7 @@
     }
 
     /** Whether what is bound so may run. Nothing but this very version with this very content, approved or draining, lets it. */
-    public Verdict verdict(KeyPin pin, long nowMs) {
+    public Verdict verdict(KeySetBinding pin, long nowMs) {
         Known known = sets.get(pin.set());
         if (known == null) {
             return Verdict.held(0, "the state service", "the key set is gone");
--- a/src/main/java/org/beechhoist/local/LoopbackRegion.java
+++ b/src/main/java/org/beechhoist/local/LoopbackRegion.java
@@ -19,10 +19,10 @@
 import org.beechhoist.standin.Worker;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostType;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.TaskId;
 
 /**
@@ -62,7 +62,7 @@
     }
 
     /** How the region is made. */
-    public record Layout(List<HostType> types, int perKind, long reportMs, long leaseMs, long seed) {}
+    public record Layout(List<MachineType> types, int perKind, long reportMs, long leaseMs, long seed) {}
 
     private static final class Running {
         private Worker worker;
@@ -183,7 +183,7 @@
                                 message,
                                 message.body().length == 0 ? Codec.map() : Codec.decodeMap(message.body()),
                                 answer);
-                    } catch (Malformed | RuntimeException e) {
+                    } catch (MalformedMessageException | RuntimeException e) {
                         answer.with(new Reply(400, Codec.map().put("error", String.valueOf(e.getMessage()))));
                     }
                 })
@@ -236,7 +236,7 @@
                     if (result instanceof HttpClient.Answer reply && reply.body().length > 0) {
                         try {
                             body = Codec.decodeMap(reply.body());
-                        } catch (Malformed e) {
+                        } catch (MalformedMessageException e) {
                             body = null;
                         }
                     }
@@ -262,12 +262,12 @@
     public JobSpec job(String ref) {
         return specs.computeIfAbsent(ref, otherK -> {
             JobSpec[] found = new JobSpec[1];
-            state.handle(now(), "GET", "/store/" + JobRecord.openKey(new JobRef(otherK)), Codec.map(), reply -> {
+            state.handle(now(), "GET", "/store/" + JobRecord.openKey(new JobId(otherK)), Codec.map(), reply -> {
                 try {
                     found[0] = reply.status() == 200
                             ? JobSpec.parse(reply.body().get("data").get("spec"))
                             : null;
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     found[0] = null;
                 }
             });
--- a/src/main/java/org/beechhoist/net/HttpClient.java
+++ b/src/main/java/org/beechhoist/net/HttpClient.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.beechhoist.http.HttpMessage;
 import org.beechhoist.http.HttpParser;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /**
  * Requests to other services over kept connections, each with a deadline. Connections that nobody uses are kept up to
@@ -38,7 +38,12 @@
     private static final int MAX_PER_ADDRESS = 24;
 
     private record Pending(
-            String method, String path, byte[] body, Tick notAfter, Callback callback, Loop.Deadline[] deadline) {}
+            String method,
+            String path,
+            byte[] body,
+            MonotonicTime notAfter,
+            Callback callback,
+            Loop.Deadline[] deadline) {}
 
     private final class Pool {
         private final InetSocketAddress address;
@@ -76,7 +81,7 @@
             String path,
             byte[] body,
             long timeoutMs,
-            Tick notAfter,
+            MonotonicTime notAfter,
             Callback callback) {
         Pool pool = pools.computeIfAbsent(address, Pool::new);
         Pending pending = new Pending(method, path, body, notAfter, callback, new Loop.Deadline[1]);
--- a/src/main/java/org/beechhoist/net/HttpServer.java
+++ b/src/main/java/org/beechhoist/net/HttpServer.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.beechhoist.http.HttpMessage;
 import org.beechhoist.http.HttpParser;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /** Listens on one address and hands requests on; each is answered once, in its own time. */
 public final class HttpServer {
@@ -91,7 +91,7 @@
 
     private void sweep() {
         loop.after(5000, this::sweep);
-        Tick now = loop.now();
+        MonotonicTime now = loop.now();
         List<Conn> idle = new ArrayList<>();
         for (Conn connection : connections) {
             long quiet = now.since(connection.lastHeard);
@@ -172,7 +172,7 @@
     private final class Conn extends Wire {
         private boolean busy;
         private boolean closeAfter;
-        private Tick lastHeard = loop.now();
+        private MonotonicTime lastHeard = loop.now();
 
         Conn(SocketChannel channel) {
             super(loop, channel, new HttpParser(true, maxBody));
--- a/src/main/java/org/beechhoist/net/Loop.java
+++ b/src/main/java/org/beechhoist/net/Loop.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -58,8 +58,8 @@
     }
 
     /** The steady clock; it starts well above zero so that "never" can be zero. */
-    public Tick now() {
-        return new Tick(1_000_000 + (System.nanoTime() - origin) / 1_000_000);
+    public MonotonicTime now() {
+        return new MonotonicTime(1_000_000 + (System.nanoTime() - origin) / 1_000_000);
     }
 
     public Deadline after(long ms, Runnable action) {
--- a/src/main/java/org/beechhoist/packing/Moves.java
+++ b/src/main/java/org/beechhoist/packing/Moves.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.MachineId;
 import org.beechhoist.wire.TaskId;
 
 /**
@@ -37,7 +37,7 @@
 
     /** Whether a task may run on a machine, its room left aside. */
     public interface Allowed {
-        boolean on(TaskId task, HostId host);
+        boolean on(TaskId task, MachineId host);
     }
 
     /**
@@ -48,13 +48,13 @@
     public record Movable(TaskId task, Room takes, double cost) {}
 
     /** @param mayTake whether the large task may run there at all */
-    public record Machine(HostId host, Room free, boolean mayTake, List<Movable> movable) {}
+    public record Machine(MachineId host, Room free, boolean mayTake, List<Movable> movable) {}
 
     /** One task's way. */
-    public record Move(TaskId task, HostId to) {}
+    public record Move(TaskId task, MachineId to) {}
 
     /** @param cost in GPU seconds */
-    public record Found(HostId host, List<Move> moves, double cost) {}
+    public record Found(MachineId host, List<Move> moves, double cost) {}
 
     private Moves() {}
 
@@ -122,7 +122,7 @@
             }
         }
         out.sort(Comparator.comparingDouble((Movable t) -> -t.takes.gpus));
-        Map<HostId, Room> left = new HashMap<>();
+        Map<MachineId, Room> left = new HashMap<>();
         List<Move> moves = new ArrayList<>();
         for (Movable movable : out) {
             Machine best = null;
--- a/src/main/java/org/beechhoist/peer/CancelledJob.java
+++ b/src/main/java/org/beechhoist/peer/CancelledJob.java
@@ -1,6 +1,6 @@
 package org.beechhoist.peer;
 
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /** A job whose cancellation is committed, and when that was, by the time of day. */
-public record CancelledJob(JobRef job, long wallMs) {}
+public record CancelledJob(JobId job, long wallMs) {}
--- a/src/main/java/org/beechhoist/peer/JobCount.java
+++ b/src/main/java/org/beechhoist/peer/JobCount.java
@@ -1,6 +1,6 @@
 package org.beechhoist.peer;
 
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /** How many of a job's tasks are done, and how many are on machines. */
-public record JobCount(JobRef job, int done, int running) {}
+public record JobCount(JobId job, int done, int running) {}
--- a/src/main/java/org/beechhoist/peer/PeerCodec.java
+++ b/src/main/java/org/beechhoist/peer/PeerCodec.java
@@ -17,9 +17,9 @@
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * Avro between controllers: the schema's fingerprint, then the binary record. A message of another schema is refused
@@ -78,7 +78,7 @@
         }
         record.put("cancelled", cancelled);
         record.put(
-                "acknowledged", state.acknowledged().stream().map(JobRef::text).toList());
+                "acknowledged", state.acknowledged().stream().map(JobId::text).toList());
         ByteArrayOutputStream out = new ByteArrayOutputStream(64);
         out.writeBytes(fingerprint);
         BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -91,11 +91,11 @@
         return out.toByteArray();
     }
 
-    public PeerState decode(byte[] bytes) throws Malformed {
+    public PeerState decode(byte[] bytes) throws MalformedMessageException {
         if (bytes.length < FINGERPRINT
                 || bytes.length > MAX_BYTES
                 || !Arrays.equals(bytes, 0, FINGERPRINT, fingerprint, 0, FINGERPRINT)) {
-            throw new Malformed("another schema");
+            throw new MalformedMessageException("another schema");
         }
         try {
             GenericRecord record = new GenericDatumReader<GenericRecord>(schema)
@@ -105,23 +105,22 @@
             List<JobCount> counts = new ArrayList<>();
             for (Object element : (List<?>) record.get("counts")) {
                 GenericRecord nested = (GenericRecord) element;
-                counts.add(
-                        new JobCount(new JobRef(nested.get("job").toString()), (Integer) nested.get("done"), (Integer)
-                                nested.get("running")));
+                counts.add(new JobCount(new JobId(nested.get("job").toString()), (Integer) nested.get("done"), (Integer)
+                        nested.get("running")));
             }
             List<CancelledJob> cancelled = new ArrayList<>();
             for (Object element : (List<?>) record.get("cancelled")) {
                 GenericRecord n = (GenericRecord) element;
-                cancelled.add(new CancelledJob(new JobRef(n.get("job").toString()), (Long) n.get("wallMs")));
+                cancelled.add(new CancelledJob(new JobId(n.get("job").toString()), (Long) n.get("wallMs")));
             }
-            List<JobRef> acknowledged = new ArrayList<>();
+            List<JobId> acknowledged = new ArrayList<>();
             for (Object o : (List<?>) record.get("acknowledged")) {
-                acknowledged.add(new JobRef(o.toString()));
+                acknowledged.add(new JobId(o.toString()));
             }
             return new PeerState(
                     record.get("node").toString(),
                     (Boolean) record.get("leading"),
-                    new Baton((Long) record.get("baton")),
+                    new FencingToken((Long) record.get("baton")),
                     (Long) record.get("storeAnswersMs"),
                     (Boolean) record.get("ready"),
                     (Integer) record.get("reportsHeard"),
@@ -131,7 +130,7 @@
                     cancelled,
                     acknowledged);
         } catch (IOException | RuntimeException e) {
-            throw new Malformed("not a record");
+            throw new MalformedMessageException("not a record");
         }
     }
 }
--- a/src/main/java/org/beechhoist/peer/PeerState.java
+++ b/src/main/java/org/beechhoist/peer/PeerState.java
@@ -1,8 +1,8 @@
 package org.beechhoist.peer;
 
 import java.util.List;
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.JobId;
 
 /**
  * What a controller tells the others of itself.
@@ -18,7 +18,7 @@
 public record PeerState(
         String node,
         boolean leading,
-        Baton baton,
+        FencingToken baton,
         long storeAnswersMs,
         boolean ready,
         int reportsHeard,
@@ -26,4 +26,4 @@
         double requestsWanted,
         List<JobCount> counts,
         List<CancelledJob> cancelled,
-        List<JobRef> acknowledged) {}
+        List<JobId> acknowledged) {}
--- a/src/main/java/org/beechhoist/plan/Evaluation.java
+++ b/src/main/java/org/beechhoist/plan/Evaluation.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * What a plan is worth, smaller is better: average wait, average bounded slowdown, and fairness as mean and standard
@@ -22,7 +22,7 @@
     public record Facts(String team, long submittedMs, long latestStartMs, long lengthMs) {}
 
     /** @param usage each team's past use in fleet shares, with the floor added */
-    public static Evaluation of(Plan plan, Map<JobRef, Facts> facts, Map<String, Double> usage) {
+    public static Evaluation of(Plan plan, Map<JobId, Facts> facts, Map<String, Double> usage) {
         int late = 0;
         int count = 0;
         double wait = 0;
