--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/CalendarDays.java
@@ -2,6 +2,7 @@
 
 import java.time.LocalDate;
 import java.util.function.Predicate;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.cron.Calendar;
@@ -28,7 +29,7 @@
     }
 
     /** All days are open where no calendar is named; what can't be told is answered. */
-    void of(String name, CronApi.Answer answer, Use use) {
+    void of(String name, ApiResponder answer, Use use) {
         if (name == null) {
             use(d -> true, answer, use);
             return;
@@ -46,16 +47,16 @@
                 Calendar c = Calendar.parse(read.item().value(), name);
                 use(d -> c.closed(d) == null, answer, use);
             } catch (MalformedMessageException e) {
-                answer.with(400, OptimisticUpdate.error(e.getMessage()));
+                answer.respond(400, OptimisticUpdate.error(e.getMessage()));
             }
         });
     }
 
-    private static void use(Predicate<LocalDate> open, CronApi.Answer answer, Use use) {
+    private static void use(Predicate<LocalDate> open, ApiResponder answer, Use use) {
         try {
             use.with(open);
         } catch (MalformedMessageException e) {
-            answer.with(400, OptimisticUpdate.error(e.getMessage()));
+            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -8,6 +8,7 @@
 import java.util.function.ToDoubleFunction;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.context.Effect;
 import org.beechhoist.controller.context.Pacer;
@@ -467,7 +468,7 @@
 
     /** {@code /v1/cron}, {@code /v1/cron/TABLE[/remove]}, {@code /v1/calendars/NAME}. */
     private void cron(long id, String method, String path, String query, byte[] body) {
-        CronApi.Answer answer = (status, node) -> turn.answer(id, status, node);
+        ApiResponder answer = (status, node) -> turn.answer(id, status, node);
         boolean post = method.equals("POST");
         try {
             if (path.startsWith(CALENDARS + "/")) {
@@ -488,10 +489,10 @@
                         query.matches("after=[0-9]{1,8}") ? Integer.parseInt(query.substring("after=".length())) : 0;
                 cron.show(path.substring(CRON.length() + 1), after, answer);
             } else {
-                answer.with(404, Codec.map().put("error", "no such path"));
+                answer.respond(404, Codec.map().put("error", "no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.with(400, Codec.map().put("error", e.getMessage()));
+            answer.respond(400, Codec.map().put("error", e.getMessage()));
         }
     }
 
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -12,6 +12,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.CronTable;
@@ -40,11 +41,6 @@
 
     private static final long WAIT_MS = 150;
 
-    /** Answers a request. */
-    public interface Answer {
-        void with(int status, JsonNode body);
-    }
-
     /** What only the leader knows of a line: why it is held; null elsewhere. */
     interface Held {
         String why(String table, String id);
@@ -79,8 +75,8 @@
         return Codec.map().put("error", text);
     }
 
-    private static void unknown(Answer answer) {
-        answer.with(503, error("the state service does not answer, or this node has used its share of it"));
+    private static void unknown(ApiResponder answer) {
+        answer.respond(503, error("the state service does not answer, or this node has used its share of it"));
     }
 
     // ---- reading ----
@@ -110,7 +106,7 @@
         private final Map<String, JsonNode> parts = new TreeMap<>();
     }
 
-    private void installed(Answer answer, Consumer<Installed> then) {
+    private void installed(ApiResponder answer, Consumer<Installed> then) {
         all(ScheduleKeys.DEFINITIONS, null, new ArrayList<>(), items -> {
             if (items == null) {
                 unknown(answer);
@@ -153,16 +149,16 @@
 
     // ---- tables ----
 
-    void install(String table, JsonNode body, Answer answer) {
+    void install(String table, JsonNode body, ApiResponder answer) {
         if (!Calendar.validName(table)) {
-            answer.with(400, error("table = " + table + ": letters, digits, - and _ are expected, at most 60"));
+            answer.respond(400, error("table = " + table + ": letters, digits, - and _ are expected, at most 60"));
             return;
         }
         List<Entry> parsed;
         try {
             parsed = CronTable.parse(table, Codec.text(body, "text"), turn.wallMs() / 1000);
         } catch (CronTable.Bad | MalformedMessageException e) {
-            answer.with(400, error(e.getMessage()));
+            answer.respond(400, error(e.getMessage()));
             return;
         }
         installed(answer, in -> {
@@ -174,7 +170,7 @@
             for (Entry entry : parsed) {
                 String bad = judge(entry, in);
                 if (bad != null) {
-                    answer.with(
+                    answer.respond(
                             bad.equals(UserApi.TYPES)
                                     ? 503
                                     : entry.calendar() != null && !in.calendars.containsKey(entry.calendar())
@@ -228,7 +224,7 @@
         return out;
     }
 
-    private void write(String table, List<Entry> all, Installed in, Answer answer) {
+    private void write(String table, List<Entry> all, Installed in, ApiResponder answer) {
         StoreClient.KeyValue old = in.tables.get(table);
         long gen = Math.max(
                 turn.wallMs(), old == null ? 0 : old.value().path("gen").asLong() + 1);
@@ -250,13 +246,13 @@
             send(txn, commit -> {
                 switch (commit.result()) {
                     case DONE -> {
-                        answer.with(
+                        answer.respond(
                                 old == null ? 201 : 200,
                                 Codec.map().put("table", table).put("lines", all.size()));
                         removeKeys(stale(in, table, old));
                     }
                     case CONFLICT ->
-                        answer.with(409, error("table " + table + ": another version was installed at this moment"));
+                        answer.respond(409, error("table " + table + ": another version was installed at this moment"));
                     default -> unknown(answer);
                 }
             });
@@ -319,31 +315,31 @@
         send(txn, c -> removeKeys(keys.subList(first.size(), keys.size())));
     }
 
-    void remove(String table, Answer answer) {
+    void remove(String table, ApiResponder answer) {
         installed(answer, in -> {
             StoreClient.KeyValue old = in.tables.get(table);
             if (old == null) {
-                answer.with(404, error("no such table"));
+                answer.respond(404, error("no such table"));
                 return;
             }
             send(new Transaction().guard(old.key(), old.version()).delete(old.key()), commit -> {
                 switch (commit.result()) {
                     case DONE -> {
-                        answer.with(200, Codec.map().put("table", table).put("lines", 0));
+                        answer.respond(200, Codec.map().put("table", table).put("lines", 0));
                         List<String> keys = new ArrayList<>(stale(in, table, old));
                         for (int n = 0; n < old.value().path("chunks").asInt(); n++) {
                             keys.add(ScheduleKeys.cursor(table, n));
                         }
                         removeKeys(keys);
                     }
-                    case CONFLICT -> answer.with(409, error("table " + table + ": it was changed at this moment"));
+                    case CONFLICT -> answer.respond(409, error("table " + table + ": it was changed at this moment"));
                     default -> unknown(answer);
                 }
             });
         });
     }
 
-    void list(Answer answer) {
+    void list(ApiResponder answer) {
         installed(answer, in -> {
             ObjectNode out = Codec.map();
             ArrayNode tables = out.putArray("tables");
@@ -362,15 +358,15 @@
                     .put(
                             "days",
                             calendar.holidays().size() + calendar.workdays().size()));
-            answer.with(200, out);
+            answer.respond(200, out);
         });
     }
 
     /** A table's lines after one: last run, next run, why it is held. */
-    void show(String table, int after, Answer answer) {
+    void show(String table, int after, ApiResponder answer) {
         installed(answer, in -> {
             if (!in.tables.containsKey(table)) {
-                answer.with(404, error("no such table"));
+                answer.respond(404, error("no such table"));
                 return;
             }
             all(ScheduleKeys.CURSORS + table + "/", null, new ArrayList<>(), cursors -> {
@@ -391,7 +387,7 @@
                 ObjectNode out = Codec.map().put("table", table).put("more", lines.size() > ROWS);
                 ArrayNode rows = out.putArray("lines");
                 rows(lines.subList(0, Math.min(ROWS, lines.size())), in, byId, rows);
-                outcomes(rows, 0, () -> answer.with(200, out));
+                outcomes(rows, 0, () -> answer.respond(200, out));
             });
         });
     }
@@ -457,17 +453,17 @@
 
     // ---- calendars ----
 
-    void installCalendar(String name, JsonNode body, Answer answer) {
+    void installCalendar(String name, JsonNode body, ApiResponder answer) {
         Calendar calendar;
         try {
             calendar = Calendar.parse(body, name);
         } catch (MalformedMessageException e) {
-            answer.with(400, error(e.getMessage()));
+            answer.respond(400, error(e.getMessage()));
             return;
         }
         ObjectNode value = calendar.toNode();
         if (Codec.countedBytes(value) > PART_BYTES) {
-            answer.with(
+            answer.respond(
                     400,
                     error("holidays: " + Codec.countedBytes(value) + " bytes in all, at most " + PART_BYTES
                             + " are allowed"));
@@ -475,22 +471,22 @@
         }
         send(new Transaction().put(ScheduleKeys.CALENDARS + name, value), commit -> {
             if (commit.result() == CommitResult.Outcome.DONE) {
-                answer.with(200, Codec.map().put("calendar", name).put("version", calendar.version()));
+                answer.respond(200, Codec.map().put("calendar", name).put("version", calendar.version()));
             } else {
                 unknown(answer);
             }
         });
     }
 
-    void calendar(String name, Answer answer) {
+    void calendar(String name, ApiResponder answer) {
         requests.take(turn.now(), 1);
         store.get(ScheduleKeys.CALENDARS + name, read -> {
             if (!read.known()) {
                 unknown(answer);
             } else if (read.item() == null) {
-                answer.with(404, error("no such calendar"));
+                answer.respond(404, error("no such calendar"));
             } else {
-                answer.with(200, read.item().value());
+                answer.respond(200, read.item().value());
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -15,6 +15,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.PrefixReader;
+import org.beechhoist.controller.worker.DisruptionRecorder;
 import org.beechhoist.drain.Account;
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.drain.Cause;
@@ -37,7 +38,7 @@
  * next leader knows; what happens by itself is charged as it happens and written every 15 s. Nothing is kept, read or
  * written where drains are off.
  */
-public final class DisruptionAccounting {
+public final class DisruptionAccounting implements DisruptionRecorder {
     static final String PREFIX = "dr/acct/";
     private static final Logger LOG = LoggerFactory.getLogger(DisruptionAccounting.class);
     private static final long EVERY_MS = 1000;
@@ -122,6 +123,7 @@
     }
 
     /** A task had to leave; what was done on purpose was charged before. */
+    @Override
     public void happened(Placement placement, Cause cause) {
         Job job = on && !cause.onPurpose() ? book.job(placement.task.job()) : null;
         if (job == null || job.cancelled() || !read) {
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -4,6 +4,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.controller.state.OptimisticUpdate;
@@ -53,7 +54,7 @@
     }
 
     /** @param desk null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, DrainController desk, CronApi.Answer answer) {
+    void request(String method, String path, byte[] body, DrainController desk, ApiResponder answer) {
         boolean budgets = path.startsWith(BUDGETS);
         String base = budgets ? BUDGETS : DRAINS;
         String rest = path.length() > base.length() ? path.substring(base.length() + 1) : "";
@@ -67,14 +68,14 @@
             } else if (node == null && verb.isEmpty()) {
                 show(budgets, name, desk, answer);
             } else if (node == null) {
-                answer.with(404, OptimisticUpdate.error("no such path"));
+                answer.respond(404, OptimisticUpdate.error("no such path"));
             } else if (budgets) {
                 budget(name, verb, node, answer);
             } else {
                 drain(name, verb, node, desk, answer);
             }
         } catch (MalformedMessageException e) {
-            answer.with(400, OptimisticUpdate.error(e.getMessage()));
+            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
@@ -87,25 +88,26 @@
         return text;
     }
 
-    private void show(boolean budgets, String name, DrainController desk, CronApi.Answer answer) {
+    private void show(boolean budgets, String name, DrainController desk, ApiResponder answer) {
         if (!budgets && !name.isEmpty() && drains.known(name) == null) {
-            answer.with(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
+            answer.respond(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
         } else if (desk == null) {
-            answer.with(421, OptimisticUpdate.error("this node does not lead: how far it has come is not known here"));
+            answer.respond(
+                    421, OptimisticUpdate.error("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
-            answer.with(200, desk.budgets());
+            answer.respond(200, desk.budgets());
         } else {
-            answer.with(200, name.isEmpty() ? desk.view() : desk.view(drains.known(name)));
+            answer.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.known(name)));
         }
     }
 
     // ---- drains ----
 
-    private void drain(String name, String verb, JsonNode node, DrainController desk, CronApi.Answer answer)
+    private void drain(String name, String verb, JsonNode node, DrainController desk, ApiResponder answer)
             throws MalformedMessageException {
         if (verb.equals("plan")) {
             Drain described = described(name, node);
-            answer.with(
+            answer.respond(
                     desk == null ? 421 : 200,
                     desk == null
                             ? OptimisticUpdate.error("this node does not lead: it knows no plan")
@@ -137,11 +139,11 @@
                             return null;
                         },
                         answer);
-            default -> answer.with(404, OptimisticUpdate.error("no such path"));
+            default -> answer.respond(404, OptimisticUpdate.error("no such path"));
         }
     }
 
-    private void change(String name, Drain.State to, String what, String who, String why, CronApi.Answer answer) {
+    private void change(String name, Drain.State to, String what, String who, String why, ApiResponder answer) {
         amending.now(
                 DrainRegistry.DRAINS + name,
                 before -> {
@@ -178,7 +180,7 @@
         }
     }
 
-    private void put(String name, JsonNode node, String who, String why, CronApi.Answer answer)
+    private void put(String name, JsonNode node, String who, String why, ApiResponder answer)
             throws MalformedMessageException {
         Drain described = described(name, node);
         if (drains.known(name) == null && drains.drains().size() >= MOST_DRAINS) {
@@ -198,7 +200,7 @@
                         answer));
     }
 
-    private void commit(String name, Drain described, String who, String why, CronApi.Answer answer) {
+    private void commit(String name, Drain described, String who, String why, ApiResponder answer) {
         amending.now(
                 DrainRegistry.DRAINS + name,
                 before -> described
@@ -209,8 +211,7 @@
 
     // ---- budgets ----
 
-    private void budget(String key, String verb, JsonNode node, CronApi.Answer answer)
-            throws MalformedMessageException {
+    private void budget(String key, String verb, JsonNode node, ApiResponder answer) throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         if (verb.equals("remove")) {
@@ -227,7 +228,7 @@
             return;
         }
         if (!verb.equals("put")) {
-            answer.with(404, OptimisticUpdate.error("no such path"));
+            answer.respond(404, OptimisticUpdate.error("no such path"));
             return;
         }
         DisruptionBudget described = DisruptionBudget.described(node, who, turn.wallMs(), why, 1);
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -11,6 +11,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.LaunchWithdrawal;
 import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.drain.Cause;
@@ -30,7 +31,7 @@
  * narrower width is committed before anything is stopped; never more tasks are being stopped than the committed width
  * leaves over, so that a leader that takes over half way goes on from the record alone.
  */
-public final class ElasticWidths {
+public final class ElasticWidths implements LaunchWithdrawal {
     private static final Logger LOG = LoggerFactory.getLogger(ElasticWidths.class);
     /** For a user's own resize, what is over this soon is near: nobody waits for the room. */
     private static final long NEAR_MS = 30_000;
@@ -144,6 +145,7 @@
     }
 
     /** Whether a committed placement must not be launched any more: its machine has begun to go. */
+    @Override
     public boolean withdraws(Job job, Placement placement, Machine machine) {
         boolean going = machine.going() || (job != null && job.leaving.containsKey(placement));
         if (job == null || job.record.width == null || placement.sent || !going) {
--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.TreeSet;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
@@ -64,7 +65,7 @@
     }
 
     /** @param book of the leading node, or null: who is bound to a set is known there alone */
-    void request(String method, String path, byte[] body, ClusterState book, CronApi.Answer answer) {
+    void request(String method, String path, byte[] body, ClusterState book, ApiResponder answer) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         try {
@@ -98,10 +99,10 @@
                 long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
                 change(name, false, before -> known(name, before).revoke(version, by), answer);
             } else {
-                answer.with(404, OptimisticUpdate.error("no such path"));
+                answer.respond(404, OptimisticUpdate.error("no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.with(400, OptimisticUpdate.error(e.getMessage()));
+            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
@@ -122,7 +123,7 @@
 
     // ---- changes ----
 
-    private void propose(String name, JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
+    private void propose(String name, JsonNode node, ApiResponder answer) throws MalformedMessageException {
         KeySet.Change by = by(node);
         String owner = Codec.text(node, "owner");
         if (!settings.teams().containsKey(owner)) {
@@ -138,9 +139,9 @@
     }
 
     /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
-    private void change(String name, boolean clears, Edit edit, CronApi.Answer answer) {
+    private void change(String name, boolean clears, Edit edit, ApiResponder answer) {
         if (!KeySet.validName(name)) {
-            answer.with(404, OptimisticUpdate.error("no such key set"));
+            answer.respond(404, OptimisticUpdate.error("no such key set"));
             return;
         }
         amending.change(
@@ -170,7 +171,7 @@
     }
 
     /** Which classes and teams need a set. */
-    private void require(JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
+    private void require(JsonNode node, ApiResponder answer) throws MalformedMessageException {
         ObjectNode value = Codec.map();
         for (String field : new String[] {"classes", "teams"}) {
             List<String> names = Codec.absent(node, field) ? List.of() : Codec.texts(node.get(field), field);
@@ -190,7 +191,7 @@
         writes.take(turn.now(), 1);
         store.commit(new Transaction().put(KeySetRegistry.REQUIRED, value), commit -> {
             if (commit.result() == CommitResult.Outcome.DONE) {
-                answer.with(200, value);
+                answer.respond(200, value);
             } else {
                 OptimisticUpdate.unknown(answer);
             }
@@ -212,7 +213,7 @@
         return node;
     }
 
-    private void list(CronApi.Answer answer) {
+    private void list(ApiResponder answer) {
         if (!keys.known()) {
             OptimisticUpdate.unknown(answer);
             return;
@@ -236,23 +237,23 @@
         keys.snapshot().classes().forEach(classes::add);
         ArrayNode teams = ((ObjectNode) out.get("required")).putArray("teams");
         keys.snapshot().teams().forEach(teams::add);
-        answer.with(200, out);
+        answer.respond(200, out);
     }
 
-    private void show(String name, CronApi.Answer answer) {
+    private void show(String name, ApiResponder answer) {
         KeySets.Known known = keys.snapshot().sets().get(name);
         if (!keys.known()) {
             OptimisticUpdate.unknown(answer);
         } else if (known == null || known.set() == null) {
-            answer.with(404, OptimisticUpdate.error("no such key set"));
+            answer.respond(404, OptimisticUpdate.error("no such key set"));
         } else {
-            answer.with(200, shown(known.set()));
+            answer.respond(200, shown(known.set()));
         }
     }
 
-    private void jobs(String name, ClusterState book, CronApi.Answer answer) {
+    private void jobs(String name, ClusterState book, ApiResponder answer) {
         if (book == null) {
-            answer.with(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
+            answer.respond(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
             return;
         }
         ObjectNode out = Codec.map();
@@ -279,6 +280,6 @@
             ArrayNode on = row.putArray("tasks");
             hosts.stream().limit(MOST_JOBS).forEach(on::add);
         }
-        answer.with(200, out.put("more", more));
+        answer.respond(200, out.put("more", more));
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -5,9 +5,11 @@
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.CommitGuards;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.JobHolds;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.keyset.Verdict;
 import org.beechhoist.store.Placement;
@@ -21,7 +23,7 @@
  * launched, what runs is stopped and proven gone as for a cancellation, and they stay open. Without a key book, where key sets are
  * off on this node, a bound job is held as well: it was bound by somebody who relied on it.
  */
-public final class KeySetHolds {
+public final class KeySetHolds implements CommitGuards, JobHolds {
     private static final Logger LOG = LoggerFactory.getLogger(KeySetHolds.class);
     private static final Verdict OFF =
             new Verdict(Verdict.Kind.NOT_KNOWN, 0, "this node", "key sets are off on the leading node");
@@ -111,6 +113,7 @@
     }
 
     /** By when all of it must be gone, by the time of day. */
+    @Override
     public long goneByMs(Job job) {
         return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
@@ -121,6 +124,7 @@
      * Whether what is placed of the job may be written now. It is decided anew by the very content that the guard then names: what
      * was decided for the plan may rest on an older one, and a guard by the newer would let it pass.
      */
+    @Override
     public boolean mayWrite(Job job) {
         return job.uncommitted == 0
                 || job.spec().pin() == null
@@ -130,17 +134,20 @@
     }
 
     /** The guard that a job's new placements need; null: none. */
+    @Override
     public String guardKey(Job job) {
         return job.uncommitted == 0 || job.spec().pin() == null
                 ? null
                 : KeySetRegistry.SETS + job.spec().pin().set();
     }
 
+    @Override
     public void guard(Transaction txn, Job job) {
         keys.guard(txn, job.spec().pin().set());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
+    @Override
     public boolean overtaken(Set<String> failed) {
         if (keys == null || failed.isEmpty() || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS))) {
             return false;
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -22,6 +22,7 @@
 import org.beechhoist.controller.worker.FailureDetector;
 import org.beechhoist.controller.worker.FaultTracker;
 import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineReleases;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.TokenBucket;
@@ -36,7 +37,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the machines: has them rented, lists them, returns what idles, is lost or never comes up. */
-public final class Provisioner {
+public final class Provisioner implements MachineReleases {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
     private static final int MAX_RETURN = 100;
     private static final int MOST_RETURN_CALLS = 4;
@@ -127,6 +128,7 @@
         return renting;
     }
 
+    @Override
     public boolean gone(MachineId id) {
         return gone.contains(id);
     }
@@ -239,6 +241,7 @@
 
     // ---- returning ----
 
+    @Override
     public void giveBack(Machine machine, String why) {
         if (!machine.returning) {
             machine.returning = true;
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -9,6 +9,7 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.OptimisticUpdate;
 import org.beechhoist.release.Release;
@@ -53,7 +54,7 @@
     }
 
     /** @param leader null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, Leader leader, CronApi.Answer answer) {
+    void request(String method, String path, byte[] body, Leader leader, ApiResponder answer) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         int slash = rest.lastIndexOf('/');
@@ -86,10 +87,10 @@
                 String why = text(node, "why");
                 change(name, null, (before, open) -> before.remove(who, turn.wallMs(), why), answer);
             } else {
-                answer.with(404, OptimisticUpdate.error("no such path"));
+                answer.respond(404, OptimisticUpdate.error("no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.with(400, OptimisticUpdate.error(e.getMessage()));
+            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
@@ -110,7 +111,7 @@
         return due;
     }
 
-    private void put(String name, JsonNode node, CronApi.Answer answer) throws MalformedMessageException {
+    private void put(String name, JsonNode node, ApiResponder answer) throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         Release described = Release.described(name, node);
@@ -137,7 +138,7 @@
     }
 
     /** @param described what is put, or null: what stands is changed */
-    private void change(String name, Release described, Edit edit, CronApi.Answer answer) {
+    private void change(String name, Release described, Edit edit, ApiResponder answer) {
         amending.change(
                 ReleaseRegistry.SETS + name,
                 (node, then) -> {
@@ -161,7 +162,7 @@
     }
 
     /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
-    private void list(Leader leader, boolean orderAlone, CronApi.Answer answer) {
+    private void list(Leader leader, boolean orderAlone, ApiResponder answer) {
         if (!releases.read()) {
             OptimisticUpdate.unknown(answer);
             return;
@@ -169,7 +170,7 @@
         ObjectNode out = Codec.map();
         if (leader != null && !orderAlone) {
             out.set("releases", leader.releases().view(leader.planner()));
-            answer.with(200, out);
+            answer.respond(200, out);
             return;
         }
         ArrayNode rows = out.putArray("releases");
@@ -183,16 +184,16 @@
                 .put("zone", release.zone().getId())
                 .put("due", release.dueMs())
                 .put("dueInS", (release.dueMs() - turn.wallMs()) / 1000.0));
-        answer.with(
+        answer.respond(
                 orderAlone ? 200 : 421, orderAlone ? out : out.put("error", "this node does not lead: no forecast"));
     }
 
-    private void show(String name, CronApi.Answer answer) {
+    private void show(String name, ApiResponder answer) {
         Release release = releases.known(name);
         if (!releases.read()) {
             OptimisticUpdate.unknown(answer);
         } else if (release == null) {
-            answer.with(404, OptimisticUpdate.error("no such release"));
+            answer.respond(404, OptimisticUpdate.error("no such release"));
         } else {
             requests.take(turn.now(), 1);
             store.get(ReleaseController.REORDERED + name, read -> {
@@ -200,7 +201,7 @@
                 if (read.item() != null) {
                     node.set("reordered", read.item().value());
                 }
-                answer.with(200, node);
+                answer.respond(200, node);
             });
         }
     }
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/state/CommitGuards.java
@@ -0,0 +1,27 @@
+package org.beechhoist.controller.state;
+
+import java.util.Set;
+import org.beechhoist.store.Transaction;
+
+/** Conditions beyond a job's own version under which its new placements may be written. */
+public interface CommitGuards {
+    /**
+     * Whether what is placed of the job may be written now. The decision rests on the very content that {@link #guard} names in the
+     * transaction.
+     */
+    boolean mayWrite(Job job);
+
+    /** The key that guards the job's new placements, or null where none does. */
+    String guardKey(Job job);
+
+    /** Adds the guard of {@link #guardKey} to the transaction. */
+    void guard(Transaction transaction, Job job);
+
+    /**
+     * Whether a transaction failed for these guards alone.
+     *
+     * @param failed all keys whose guard failed
+     * @return true if none of them is a job's: the other writes can be sent again at once
+     */
+    boolean overtaken(Set<String> failed);
+}
--- a/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
+++ b/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.CronApi;
+import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
@@ -65,12 +65,12 @@
         return Codec.map().put("error", text);
     }
 
-    public static void unknown(CronApi.Answer answer) {
-        answer.with(503, error("the state service does not answer, or what it holds is not read yet"));
+    public static void unknown(ApiResponder answer) {
+        answer.respond(503, error("the state service does not answer, or what it holds is not read yet"));
     }
 
     /** Answers with the record as it stands then. */
-    public void now(String key, ImmediateEdit edit, CronApi.Answer answer) {
+    public void now(String key, ImmediateEdit edit, ApiResponder answer) {
         change(
                 key,
                 (before, then) -> {
@@ -80,11 +80,11 @@
                 answer);
     }
 
-    public void change(String key, Edit edit, CronApi.Answer answer) {
+    public void change(String key, Edit edit, ApiResponder answer) {
         change(key, edit, answer, 0);
     }
 
-    private void change(String key, Edit edit, CronApi.Answer answer, int races) {
+    private void change(String key, Edit edit, ApiResponder answer, int races) {
         if (!requests.tryTake(turn.now(), 1) || races > MOST_RACES) {
             unknown(answer);
             return;
@@ -99,7 +99,7 @@
             try {
                 edit.of(read.item() == null ? null : read.item().value(), (value, more, shown) -> {
                     if (value != null && Codec.countedBytes(value) > valueBytes) {
-                        answer.with(
+                        answer.respond(
                                 400,
                                 error(key + ": with this change it takes more than " + valueBytes
                                         + " bytes, as much as a value may have"));
@@ -116,7 +116,7 @@
                     writes.take(turn.now(), txn.ops());
                     store.commit(txn, commit -> {
                         if (commit.result() == CommitResult.Outcome.DONE) {
-                            answer.with(200, shown);
+                            answer.respond(200, shown);
                         } else if (commit.result() == CommitResult.Outcome.CONFLICT) {
                             change(key, edit, answer, races + 1);
                         } else {
@@ -125,14 +125,14 @@
                     });
                 });
             } catch (MalformedMessageException e) {
-                answer.with(400, error(e.getMessage()));
+                answer.respond(400, error(e.getMessage()));
             } catch (RejectedException e) {
                 refuse(answer, e);
             }
         });
     }
 
-    static void refuse(CronApi.Answer answer, RejectedException refused) {
-        answer.with(refused.status, error(refused.getMessage()));
+    static void refuse(ApiResponder answer, RejectedException refused) {
+        answer.respond(refused.status, error(refused.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -7,7 +7,6 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.KeySetHolds;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.store.JobRecord;
@@ -82,7 +81,7 @@
     private final StateLoader loading;
     private final RecordSizes sizes;
     private final ChangeLog log;
-    private final KeySetHolds holds;
+    private final CommitGuards guards;
     private final BooleanSupplier logAllowed;
     private final Listener listener;
     private MonotonicTime nextFold = MonotonicTime.ZERO;
@@ -108,10 +107,10 @@
             StateLoader loading,
             RecordSizes sizes,
             ChangeLog log,
-            KeySetHolds holds,
+            CommitGuards guards,
             BooleanSupplier logAllowed,
             Listener listener) {
-        this.holds = holds;
+        this.guards = guards;
         this.turn = turn;
         this.settings = settings;
         this.store = store;
@@ -169,7 +168,7 @@
         if (rotating) {
             election.rotateIn(txn);
         }
-        WriteBatch batch = new WriteBatch(txn, settings.stateLimits(), sizes, log, holds, (int) Math.floor(budget));
+        WriteBatch batch = new WriteBatch(txn, settings.stateLimits(), sizes, log, guards, (int) Math.floor(budget));
         gather(batch, budget > KEPT_WRITES * writes.rate());
         if (foldDue) {
             fold(batch, budget > PLENTY * writes.most());
@@ -264,7 +263,7 @@
             if (job.overtaken()) {
                 continue; // its record says that it is cancelled, and has not been read: that comes by itself
             }
-            if (!ends(job) && !holds.mayWrite(job)) {
+            if (!ends(job) && !guards.mayWrite(job)) {
                 continue; // its key set has changed: what is placed of it is written, or not, once that is known
             }
             int rank = commitRank(job);
@@ -293,7 +292,7 @@
     }
 
     private boolean take(WriteBatch batch, Job job) {
-        boolean taken = (ends(job) || holds.mayWrite(job)) && batch.take(job, way(job));
+        boolean taken = (ends(job) || guards.mayWrite(job)) && batch.take(job, way(job));
         if (taken) {
             book.sent(job);
         }
@@ -328,7 +327,7 @@
                     || job.inFlight
                     || job.overtaken()
                     || ends(job)
-                    || !holds.mayWrite(job)
+                    || !guards.mayWrite(job)
                     || (!gather && turn.now().since(job.submitted) < FOLD_AGE_MS)) {
                 continue;
             }
@@ -410,7 +409,7 @@
             case CONFLICT -> {
                 if (commit.failed().contains(LeaderElection.KEY)) {
                     election.lose("the key was rewritten");
-                } else if (holds.overtaken(commit.failed())) {
+                } else if (guards.overtaken(commit.failed())) {
                     notMade(batch, rotating);
                 } else {
                     // A cancellation came first, most likely: read the book again and go on from there.
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.KeySetHolds;
 import org.beechhoist.store.ChangeLogSegment;
 import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
@@ -69,13 +68,18 @@
     private final Map<Long, Integer> slots = new HashMap<>();
     private final Map<Long, Set<JobId>> written = new HashMap<>();
     private int bytes;
-    private final KeySetHolds holds;
+    private final CommitGuards guards;
     private final Set<String> keyGuards = new HashSet<>();
 
     /** @param txn with the leader's guard in it; {@code mostOps} changes may be made by now */
     WriteBatch(
-            Transaction txn, Settings.State limits, RecordSizes sizes, ChangeLog log, KeySetHolds holds, int mostOps) {
-        this.holds = holds;
+            Transaction txn,
+            Settings.State limits,
+            RecordSizes sizes,
+            ChangeLog log,
+            CommitGuards guards,
+            int mostOps) {
+        this.guards = guards;
         this.txn = txn;
         this.sizes = sizes;
         this.log = log;
@@ -100,9 +104,9 @@
     boolean take(Job job, WriteMode way) {
         JobWrite part = new JobWrite(job, way);
         boolean fits = way == WriteMode.LOG || way == WriteMode.GATHER ? log(part) : record(part);
-        String key = fits && !way.ends() ? holds.guardKey(job) : null;
+        String key = fits && !way.ends() ? guards.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
-            holds.guard(txn, job);
+            guards.guard(txn, job);
         }
         if (fits) {
             part.width = job.width();
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -2,8 +2,6 @@
 
 import java.util.ArrayList;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.KeySetHolds;
-import org.beechhoist.controller.Provisioner;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.CancellationRegistry;
 import org.beechhoist.controller.state.ClusterState;
@@ -42,8 +40,8 @@
     private final CommandDispatcher orders;
     private final TaskRemoval departures;
     private final LossRecovery recovery;
-    private final Provisioner provisioner;
-    private final KeySetHolds holds;
+    private final MachineReleases releases;
+    private final JobHolds holds;
     private final CancellationRegistry cancellations;
     private MonotonicTime nextKills = MonotonicTime.ZERO;
 
@@ -54,8 +52,8 @@
             CommandDispatcher orders,
             TaskRemoval departures,
             LossRecovery recovery,
-            Provisioner provisioner,
-            KeySetHolds holds,
+            MachineReleases releases,
+            JobHolds holds,
             CancellationRegistry cancellations) {
         this.turn = turn;
         this.settings = settings;
@@ -63,7 +61,7 @@
         this.orders = orders;
         this.departures = departures;
         this.recovery = recovery;
-        this.provisioner = provisioner;
+        this.releases = releases;
         this.holds = holds;
         this.cancellations = cancellations;
     }
@@ -160,7 +158,7 @@
                     && turn.now().since(book.heard(machine)) > SPARE_MS;
             if (!lapsesInTime && !machine.returning) {
                 LOG.info("{} is {} but still on {}: returning the machine", placement.task, is, machine.id);
-                provisioner.giveBack(machine, "a " + is + " task can't be reached");
+                releases.giveBack(machine, "a " + is + " task can't be reached");
             }
             machine.goneByMs = Math.min(machine.goneByMs, deadlineWallMs);
         }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -6,8 +6,6 @@
 import java.util.List;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.ElasticWidths;
-import org.beechhoist.controller.Provisioner;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.CancellationRegistry;
@@ -45,8 +43,8 @@
     private final DurationEstimates estimates;
     private final TaskRemoval departures;
     private final FaultTracker faults;
-    private final Provisioner provisioner;
-    private final ElasticWidths elastic;
+    private final MachineReleases releases;
+    private final LaunchWithdrawal withdrawal;
     private final CancellationRegistry cancellations;
     private final CommandDispatcher direct;
 
@@ -60,8 +58,8 @@
             DurationEstimates estimates,
             TaskRemoval departures,
             FaultTracker faults,
-            Provisioner provisioner,
-            ElasticWidths elastic,
+            MachineReleases releases,
+            LaunchWithdrawal withdrawal,
             CancellationRegistry cancellations,
             CommandDispatcher direct) {
         this.cancellations = cancellations;
@@ -75,8 +73,8 @@
         this.estimates = estimates;
         this.departures = departures;
         this.faults = faults;
-        this.provisioner = provisioner;
-        this.elastic = elastic;
+        this.releases = releases;
+        this.withdrawal = withdrawal;
     }
 
     /** The records were read anew: what the machines last said is held against them. */
@@ -90,7 +88,7 @@
 
     /** Answers a worker's report. */
     public void checkin(long request, Heartbeat heartbeat) {
-        if (provisioner.gone(heartbeat.host())) {
+        if (releases.gone(heartbeat.host())) {
             turn.answer(request, 503, null); // a late report: the machine has been returned
             return;
         }
@@ -236,7 +234,7 @@
                 continue; // its record can't be read: it is left alone
             }
             if (placement.committed
-                    && (elastic.withdraws(job, placement, machine)
+                    && (withdrawal.withdraws(job, placement, machine)
                             || (machine.going() || machine.ears.deaf() || job.held()) && !placement.sent)) {
                 departures.remove(job, placement);
                 continue;
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/worker/LaunchWithdrawal.java
@@ -0,0 +1,11 @@
+package org.beechhoist.controller.worker;
+
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.store.Placement;
+
+/** Decides whether a committed placement that was never launched is taken back. */
+public interface LaunchWithdrawal {
+    /** Whether the placement must not be launched any more. */
+    boolean withdraws(Job job, Placement placement, Machine machine);
+}
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -1,6 +1,5 @@
 package org.beechhoist.controller.worker;
 
-import org.beechhoist.controller.DisruptionAccounting;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.drain.Cause;
@@ -11,15 +10,15 @@
 
 /**
  * Has tasks stopped that could go on: whoever wants that for a reason of its own comes here and says why. What is stopped on purpose
- * was allowed by its team's budget, and charged, before ({@link DisruptionAccounting}); the rest is charged as it happens.
+ * was allowed by its team's budget, and charged, before ({@link DisruptionRecorder}); the rest is charged as it happens.
  */
 public final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
     private final ClusterState book;
     private final CommandDispatcher orders;
-    private final DisruptionAccounting disruptions;
+    private final DisruptionRecorder disruptions;
 
-    public TaskEviction(ClusterState book, CommandDispatcher orders, DisruptionAccounting disruptions) {
+    public TaskEviction(ClusterState book, CommandDispatcher orders, DisruptionRecorder disruptions) {
         this.book = book;
         this.orders = orders;
         this.disruptions = disruptions;
--- a/src/test/java/org/beechhoist/arch/PackagesTest.java
+++ b/src/test/java/org/beechhoist/arch/PackagesTest.java
@@ -4,6 +4,8 @@
 import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.nameMatching;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
@@ -44,6 +46,32 @@
             .onlyDependOnClassesThat(
                     resideInAnyPackage("java..", ROOT + "wire").or(nameMatching(REACHABILITY_DECISIONS)));
 
+    @ArchTest
+    static final ArchRule CONTROLLER_LAYERS_KNOW_ONLY_THOSE_BELOW = layeredArchitecture()
+            .consideringOnlyDependenciesInLayers()
+            .layer("context")
+            .definedBy(CONTEXT)
+            .layer("leadership")
+            .definedBy(LEADERSHIP)
+            .layer("state")
+            .definedBy(STATE)
+            .layer("worker")
+            .definedBy(WORKER)
+            .layer("controller")
+            .definedBy(CONTROLLER)
+            .whereLayer("controller")
+            .mayNotBeAccessedByAnyLayer()
+            .whereLayer("worker")
+            .mayOnlyBeAccessedByLayers("controller")
+            .whereLayer("state")
+            .mayOnlyBeAccessedByLayers("worker", "controller")
+            .whereLayer("leadership")
+            .mayOnlyBeAccessedByLayers("state", "worker", "controller");
+
+    @ArchTest
+    static final ArchRule CONTROLLER_PACKAGES_HAVE_NO_CYCLES =
+            slices().matching("org.beechhoist.controller.(*)..").should().beFreeOfCycles();
+
     @ArchTest
     static final ArchRule ONLY_THE_CONTROLLER_KNOWS_ITS_STATE = noClasses()
             .that()
