--- a/src/main/java/org/beechhoist/cli/JobFile.java
+++ b/src/main/java/org/beechhoist/cli/JobFile.java
@@ -29,6 +29,6 @@
     }
 
     static JobSpec spec(JsonNode given) throws MalformedMessageException {
-        return JobSpec.parse(JobSpec.described(given));
+        return JobSpec.parse(JobSpec.withDefaults(given));
     }
 }
--- a/src/main/java/org/beechhoist/cli/KeySetCommands.java
+++ b/src/main/java/org/beechhoist/cli/KeySetCommands.java
@@ -37,7 +37,7 @@
                 String name = Codec.text(given, "name");
                 ObjectNode body = change.to(Codec.map()).put("owner", Codec.text(given, "owner"));
                 body.set("fingerprints", strings(given, "fingerprints"));
-                if (!Codec.absent(given, "classes")) {
+                if (!Codec.isAbsent(given, "classes")) {
                     body.set("classes", strings(given, "classes"));
                 }
                 return UserCommands.ask(nodes, "POST", PATH + "/" + name + "/propose", body, name);
@@ -45,7 +45,7 @@
         }
 
         private static JsonNode strings(JsonNode given, String field) throws MalformedMessageException {
-            Codec.texts(given.get(field), field);
+            Codec.textList(given.get(field), field);
             return given.get(field);
         }
     }
--- a/src/main/java/org/beechhoist/cli/Try.java
+++ b/src/main/java/org/beechhoist/cli/Try.java
@@ -108,7 +108,7 @@
         ApiClient client = new ApiClient(cluster.nodes());
         ApiClient.Answer accepted = submit(client, job);
         if (accepted == null || accepted.status() >= 300) {
-            System.err.println("beechhoist: " + job.ref() + " is refused: "
+            System.err.println("beechhoist: " + job.id() + " is refused: "
                     + (accepted == null
                             ? "no node was ready in time"
                             : accepted.status() + " "
@@ -117,7 +117,7 @@
         }
         say(
                 "%s accepted: %d tasks of %s CPUs, %s s each by its owner's guess",
-                job.ref(), job.tasks(), job.cpus(), job.estimateS());
+                job.id(), job.tasks(), job.cpus(), job.estimateS());
         int code = watch(cluster, job);
         if (keep) {
             say("left running; end with Ctrl-C");
@@ -147,7 +147,7 @@
         JsonNode last = null;
         for (ApiClient node : nodes) {
             try {
-                ApiClient.Answer answer = node.status(job.ref());
+                ApiClient.Answer answer = node.status(job.id());
                 if (answer.status() == 200) {
                     last = answer.body();
                     if (last.has("startsInS") || last.has("endsInS")) {
@@ -206,7 +206,7 @@
             }
             Thread.sleep(POLL_MS);
         }
-        System.err.println("beechhoist: " + job.ref() + " did not end in time; its last state was " + shown);
+        System.err.println("beechhoist: " + job.id() + " did not end in time; its last state was " + shown);
         return ENDED_BADLY;
     }
 
--- a/src/main/java/org/beechhoist/cli/UserCommands.java
+++ b/src/main/java/org/beechhoist/cli/UserCommands.java
@@ -62,7 +62,7 @@
         private String job;
 
         private int ask(JobQuestion question) {
-            if (!JobId.valid(job)) {
+            if (!JobId.isValid(job)) {
                 System.err.println("beechhoist: " + job + ": a job id such as job-000412 is expected");
                 return USAGE;
             }
@@ -91,7 +91,7 @@
                 System.err.println("beechhoist: " + e.getMessage());
                 return USAGE;
             }
-            return run(() -> nodes.client().submit(spec), spec.ref().text());
+            return run(() -> nodes.client().submit(spec), spec.id().text());
         }
     }
 
--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -17,50 +17,52 @@
 
 /** Whether a task may start on a machine now: the rules, the teams' limits and the room, against what may be running. */
 final class Admission {
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
-    private final FaultTracker faults;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
+    private final FaultTracker faultTracker;
     /** Null until it is there. */
-    private MigrationController moves;
+    private MigrationController migrations;
 
     Admission(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
-            MachineTypeCatalog types,
-            ClusterState book,
-            FaultTracker faults) {
-        this.turn = turn;
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
+            FaultTracker faultTracker) {
+        this.context = context;
         this.settings = settings;
-        this.types = types;
-        this.book = book;
-        this.faults = faults;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
+        this.faultTracker = faultTracker;
     }
 
     /** Room that is kept for tasks on their way, or for whom it was made. */
     void keeps(MigrationController desk) {
-        moves = desk;
+        migrations = desk;
     }
 
     /** Whether elastic jobs may grow onto the machine: it is well, heard of, and stays; it was not taken back lately. */
     boolean mayWiden(Machine machine) {
         return usable(machine)
-                && machine.damping.open(turn.now().ms())
-                && !faults.faulty(machine)
-                && turn.now().since(book.heard(machine)) < settings.workers().reportS() * 1500;
+                && machine.growthDamping.open(context.now().ms())
+                && !faultTracker.isMachineFaulty(machine)
+                && context.now().since(clusterState.lastHeardOf(machine))
+                        < settings.workers().reportS() * 1500;
     }
 
     boolean usable(Machine machine) {
         return machine.up
-                && machine.there
-                && !machine.ears.deaf()
-                && !machine.going()
-                && machine.strangers == 0
-                && types.get(machine.type) != null
-                && turn.now().since(book.heard(machine)) < settings.workers().reportS() * 3000
-                && machine.avoidUntil.before(turn.now())
-                && machine.lastHeard != null;
+                && machine.confirmedPresent
+                && !machine.reachability.isUnreachable()
+                && !machine.isLeaving()
+                && machine.unknownTasks == 0
+                && machineTypes.get(machine.type) != null
+                && context.now().since(clusterState.lastHeardOf(machine))
+                        < settings.workers().reportS() * 3000
+                && machine.avoidUntil.isBefore(context.now())
+                && machine.lastHeardAt != null;
     }
 
     /** What would be free on a machine; less than nothing where a task doesn't fit. */
@@ -78,13 +80,13 @@
     Room free(Machine machine, MachineType type) {
         Room room = new Room(type.cpus(), type.gpus(), type.memGb());
         for (Placement placement : machine.placements.values()) {
-            Job other = book.job(placement.task.job());
+            Job other = clusterState.job(placement.task.job());
             if (other == null) {
                 return null;
             }
             room = room.plus(other.spec(), -1);
         }
-        for (JobSpec kept : moves == null ? List.<JobSpec>of() : moves.keptOn(machine.id)) {
+        for (JobSpec kept : migrations == null ? List.<JobSpec>of() : migrations.keptOn(machine.id)) {
             room = room.plus(kept, -1);
         }
         return room;
@@ -94,7 +96,7 @@
     Room roomBeside(Machine machine, MachineType type, JobSpec spec) {
         Room room = new Room(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
         for (Placement placement : machine.placements.values()) {
-            Job other = book.job(placement.task.job());
+            Job other = clusterState.job(placement.task.job());
             if (other == null) {
                 return null;
             }
@@ -113,9 +115,9 @@
 
     Map<String, Integer> liveByZone(Job job) {
         Map<String, Integer> out = new HashMap<>();
-        if (job.spec().sameZone() || job.spec().apart()) {
+        if (job.spec().sameZone() || job.spec().antiAffinity()) {
             for (Placement placement : job.record.live.values()) {
-                Machine machine = book.host(placement.host);
+                Machine machine = clusterState.machine(placement.machine);
                 // A host that nobody has described yet may be anywhere: no zone is certain until it is.
                 out.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
             }
@@ -126,7 +128,8 @@
     /** The rules of placement once more, against what may be running now, whatever the plan says. */
     boolean admissible(Job job, Machine machine, Map<String, double[]> used) {
         JobSpec spec = job.spec();
-        MachineType type = machine == null || job.hold != null || !usable(machine) ? null : types.get(machine.type);
+        MachineType type =
+                machine == null || job.keySetHold != null || !usable(machine) ? null : machineTypes.get(machine.type);
         if (type == null || !spec.mayRunOn(type, machine.zone, machine.spot)) {
             return false;
         }
@@ -134,16 +137,16 @@
         if (room == null
                 || !room.enough()
                 || overLimit(job, used)
-                || moves != null && moves.keptFromOthers(machine.id, job.ref())) {
+                || migrations != null && migrations.keptFromOthers(machine.id, job.id())) {
             return false;
         }
-        if (spec.sameZone() || spec.apart()) {
+        if (spec.sameZone() || spec.antiAffinity()) {
             Map<String, Integer> zones = liveByZone(job);
             if (spec.sameZone() && !zones.isEmpty() && !zones.keySet().equals(Set.of(machine.zone))) {
                 return false;
             }
             int unknown = zones.getOrDefault("", 0);
-            return !spec.apart() || zones.getOrDefault(machine.zone, 0) + unknown < (spec.tasks() + 1) / 2;
+            return !spec.antiAffinity() || zones.getOrDefault(machine.zone, 0) + unknown < (spec.tasks() + 1) / 2;
         }
         return true;
     }
--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/CalendarDays.java
@@ -18,26 +18,26 @@
         void with(Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
 
-    CalendarDays(ControllerContext turn, StoreClient store, TokenBucket requests) {
-        this.turn = turn;
+    CalendarDays(ControllerContext context, StoreClient store, TokenBucket requests) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
     }
 
     /** All days are open where no calendar is named; what can't be told is answered. */
-    void of(String name, ApiResponder answer, Use use) {
+    void of(String name, ApiResponder responder, Use use) {
         if (name == null) {
-            use(d -> true, answer, use);
+            use(d -> true, responder, use);
             return;
         }
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(ScheduleKeys.CALENDARS + name, read -> {
-            if (!read.known()) {
-                OptimisticUpdate.unknown(answer);
+            if (!read.answered()) {
+                OptimisticUpdate.respondUnavailable(responder);
                 return;
             }
             try {
@@ -45,18 +45,18 @@
                     throw new MalformedMessageException("calendar = " + name + ": an installed calendar is expected");
                 }
                 Calendar c = Calendar.parse(read.item().value(), name);
-                use(d -> c.closed(d) == null, answer, use);
+                use(d -> c.closed(d) == null, responder, use);
             } catch (MalformedMessageException e) {
-                answer.respond(400, OptimisticUpdate.error(e.getMessage()));
+                responder.respond(400, OptimisticUpdate.error(e.getMessage()));
             }
         });
     }
 
-    private static void use(Predicate<LocalDate> open, ApiResponder answer, Use use) {
+    private static void use(Predicate<LocalDate> open, ApiResponder responder, Use use) {
         try {
             use.with(open);
         } catch (MalformedMessageException e) {
-            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -47,46 +47,46 @@
         REFUSED
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final int mostGuards;
     private final Pacer pace;
-    private final Map<JobId, Known> known = BoundedCollections.used(REMEMBERED);
+    private final Map<JobId, Known> known = BoundedCollections.leastRecentlyUsedMap(REMEMBERED);
     private List<Poll> waiting = new ArrayList<>();
     private boolean asking;
 
     /** The state service takes four times as many comparisons as changes in one transaction. */
-    ConditionalStatusReads(ControllerContext turn, StoreClient store, TokenBucket requests, Settings settings) {
-        this.turn = turn;
+    ConditionalStatusReads(ControllerContext context, StoreClient store, TokenBucket requests, Settings settings) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.mostGuards = 4 * settings.stateLimits().txnOps();
-        this.pace = new Pacer(turn, gatherMs(settings));
+        this.pace = new Pacer(context, gatherMs(settings));
     }
 
     /** The job's record was read or written as this version. */
-    void remember(JobId ref, Revision version, ObjectNode state) {
-        known.put(ref, new Known(version, state.deepCopy()));
+    void remember(JobId jobId, Revision version, ObjectNode state) {
+        known.put(jobId, new Known(version, state.deepCopy()));
     }
 
-    void forget(JobId ref) {
-        known.remove(ref);
+    void forget(JobId jobId) {
+        known.remove(jobId);
     }
 
     /** Hands over the job's state if it is known and certain, in its own time. */
-    void poll(JobId ref, BiConsumer<Result, ObjectNode> then) {
-        if (!known.containsKey(ref)) {
+    void poll(JobId jobId, BiConsumer<Result, ObjectNode> then) {
+        if (!known.containsKey(jobId)) {
             then.accept(Result.READ, null);
             return;
         }
-        waiting.add(new Poll(ref, then));
+        waiting.add(new Poll(jobId, then));
         ask();
     }
 
     /** Whether enough requests are left for what must not wait for polls. */
     static boolean spare(TokenBucket requests, MonotonicTime now) {
-        return requests.available(now) >= 1 + LEFT * requests.most();
+        return requests.available(now) >= 1 + LEFT * requests.capacity();
     }
 
     /** How long questions for polls gather while requests run short, for all nodes' to take no more than their share. */
@@ -99,14 +99,14 @@
     }
 
     private boolean allowed() {
-        return spare(requests, turn.now()) && requests.tryTake(turn.now(), 1);
+        return spare(requests, context.now()) && requests.tryTake(context.now(), 1);
     }
 
     private void ask() {
         if (asking || waiting.isEmpty()) {
             return;
         }
-        if (pace.tooSoon(this::ask)) {
+        if (pace.postponeIfTooSoon(this::ask)) {
             return;
         }
         List<Poll> batch = waiting;
@@ -115,9 +115,9 @@
             batch.forEach(p -> p.then.accept(Result.REFUSED, null));
             return;
         }
-        pace.done();
+        pace.markDone();
         Map<JobId, Known> asked = new LinkedHashMap<>();
-        Transaction txn = new Transaction();
+        Transaction transaction = new Transaction();
         List<Poll> polls = new ArrayList<>();
         for (Poll poll : batch) {
             Known version = asked.get(poll.ref);
@@ -132,7 +132,7 @@
                     continue;
                 }
                 asked.put(poll.ref, version);
-                txn.guard(JobRecord.openKey(poll.ref), version.version);
+                transaction.guard(JobRecord.openKey(poll.ref), version.version);
             }
             polls.add(poll);
         }
@@ -141,7 +141,7 @@
             return;
         }
         asking = true;
-        store.commit(txn, commit -> {
+        store.commit(transaction, commit -> {
             asking = false;
             answered(commit, asked, polls);
             ask();
@@ -150,11 +150,11 @@
 
     private void answered(CommitResult commit, Map<JobId, Known> asked, List<Poll> polls) {
         for (Poll poll : polls) {
-            switch (commit.result()) {
-                case DONE ->
+            switch (commit.outcome()) {
+                case COMMITTED ->
                     poll.then.accept(Result.SAME, asked.get(poll.ref).state.deepCopy());
                 case CONFLICT -> {
-                    if (commit.failed().contains(JobRecord.openKey(poll.ref))) {
+                    if (commit.failedKeys().contains(JobRecord.openKey(poll.ref))) {
                         forget(poll.ref);
                         poll.then.accept(Result.READ, null);
                     } else {
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -66,19 +66,19 @@
 
     private final Settings settings;
     private final Metrics metrics;
-    private final ControllerContext turn = new ControllerContext();
+    private final ControllerContext context = new ControllerContext();
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final MachineTypeCatalog types;
+    private final MachineTypeCatalog machineTypes;
     private final LeaderElection election;
     private final Leader leader;
     private final UserApi users;
     private final CancellationRegistry cancellations;
-    private final CancellationAcknowledgements confirmations;
+    private final CancellationAcknowledgements acknowledgements;
     private final Pacer newsPace;
     private final PeerDirectory peers;
     private final JobProgress progress = new JobProgress();
-    private final WorkerReachability hearing;
+    private final WorkerReachability workerReachability;
     private double writesWanted;
     private double requestsWanted;
     private boolean sharesAsLeader;
@@ -111,65 +111,69 @@
         this.requests = new TokenBucket(settings.stateLimits().rps());
         this.writes = new TokenBucket(settings.stateLimits().writeRps());
         StoreClient store = new StoreClient((target, address, method, path, body, timeoutMs, then) ->
-                turn.call(target, address, method, path, body, timeoutMs, result -> {
+                context.call(target, address, method, path, body, timeoutMs, result -> {
                     storeUnheard = result.kind() == CallResult.Kind.ANSWERED ? 0 : storeUnheard + 1;
-                    storeHeard = result.kind() == CallResult.Kind.ANSWERED ? turn.now() : storeHeard;
+                    storeHeard = result.kind() == CallResult.Kind.ANSWERED ? context.now() : storeHeard;
                     if (result.kind() == CallResult.Kind.ANSWERED && result.status() < 500) {
                         seenStore = true;
-                        storeServed = turn.now();
+                        storeServed = context.now();
                     }
                     then.accept(result);
                 }));
-        this.types = new MachineTypeCatalog(turn);
+        this.machineTypes = new MachineTypeCatalog(context);
         this.keys = policy.keySets()
-                ? new KeySetRegistry(turn, store, requests, writes, settings.node(), this::keysChanged)
+                ? new KeySetRegistry(context, store, requests, writes, settings.node(), this::keysChanged)
                 : null;
-        this.keySets = keys == null ? null : new KeySetApi(turn, settings, store, requests, writes, keys);
-        this.releases = policy.releases() ? new ReleaseRegistry(turn, store, requests, this::releaseChanged) : null;
-        this.releaseApi = releases == null ? null : new ReleaseApi(turn, settings, store, requests, writes, releases);
-        this.drains = policy.drains() ? new DrainRegistry(turn, store, requests, this::drainsChanged) : null;
-        this.drainApi = drains == null ? null : new DrainApi(turn, settings, store, requests, writes, types, drains);
+        this.keySets = keys == null ? null : new KeySetApi(context, settings, store, requests, writes, keys);
+        this.releases = policy.releases() ? new ReleaseRegistry(context, store, requests, this::releaseChanged) : null;
+        this.releaseApi =
+                releases == null ? null : new ReleaseApi(context, settings, store, requests, writes, releases);
+        this.drains = policy.drains() ? new DrainRegistry(context, store, requests, this::drainsChanged) : null;
+        this.drainApi =
+                drains == null ? null : new DrainApi(context, settings, store, requests, writes, machineTypes, drains);
         IdempotencyKeys onceKeys = new IdempotencyKeys(policy.cron(), keys);
-        this.hearing =
+        this.workerReachability =
                 new WorkerReachability(Math.round(1000 * settings.workers().reportS()));
         this.peers = new PeerDirectory(settings.seeds().keySet());
-        this.cancellations = new CancellationRegistry(turn, settings);
-        this.confirmations = new CancellationAcknowledgements(turn);
-        this.newsPace = new Pacer(turn, NEWS_MS);
+        this.cancellations = new CancellationRegistry(context, settings);
+        this.acknowledgements = new CancellationAcknowledgements(context);
+        this.newsPace = new Pacer(context, NEWS_MS);
         this.users = new UserApi(
-                turn,
+                context,
                 settings,
                 policy,
                 store,
                 requests,
                 writes,
-                types,
+                machineTypes,
                 this::promised,
                 onceKeys,
                 this::leaderWrites,
                 this::cutOff,
                 keys,
                 this::confirmed,
-                confirmations);
-        this.cron = policy.cron().on() ? new CronApi(turn, settings, store, requests, writes, users, this::held) : null;
+                acknowledgements);
+        this.cron =
+                policy.cron().on() ? new CronApi(context, settings, store, requests, writes, users, this::held) : null;
         long ttl = Math.max(3000, Math.min(9000, settings.workers().leaseMs() / 4));
-        this.election = new LeaderElection(turn, store, requests, settings.node(), ttl, new LeaderElection.Listener() {
-            @Override
-            public void won(FencingToken baton) {
-                share(true);
-                leader.begin();
-            }
+        this.election =
+                new LeaderElection(context, store, requests, settings.node(), ttl, new LeaderElection.Listener() {
+                    @Override
+                    public void won(FencingToken fencingToken) {
+                        share(true);
+                        leader.begin();
+                    }
 
-            @Override
-            public void lost() {
-                share(false);
-                progress.forgetTold();
-                cancellations.begin();
-                leader.end();
-            }
-        });
+                    @Override
+                    public void lost() {
+                        share(false);
+                        progress.forgetTold();
+                        cancellations.reset();
+                        leader.end();
+                    }
+                });
         this.leader = new Leader(
-                turn,
+                context,
                 settings,
                 policy,
                 new SplittableRandom(seed),
@@ -177,7 +181,7 @@
                 election,
                 requests,
                 writes,
-                types,
+                machineTypes,
                 users,
                 onceKeys,
                 peers,
@@ -190,7 +194,7 @@
 
     /** Whether this node leads and its changes do not suffice for everybody. */
     private boolean leaderWrites() {
-        return election.valid() && writes.available(turn.now()) < SPARE * writes.most();
+        return election.holdsLease() && writes.available(context.now()) < SPARE * writes.capacity();
     }
 
     private void releaseChanged(Release before, Release now) {
@@ -207,18 +211,18 @@
 
     private void drainsChanged() {
         if (leader.active()) {
-            leader.book().replan();
+            leader.book().requestReplan();
         }
     }
 
-    private void promised(JobId ref, ObjectNode state) {
+    private void promised(JobId jobId, ObjectNode state) {
         if (keys != null) {
             keys.tell(state);
         }
-        Job known = leader.active() ? leader.book().job(ref) : null;
-        OperatorViews.counted(known != null ? JobProgress.count(known) : progress.of(ref, turn.now()), state);
+        Job known = leader.active() ? leader.book().job(jobId) : null;
+        OperatorViews.counted(known != null ? JobProgress.count(known) : progress.of(jobId, context.now()), state);
         if (known != null) {
-            OperatorViews.promised(leader, ref, state, turn.now().ms());
+            OperatorViews.promised(leader, jobId, state, context.now().ms());
             if (drains != null) {
                 state.put("drained", DrainViews.told(known, leader.book()));
             }
@@ -233,58 +237,58 @@
 
     private void share(boolean leads) {
         sharesAsLeader = leads;
-        writes.setRate(part(settings.stateLimits().writeRps(), writesWanted, PeerState::writesWanted), LEAST_BURST);
-        requests.setRate(part(settings.stateLimits().rps(), requestsWanted, PeerState::requestsWanted), 1);
+        writes.setRate(part(settings.stateLimits().writeRps(), writesWanted, PeerState::writeDemand), LEAST_BURST);
+        requests.setRate(part(settings.stateLimits().rps(), requestsWanted, PeerState::requestDemand), 1);
     }
 
     private double part(double limit, double wanted, ToDoubleFunction<PeerState> others) {
         List<RequestShares.Demand> wants = new ArrayList<>(List.of(new RequestShares.Demand(sharesAsLeader, wanted)));
-        wants.addAll(peers.wants(turn.now(), others));
-        return RequestShares.of(SAFETY * limit, wants);
+        wants.addAll(peers.demands(context.now(), others));
+        return RequestShares.shareOfFirst(SAFETY * limit, wants);
     }
 
     /** Once a second: tells the others, and takes up what they told. */
     private void tell() {
-        writesWanted = Math.max(WANTED_BEFORE * writesWanted, writes.takeWanted() + leader.backlog());
-        requestsWanted = Math.max(WANTED_BEFORE * requestsWanted, requests.takeWanted());
-        share(election.valid());
+        writesWanted = Math.max(WANTED_BEFORE * writesWanted, writes.drainDemand() + leader.backlog());
+        requestsWanted = Math.max(WANTED_BEFORE * requestsWanted, requests.drainDemand());
+        share(election.holdsLease());
         tell(leader.active() ? progress.toTell(leader.book()) : List.of());
     }
 
     private void tell(List<JobCount> counts) {
         if (!settings.seeds().isEmpty()) {
-            turn.tell(new PeerState(
+            context.publishToPeers(new PeerState(
                     settings.node(),
-                    election.valid(),
-                    election.baton(),
-                    turn.now().since(storeServed),
-                    types.known() && seenStore,
-                    hearing.lately(turn.now()),
+                    election.holdsLease(),
+                    election.fencingToken(),
+                    context.now().since(storeServed),
+                    machineTypes.isLoaded() && seenStore,
+                    workerReachability.recentHeartbeats(context.now()),
                     writesWanted,
                     requestsWanted,
                     counts,
-                    cancellations.toTell(),
-                    confirmations.takeAcknowledgements()));
+                    cancellations.forPeers(),
+                    acknowledgements.drainForPeers()));
         }
     }
 
     /** A cancellation is committed, and a user of this node is about to be told: whoever leads is to know, with or without the state service. */
-    private void confirmed(JobId ref, long wallMs) {
-        cancellations.confirmed(ref, wallMs);
-        boolean isNew = cancellations.heard(ref, wallMs);
-        pursue(ref, wallMs, isNew);
+    private void confirmed(JobId jobId, long wallMs) {
+        cancellations.recordConfirmed(jobId, wallMs);
+        boolean isNew = cancellations.record(jobId, wallMs);
+        pursue(jobId, wallMs, isNew);
         if (isNew) {
             news();
         }
     }
 
     /** Some node is about to confirm a cancellation: if this one leads, it ends the job's tasks and acknowledges that none can start any more. */
-    private void pursue(JobId ref, long committedWallMs, boolean isNew) {
+    private void pursue(JobId jobId, long committedWallMs, boolean isNew) {
         if (isNew) {
-            leader.cancelled(ref);
+            leader.cancelled(jobId);
         }
         if (leader.active()) {
-            confirmations.heard(ref, committedWallMs);
+            acknowledgements.register(jobId, committedWallMs);
         }
     }
 
@@ -294,27 +298,27 @@
     }
 
     private void acknowledge() {
-        if (!confirmations.acknowledge(leader::noTaskCanStart)) {
+        if (!acknowledgements.acknowledgeReady(leader::noTaskCanStart)) {
             return;
         }
         if (settings.seeds().isEmpty()) {
-            confirmations.takeAcknowledgements(); // there is nobody else to be told
+            acknowledgements.drainForPeers(); // there is nobody else to be told
         } else {
             news();
         }
     }
 
     private void news() {
-        if (!newsPace.tooSoon(this::news)) {
-            newsPace.done();
+        if (!newsPace.postponeIfTooSoon(this::news)) {
+            newsPace.markDone();
             tell(List.of());
         }
     }
 
     public void start(MonotonicTime now, long wallMs) {
-        turn.begin(now, wallMs);
+        context.beginInput(now, wallMs);
         nextTell = now.plusMs(TELL_MS);
-        types.start();
+        machineTypes.start();
         if (keys != null) {
             keys.start();
         }
@@ -330,17 +334,17 @@
 
     private void tick() {
         leader.tick();
-        if (!turn.now().before(nextTell)) {
-            nextTell = turn.now().plusMs(TELL_MS);
+        if (!context.now().isBefore(nextTell)) {
+            nextTell = context.now().plusMs(TELL_MS);
             tell();
         }
-        turn.after(TICK_MS, this::tick);
+        context.schedule(TICK_MS, this::tick);
     }
 
     /** A leader that stood still wakes with a leader's share of requests, and with all that users asked meanwhile: not its own any more. */
     private void begin(MonotonicTime now, long wallMs) {
-        turn.begin(now, wallMs);
-        if (sharesAsLeader && !election.valid()) {
+        context.beginInput(now, wallMs);
+        if (sharesAsLeader && !election.holdsLease()) {
             share(false);
         }
     }
@@ -348,36 +352,36 @@
     /** A deadline may have come. */
     public void time(MonotonicTime now, long wallMs) {
         begin(now, wallMs);
-        turn.runTimers();
+        context.runDueTimers();
         settleTurn();
     }
 
     /** When {@link #time} should be called next, at the latest. */
     public MonotonicTime wakeAt() {
-        MonotonicTime t = turn.nextTimer();
-        return leader.wantsPlan() && (t == null || leader.nextPlan().before(t)) ? leader.nextPlan() : t;
+        MonotonicTime t = context.nextDeadline();
+        return leader.wantsPlan() && (t == null || leader.nextPlan().isBefore(t)) ? leader.nextPlan() : t;
     }
 
     public List<Effect> drain() {
-        return turn.drain();
+        return context.drainEffects();
     }
 
     public void outcome(MonotonicTime now, long wallMs, long call, CallResult result) {
         begin(now, wallMs);
-        turn.outcome(call, result);
-        turn.runTimers();
+        context.completeCall(call, result);
+        context.runDueTimers();
         settleTurn();
     }
 
     /** What another controller said of itself. */
     public void peer(MonotonicTime now, long wallMs, PeerState state) {
         begin(now, wallMs);
-        peers.heard(state, now);
+        peers.lastMessages(state, now);
         progress.heard(state, now);
-        for (CancelledJob c : state.cancelled()) {
-            pursue(c.job(), c.wallMs(), cancellations.heard(c.job(), c.wallMs()));
+        for (CancelledJob c : state.cancelledJobs()) {
+            pursue(c.job(), c.wallMs(), cancellations.record(c.job(), c.wallMs()));
         }
-        state.acknowledged().forEach(confirmations::acknowledged);
+        state.acknowledgedCancellations().forEach(acknowledgements::receive);
         acknowledge();
     }
 
@@ -386,8 +390,9 @@
      * for those that are served; in an outage that all share leaving would help nobody, and cost a growing pause.
      */
     private boolean ready() {
-        boolean refusedAlone = turn.now().since(storeServed) > STORE_SILENT_MS && peers.servedElsewhere(turn.now());
-        return types.known() && seenStore && !refusedAlone && !cutOff();
+        boolean refusedAlone =
+                context.now().since(storeServed) > STORE_SILENT_MS && peers.isServedElsewhere(context.now());
+        return machineTypes.isLoaded() && seenStore && !refusedAlone && !cutOff();
     }
 
     /**
@@ -395,16 +400,16 @@
      * heard in it; a filter between nodes leaves the state service. Users are told at once, workers are sent on.
      */
     private boolean cutOff() {
-        long quiet = turn.now().since(storeHeard);
+        long quiet = context.now().since(storeHeard);
         return seenStore
                 && (quiet > STORE_SILENT_MS || storeUnheard >= UNHEARD_CALLS && quiet > CUT_MS)
-                && peers.silent(turn.now(), CUT_MS);
+                && peers.allSilentFor(context.now(), CUT_MS);
     }
 
     /** A request on the public address. Each is answered with one {@link Effect.Answer}, perhaps later. */
     public void request(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
         begin(now, wallMs);
-        turn.runTimers();
+        context.runDueTimers();
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         if (cron != null && (path.startsWith(CRON) || path.startsWith(CALENDARS))) {
@@ -415,21 +420,21 @@
                     path,
                     body,
                     leader.active() ? leader : null,
-                    (status, node) -> turn.answer(id, status, node));
+                    (status, node) -> context.answer(id, status, node));
         } else if (drainApi != null && DrainApi.mine(path)) {
             drainApi.request(
                     method,
                     path,
                     body,
                     leader.active() ? leader.drains() : null,
-                    (status, node) -> turn.answer(id, status, node));
+                    (status, node) -> context.answer(id, status, node));
         } else if (keySets != null && (path.equals(KeySetApi.PATH) || path.startsWith(KeySetApi.PATH + "/"))) {
             keySets.request(
                     method,
                     path,
                     body,
                     leader.active() ? leader.book() : null,
-                    (status, node) -> turn.answer(id, status, node));
+                    (status, node) -> context.answer(id, status, node));
         } else {
             route(id, method, path, body);
         }
@@ -449,18 +454,18 @@
         } else if (path.startsWith("/v1/jobs/")) {
             need = path.endsWith("/cancel") || path.endsWith("/width") ? "POST" : "GET";
         } else {
-            turn.answer(id, 404, Codec.map().put("error", "no such path"));
+            context.answer(id, 404, Codec.map().put("error", "no such path"));
             return;
         }
         if (!method.equals(need)) {
-            turn.answer(id, 405, Codec.map().put("error", need + " expected"));
+            context.answer(id, 405, Codec.map().put("error", need + " expected"));
             return;
         }
         switch (path) {
             case "/v1/jobs" -> users.submit(id, body);
             case "/checkin" -> checkin(id, body);
-            case "/ready" -> turn.answer(id, ready() ? 200 : 503, null);
-            case "/v1/metrics" -> turn.answer(id, 200, metrics.toNode());
+            case "/ready" -> context.answer(id, ready() ? 200 : 503, null);
+            case "/v1/metrics" -> context.answer(id, 200, metrics.toNode());
             case "/v1/plan", "/v1/hosts", "/v1/teams", "/v1/falls", "/v1/start", "/v1/served" -> view(id, path);
             default -> job(id, path.substring("/v1/jobs/".length()), body);
         }
@@ -468,41 +473,41 @@
 
     /** {@code /v1/cron}, {@code /v1/cron/TABLE[/remove]}, {@code /v1/calendars/NAME}. */
     private void cron(long id, String method, String path, String query, byte[] body) {
-        ApiResponder answer = (status, node) -> turn.answer(id, status, node);
+        ApiResponder responder = (status, node) -> context.answer(id, status, node);
         boolean post = method.equals("POST");
         try {
             if (path.startsWith(CALENDARS + "/")) {
                 String name = path.substring(CALENDARS.length() + 1);
                 if (post) {
-                    cron.installCalendar(name, Codec.decodeMap(body), answer);
+                    cron.installCalendar(name, Codec.decodeMap(body), responder);
                 } else {
-                    cron.calendar(name, answer);
+                    cron.calendar(name, responder);
                 }
             } else if (path.equals(CRON) && !post) {
-                cron.list(answer);
+                cron.list(responder);
             } else if (path.startsWith(CRON + "/") && post && path.endsWith("/remove")) {
-                cron.remove(path.substring(CRON.length() + 1, path.length() - "/remove".length()), answer);
+                cron.remove(path.substring(CRON.length() + 1, path.length() - "/remove".length()), responder);
             } else if (path.startsWith(CRON + "/") && post) {
-                cron.install(path.substring(CRON.length() + 1), Codec.decodeMap(body), answer);
+                cron.install(path.substring(CRON.length() + 1), Codec.decodeMap(body), responder);
             } else if (path.startsWith(CRON + "/")) {
                 int after =
                         query.matches("after=[0-9]{1,8}") ? Integer.parseInt(query.substring("after=".length())) : 0;
-                cron.show(path.substring(CRON.length() + 1), after, answer);
+                cron.show(path.substring(CRON.length() + 1), after, responder);
             } else {
-                answer.respond(404, Codec.map().put("error", "no such path"));
+                responder.respond(404, Codec.map().put("error", "no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.respond(400, Codec.map().put("error", e.getMessage()));
+            responder.respond(400, Codec.map().put("error", e.getMessage()));
         }
     }
 
     private void view(long id, String path) {
-        if (!(path.equals("/v1/start") ? election.valid() : leader.active())) {
+        if (!(path.equals("/v1/start") ? election.holdsLease() : leader.active())) {
             notLeader(id);
             return;
         }
-        long now = turn.now().ms();
-        turn.answer(
+        long now = context.now().ms();
+        context.answer(
                 id,
                 200,
                 switch (path) {
@@ -520,8 +525,8 @@
         boolean cancel = rest.endsWith("/cancel");
         boolean width = rest.endsWith("/width");
         String ref = cancel || width ? rest.substring(0, rest.lastIndexOf('/')) : rest;
-        if (!JobId.valid(ref)) {
-            turn.answer(id, 404, Codec.map().put("error", "no such job"));
+        if (!JobId.isValid(ref)) {
+            context.answer(id, 404, Codec.map().put("error", "no such job"));
         } else if (cancel) {
             users.cancel(id, new JobId(ref), 0);
         } else if (width) {
@@ -536,11 +541,11 @@
         try {
             report = Heartbeat.parse(Codec.decodeMap(body));
         } catch (MalformedMessageException e) {
-            turn.answer(id, 400, Codec.map().put("error", e.getMessage()));
+            context.answer(id, 400, Codec.map().put("error", e.getMessage()));
             return;
         }
-        hearing.report(turn.now());
-        if (election.valid()) {
+        workerReachability.recordHeartbeat(context.now());
+        if (election.holdsLease()) {
             leader.checkin(id, report);
             return;
         }
@@ -549,11 +554,11 @@
 
     private void notLeader(long id) {
         ObjectNode where = Codec.map();
-        String hint = peers.leader(turn.now());
+        String hint = peers.leader(context.now());
         String foreman = hint != null ? hint : election.otherLeader();
         if (foreman != null) {
             where.put("foreman", foreman);
         }
-        turn.answer(id, 421, where);
+        context.answer(id, 421, where);
     }
 }
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -46,7 +46,7 @@
         String why(String table, String id);
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final TokenBucket requests;
@@ -55,14 +55,14 @@
     private final Held held;
 
     CronApi(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
             UserApi users,
             Held held) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
@@ -75,8 +75,8 @@
         return Codec.map().put("error", text);
     }
 
-    private static void unknown(ApiResponder answer) {
-        answer.respond(503, error("the state service does not answer, or this node has used its share of it"));
+    private static void unknown(ApiResponder responder) {
+        responder.respond(503, error("the state service does not answer, or this node has used its share of it"));
     }
 
     // ---- reading ----
@@ -84,9 +84,9 @@
     /** All of a prefix, or null where it could not be read. */
     private void all(
             String prefix, String after, List<StoreClient.KeyValue> items, Consumer<List<StoreClient.KeyValue>> then) {
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.list(prefix, after, 500, page -> {
-            if (!page.ok()) {
+            if (!page.isOk()) {
                 then.accept(null);
                 return;
             }
@@ -106,10 +106,10 @@
         private final Map<String, JsonNode> parts = new TreeMap<>();
     }
 
-    private void installed(ApiResponder answer, Consumer<Installed> then) {
+    private void installed(ApiResponder responder, Consumer<Installed> then) {
         all(ScheduleKeys.DEFINITIONS, null, new ArrayList<>(), items -> {
             if (items == null) {
-                unknown(answer);
+                unknown(responder);
                 return;
             }
             Installed in = new Installed();
@@ -149,19 +149,19 @@
 
     // ---- tables ----
 
-    void install(String table, JsonNode body, ApiResponder answer) {
+    void install(String table, JsonNode body, ApiResponder responder) {
         if (!Calendar.validName(table)) {
-            answer.respond(400, error("table = " + table + ": letters, digits, - and _ are expected, at most 60"));
+            responder.respond(400, error("table = " + table + ": letters, digits, - and _ are expected, at most 60"));
             return;
         }
         List<Entry> parsed;
         try {
-            parsed = CronTable.parse(table, Codec.text(body, "text"), turn.wallMs() / 1000);
+            parsed = CronTable.parse(table, Codec.text(body, "text"), context.wallMs() / 1000);
         } catch (CronTable.Bad | MalformedMessageException e) {
-            answer.respond(400, error(e.getMessage()));
+            responder.respond(400, error(e.getMessage()));
             return;
         }
-        installed(answer, in -> {
+        installed(responder, in -> {
             List<Entry> all = new ArrayList<>();
             Map<String, Entry> before = new HashMap<>();
             if (in.tables.containsKey(table)) {
@@ -170,7 +170,7 @@
             for (Entry entry : parsed) {
                 String bad = judge(entry, in);
                 if (bad != null) {
-                    answer.respond(
+                    responder.respond(
                             bad.equals(UserApi.TYPES)
                                     ? 503
                                     : entry.calendar() != null && !in.calendars.containsKey(entry.calendar())
@@ -185,7 +185,7 @@
                                 ? entry.at(before.get(entry.id()).since())
                                 : entry);
             }
-            write(table, all, in, answer);
+            write(table, all, in, responder);
         });
     }
 
@@ -197,7 +197,7 @@
                             : ": " + String.join(", ", new TreeMap<>(in.calendars).keySet()));
         }
         try {
-            JobSpec job = entry.job(Instant.ofEpochMilli(turn.wallMs()));
+            JobSpec job = entry.job(Instant.ofEpochMilli(context.wallMs()));
             return users.judge(job);
         } catch (MalformedMessageException m) {
             return m.getMessage();
@@ -213,7 +213,7 @@
         int bytes = PART_BYTES;
         for (Entry entry : sorted) {
             ObjectNode node = entry.toNode();
-            int size = Codec.countedBytes(node);
+            int size = Codec.jsonBytes(node);
             if (bytes + size > PART_BYTES || out.get(out.size() - 1).size() >= PART_LINES) {
                 out.add(Codec.list());
                 bytes = 0;
@@ -224,36 +224,37 @@
         return out;
     }
 
-    private void write(String table, List<Entry> all, Installed in, ApiResponder answer) {
+    private void write(String table, List<Entry> all, Installed in, ApiResponder responder) {
         StoreClient.KeyValue old = in.tables.get(table);
         long gen = Math.max(
-                turn.wallMs(), old == null ? 0 : old.value().path("gen").asLong() + 1);
+                context.wallMs(), old == null ? 0 : old.value().path("gen").asLong() + 1);
         List<ArrayNode> parts = parts(all);
         ObjectNode meta = Codec.map()
                 .put("gen", gen)
                 .put("chunks", parts.size())
                 .put("lines", all.size())
-                .put("installed", turn.wallMs() / 1000);
+                .put("installed", context.wallMs() / 1000);
         writeParts(table, gen, parts, 0, ok -> {
             if (!ok) {
-                unknown(answer);
+                unknown(responder);
                 return;
             }
             String key = ScheduleKeys.TABLES + table;
-            Transaction txn = new Transaction()
+            Transaction transaction = new Transaction()
                     .guard(key, old == null ? Revision.ABSENT : old.version())
                     .put(key, meta);
-            send(txn, commit -> {
-                switch (commit.result()) {
-                    case DONE -> {
-                        answer.respond(
+            send(transaction, commit -> {
+                switch (commit.outcome()) {
+                    case COMMITTED -> {
+                        responder.respond(
                                 old == null ? 201 : 200,
                                 Codec.map().put("table", table).put("lines", all.size()));
                         removeKeys(stale(in, table, old));
                     }
                     case CONFLICT ->
-                        answer.respond(409, error("table " + table + ": another version was installed at this moment"));
-                    default -> unknown(answer);
+                        responder.respond(
+                                409, error("table " + table + ": another version was installed at this moment"));
+                    default -> unknown(responder);
                 }
             });
         });
@@ -275,18 +276,18 @@
             return;
         }
         int count = (int) Math.min(
-                Math.min(PUTS_AT_ONCE, settings.stateLimits().txnOps()), Math.floor(writes.available(turn.now())));
+                Math.min(PUTS_AT_ONCE, settings.stateLimits().txnOps()), Math.floor(writes.available(context.now())));
         if (count < 1) {
-            turn.after(WAIT_MS, () -> writeParts(table, gen, parts, from, then));
+            context.schedule(WAIT_MS, () -> writeParts(table, gen, parts, from, then));
             return;
         }
-        Transaction txn = new Transaction();
+        Transaction transaction = new Transaction();
         int to = Math.min(parts.size(), from + count);
         for (int i = from; i < to; i++) {
-            txn.put(ScheduleKeys.definition(table, gen, i), parts.get(i));
+            transaction.put(ScheduleKeys.definition(table, gen, i), parts.get(i));
         }
-        send(txn, commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
+        send(transaction, commit -> {
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 writeParts(table, gen, parts, to, then);
             } else {
                 then.accept(false);
@@ -294,10 +295,10 @@
         });
     }
 
-    private void send(Transaction txn, Consumer<CommitResult> then) {
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
-        store.commit(txn, then);
+    private void send(Transaction transaction, Consumer<CommitResult> then) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
+        store.commit(transaction, then);
     }
 
     /** What nothing refers to any more; where that fails, it stays and does no harm. */
@@ -305,42 +306,43 @@
         if (keys.isEmpty()) {
             return;
         }
-        if (writes.available(turn.now()) < PUTS_AT_ONCE) {
-            turn.after(WAIT_MS, () -> removeKeys(keys));
+        if (writes.available(context.now()) < PUTS_AT_ONCE) {
+            context.schedule(WAIT_MS, () -> removeKeys(keys));
             return;
         }
-        Transaction txn = new Transaction();
+        Transaction transaction = new Transaction();
         List<String> first = keys.subList(0, Math.min(PUTS_AT_ONCE, keys.size()));
-        first.forEach(txn::delete);
-        send(txn, c -> removeKeys(keys.subList(first.size(), keys.size())));
+        first.forEach(transaction::delete);
+        send(transaction, c -> removeKeys(keys.subList(first.size(), keys.size())));
     }
 
-    void remove(String table, ApiResponder answer) {
-        installed(answer, in -> {
+    void remove(String table, ApiResponder responder) {
+        installed(responder, in -> {
             StoreClient.KeyValue old = in.tables.get(table);
             if (old == null) {
-                answer.respond(404, error("no such table"));
+                responder.respond(404, error("no such table"));
                 return;
             }
             send(new Transaction().guard(old.key(), old.version()).delete(old.key()), commit -> {
-                switch (commit.result()) {
-                    case DONE -> {
-                        answer.respond(200, Codec.map().put("table", table).put("lines", 0));
+                switch (commit.outcome()) {
+                    case COMMITTED -> {
+                        responder.respond(200, Codec.map().put("table", table).put("lines", 0));
                         List<String> keys = new ArrayList<>(stale(in, table, old));
                         for (int n = 0; n < old.value().path("chunks").asInt(); n++) {
                             keys.add(ScheduleKeys.cursor(table, n));
                         }
                         removeKeys(keys);
                     }
-                    case CONFLICT -> answer.respond(409, error("table " + table + ": it was changed at this moment"));
-                    default -> unknown(answer);
+                    case CONFLICT ->
+                        responder.respond(409, error("table " + table + ": it was changed at this moment"));
+                    default -> unknown(responder);
                 }
             });
         });
     }
 
-    void list(ApiResponder answer) {
-        installed(answer, in -> {
+    void list(ApiResponder responder) {
+        installed(responder, in -> {
             ObjectNode out = Codec.map();
             ArrayNode tables = out.putArray("tables");
             in.tables.forEach((name, item) -> tables.addObject()
@@ -358,20 +360,20 @@
                     .put(
                             "days",
                             calendar.holidays().size() + calendar.workdays().size()));
-            answer.respond(200, out);
+            responder.respond(200, out);
         });
     }
 
     /** A table's lines after one: last run, next run, why it is held. */
-    void show(String table, int after, ApiResponder answer) {
-        installed(answer, in -> {
+    void show(String table, int after, ApiResponder responder) {
+        installed(responder, in -> {
             if (!in.tables.containsKey(table)) {
-                answer.respond(404, error("no such table"));
+                responder.respond(404, error("no such table"));
                 return;
             }
             all(ScheduleKeys.CURSORS + table + "/", null, new ArrayList<>(), cursors -> {
                 if (cursors == null) {
-                    unknown(answer);
+                    unknown(responder);
                     return;
                 }
                 Map<String, JsonNode> byId = new HashMap<>();
@@ -387,7 +389,7 @@
                 ObjectNode out = Codec.map().put("table", table).put("more", lines.size() > ROWS);
                 ArrayNode rows = out.putArray("lines");
                 rows(lines.subList(0, Math.min(ROWS, lines.size())), in, byId, rows);
-                outcomes(rows, 0, () -> answer.respond(200, out));
+                outcomes(rows, 0, () -> responder.respond(200, out));
             });
         });
     }
@@ -453,40 +455,40 @@
 
     // ---- calendars ----
 
-    void installCalendar(String name, JsonNode body, ApiResponder answer) {
+    void installCalendar(String name, JsonNode body, ApiResponder responder) {
         Calendar calendar;
         try {
             calendar = Calendar.parse(body, name);
         } catch (MalformedMessageException e) {
-            answer.respond(400, error(e.getMessage()));
+            responder.respond(400, error(e.getMessage()));
             return;
         }
         ObjectNode value = calendar.toNode();
-        if (Codec.countedBytes(value) > PART_BYTES) {
-            answer.respond(
+        if (Codec.jsonBytes(value) > PART_BYTES) {
+            responder.respond(
                     400,
-                    error("holidays: " + Codec.countedBytes(value) + " bytes in all, at most " + PART_BYTES
+                    error("holidays: " + Codec.jsonBytes(value) + " bytes in all, at most " + PART_BYTES
                             + " are allowed"));
             return;
         }
         send(new Transaction().put(ScheduleKeys.CALENDARS + name, value), commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
-                answer.respond(200, Codec.map().put("calendar", name).put("version", calendar.version()));
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                responder.respond(200, Codec.map().put("calendar", name).put("version", calendar.version()));
             } else {
-                unknown(answer);
+                unknown(responder);
             }
         });
     }
 
-    void calendar(String name, ApiResponder answer) {
-        requests.take(turn.now(), 1);
+    void calendar(String name, ApiResponder responder) {
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(ScheduleKeys.CALENDARS + name, read -> {
-            if (!read.known()) {
-                unknown(answer);
+            if (!read.answered()) {
+                unknown(responder);
             } else if (read.item() == null) {
-                answer.respond(404, error("no such calendar"));
+                responder.respond(404, error("no such calendar"));
             } else {
-                answer.respond(200, read.item().value());
+                responder.respond(200, read.item().value());
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -48,14 +48,14 @@
     private static final int MAX_BYTES = 45_000;
     private static final int RECORD_BYTES = 1500;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
-    private final StateLoader loading;
+    private final ClusterState clusterState;
+    private final StateLoader loader;
     private final UserApi users;
     private final IdempotencyKeys onceKeys;
     private final ScheduleRegistry lines;
@@ -64,25 +64,25 @@
     private long longestDelayMs;
 
     CronController(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
-            StateLoader loading,
+            ClusterState clusterState,
+            StateLoader loader,
             UserApi users,
             IdempotencyKeys onceKeys) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
-        this.lines = new ScheduleRegistry(turn, store, requests);
+        this.lines = new ScheduleRegistry(context, store, requests);
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
-        this.loading = loading;
+        this.clusterState = clusterState;
+        this.loader = loader;
         this.users = users;
         this.onceKeys = onceKeys;
     }
@@ -98,7 +98,7 @@
     // ---- firing ----
 
     void tick() {
-        if (!lines.loaded() || !loading.active()) {
+        if (!lines.loaded() || !loader.isActive()) {
             return;
         }
         Instant now = lines.wall();
@@ -115,14 +115,14 @@
     /** One occurrence that a transaction decides. {@code same}: another's submission is its work already. */
     private record Firing(Line line, Catchup catchup, JobSpec job, JobId same, String outcome) {
         JobId ref() {
-            return same != null ? same : job == null ? null : job.ref();
+            return same != null ? same : job == null ? null : job.id();
         }
     }
 
     private void fire(Shard shard, Instant now) {
-        double budget = writes.available(turn.now()) - KEPT_WRITES;
+        double budget = writes.available(context.now()) - KEPT_WRITES;
         int most = (int) Math.min(settings.stateLimits().txnOps(), Math.floor(budget));
-        Transaction txn = election.guarded()
+        Transaction transaction = election.guardedTransaction()
                 .guard(ScheduleKeys.TABLES + shard.table, lines.version(shard.table))
                 .guard(shard.key, shard.version);
         List<Firing> firings = new ArrayList<>();
@@ -132,26 +132,26 @@
             if (line.shard != shard) {
                 continue;
             }
-            if (most < 3 || txn.ops() + 3 > most || bytes + RECORD_BYTES > MAX_BYTES) {
+            if (most < 3 || transaction.operationCount() + 3 > most || bytes + RECORD_BYTES > MAX_BYTES) {
                 line.held = "the state service's writes are used up";
-                writes.missed(3);
+                writes.recordMissed(3);
                 continue;
             }
             Firing firing = decide(line, now);
             if (firing == null
                     || (firing.job != null
-                            && firing.job.onceKey() != null
+                            && firing.job.idempotencyKey() != null
                             && !keys.add(IdempotencyKeys.place(firing.job)))) {
                 continue;
             }
             if (firing.job != null) {
-                onceKeys.enter(txn, firing.job, line.keyVersion, turn.wallMs());
+                onceKeys.enter(transaction, firing.job, line.keyVersion, context.wallMs());
                 bytes += RECORD_BYTES;
             }
             firings.add(firing);
         }
         if (!firings.isEmpty()) {
-            commit(shard, txn, firings);
+            commit(shard, transaction, firings);
         }
     }
 
@@ -164,8 +164,8 @@
         if (line.taken != null) {
             return new Firing(line, catchup, null, line.taken, null);
         }
-        Job last = line.last == null ? null : book.job(line.last);
-        if (last != null && !last.cancelled()) {
+        Job last = line.last == null ? null : clusterState.job(line.last);
+        if (last != null && !last.isCancelled()) {
             switch (line.entry.overlap()) {
                 case SKIP -> {
                     return new Firing(line, catchup, null, null, "skipped: " + line.last + " is not over");
@@ -199,7 +199,7 @@
         }
     }
 
-    private void commit(Shard shard, Transaction txn, List<Firing> firings) {
+    private void commit(Shard shard, Transaction transaction, List<Firing> firings) {
         Map<String, Firing> byId = new HashMap<>();
         firings.forEach(f -> byId.put(f.line.entry.id(), f));
         ObjectNode value = Codec.map();
@@ -208,16 +208,16 @@
             boolean runs = firing != null && firing.ref() != null;
             ArrayNode row = Codec.list()
                     .add(firing == null ? line.cursorS : firing.catchup.cursor().getEpochSecond());
-            JobId ref = runs ? firing.ref() : line.last;
-            row.add(ref == null ? "" : ref.text()).add(runs ? turn.wallMs() / 1000 : line.firedS);
+            JobId jobId = runs ? firing.ref() : line.last;
+            row.add(jobId == null ? "" : jobId.text()).add(runs ? context.wallMs() / 1000 : line.firedS);
             value.set(id, row.add(line.dropped + (firing == null ? 0 : firing.catchup.dropped() + (runs ? 0 : 1))));
         });
-        txn.put(shard.key, value);
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
+        transaction.put(shard.key, value);
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
         shard.inFlight = true;
         long expectedEpoch = lines.epoch();
-        store.commit(txn, commit -> {
+        store.commit(transaction, commit -> {
             if (expectedEpoch != lines.epoch()) {
                 return;
             }
@@ -227,25 +227,25 @@
     }
 
     private void committed(CommitResult commit, Shard shard, List<Firing> firings, ObjectNode value) {
-        switch (commit.result()) {
-            case DONE -> {
+        switch (commit.outcome()) {
+            case COMMITTED -> {
                 shard.version = commit.revision();
                 for (Firing f : firings) {
                     moved(f, value.get(f.line.entry.id()));
                 }
             }
             case CONFLICT -> {
-                if (commit.failed().contains(LeaderElection.KEY)) {
-                    election.lose("the key was rewritten");
+                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                    election.loseLeadership("the key was rewritten");
                 } else if (sameWork(commit, firings)) {
                     tick(); // the others need not wait
                 } else {
                     // Our own, late, or another table by now: read what is true and go on from there.
-                    LOG.info("cron: a transaction was overtaken on {}", commit.failed());
+                    LOG.info("cron: a transaction was overtaken on {}", commit.failedKeys());
                     lines.reload();
                 }
             }
-            case NO_LEASE -> election.lose("the lease ended");
+            case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             // Repeated, it meets its own change of the cursors if it was applied after all.
             default -> firings.forEach(f -> f.line.held = "the state service does not answer");
         }
@@ -253,7 +253,7 @@
 
     private void moved(Firing firing, JsonNode row) {
         Line line = firing.line;
-        long delay = turn.wallMs() - line.next.toEpochMilli();
+        long delay = context.wallMs() - line.next.toEpochMilli();
         String where = line.entry.table() + ", line " + line.entry.line() + ", "
                 + line.next.atZone(line.entry.zone()).toOffsetDateTime();
         if (firing.same != null) {
@@ -262,12 +262,12 @@
         } else if (firing.job != null) {
             fired++;
             longestDelayMs = Math.max(longestDelayMs, firing.catchup.dropped() > 0 ? 0 : delay);
-            line.last = firing.job.ref();
+            line.last = firing.job.id();
             line.firedS = row.path(2).asLong();
             LOG.info(
                     "{}: {} enters, {} ms after its time{}",
                     where,
-                    firing.job.ref(),
+                    firing.job.id(),
                     delay,
                     firing.catchup.dropped() > 0
                             ? ", for " + (firing.catchup.dropped() + 1) + " that were missed"
@@ -289,12 +289,13 @@
             if (firing.job == null) {
                 continue;
             }
-            boolean same = commit.failed().contains(JobRecord.openKey(firing.job.ref()))
-                    || commit.failed().contains(JobRecord.endedKey(firing.job.ref()));
-            boolean key = firing.job.onceKey() != null && commit.failed().contains(IdempotencyKeys.place(firing.job));
+            boolean same = commit.failedKeys().contains(JobRecord.openKey(firing.job.id()))
+                    || commit.failedKeys().contains(JobRecord.endedKey(firing.job.id()));
+            boolean key = firing.job.idempotencyKey() != null
+                    && commit.failedKeys().contains(IdempotencyKeys.place(firing.job));
             if (same || key) {
                 found = true;
-                settle(firing, same ? firing.job.ref() : null);
+                settle(firing, same ? firing.job.id() : null);
             }
         }
         return found;
@@ -309,16 +310,16 @@
         }
         lines.due().remove(line); // until that is known
         long expectedEpoch = lines.epoch();
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.place(firing.job), read -> {
             if (expectedEpoch != lines.epoch()) {
                 return;
             }
             lines.due().add(line);
-            if (read.known()) {
+            if (read.answered()) {
                 line.taken = read.item() == null
                         ? null
-                        : IdempotencyKeys.owner(read.item().value(), turn.wallMs());
+                        : IdempotencyKeys.owner(read.item().value(), context.wallMs());
                 line.keyVersion =
                         read.item() == null ? Revision.ABSENT : read.item().version();
             }
@@ -328,13 +329,13 @@
 
     private void logLate() {
         for (Line line : lines.due()) {
-            if (turn.now().since(line.dueSince) > LATE_MS && !turn.now().before(line.nextLog)) {
-                line.nextLog = turn.now().plusMs(LATE_MS);
+            if (context.now().since(line.dueSince) > LATE_MS && !context.now().isBefore(line.nextLog)) {
+                line.nextLog = context.now().plusMs(LATE_MS);
                 LOG.warn(
                         "{}, line {}: due for {} s: {}",
                         line.entry.table(),
                         line.entry.line(),
-                        turn.now().since(line.dueSince) / 1000,
+                        context.now().since(line.dueSince) / 1000,
                         line.held == null ? "its transaction is on its way" : line.held);
             }
         }
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -16,23 +16,23 @@
 
 /** Starts what a plan has due. */
 final class Dispatch {
-    private final ControllerContext turn;
-    private final ClusterState book;
+    private final ControllerContext context;
+    private final ClusterState clusterState;
     private final Admission admission;
     private final DurationEstimates estimates;
     private final ElasticWidths elastic;
-    private final MachineTypeCatalog types;
+    private final MachineTypeCatalog machineTypes;
 
     Dispatch(
-            ControllerContext turn,
-            ClusterState book,
+            ControllerContext context,
+            ClusterState clusterState,
             Admission admission,
             DurationEstimates estimates,
             ElasticWidths elastic,
-            MachineTypeCatalog types) {
-        this.types = types;
-        this.turn = turn;
-        this.book = book;
+            MachineTypeCatalog machineTypes) {
+        this.machineTypes = machineTypes;
+        this.context = context;
+        this.clusterState = clusterState;
         this.admission = admission;
         this.estimates = estimates;
         this.elastic = elastic;
@@ -45,21 +45,21 @@
         Map<JobId, Integer> due = new HashMap<>();
         Map<JobId, Long> attempts = new HashMap<>();
         for (Plan.Reservation reservation : next.reservations()) {
-            if (reservation.hostUp() && reservation.startMs() <= turn.now().ms()) {
+            if (reservation.hostUp() && reservation.startMs() <= context.now().ms()) {
                 due.merge(reservation.job(), 1, Integer::sum);
             }
         }
         for (Plan.Reservation reservation : next.reservations()) {
-            if (!reservation.hostUp() || reservation.startMs() > turn.now().ms()) {
+            if (!reservation.hostUp() || reservation.startMs() > context.now().ms()) {
                 continue;
             }
-            Job job = book.job(reservation.job());
-            if (job.spec().gang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
+            Job job = clusterState.job(reservation.job());
+            if (job.spec().isGang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
                 continue; // all of it or nothing
             }
-            Machine machine = book.known(reservation.host());
+            Machine machine = clusterState.findMachine(reservation.host());
             if (used == null) {
-                used = book.usedByTeams();
+                used = clusterState.teamUsage();
             }
             if (!admission.admissible(job, machine, used)
                     || ElasticWidths.mayPlace(job) <= 0
@@ -68,12 +68,12 @@
             }
             ArrayDeque<Integer> free =
                     waiting.computeIfAbsent(reservation.job(), k -> new ArrayDeque<>(job.record.waiting(due.get(k))));
-            if (free.isEmpty() || job.notBefore.ms() > turn.now().ms()) {
+            if (free.isEmpty() || job.notBefore.ms() > context.now().ms()) {
                 continue;
             }
             TaskId id = new TaskId(reservation.job(), free.poll());
             // A gang's tasks find one another by their common attempt.
-            long attempt = job.spec().gang()
+            long attempt = job.spec().isGang()
                     ? attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
                     : job.record.nextAttempt++;
             enter(job, id, attempt, machine, reservation.fetchMs());
@@ -85,30 +85,30 @@
 
     /** Places one task on this machine, if the rules allow it now, whatever the plan says. */
     boolean place(Job job, int index, Machine machine) {
-        if (job.spec().gang() || !admission.admissible(job, machine, book.usedByTeams())) {
+        if (job.spec().isGang() || !admission.admissible(job, machine, clusterState.teamUsage())) {
             return false;
         }
         enter(
                 job,
-                new TaskId(job.ref(), index),
+                new TaskId(job.id(), index),
                 job.record.nextAttempt++,
                 machine,
-                machine.fetchMs(job.spec(), types.get(machine.type)));
+                machine.fetchMs(job.spec(), machineTypes.get(machine.type)));
         return true;
     }
 
     private void enter(Job job, TaskId id, long attempt, Machine machine, long fetchMs) {
         Placement placement = new Placement(id, attempt, machine.id);
-        placement.since = turn.now();
+        placement.placedAt = context.now();
         placement.placedS =
-                (int) Math.max(0, Math.min(Integer.MAX_VALUE, (turn.wallMs() - job.record.submittedWallMs) / 1000));
+                (int) Math.max(0, Math.min(Integer.MAX_VALUE, (context.wallMs() - job.record.submittedWallMs) / 1000));
         placement.fetchMs = fetchMs;
-        placement.expectedMs = estimates.lengthMs(job.spec());
+        placement.expectedDurationMs = estimates.expectedMs(job.spec());
         job.record.live.put(id.index(), placement);
         machine.placements.put(id, placement);
-        job.uncommitted++;
+        job.uncommittedPlacements++;
         elastic.placed(job);
         machine.idleSince = null;
-        book.touch(job);
+        clusterState.markDirty(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -49,13 +49,13 @@
     /** What was charged and not stopped for so long may never be: its leader fell in between, and its drain is over. */
     private static final long NEVER_STOPPED_MS = 30_000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final PrefixReader reading;
     private final boolean on;
     /** Whether tasks of the machine are about to move, each when its turn comes. */
@@ -68,23 +68,23 @@
     private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
     DisruptionAccounting(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
+            ClusterState clusterState,
             boolean on) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
+        this.clusterState = clusterState;
         this.on = on;
-        this.reading = new PrefixReader(turn, store, requests, book);
+        this.reading = new PrefixReader(context, store, requests, clusterState);
     }
 
     /** A new leadership begins: what the last one charged is read before anything is disturbed on purpose. */
@@ -92,7 +92,7 @@
         accounts.clear();
         dirty.clear();
         read = false;
-        nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
+        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
         if (on) {
             reading.read(
                     PREFIX,
@@ -115,18 +115,18 @@
 
     /** CPU seconds that stopping it now throws away. */
     static double lostCpuS(JobSpec spec, Placement placement, MonotonicTime now) {
-        if (spec.service() || placement.running == null) {
+        if (spec.isService() || placement.runningSince == null) {
             return 0;
         }
-        double ran = Math.max(0, now.since(placement.running) / 1000.0);
-        return spec.cpus() * (spec.checkpointS() > 0 ? ran % spec.checkpointS() : ran);
+        double ran = Math.max(0, now.since(placement.runningSince) / 1000.0);
+        return spec.cpus() * (spec.checkpointEveryS() > 0 ? ran % spec.checkpointEveryS() : ran);
     }
 
     /** A task had to leave; what was done on purpose was charged before. */
     @Override
-    public void happened(Placement placement, Cause cause) {
-        Job job = on && !cause.onPurpose() ? book.job(placement.task.job()) : null;
-        if (job == null || job.cancelled() || !read) {
+    public void recordDisruption(Placement placement, Cause cause) {
+        Job job = on && !cause.onPurpose() ? clusterState.job(placement.task.job()) : null;
+        if (job == null || job.isCancelled() || !read) {
             return;
         }
         JobSpec spec = job.spec();
@@ -137,8 +137,8 @@
                                 placement.attempt,
                                 spec.jobClass(),
                                 cause,
-                                lostCpuS(spec, placement, turn.now()),
-                                turn.wallMs()));
+                                lostCpuS(spec, placement, context.now()),
+                                context.wallMs()));
         dirty.add(spec.team());
     }
 
@@ -151,14 +151,14 @@
 
     /** Whether the account is of the size that a value may have; it is made smaller first where that helps. */
     boolean fits(Account account) {
-        if (Codec.countedBytes(account.toNode()) > settings.stateLimits().valueBytes()) {
+        if (Codec.jsonBytes(account.toNode()) > settings.stateLimits().valueBytes()) {
             account.shrink();
         }
-        return Codec.countedBytes(account.toNode()) <= settings.stateLimits().valueBytes();
+        return Codec.jsonBytes(account.toNode()) <= settings.stateLimits().valueBytes();
     }
 
-    void into(Transaction txn, String team, Account account) {
-        txn.put(PREFIX + team, account.toNode());
+    void into(Transaction transaction, String team, Account account) {
+        transaction.put(PREFIX + team, account.toNode());
     }
 
     /** The commit that charged it is made. */
@@ -177,36 +177,36 @@
     // ---- what is over ----
 
     void tick() {
-        if (!on || !read || turn.now().before(next)) {
+        if (!on || !read || context.now().isBefore(next)) {
             return;
         }
-        next = turn.now().plusMs(EVERY_MS);
+        next = context.now().plusMs(EVERY_MS);
         accounts.forEach((team, account) -> {
-            account.fold(turn.wallMs());
+            account.fold(context.wallMs());
             account.away().forEach((t, away) -> settle(team, account, t, away));
         });
         if (!dirty.isEmpty()
-                && !turn.now().before(nextWrite)
-                && writes.available(turn.now()) >= PLENTY * writes.most()) {
-            nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
+                && !context.now().isBefore(nextWrite)
+                && writes.available(context.now()) >= PLENTY * writes.capacity()) {
+            nextWrite = context.now().plusMs(WRITE_EVERY_MS);
             write();
         }
     }
 
     private void settle(String team, Account account, TaskId task, Account.Away away) {
-        Job job = book.job(task.job());
+        Job job = clusterState.job(task.job());
         Placement placement = job == null ? null : job.record.live.get(task.index());
-        boolean over = job == null && !book.unreadable(task.job())
-                || job != null && (job.cancelled() || job.record.done.contains(task.index()));
-        if (over || placement != null && placement.attempt > away.attempt() && placement.running != null) {
+        boolean over = job == null && !clusterState.isUnreadable(task.job())
+                || job != null && (job.isCancelled() || job.record.done.contains(task.index()));
+        if (over || placement != null && placement.attempt > away.attempt() && placement.runningSince != null) {
             account.back(task);
             dirty.add(team);
         } else if (placement != null
                 && placement.attempt == away.attempt()
-                && !placement.killSent
-                && turn.wallMs() - away.atMs() > NEVER_STOPPED_MS
+                && !placement.stopRequested
+                && context.wallMs() - away.atMs() > NEVER_STOPPED_MS
                 && neverLeaves(job, placement)) {
-            LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.host);
+            LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.machine);
             account.undo(task);
             dirty.add(team);
         }
@@ -217,30 +217,30 @@
      * this leadership began shows it there: an earlier leader's stop can't come any more.
      */
     private boolean neverLeaves(Job job, Placement placement) {
-        Machine machine = book.known(placement.host);
+        Machine machine = clusterState.findMachine(placement.machine);
         return machine != null
-                && (machine.cordonedBy == null || job.spec().service())
+                && (machine.cordonedBy == null || job.spec().isService())
                 && !moving.test(machine.id)
-                && placement.seen
-                && machine.lastCheckin != null
-                && machine.lastCheckin.baton().compareTo(election.firstBaton()) >= 0;
+                && placement.reported
+                && machine.lastHeartbeat != null
+                && machine.lastHeartbeat.fencingToken().compareTo(election.firstFencingToken()) >= 0;
     }
 
     private void write() {
-        Transaction txn = election.guarded();
+        Transaction transaction = election.guardedTransaction();
         Set<String> teams = new HashSet<>();
         for (String team : dirty) {
             if (teams.size() < MOST_IN_ONE && fits(accounts.get(team))) {
                 teams.add(team);
-                into(txn, team, accounts.get(team));
+                into(transaction, team, accounts.get(team));
             }
         }
         dirty.removeAll(teams);
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
-        long reign = book.reign();
-        store.commit(txn, commit -> {
-            if (reign == book.reign() && commit.result() != CommitResult.Outcome.DONE) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
+        long term = clusterState.term();
+        store.commit(transaction, commit -> {
+            if (term == clusterState.term() && commit.outcome() != CommitResult.Outcome.COMMITTED) {
                 dirty.addAll(teams);
             }
         });
@@ -262,7 +262,7 @@
             }
             String team = budget.jobClass() == null ? key : budget.team();
             Account account = accounts.getOrDefault(team, new Account());
-            Account.Sum hour = account.lastHour(budget.jobClass(), turn.wallMs());
+            Account.Sum hour = account.lastHour(budget.jobClass(), context.wallMs());
             ObjectNode node = rows.addObject()
                     .put("team", team)
                     .put("class", budget.jobClass())
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -23,27 +23,27 @@
     private static final int MOST_DRAINS = 40;
     private static final int MOST_TEXT = 120;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final MachineTypeCatalog types;
+    private final MachineTypeCatalog machineTypes;
     private final DrainRegistry drains;
     private final OptimisticUpdate amending;
     private final CalendarDays openDays;
 
     DrainApi(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
-            MachineTypeCatalog types,
+            MachineTypeCatalog machineTypes,
             DrainRegistry drains) {
-        this.types = types;
-        this.turn = turn;
+        this.machineTypes = machineTypes;
+        this.context = context;
         this.settings = settings;
         this.drains = drains;
-        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
-        this.openDays = new CalendarDays(turn, store, requests);
+        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
+        this.openDays = new CalendarDays(context, store, requests);
     }
 
     static boolean mine(String path) {
@@ -54,7 +54,7 @@
     }
 
     /** @param desk null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, DrainController desk, ApiResponder answer) {
+    void request(String method, String path, byte[] body, DrainController desk, ApiResponder responder) {
         boolean budgets = path.startsWith(BUDGETS);
         String base = budgets ? BUDGETS : DRAINS;
         String rest = path.length() > base.length() ? path.substring(base.length() + 1) : "";
@@ -64,18 +64,18 @@
         try {
             JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
             if (!drains.read()) {
-                OptimisticUpdate.unknown(answer);
+                OptimisticUpdate.respondUnavailable(responder);
             } else if (node == null && verb.isEmpty()) {
-                show(budgets, name, desk, answer);
+                show(budgets, name, desk, responder);
             } else if (node == null) {
-                answer.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdate.error("no such path"));
             } else if (budgets) {
-                budget(name, verb, node, answer);
+                budget(name, verb, node, responder);
             } else {
-                drain(name, verb, node, desk, answer);
+                drain(name, verb, node, desk, responder);
             }
         } catch (MalformedMessageException e) {
-            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
@@ -88,26 +88,26 @@
         return text;
     }
 
-    private void show(boolean budgets, String name, DrainController desk, ApiResponder answer) {
+    private void show(boolean budgets, String name, DrainController desk, ApiResponder responder) {
         if (!budgets && !name.isEmpty() && drains.known(name) == null) {
-            answer.respond(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
+            responder.respond(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
         } else if (desk == null) {
-            answer.respond(
+            responder.respond(
                     421, OptimisticUpdate.error("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
-            answer.respond(200, desk.budgets());
+            responder.respond(200, desk.budgets());
         } else {
-            answer.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.known(name)));
+            responder.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.known(name)));
         }
     }
 
     // ---- drains ----
 
-    private void drain(String name, String verb, JsonNode node, DrainController desk, ApiResponder answer)
+    private void drain(String name, String verb, JsonNode node, DrainController desk, ApiResponder responder)
             throws MalformedMessageException {
         if (verb.equals("plan")) {
             Drain described = described(name, node);
-            answer.respond(
+            responder.respond(
                     desk == null ? 421 : 200,
                     desk == null
                             ? OptimisticUpdate.error("this node does not lead: it knows no plan")
@@ -117,12 +117,12 @@
         String who = text(node, "who");
         String why = text(node, "why");
         switch (verb) {
-            case "put" -> put(name, node, who, why, answer);
-            case "pause" -> change(name, Drain.State.PAUSED, "paused", who, why, answer);
-            case "resume" -> change(name, Drain.State.RUNNING, "resumed", who, why, answer);
-            case "abort" -> change(name, Drain.State.ABORTED, "aborted", who, why, answer);
+            case "put" -> put(name, node, who, why, responder);
+            case "pause" -> change(name, Drain.State.PAUSED, "paused", who, why, responder);
+            case "resume" -> change(name, Drain.State.RUNNING, "resumed", who, why, responder);
+            case "abort" -> change(name, Drain.State.ABORTED, "aborted", who, why, responder);
             case "remove" ->
-                amending.now(
+                amending.update(
                         DrainRegistry.DRAINS + name,
                         before -> {
                             if (before == null) {
@@ -138,13 +138,13 @@
                             }
                             return null;
                         },
-                        answer);
-            default -> answer.respond(404, OptimisticUpdate.error("no such path"));
+                        responder);
+            default -> responder.respond(404, OptimisticUpdate.error("no such path"));
         }
     }
 
-    private void change(String name, Drain.State to, String what, String who, String why, ApiResponder answer) {
-        amending.now(
+    private void change(String name, Drain.State to, String what, String who, String why, ApiResponder responder) {
+        amending.update(
                 DrainRegistry.DRAINS + name,
                 before -> {
                     if (before == null) {
@@ -156,13 +156,13 @@
                         throw new OptimisticUpdate.RejectedException(
                                 409, "name = " + name + ": it was aborted; put it again");
                     }
-                    return drain.to(to, what, who, turn.wallMs(), why).toNode();
+                    return drain.to(to, what, who, context.wallMs(), why).toNode();
                 },
-                answer);
+                responder);
     }
 
     private Drain described(String name, JsonNode node) throws MalformedMessageException {
-        Drain drain = Drain.described(name, node, turn.wallMs());
+        Drain drain = Drain.described(name, node, context.wallMs());
         if (drain.which().zone() != null
                 && !settings.zones().contains(drain.which().zone())) {
             throw new MalformedMessageException(
@@ -174,13 +174,14 @@
     }
 
     private void type(String field, String name) throws MalformedMessageException {
-        if (name != null && types.known() && types.get(name) == null) {
+        if (name != null && machineTypes.isLoaded() && machineTypes.get(name) == null) {
             throw new MalformedMessageException(field + " = " + name + ": one of "
-                    + new TreeSet<>(types.all().stream().map(MachineType::name).toList()) + " is expected");
+                    + new TreeSet<>(
+                            machineTypes.all().stream().map(MachineType::name).toList()) + " is expected");
         }
     }
 
-    private void put(String name, JsonNode node, String who, String why, ApiResponder answer)
+    private void put(String name, JsonNode node, String who, String why, ApiResponder responder)
             throws MalformedMessageException {
         Drain described = described(name, node);
         if (drains.known(name) == null && drains.drains().size() >= MOST_DRAINS) {
@@ -189,33 +190,34 @@
         }
         openDays.of(
                 described.rest().calendar(),
-                answer,
+                responder,
                 open -> commit(
                         name,
                         described.rest().calendar() == null
                                 ? described
-                                : described.with(described.rest().with(d -> !open.test(d), turn.wallMs())),
+                                : described.with(described.rest().with(d -> !open.test(d), context.wallMs())),
                         who,
                         why,
-                        answer));
+                        responder));
     }
 
-    private void commit(String name, Drain described, String who, String why, ApiResponder answer) {
-        amending.now(
+    private void commit(String name, Drain described, String who, String why, ApiResponder responder) {
+        amending.update(
                 DrainRegistry.DRAINS + name,
                 before -> described
-                        .put(before == null ? null : Drain.parse(before), who, turn.wallMs(), why)
+                        .put(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
                         .toNode(),
-                answer);
+                responder);
     }
 
     // ---- budgets ----
 
-    private void budget(String key, String verb, JsonNode node, ApiResponder answer) throws MalformedMessageException {
+    private void budget(String key, String verb, JsonNode node, ApiResponder responder)
+            throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         if (verb.equals("remove")) {
-            amending.now(
+            amending.update(
                     DrainRegistry.BUDGETS + key,
                     before -> {
                         if (before == null) {
@@ -224,14 +226,14 @@
                         }
                         return null;
                     },
-                    answer);
+                    responder);
             return;
         }
         if (!verb.equals("put")) {
-            answer.respond(404, OptimisticUpdate.error("no such path"));
+            responder.respond(404, OptimisticUpdate.error("no such path"));
             return;
         }
-        DisruptionBudget described = DisruptionBudget.described(node, who, turn.wallMs(), why, 1);
+        DisruptionBudget described = DisruptionBudget.described(node, who, context.wallMs(), why, 1);
         Set<String> teams = new TreeSet<>(settings.teams().keySet());
         if (!described.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(described.team())) {
             throw new MalformedMessageException("team = " + described.team() + ": " + DisruptionBudget.DEFAULT
@@ -240,17 +242,17 @@
         if (!described.key().equals(key)) {
             throw new MalformedMessageException("name = " + key + ": " + described.key() + " is expected");
         }
-        amending.now(
+        amending.update(
                 DrainRegistry.BUDGETS + key,
                 before -> DisruptionBudget.described(
                                 node,
                                 who,
-                                turn.wallMs(),
+                                context.wallMs(),
                                 why,
                                 before == null
                                         ? 1
                                         : DisruptionBudget.parse(before).number() + 1)
                         .toNode(),
-                answer);
+                responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -58,20 +58,20 @@
     /** The cloud's list may be older than twice its lag, with what a look takes. */
     private static final double LAGS = 2.5;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
-    private final MachineTypeCatalog types;
+    private final ClusterState clusterState;
+    private final MachineTypeCatalog machineTypes;
     private final Admission admission;
-    private final TaskEviction stopping;
-    private final CommandDispatcher orders;
+    private final TaskEviction eviction;
+    private final CommandDispatcher dispatcher;
     private final Provisioner provisioner;
     private final ElasticWidths elastic;
-    private final MigrationController moves;
+    private final MigrationController migrations;
     private final DisruptionAccounting disruptions;
     private final RollingReplacement rollouts;
     private final PrefixReader reading;
@@ -91,41 +91,41 @@
     private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
     DrainController(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
-            MachineTypeCatalog types,
+            ClusterState clusterState,
+            MachineTypeCatalog machineTypes,
             Admission admission,
-            TaskEviction stopping,
-            CommandDispatcher orders,
+            TaskEviction eviction,
+            CommandDispatcher dispatcher,
             Provisioner provisioner,
             ElasticWidths elastic,
-            MigrationController moves,
+            MigrationController migrations,
             DisruptionAccounting disruptions,
             RollingReplacement rollouts,
             DrainRegistry drains) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
-        this.types = types;
+        this.clusterState = clusterState;
+        this.machineTypes = machineTypes;
         this.admission = admission;
-        this.stopping = stopping;
-        this.orders = orders;
+        this.eviction = eviction;
+        this.dispatcher = dispatcher;
         this.provisioner = provisioner;
         this.elastic = elastic;
-        this.moves = moves;
+        this.migrations = migrations;
         this.disruptions = disruptions;
         this.rollouts = rollouts;
         this.drains = drains;
-        this.reading = new PrefixReader(turn, store, requests, book);
+        this.reading = new PrefixReader(context, store, requests, clusterState);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is begun. */
@@ -156,14 +156,14 @@
                 machine.type,
                 machine.zone,
                 machine.spot,
-                machine.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(machine.rentedAt));
+                machine.rentedAt == null ? 0 : context.wallMs() - context.now().since(machine.rentedAt));
     }
 
     /** Machines that the drain speaks of and that are still there. */
     private List<Machine> matched(Drain drain) {
         List<Machine> out = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            if (machine.known() && !machine.returning && drain.which().matches(machine(machine), drain.atMs())) {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.isKnown() && !machine.releasing && drain.which().matches(machine(machine), drain.atMs())) {
                 out.add(machine);
             }
         }
@@ -175,7 +175,7 @@
         Map<MachineId, String> by = new HashMap<>();
         for (Drain drain : drains.drains()) {
             Progress progress = runs.get(drain.name());
-            if (!drain.holds(turn.wallMs())) {
+            if (!drain.holds(context.wallMs())) {
                 continue;
             }
             for (Machine machine : matched(drain)) {
@@ -185,14 +185,14 @@
             }
         }
         boolean changed = false;
-        for (Machine machine : book.hosts()) {
+        for (Machine machine : clusterState.machines()) {
             String now = by.get(machine.id);
             changed |= now == null ? machine.cordonedBy != null : !now.equals(machine.cordonedBy);
             machine.cordonedBy = now;
-            machine.spareOf = null; // whose spare it is, if anybody's, is said anew below
+            machine.standbyFor = null; // whose spare it is, if anybody's, is said anew below
         }
         if (changed) {
-            book.replan();
+            clusterState.requestReplan();
         }
     }
 
@@ -200,29 +200,32 @@
 
     void tick(Planner planner) {
         disruptions.tick();
-        if (drains == null || !drains.read() || turn.now().before(next)) {
+        if (drains == null || !drains.read() || context.now().isBefore(next)) {
             return;
         }
-        next = turn.now().plusMs(EVERY_MS);
+        next = context.now().plusMs(EVERY_MS);
         boolean none = drains.drains().isEmpty() && runs.isEmpty();
         if (none && idle) {
             return;
         }
         idle = none;
         cordon();
-        if (!read || !disruptions.known() || !moves.known()) {
+        if (!read || !disruptions.known() || !migrations.known()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
         Map<TaskId, MachineId> places = new HashMap<>();
         Set<MachineId> doomed = new HashSet<>();
-        drains.drains().stream().filter(d -> d.holds(turn.wallMs())).forEach(d -> matched(d)
+        drains.drains().stream().filter(d -> d.holds(context.wallMs())).forEach(d -> matched(d)
                 .forEach(h -> doomed.add(h.id)));
         FreeCapacity rooms = new FreeCapacity(
-                book, types, admission, h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
+                clusterState,
+                machineTypes,
+                admission,
+                h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
         for (Drain drain : drains.drains()) {
             Progress progress = runs.computeIfAbsent(drain.name(), k -> new Progress());
-            if (drain.holds(turn.wallMs())) {
+            if (drain.holds(context.wallMs())) {
                 goOn(drain, progress, planner, rooms, candidates, places);
             }
         }
@@ -233,8 +236,8 @@
         if (!writing) {
             leave(candidates, places);
         }
-        if (!writing && !dirty.isEmpty() && !turn.now().before(nextWrite)) {
-            nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
+        if (!writing && !dirty.isEmpty() && !context.now().isBefore(nextWrite)) {
+            nextWrite = context.now().plusMs(WRITE_EVERY_MS);
             write(dirty.iterator().next());
         }
     }
@@ -243,7 +246,7 @@
         runs.remove(name);
         dirty.remove(name);
         blocked.remove(name);
-        commit(election.guarded().delete(RUNS + name), done -> {});
+        commit(election.guardedTransaction().delete(RUNS + name), done -> {});
     }
 
     private void goOn(
@@ -262,7 +265,7 @@
                 DrainForecast.Cost cost = foresight(drain, matched);
                 progress.tasksForeseen = cost.tasks();
                 progress.cpuSForeseen = cost.cpuS();
-                progress.endForeseenMs = turn.wallMs() + cost.lastsMs();
+                progress.endForeseenMs = context.wallMs() + cost.lastsMs();
                 LOG.info(
                         "drain {} begins: {} machines, {} tasks and {} CPU s are thought to be lost, over in {} s",
                         drain.name(),
@@ -281,7 +284,7 @@
         if (rollouts.spares(drain, progress)) {
             dirty.add(drain.name());
         }
-        boolean works = drain.state() == Drain.State.RUNNING && !drain.rest().rests(turn.wallMs());
+        boolean works = drain.state() == Drain.State.RUNNING && !drain.rest().rests(context.wallMs());
         if (drain.replace() && rollouts.step(drain, progress, matched, works, planner)) {
             write(drain.name());
         }
@@ -293,11 +296,11 @@
                 left = true;
                 continue;
             }
-            boolean empty = machine.placements.isEmpty() && machine.strangers == 0;
+            boolean empty = machine.placements.isEmpty() && machine.unknownTasks == 0;
             left |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
-                provisioner.giveBack(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && works && progress.paused == null && !moves.moves(machine.id)) {
+                provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
+            } else if (!empty && works && progress.paused == null && !migrations.moves(machine.id)) {
                 if (candidates(drain, progress, machine, rooms, out, places)) {
                     lacking.merge(RollingReplacement.kind(machine), 1, Integer::sum);
                 }
@@ -307,10 +310,10 @@
             rollouts.makePlace(drain, progress, lacking);
         }
         boolean told = provisioner.listed()
-                && turn.wallMs() - drain.atMs()
+                && context.wallMs() - drain.atMs()
                         > Math.round(1000 * LAGS * settings.cloudLimits().listLagS());
         if (!left && !drain.keep() && progress.begun.isEmpty() && told) {
-            progress.overMs = turn.wallMs();
+            progress.overMs = context.wallMs();
             LOG.info(
                     "drain {} is over: {} machines gone, {} tasks and {} CPU s lost ({} and {} foreseen)",
                     drain.name(),
@@ -327,11 +330,13 @@
     /** Which of its machines are gone since the last look. */
     private void count(Drain drain, Progress progress) {
         Set<MachineId> now = new HashSet<>();
-        book.hosts().stream().filter(h -> drain.name().equals(h.cordonedBy)).forEach(h -> now.add(h.id));
+        clusterState.machines().stream()
+                .filter(h -> drain.name().equals(h.cordonedBy))
+                .forEach(h -> now.add(h.id));
         Set<MachineId> before = cordoned.put(drain.name(), now);
         Set<MachineId> gone = new HashSet<>(before == null ? Set.of() : before);
         gone.addAll(progress.begun.keySet());
-        gone.removeIf(h -> book.known(h) != null && !book.known(h).returning);
+        gone.removeIf(h -> clusterState.findMachine(h) != null && !clusterState.findMachine(h).releasing);
         if (!gone.isEmpty()) {
             progress.gone += gone.size();
             gone.forEach(progress.begun::remove);
@@ -344,7 +349,7 @@
     private Ending.Need need(Drain drain, long sinceMs) {
         long by = sinceMs + 1000 * drain.pace().waitS();
         by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
-        return new Ending.Need(turn.now().ms() + by - turn.wallMs(), true);
+        return new Ending.Need(context.now().ms() + by - context.wallMs(), true);
     }
 
     /** Tasks that may leave; whether one of them has no place to go to. */
@@ -357,14 +362,14 @@
             Map<TaskId, MachineId> places) {
         boolean lacks = false;
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
-            Job job = book.job(placement.task.job());
-            if (job == null || !placement.sent || placement.killSent || job.cancelled() || job.held()) {
+            Job job = clusterState.job(placement.task.job());
+            if (job == null || !placement.launchSent || placement.stopRequested || job.isCancelled() || job.isHeld()) {
                 continue;
             }
             if (disruptions.isCharged(job.spec().team(), placement)
-                    && !job.spec().service()) {
-                stopping.stop(placement, drain.cause()); // an earlier leader charged it, and fell before the stop
-                orders.direct(machine);
+                    && !job.spec().isService()) {
+                eviction.evict(placement, drain.cause()); // an earlier leader charged it, and fell before the stop
+                dispatcher.dispatch(machine);
                 continue;
             }
             Evictions.Candidate candidate = candidate(drain, run, machine, job, placement, rooms, places);
@@ -383,13 +388,13 @@
             FreeCapacity rooms,
             Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
-        long since = drain.replace() ? run.begun.getOrDefault(machine.id, turn.wallMs()) : drain.atMs();
+        long since = drain.replace() ? run.begun.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
         Ending ending = elastic.ending(job, placement, need(drain, since));
         boolean due = ending.way() != Ending.Way.AT_END
                 && ending.way() != Ending.Way.WITHDRAW
-                && ending.atMs() <= turn.now().ms() + EVERY_MS;
+                && ending.atMs() <= context.now().ms() + EVERY_MS;
         boolean placed = true;
-        if (spec.service() && due) {
+        if (spec.isService() && due) {
             Machine to = rooms.take(spec);
             placed = to != null;
             if (placed) {
@@ -403,8 +408,8 @@
                 spec.team(),
                 spec.jobClass(),
                 drain.cause(),
-                spec.gang() ? job.record.live.size() : 0,
-                spec.service() ? spec.tasks() : 0,
+                spec.isGang() ? job.record.live.size() : 0,
+                spec.isService() ? spec.tasks() : 0,
                 due,
                 ending.lostCpuS(),
                 placed);
@@ -416,23 +421,23 @@
             return;
         }
         Map<String, Account> accounts = disruptions.copies();
-        Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, turn.wallMs(), MOST_LEAVE);
+        Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, context.wallMs(), MOST_LEAVE);
         decision.blocked().forEach((why, count) -> {
-            Machine machine = book.known(why.host());
+            Machine machine = clusterState.findMachine(why.host());
             if (machine != null && machine.cordonedBy != null) {
                 blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                         .merge(why.text(), count, Integer::sum);
             }
         });
         int ops = settings.stateLimits().txnOps() - 1;
-        Transaction txn = election.guarded();
+        Transaction transaction = election.guardedTransaction();
         Map<MachineId, Map<TaskId, MachineId>> moving = new TreeMap<>();
         List<Evictions.Candidate> stopped = new ArrayList<>();
         Set<String> teams = new HashSet<>();
         Set<String> names = new HashSet<>();
         Map<String, List<Evictions.Candidate>> taken = new HashMap<>();
         for (Evictions.Candidate candidate : decision.leave()) {
-            Machine machine = book.known(candidate.host());
+            Machine machine = clusterState.findMachine(candidate.host());
             boolean moves = places.containsKey(candidate.task());
             int more = (teams.contains(candidate.team()) ? 0 : 1)
                     + (names.contains(machine.cordonedBy) ? 0 : 1)
@@ -464,17 +469,18 @@
         if (teams.isEmpty()) {
             return;
         }
-        teams.forEach(t -> disruptions.into(txn, t, accounts.get(t)));
-        names.forEach(
-                n -> txn.put(RUNS + n, counted(runs.get(n), taken.get(n), 1).toNode()));
-        moving.forEach((host, to) -> moves.relocate(txn, host, book.known(host).cordonedBy, to));
-        commit(txn, done -> {
+        teams.forEach(t -> disruptions.into(transaction, t, accounts.get(t)));
+        names.forEach(n ->
+                transaction.put(RUNS + n, counted(runs.get(n), taken.get(n), 1).toNode()));
+        moving.forEach((machine, to) ->
+                migrations.relocate(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
+        commit(transaction, done -> {
             if (done) {
                 teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
-                moving.forEach((host, to) -> {
-                    Machine machine = book.known(host);
+                moving.forEach((machineId, to) -> {
+                    Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
-                        moves.relocated(host, machine.cordonedBy, to);
+                        migrations.relocated(machineId, machine.cordonedBy, to);
                     }
                 });
                 stopped.forEach(this::stop);
@@ -493,12 +499,12 @@
     }
 
     private void stop(Evictions.Candidate candidate) {
-        Machine machine = book.known(candidate.host());
+        Machine machine = clusterState.findMachine(candidate.host());
         Placement placement = machine == null ? null : machine.placements.get(candidate.task());
         if (placement != null
                 && placement.attempt == candidate.attempt()
-                && !placement.killSent
-                && book.job(candidate.task().job()) != null) {
+                && !placement.stopRequested
+                && clusterState.job(candidate.task().job()) != null) {
             LOG.info(
                     "{} try {} leaves {}: drain {}, {} CPU s",
                     placement.task,
@@ -506,8 +512,8 @@
                     machine.id,
                     machine.cordonedBy,
                     Math.round(candidate.lostCpuS()));
-            stopping.stop(placement, candidate.cause());
-            orders.direct(machine);
+            eviction.evict(placement, candidate.cause());
+            dispatcher.dispatch(machine);
         }
     }
 
@@ -517,22 +523,22 @@
             return;
         }
         dirty.remove(name);
-        commit(election.guarded().put(RUNS + name, runs.get(name).toNode()), done -> {
+        commit(election.guardedTransaction().put(RUNS + name, runs.get(name).toNode()), done -> {
             if (!done) {
                 dirty.add(name);
             }
         });
     }
 
-    private void commit(Transaction txn, Consumer<Boolean> then) {
-        long reign = book.reign();
+    private void commit(Transaction transaction, Consumer<Boolean> then) {
+        long term = clusterState.term();
         writing = true;
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
-        store.commit(txn, commit -> {
-            if (reign == book.reign()) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
+        store.commit(transaction, commit -> {
+            if (term == clusterState.term()) {
                 writing = false;
-                then.accept(commit.result() == CommitResult.Outcome.DONE);
+                then.accept(commit.outcome() == CommitResult.Outcome.COMMITTED);
             }
         });
     }
@@ -540,20 +546,20 @@
     // ---- what is told ----
 
     /** What it would cost and how long it would take, were it put now. */
-    private DrainForecast.Cost foresight(Drain drain, List<Machine> hosts) {
+    private DrainForecast.Cost foresight(Drain drain, List<Machine> machines) {
         return DrainForecast.of(
                 drain,
-                hosts,
-                book,
-                types,
-                (j, p) -> elastic.ending(j, p, need(drain, turn.wallMs())),
-                turn.now().ms());
+                machines,
+                clusterState,
+                machineTypes,
+                (j, p) -> elastic.ending(j, p, need(drain, context.wallMs())),
+                context.now().ms());
     }
 
     ObjectNode foresee(Drain drain) {
-        List<Machine> hosts = matched(drain);
-        return foresight(drain, hosts)
-                .into(Codec.map().put("name", drain.name()).put("machines", hosts.size()));
+        List<Machine> machines = matched(drain);
+        return foresight(drain, machines)
+                .into(Codec.map().put("name", drain.name()).put("machines", machines.size()));
     }
 
     boolean over(String name) {
@@ -577,8 +583,9 @@
     ObjectNode view(Drain drain) {
         Progress progress = runs.getOrDefault(drain.name(), new Progress());
         List<Machine> matched = progress.overMs > 0 ? List.of() : matched(drain);
-        DrainForecast.Cost left = progress.overMs == 0 && drain.holds(turn.wallMs()) ? foresight(drain, matched) : null;
+        DrainForecast.Cost left =
+                progress.overMs == 0 && drain.holds(context.wallMs()) ? foresight(drain, matched) : null;
         return DrainViews.row(
-                drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), turn.wallMs());
+                drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), context.wallMs());
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -36,9 +36,9 @@
 
     static Cost of(
             Drain drain,
-            List<Machine> hosts,
-            ClusterState book,
-            MachineTypeCatalog types,
+            List<Machine> machines,
+            ClusterState clusterState,
+            MachineTypeCatalog machineTypes,
             BiFunction<Job, Placement, Ending> ending,
             long nowMs) {
         int tasks = 0;
@@ -47,12 +47,12 @@
         long sum = 0;
         long boot = 0;
         Map<String, double[]> groups = new TreeMap<>();
-        for (Machine machine : hosts) {
+        for (Machine machine : machines) {
             long frees = LEAST_MACHINE_MS;
-            MachineType type = types.get(machine.type);
+            MachineType type = machineTypes.get(machine.type);
             boot = Math.max(boot, type == null ? 0 : Math.round(1000 * type.startupS()));
             for (Placement placement : machine.placements.values()) {
-                Job job = book.job(placement.task.job());
+                Job job = clusterState.job(placement.task.job());
                 if (job == null) {
                     continue;
                 }
@@ -72,9 +72,9 @@
         }
         long lasts = !drain.replace()
                 ? longest
-                : hosts.isEmpty()
+                : machines.isEmpty()
                         ? 0
-                        : Waves.lastsMs(drain.pace(), hosts.size(), 0, (longest + sum / hosts.size()) / 2, boot);
+                        : Waves.lastsMs(drain.pace(), machines.size(), 0, (longest + sum / machines.size()) / 2, boot);
         return new Cost(tasks, cpuS, groups, lasts);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainRegistry.java
+++ b/src/main/java/org/beechhoist/controller/DrainRegistry.java
@@ -22,7 +22,7 @@
     static final String BUDGETS = PREFIX + "b/";
     private static final Logger LOG = LoggerFactory.getLogger(DrainRegistry.class);
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final Runnable changed;
@@ -32,8 +32,8 @@
     private Budgets budgets = Budgets.NONE;
     private boolean read;
 
-    DrainRegistry(ControllerContext turn, StoreClient store, TokenBucket requests, Runnable changed) {
-        this.turn = turn;
+    DrainRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Runnable changed) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.changed = changed;
@@ -41,7 +41,7 @@
 
     void start() {
         new PrefixWatch(
-                        turn,
+                        context,
                         store,
                         requests,
                         PREFIX,
--- a/src/main/java/org/beechhoist/controller/DrainViews.java
+++ b/src/main/java/org/beechhoist/controller/DrainViews.java
@@ -18,10 +18,10 @@
     private DrainViews() {}
 
     /** What a person asks about a job some of whose tasks are on machines that are emptied, or null. */
-    static String told(Job job, ClusterState book) {
+    static String told(Job job, ClusterState clusterState) {
         Map<String, Integer> by = new TreeMap<>();
         for (Placement placement : job.record.live.values()) {
-            Machine machine = book.known(placement.host);
+            Machine machine = clusterState.findMachine(placement.machine);
             if (machine != null && machine.cordonedBy != null) {
                 by.merge(machine.cordonedBy, 1, Integer::sum);
             }
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -38,40 +38,40 @@
 
     private static final long REPORT_LATE_MS = 2000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Policy.Elastic policy;
-    private final ClusterState book;
-    private final MachineTypeCatalog types;
+    private final ClusterState clusterState;
+    private final MachineTypeCatalog machineTypes;
     private final DurationEstimates estimates;
-    private final TaskEviction stopping;
-    private final TaskRemoval departures;
+    private final TaskEviction eviction;
+    private final TaskRemoval taskRemoval;
     private final Map<Ending.Way, Integer> ended = new HashMap<>();
     private int widened;
     private int narrowed;
     private int withdrawn;
 
     ElasticWidths(
-            ControllerContext turn,
+            ControllerContext context,
             Policy.Elastic policy,
-            ClusterState book,
-            MachineTypeCatalog types,
+            ClusterState clusterState,
+            MachineTypeCatalog machineTypes,
             DurationEstimates estimates,
-            TaskEviction stopping,
-            TaskRemoval departures) {
-        this.turn = turn;
+            TaskEviction eviction,
+            TaskRemoval taskRemoval) {
+        this.context = context;
         this.policy = policy;
-        this.book = book;
-        this.types = types;
+        this.clusterState = clusterState;
+        this.machineTypes = machineTypes;
         this.estimates = estimates;
-        this.stopping = stopping;
-        this.departures = departures;
+        this.eviction = eviction;
+        this.taskRemoval = taskRemoval;
     }
 
     // ---- what the plan may place ----
 
     /** Tasks that count against the width: those live, less those that are on their way out. */
     static int staying(Job job) {
-        return job.record.live.size() - job.leaving.size();
+        return job.record.live.size() - job.endings.size();
     }
 
     /** How many of the job's waiting tasks are planned like any other work. */
@@ -81,36 +81,36 @@
         if (width == null) {
             return waiting;
         }
-        if (job.spec().service()) {
-            return Math.max(0, Math.min(waiting, width.allowed().most() - job.record.live.size()));
+        if (job.spec().isService()) {
+            return Math.max(0, Math.min(waiting, width.allowed().max() - job.record.live.size()));
         }
         int unfinished = job.spec().tasks() - job.record.done.size();
         int sure = Sure.width(
                 width.allowed(),
                 unfinished,
-                estimates.lengthMs(job.spec()),
+                estimates.expectedMs(job.spec()),
                 untilMs(job),
-                turn.now().ms());
+                context.now().ms());
         // Those on their way out hold their places in the width until they are gone.
         return Math.max(0, Math.min(waiting, sure - job.record.live.size()));
     }
 
     /** When an elastic job should be done. */
     long untilMs(Job job) {
-        Double until = job.record.width.allowed().untilS();
-        return until == null ? Ending.NEVER : job.submitted.ms() + Math.round(1000 * until);
+        Double until = job.record.width.allowed().deadlineS();
+        return until == null ? Ending.NEVER : job.submittedAt.ms() + Math.round(1000 * until);
     }
 
     /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
     Plan.Wish wish(Job job, int sure, Integer fixed) {
         WidthRecord width = job.record.width;
         int from = job.record.live.size() + sure;
-        int most = width == null || job.spec().service() || job.spec().gang() || job.cancelled()
+        int most = width == null || job.spec().isService() || job.spec().isGang() || job.isCancelled()
                 ? 0
-                : width.allowed().most();
+                : width.allowed().max();
         if (most <= from
                 || job.record.waitingCount() <= sure
-                || job.notBefore.ms() > turn.now().ms()) {
+                || job.notBefore.ms() > context.now().ms()) {
             return null;
         }
         return new Plan.Wish(from, most, untilMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
@@ -118,8 +118,8 @@
 
     private double lowestCostPerCpu(JobSpec spec) {
         double lowest = Double.POSITIVE_INFINITY;
-        for (MachineType type : types.all()) {
-            if (spec.allows(type)) {
+        for (MachineType type : machineTypes.all()) {
+            if (spec.fitsType(type)) {
                 lowest = Math.min(lowest, type.priceOf(spec.spot()) / Math.max(0.01, type.cpus()));
             }
         }
@@ -129,7 +129,7 @@
     /** How many more of the job's tasks may be placed, whatever the plan says. */
     static int mayPlace(Job job) {
         WidthRecord w = job.record.width;
-        return w == null ? Integer.MAX_VALUE : w.allowed().most() - job.record.live.size();
+        return w == null ? Integer.MAX_VALUE : w.allowed().max() - job.record.live.size();
     }
 
     /** The job's tasks were placed: its record says the width that they make, in the same commit. */
@@ -139,7 +139,7 @@
             if (width.target() > 0) {
                 widened++;
             }
-            LOG.info("{} widens from {} to {}", job.ref(), width.target(), staying(job));
+            LOG.info("{} widens from {} to {}", job.id(), width.target(), staying(job));
             job.record.width = width.withTarget(staying(job));
         }
     }
@@ -147,8 +147,8 @@
     /** Whether a committed placement must not be launched any more: its machine has begun to go. */
     @Override
     public boolean withdraws(Job job, Placement placement, Machine machine) {
-        boolean going = machine.going() || (job != null && job.leaving.containsKey(placement));
-        if (job == null || job.record.width == null || placement.sent || !going) {
+        boolean going = machine.isLeaving() || (job != null && job.endings.containsKey(placement));
+        if (job == null || job.record.width == null || placement.launchSent || !going) {
             return false;
         }
         LOG.info(
@@ -165,59 +165,59 @@
     Ending ending(Job job, Placement placement, Ending.Need need) {
         JobSpec spec = job.spec();
         // Reports come late: what should have its image by now, or soon, may be running when the stop arrives.
-        boolean running =
-                placement.running != null || turn.now().since(placement.since) > placement.fetchMs - REPORT_LATE_MS;
-        long ran = placement.running != null ? Math.max(0, turn.now().since(placement.running)) : 0;
-        long left = spec.service()
+        boolean running = placement.runningSince != null
+                || context.now().since(placement.placedAt) > placement.fetchMs - REPORT_LATE_MS;
+        long ran = placement.runningSince != null ? Math.max(0, context.now().since(placement.runningSince)) : 0;
+        long left = spec.isService()
                 ? Ending.NEVER
-                : Math.max(0, estimates.endOf(placement, turn.now()).since(turn.now()));
+                : Math.max(0, estimates.expectedEnd(placement, context.now()).since(context.now()));
         return Ending.choose(
                 new Ending.Task(
-                        placement.sent,
+                        placement.launchSent,
                         running,
                         ran,
                         left,
                         spec.cpus(),
-                        Math.round(1000 * spec.checkpointS()),
-                        Math.round(1000 * spec.saveS())),
-                turn.now().ms(),
+                        Math.round(1000 * spec.checkpointEveryS()),
+                        Math.round(1000 * spec.checkpointCostS())),
+                context.now().ms(),
                 need);
     }
 
     /** Whether the task may still be chosen to go. */
     static boolean mayGo(Job job, Placement placement) {
-        return !placement.killSent && !job.leaving.containsKey(placement);
+        return !placement.stopRequested && !job.endings.containsKey(placement);
     }
 
     /** The task is to go. Nothing is sent before the narrower width is committed. */
     void leave(Job job, Placement placement, Ending ending, String why) {
-        if (job.leaving.isEmpty() || staying(job) == job.record.width.target()) {
+        if (job.endings.isEmpty() || staying(job) == job.record.width.target()) {
             narrowed++;
         }
-        job.leaving.put(placement, ending);
-        placement.leavesAt = ending.freesAtMs();
+        job.endings.put(placement, ending);
+        placement.expectedGoneAtMs = ending.freesAtMs();
         WidthRecord width = job.record.width;
         job.record.width = width.withTarget(Math.min(width.target(), staying(job)));
         LOG.info(
                 "{} narrows to {}: {} try {} goes, {}, {}",
-                job.ref(),
+                job.id(),
                 job.record.width.target(),
                 placement.task,
                 placement.attempt,
                 ending.way(),
                 why);
-        book.touch(job);
+        clusterState.markDirty(job);
     }
 
     /** Holds the job's live tasks against its width: after a resize, a take-over, and every now and then. */
     void look(Job job) {
         WidthRecord width = job.record.width;
-        if (width == null || job.cancelled()) {
+        if (width == null || job.isCancelled()) {
             return;
         }
         int surplus = staying(job) - width.target();
         if (surplus > 0) {
-            Ending.Need need = new Ending.Need(turn.now().ms() + NEAR_MS, false);
+            Ending.Need need = new Ending.Need(context.now().ms() + NEAR_MS, false);
             List<Placement> live = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 if (mayGo(job, placement)) {
@@ -233,41 +233,41 @@
 
     /** Stops what is to go and due, as far as the committed width leaves tasks over. */
     private void carryOut(Job job) {
-        for (Map.Entry<Placement, Ending> entry : new ArrayList<>(job.leaving.entrySet())) {
+        for (Map.Entry<Placement, Ending> entry : new ArrayList<>(job.endings.entrySet())) {
             Placement placement = entry.getKey();
             Ending end = entry.getValue();
             if (job.record.live.size() - stopped(job) <= job.committedWidth
-                    || placement.killSent
-                    || end.atMs() > turn.now().ms()) {
+                    || placement.stopRequested
+                    || end.atMs() > context.now().ms()) {
                 continue;
             }
-            if (!placement.sent) {
+            if (!placement.launchSent) {
                 ended.merge(Ending.Way.WITHDRAW, 1, Integer::sum);
-                departures.remove(job, placement);
+                taskRemoval.remove(job, placement);
             } else if (end.way() == Ending.Way.AT_END) {
                 // It runs longer than expected: where it can save, it does so now.
-                Ending.Need need = new Ending.Need(turn.now().ms() + NEAR_MS, false);
+                Ending.Need need = new Ending.Need(context.now().ms() + NEAR_MS, false);
                 Ending again = ending(job, placement, need);
-                job.leaving.put(placement, again);
-                placement.leavesAt = again.freesAtMs();
+                job.endings.put(placement, again);
+                placement.expectedGoneAtMs = again.freesAtMs();
             } else {
                 ended.merge(end.way(), 1, Integer::sum);
-                stopping.stop(
-                        placement, end.way() == Ending.Way.KILL ? 0 : job.spec().saveS(), Cause.NARROWING);
+                eviction.evict(
+                        placement, end.way() == Ending.Way.KILL ? 0 : job.spec().checkpointCostS(), Cause.NARROWING);
             }
         }
     }
 
     private static int stopped(Job job) {
         int count = 0;
-        for (Placement p : job.leaving.keySet()) {
-            count += p.killSent ? 1 : 0;
+        for (Placement p : job.endings.keySet()) {
+            count += p.stopRequested ? 1 : 0;
         }
         return count;
     }
 
     void tick() {
-        for (Job j : book.jobs()) {
+        for (Job j : clusterState.jobs()) {
             look(j);
         }
     }
@@ -284,6 +284,6 @@
 
     /** Why nothing of the job may start, or null. */
     static String held(Job job) {
-        return job.record.width != null && job.record.width.paused() ? "paused: its width is 0" : null;
+        return job.record.width != null && job.record.width.isPaused() ? "paused: its width is 0" : null;
     }
 }
--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -45,13 +45,13 @@
 
     private record Written(long content, MonotonicTime at) {}
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final Map<Integer, Written> written = new HashMap<>();
     private final Set<Integer> beyond = new HashSet<>();
     private MonotonicTime next = MonotonicTime.ZERO;
@@ -62,20 +62,20 @@
     private int largest = USUAL_BYTES;
 
     FleetSnapshots(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book) {
-        this.turn = turn;
+            ClusterState clusterState) {
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
+        this.clusterState = clusterState;
     }
 
     /** A new leadership begins: what the last one noted is read. */
@@ -85,23 +85,23 @@
         inFlight = false;
         cursor = 0;
         parts = 1;
-        next = turn.now().plusMs(FIRST_MS);
+        next = context.now().plusMs(FIRST_MS);
         read(null, new ArrayList<>(), 0, 0);
     }
 
     // ---- reading ----
 
     private void read(String after, List<FleetSnapshot> whole, int unread, int tries) {
-        long reign = book.reign();
-        requests.take(turn.now(), 1);
+        long term = clusterState.term();
+        requests.takeOrOverdraw(context.now(), 1);
         store.list(FleetSnapshot.PREFIX, after, 100, page -> {
-            if (reign != book.reign()) {
+            if (term != clusterState.term()) {
                 return;
             }
-            if (!page.ok()) {
+            if (!page.isOk()) {
                 if (tries < MOST_TRIES) {
-                    turn.after(AGAIN_MS, () -> {
-                        if (reign == book.reign()) {
+                    context.schedule(AGAIN_MS, () -> {
+                        if (term == clusterState.term()) {
                             read(after, whole, unread, tries + 1);
                         }
                     });
@@ -132,7 +132,7 @@
 
     private void take(List<FleetSnapshot> whole, int bad) {
         List<FleetSnapshot> usable = whole.stream()
-                .filter(s -> Math.abs(turn.wallMs() - s.wallMs()) < TOO_OLD_MS)
+                .filter(s -> Math.abs(context.wallMs() - s.wallMs()) < TOO_OLD_MS)
                 .toList();
         if (bad > 0 || usable.size() < whole.size()) {
             LOG.warn(
@@ -146,24 +146,24 @@
                 .count();
         if (taken > 0) {
             LOG.info("notes on the fleet: {} machines known before they speak", taken);
-            book.replan();
+            clusterState.requestReplan();
         }
     }
 
     /** Whether it was not known yet. */
     private boolean enter(FleetSnapshot.Machine machine) {
-        Machine known = book.host(machine.id());
-        if (known.known()) {
+        Machine known = clusterState.machine(machine.id());
+        if (known.isKnown()) {
             return false; // it has spoken, or the list was quicker
         }
         known.type = machine.type();
         known.zone = machine.zone();
         known.spot = machine.spot();
         known.address = machine.address();
-        known.imagesShift = machine.shift();
-        known.listedUp = true;
+        known.imagesEpoch = machine.epoch();
+        known.listedRunning = true;
         if (machine.rentedWallMs() > 0) {
-            known.rentedAt = turn.now().plusMs(Math.min(0, machine.rentedWallMs() - turn.wallMs()));
+            known.rentedAt = context.now().plusMs(Math.min(0, machine.rentedWallMs() - context.wallMs()));
         }
         known.images.putAll(machine.images());
         return true;
@@ -173,19 +173,20 @@
 
     /** Looks at one part, and writes it if it has changed and writes are to spare. */
     void tick() {
-        if (inFlight || turn.now().before(next) || writes.available(turn.now()) < PLENTY * writes.most()) {
+        if (inFlight || context.now().isBefore(next) || writes.available(context.now()) < PLENTY * writes.capacity()) {
             return;
         }
-        int count = (int) book.hosts().stream().filter(FleetSnapshots::noted).count();
+        int count = (int)
+                clusterState.machines().stream().filter(FleetSnapshots::noted).count();
         parts = FleetSnapshot.parts(count, largest, settings.stateLimits().valueBytes());
         int part = cursor++ % parts;
-        FleetSnapshot snapshot = new FleetSnapshot(part, parts, turn.wallMs(), machines(part));
+        FleetSnapshot snapshot = new FleetSnapshot(part, parts, context.wallMs(), machines(part));
         Written old = written.get(part);
-        long content = snapshot.content();
-        if (old == null || old.content != content || turn.now().since(old.at) > RENEW_MS) {
+        long content = snapshot.contentHash();
+        if (old == null || old.content != content || context.now().since(old.at) > RENEW_MS) {
             ObjectNode value = snapshot.toNode();
-            if (Codec.countedBytes(value) <= settings.stateLimits().valueBytes()) {
-                write(part, value, new Written(content, turn.now()));
+            if (Codec.jsonBytes(value) <= settings.stateLimits().valueBytes()) {
+                write(part, value, new Written(content, context.now()));
             }
             return;
         }
@@ -194,12 +195,12 @@
     }
 
     private static boolean noted(Machine known) {
-        return known.lastCheckin != null && known.known() && !known.returning;
+        return known.lastHeartbeat != null && known.isKnown() && !known.releasing;
     }
 
     private List<FleetSnapshot.Machine> machines(int part) {
         List<FleetSnapshot.Machine> out = new ArrayList<>();
-        for (Machine known : book.hosts()) {
+        for (Machine known : clusterState.machines()) {
             if (noted(known) && FleetSnapshot.partOf(known.id, parts) == part) {
                 FleetSnapshot.Machine machine = machine(known);
                 largest = Math.max(largest, FleetSnapshot.bytes(machine));
@@ -217,7 +218,8 @@
                 images.put(entry.getKey(), entry.getValue());
             }
         }
-        long rented = known.rentedAt == null ? 0 : turn.wallMs() - turn.now().since(known.rentedAt);
+        long rented =
+                known.rentedAt == null ? 0 : context.wallMs() - context.now().since(known.rentedAt);
         // To the minute: the clocks' wander would make every part differ every time.
         return new FleetSnapshot.Machine(
                 known.id,
@@ -225,34 +227,34 @@
                 known.type,
                 known.zone,
                 known.spot,
-                known.shift,
+                known.epoch,
                 rented / 60_000 * 60_000,
                 images);
     }
 
     private void write(int part, ObjectNode value, Written now) {
-        Transaction txn = election.guarded();
+        Transaction transaction = election.guardedTransaction();
         if (value == null) {
-            txn.delete(FleetSnapshot.key(part));
+            transaction.delete(FleetSnapshot.key(part));
         } else {
-            txn.put(FleetSnapshot.key(part), value);
+            transaction.put(FleetSnapshot.key(part), value);
         }
         inFlight = true;
-        next = turn.now()
+        next = context.now()
                 .plusMs(Math.round(
                         1000 / Math.max(0.02, SHARE * settings.stateLimits().writeRps())));
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        long reign = book.reign();
-        store.commit(txn, commit -> {
-            if (reign != book.reign()) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        long term = clusterState.term();
+        store.commit(transaction, commit -> {
+            if (term != clusterState.term()) {
                 return;
             }
             inFlight = false;
-            if (commit.result() == StoreClient.CommitResult.Outcome.DONE && now != null) {
+            if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED && now != null) {
                 written.put(part, now);
                 beyond.add(part);
-            } else if (commit.result() == StoreClient.CommitResult.Outcome.DONE) {
+            } else if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED) {
                 written.remove(part);
                 beyond.remove(part);
             }
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -14,12 +14,12 @@
 /** Room on machines that take work now, given away one place after the other within one look; nothing is kept by it. */
 final class FreeCapacity {
     private static final class Free {
-        private final Machine host;
+        private final Machine machine;
         private final MachineType type;
         private Admission.Room room;
 
-        private Free(Machine host, MachineType type, Admission.Room room) {
-            this.host = host;
+        private Free(Machine machine, MachineType type, Admission.Room room) {
+            this.machine = machine;
             this.type = type;
             this.room = room;
         }
@@ -30,9 +30,14 @@
     private final Map<String, Integer> tried = new HashMap<>();
 
     /** @param serves whether a machine counts, beside that it takes work */
-    FreeCapacity(ClusterState book, MachineTypeCatalog types, Admission admission, Predicate<Machine> serves) {
-        for (Machine machine : book.hosts()) {
-            MachineType type = admission.usable(machine) && serves.test(machine) ? types.get(machine.type) : null;
+    FreeCapacity(
+            ClusterState clusterState,
+            MachineTypeCatalog machineTypes,
+            Admission admission,
+            Predicate<Machine> serves) {
+        for (Machine machine : clusterState.machines()) {
+            MachineType type =
+                    admission.usable(machine) && serves.test(machine) ? machineTypes.get(machine.type) : null;
             Admission.Room room = type == null ? null : admission.free(machine, type);
             if (room != null && room.cpus() > 0) {
                 all.add(new Free(machine, type, room));
@@ -42,18 +47,18 @@
 
     /** A machine with a place for such a task, which is taken from then on; null: there is none. What must lie together or apart has none. */
     Machine take(JobSpec spec) {
-        if (spec.gang() || spec.sameZone() || spec.apart()) {
+        if (spec.isGang() || spec.sameZone() || spec.antiAffinity()) {
             return null;
         }
-        String shape = spec.cpus() + "/" + spec.gpus() + "/" + spec.memGb() + "/" + spec.hostTypes() + "/" + spec.zone()
-                + "/" + spec.spot();
+        String shape = spec.cpus() + "/" + spec.gpus() + "/" + spec.memGb() + "/" + spec.machineTypes() + "/"
+                + spec.zone() + "/" + spec.spot();
         for (int i = tried.getOrDefault(shape, 0); i < all.size(); i++) {
             Free free = all.get(i);
             Admission.Room left = free.room.plus(spec, -1);
-            if (left.enough() && spec.mayRunOn(free.type, free.host.zone, free.host.spot)) {
+            if (left.enough() && spec.mayRunOn(free.type, free.machine.zone, free.machine.spot)) {
                 free.room = left;
                 tried.put(shape, i);
-                return free.host;
+                return free.machine;
             }
         }
         tried.put(shape, all.size());
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -27,39 +27,42 @@
 
     /** The key's place in the state service, or null for a job without one. */
     static String place(JobSpec spec) {
-        return spec.onceKey() == null
+        return spec.idempotencyKey() == null
                 ? null
                 : "once/"
-                        + Entry.hash(spec.team() + "\n" + spec.onceKey())
+                        + Entry.hash(spec.team() + "\n" + spec.idempotencyKey())
                                 .toString()
                                 .replaceAll("[^0-9a-zA-Z]", "");
     }
 
     /** Adds what makes a job enter: its record, guarded against one of its name, and its key where it has one. */
-    void enter(Transaction txn, JobSpec spec, Revision keyVersion, long wallMs) {
-        String key = JobRecord.openKey(spec.ref());
-        txn.guard(key, Revision.ABSENT)
-                .guard(JobRecord.endedKey(spec.ref()), Revision.ABSENT)
+    void enter(Transaction transaction, JobSpec spec, Revision keyVersion, long wallMs) {
+        String key = JobRecord.openKey(spec.id());
+        transaction
+                .guard(key, Revision.ABSENT)
+                .guard(JobRecord.endedKey(spec.id()), Revision.ABSENT)
                 .put(key, new JobRecord(spec, wallMs).toNode());
-        if (spec.pin() != null) {
-            keys.guard(txn, spec.pin().set()); // a submission that races a revocation is decided by the store
+        if (spec.keySetBinding() != null) {
+            keys.guard(
+                    transaction,
+                    spec.keySetBinding().keySet()); // a submission that races a revocation is decided by the store
         }
-        if (spec.onceKey() != null) {
+        if (spec.idempotencyKey() != null) {
             ObjectNode value = Codec.map()
-                    .put("ref", spec.ref().text())
-                    .put("key", spec.onceKey())
+                    .put("ref", spec.id().text())
+                    .put("key", spec.idempotencyKey())
                     .put("until", wallMs + policy.keepMs(spec.jobClass()));
-            txn.guard(place(spec), keyVersion).put(place(spec), value);
+            transaction.guard(place(spec), keyVersion).put(place(spec), value);
         }
     }
 
     static int puts(JobSpec spec) {
-        return spec.onceKey() == null ? 1 : 2;
+        return spec.idempotencyKey() == null ? 1 : 2;
     }
 
     /** Whose work the key is, or null where that is long enough ago. */
     static JobId owner(JsonNode value, long wallMs) {
         String ref = value.path("ref").asText();
-        return value.path("until").asLong() > wallMs && JobId.valid(ref) ? new JobId(ref) : null;
+        return value.path("until").asLong() > wallMs && JobId.isValid(ref) ? new JobId(ref) : null;
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -32,20 +32,24 @@
 
     private static final double SERVED_TIMES = 1.5;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private boolean overloaded;
     private ReleaseController releases;
 
     JobOrdering(
-            ControllerContext turn, Settings settings, Policy policy, ClusterState book, DurationEstimates estimates) {
-        this.turn = turn;
+            ControllerContext context,
+            Settings settings,
+            Policy policy,
+            ClusterState clusterState,
+            DurationEstimates estimates) {
+        this.context = context;
         this.settings = settings;
         this.policy = policy;
-        this.book = book;
+        this.clusterState = clusterState;
         this.estimates = estimates;
     }
 
@@ -64,15 +68,16 @@
         long latest = objective(job);
         Long ships = releases == null ? null : releases.dueMs(job);
         if (ships != null) {
-            latest = stillOpen(latest, turn.now().ms() + ships - turn.wallMs() - estimates.lengthMs(job.spec()));
+            latest =
+                    stillOpen(latest, context.now().ms() + ships - context.wallMs() - estimates.expectedMs(job.spec()));
         }
-        return job.begun() ? latest : stillOpen(latest, job.submitted.ms() + Aged.BEGUN_MS - BEGIN_MARGIN_MS);
+        return job.hasBegun() ? latest : stillOpen(latest, job.submittedAt.ms() + Aged.BEGUN_MS - BEGIN_MARGIN_MS);
     }
 
     private long objective(Job job) {
-        long length = estimates.lengthMs(job.spec());
-        long from = job.submitted.ms();
-        long latest = Math.max(from, turn.now().ms()) + NO_OBJECTIVE_MS;
+        long length = estimates.expectedMs(job.spec());
+        long from = job.submittedAt.ms();
+        long latest = Math.max(from, context.now().ms()) + NO_OBJECTIVE_MS;
         if (job.spec().deadlineS() != null) {
             latest = stillOpen(latest, from + Math.round(1000 * job.spec().deadlineS()) - length);
         }
@@ -95,7 +100,7 @@
                     }
                     default -> {}
                 }
-            } else if (objective.kind().equals("guarantee") && job.guaranteed) {
+            } else if (objective.kind().equals("guarantee") && job.withinQuota) {
                 latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()));
             }
         }
@@ -104,11 +109,11 @@
 
     boolean objectiveOpen(Job job) {
         return shipKey(job) != ShipOrder.NONE
-                || objective(job) < Math.max(job.submitted.ms(), turn.now().ms()) + NO_OBJECTIVE_MS;
+                || objective(job) < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
     }
 
     private long stillOpen(long latest, long candidate) {
-        return candidate + GUESSED_MS < turn.now().ms() ? latest : Math.min(latest, candidate);
+        return candidate + GUESSED_MS < context.now().ms() ? latest : Math.min(latest, candidate);
     }
 
     /** By when the job counts as served, from its submission on: the last of what its class is promised, or 1.5 times its deadline. */
@@ -124,10 +129,10 @@
 
     /** The first moment by which the job is to be over that it can still meet, or null: all are missed, or there is none. */
     Long overBy(Job job) {
-        long least = turn.now().ms() + estimates.lengthMs(job.spec()) - GUESSED_MS;
+        long least = context.now().ms() + estimates.expectedMs(job.spec()) - GUESSED_MS;
         Long first = null;
         for (long within : overWithinMs(job.spec())) {
-            long due = job.submitted.ms() + within;
+            long due = job.submittedAt.ms() + within;
             first = due >= least && (first == null || due < first) ? Long.valueOf(due) : first;
         }
         return first;
@@ -162,7 +167,7 @@
      */
     private long beginBy(Job job) {
         Long due = overloaded ? overBy(job) : null;
-        return due == null ? latestStart(job) : due - estimates.lengthMs(job.spec());
+        return due == null ? latestStart(job) : due - estimates.expectedMs(job.spec());
     }
 
     void overloaded(boolean is) {
@@ -174,20 +179,20 @@
         return shipKey(job) != ShipOrder.NONE
                 ? 0
                 : Math.round(policy.patience()
-                        * Math.max(0, latestStart(job) - turn.now().ms()));
+                        * Math.max(0, latestStart(job) - context.now().ms()));
     }
 
     private void markGuaranteed() {
         Map<String, double[]> sums = new HashMap<>();
-        List<Job> all = new ArrayList<>(book.jobs());
-        all.sort(Comparator.comparing((Job j) -> j.submitted).thenComparing(Job::ref));
+        List<Job> all = new ArrayList<>(clusterState.jobs());
+        all.sort(Comparator.comparing((Job j) -> j.submittedAt).thenComparing(Job::id));
         for (Job job : all) {
             Settings.Team team = settings.teams().get(job.spec().team());
-            if (team != null && !job.cancelled() && (job.hold == null || !job.record.live.isEmpty())) {
+            if (team != null && !job.isCancelled() && (job.keySetHold == null || !job.record.live.isEmpty())) {
                 double[] sum = sums.computeIfAbsent(team.name(), k -> new double[2]);
                 sum[0] += job.spec().tasks() * job.spec().cpus();
                 sum[1] += job.spec().tasks() * job.spec().gpus();
-                job.guaranteed = sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
+                job.withinQuota = sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
             }
         }
     }
@@ -197,8 +202,8 @@
         record Ranked(Job job, long ships, long latest) {}
         markGuaranteed();
         List<Ranked> ranked = new ArrayList<>();
-        for (Job job : book.jobs()) {
-            if (!job.cancelled() && job.hold == null && job.record.waitingCount() > 0) {
+        for (Job job : clusterState.jobs()) {
+            if (!job.isCancelled() && job.keySetHold == null && job.record.waitingCount() > 0) {
                 ranked.add(new Ranked(job, shipKey(job), beginBy(job)));
             }
         }
@@ -214,12 +219,12 @@
             return list;
         }
         Map<JobId, Job> waiting = new HashMap<>();
-        list.forEach(j -> waiting.put(j.ref(), j));
+        list.forEach(j -> waiting.put(j.id(), j));
         Set<JobId> searched = new HashSet<>(preferred);
         var next = preferred.stream().filter(waiting::containsKey).iterator();
         List<Job> out = new ArrayList<>(list.size());
         for (Job j : list) {
-            out.add(searched.contains(j.ref()) ? waiting.get(next.next()) : j);
+            out.add(searched.contains(j.id()) ? waiting.get(next.next()) : j);
         }
         out.sort(Comparator.comparingInt(JobOrdering::rank));
         return out;
@@ -231,16 +236,16 @@
      * left behind under overload comes after all.
      */
     static int rank(Job job) {
-        if (job.lifted) {
+        if (job.prioritized) {
             return FIRST;
         }
-        if (job.behind) {
+        if (job.shed) {
             return LAST;
         }
         return usualRank(job);
     }
 
     static int usualRank(Job job) {
-        return 2 * job.spec().urgency().ordinal() + (job.guaranteed ? 0 : 1);
+        return 2 * job.spec().priority().ordinal() + (job.withinQuota ? 0 : 1);
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobProgress.java
+++ b/src/main/java/org/beechhoist/controller/JobProgress.java
@@ -26,33 +26,33 @@
     private static final int REMEMBERED = 10_000;
     private static final long FRESH_MS = 12_000;
 
-    private final Map<JobId, JobCount> heard = BoundedCollections.used(REMEMBERED);
-    private FencingToken baton = FencingToken.NONE;
+    private final Map<JobId, JobCount> heard = BoundedCollections.leastRecentlyUsedMap(REMEMBERED);
+    private FencingToken fencingToken = FencingToken.NONE;
     private MonotonicTime heardAt = MonotonicTime.ZERO;
     /** What this node, leading, told last. */
     private final Map<JobId, JobCount> told = new LinkedHashMap<>();
 
     void heard(PeerState state, MonotonicTime now) {
-        if (state.leading() && state.baton().compareTo(baton) >= 0) {
-            baton = state.baton();
+        if (state.leading() && state.fencingToken().compareTo(fencingToken) >= 0) {
+            fencingToken = state.fencingToken();
             heardAt = now;
-            state.counts().forEach(c -> heard.put(c.job(), c));
+            state.jobCounts().forEach(c -> heard.put(c.job(), c));
         }
     }
 
     /** The counts of an open job, or null where they are not known. */
-    JobCount of(JobId ref, MonotonicTime now) {
-        return heardAt != MonotonicTime.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(ref) : null;
+    JobCount of(JobId jobId, MonotonicTime now) {
+        return heardAt != MonotonicTime.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(jobId) : null;
     }
 
     /** What a leader tells the others now. */
-    List<JobCount> toTell(ClusterState book) {
+    List<JobCount> toTell(ClusterState clusterState) {
         List<JobCount> out = new ArrayList<>();
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             JobCount now = count(job);
-            if (out.size() < MOST_TOLD && !now.equals(told.get(job.ref()))) {
-                told.remove(job.ref());
-                told.put(job.ref(), now); // last again: the others are told in turn
+            if (out.size() < MOST_TOLD && !now.equals(told.get(job.id()))) {
+                told.remove(job.id());
+                told.put(job.id(), now); // last again: the others are told in turn
                 out.add(now);
             }
         }
@@ -60,7 +60,7 @@
         List<JobCount> again = new ArrayList<>();
         while (all.hasNext() && again.size() < MOST_OTHERS) {
             JobCount jobCount = all.next();
-            if (book.job(jobCount.job()) == null) {
+            if (clusterState.job(jobCount.job()) == null) {
                 all.remove();
             } else if (!out.contains(jobCount)) {
                 again.add(jobCount);
@@ -75,7 +75,7 @@
     }
 
     static JobCount count(Job job) {
-        return new JobCount(job.ref(), job.record.done.size(), (int)
+        return new JobCount(job.id(), job.record.done.size(), (int)
                 job.record.live.values().stream().filter(p -> p.committed).count());
     }
 
--- a/src/main/java/org/beechhoist/controller/JobStates.java
+++ b/src/main/java/org/beechhoist/controller/JobStates.java
@@ -13,12 +13,12 @@
         return Codec.map().put("error", text);
     }
 
-    static ObjectNode state(JobId ref, String status) {
-        return Codec.map().put("ref", ref.text()).put("status", status);
+    static ObjectNode state(JobId jobId, String status) {
+        return Codec.map().put("ref", jobId.text()).put("status", status);
     }
 
-    static ObjectNode endedState(JobId ref, JsonNode value) {
-        ObjectNode node = state(ref, value.path("status").asText())
+    static ObjectNode endedState(JobId jobId, JsonNode value) {
+        ObjectNode node = state(jobId, value.path("status").asText())
                 .put("done", value.path("done").asInt())
                 .put("running", 0);
         if (value.hasNonNull("origin")) {
@@ -27,7 +27,7 @@
         return node;
     }
 
-    static ObjectNode openState(JobId ref, JsonNode value) {
+    static ObjectNode openState(JobId jobId, JsonNode value) {
         int done = value.path("doneCount").asInt();
         JsonNode runs = value.path("doneCount").isMissingNode() ? value.path("done") : Codec.list(); // an older record
         for (int i = 0; i + 1 < runs.size(); i += 2) {
@@ -35,7 +35,7 @@
         }
         int running = value.path("running").asInt();
         String status = value.path("cancel").asLong() > 0 ? "cancelled" : running > 0 ? "running" : "queued";
-        ObjectNode node = state(ref, status).put("done", done).put("running", running);
+        ObjectNode node = state(jobId, status).put("done", done).put("running", running);
         if (value.path("spec").hasNonNull("origin")) {
             node.put("origin", value.get("spec").get("origin").asText());
         }
--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -40,7 +40,7 @@
         KeySet of(KeySet before) throws MalformedMessageException;
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final TokenBucket requests;
@@ -49,23 +49,23 @@
     private final OptimisticUpdate amending;
 
     KeySetApi(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
             KeySetRegistry keys) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
         this.keys = keys;
-        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
+        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
     }
 
-    /** @param book of the leading node, or null: who is bound to a set is known there alone */
-    void request(String method, String path, byte[] body, ClusterState book, ApiResponder answer) {
+    /** @param clusterState of the leading node, or null: who is bound to a set is known there alone */
+    void request(String method, String path, byte[] body, ClusterState clusterState, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         try {
@@ -74,41 +74,42 @@
             String name = slash < 0 ? rest : rest.substring(0, slash);
             String verb = slash < 0 ? "" : rest.substring(slash + 1);
             if (rest.isEmpty() && !post) {
-                list(answer);
+                list(responder);
             } else if (rest.equals("required") && post) {
-                require(node, answer);
+                require(node, responder);
             } else if (slash < 0 && !post) {
-                show(name, answer);
+                show(name, responder);
             } else if (verb.equals("jobs") && !post) {
-                jobs(name, book, answer);
+                jobs(name, clusterState, responder);
             } else if (verb.equals("propose") && post) {
-                propose(name, node, answer);
+                propose(name, node, responder);
             } else if (verb.equals("approve") && post) {
                 KeySet.Change by = by(node);
-                long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
+                long version = Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE);
                 String digest = Codec.text(node, "digest");
-                long drainS =
-                        Codec.absent(node, "drainS") ? USUAL_DRAIN_S : Codec.count(node, "drainS", 0, LONGEST_DRAIN_S);
+                long drainS = Codec.isAbsent(node, "drainS")
+                        ? USUAL_DRAIN_S
+                        : Codec.wholeNumber(node, "drainS", 0, LONGEST_DRAIN_S);
                 change(
                         name,
                         true,
-                        before -> known(name, before).approve(version, digest, turn.wallMs() + 1000 * drainS, by),
-                        answer);
+                        before -> known(name, before).approve(version, digest, context.wallMs() + 1000 * drainS, by),
+                        responder);
             } else if (verb.equals("revoke") && post) {
                 KeySet.Change by = by(node);
-                long version = Codec.count(node, "version", 1, Integer.MAX_VALUE);
-                change(name, false, before -> known(name, before).revoke(version, by), answer);
+                long version = Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE);
+                change(name, false, before -> known(name, before).revoke(version, by), responder);
             } else {
-                answer.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdate.error("no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
     private KeySet.Change by(JsonNode node) throws MalformedMessageException {
         try {
-            return new KeySet.Change(Codec.text(node, "who"), turn.wallMs(), Codec.text(node, "why"));
+            return new KeySet.Change(Codec.text(node, "who"), context.wallMs(), Codec.text(node, "why"));
         } catch (IllegalArgumentException e) {
             throw new MalformedMessageException(e.getMessage());
         }
@@ -123,28 +124,29 @@
 
     // ---- changes ----
 
-    private void propose(String name, JsonNode node, ApiResponder answer) throws MalformedMessageException {
+    private void propose(String name, JsonNode node, ApiResponder responder) throws MalformedMessageException {
         KeySet.Change by = by(node);
         String owner = Codec.text(node, "owner");
         if (!settings.teams().containsKey(owner)) {
             throw new MalformedMessageException("owner = " + owner + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
-        List<String> classes = Codec.absent(node, "classes") ? List.of() : Codec.texts(node.get("classes"), "classes");
-        List<String> fingerprints = Codec.texts(node.get("fingerprints"), "fingerprints");
+        List<String> classes =
+                Codec.isAbsent(node, "classes") ? List.of() : Codec.textList(node.get("classes"), "classes");
+        List<String> fingerprints = Codec.textList(node.get("fingerprints"), "fingerprints");
         if (keys.known() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
             throw new MalformedMessageException("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
         }
-        change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, by), answer);
+        change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, by), responder);
     }
 
     /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
-    private void change(String name, boolean clears, Edit edit, ApiResponder answer) {
+    private void change(String name, boolean clears, Edit edit, ApiResponder responder) {
         if (!KeySet.validName(name)) {
-            answer.respond(404, OptimisticUpdate.error("no such key set"));
+            responder.respond(404, OptimisticUpdate.error("no such key set"));
             return;
         }
-        amending.change(
+        amending.updateLater(
                 KeySetRegistry.SETS + name,
                 (before, then) -> {
                     KeySet next;
@@ -155,26 +157,26 @@
                                 before == null && !e.getMessage().startsWith("fingerprints") ? 404 : 409,
                                 e.getMessage());
                     }
-                    then.becomes(
+                    then.complete(
                             next.toNode(),
-                            txn -> {
-                                txn.put(
+                            transaction -> {
+                                transaction.put(
                                         KeySetRegistry.NUMBERS + name,
                                         Codec.map().put("number", next.number()));
                                 if (clears && keys.snapshot().marks().containsKey(name)) {
-                                    txn.delete(KeySetRegistry.MARKS + name);
+                                    transaction.delete(KeySetRegistry.MARKS + name);
                                 }
                             },
                             shown(next));
                 },
-                answer);
+                responder);
     }
 
     /** Which classes and teams need a set. */
-    private void require(JsonNode node, ApiResponder answer) throws MalformedMessageException {
+    private void require(JsonNode node, ApiResponder responder) throws MalformedMessageException {
         ObjectNode value = Codec.map();
         for (String field : new String[] {"classes", "teams"}) {
-            List<String> names = Codec.absent(node, field) ? List.of() : Codec.texts(node.get(field), field);
+            List<String> names = Codec.isAbsent(node, field) ? List.of() : Codec.textList(node.get(field), field);
             if (names.size() > MOST_REQUIRED) {
                 throw new MalformedMessageException(field + ": at most " + MOST_REQUIRED + " are allowed");
             }
@@ -187,13 +189,13 @@
             ArrayNode row = value.putArray(field);
             names.stream().distinct().sorted().forEach(row::add);
         }
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
         store.commit(new Transaction().put(KeySetRegistry.REQUIRED, value), commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
-                answer.respond(200, value);
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                responder.respond(200, value);
             } else {
-                OptimisticUpdate.unknown(answer);
+                OptimisticUpdate.respondUnavailable(responder);
             }
         });
     }
@@ -213,9 +215,9 @@
         return node;
     }
 
-    private void list(ApiResponder answer) {
+    private void list(ApiResponder responder) {
         if (!keys.known()) {
-            OptimisticUpdate.unknown(answer);
+            OptimisticUpdate.respondUnavailable(responder);
             return;
         }
         ObjectNode out = Codec.map();
@@ -237,31 +239,31 @@
         keys.snapshot().classes().forEach(classes::add);
         ArrayNode teams = ((ObjectNode) out.get("required")).putArray("teams");
         keys.snapshot().teams().forEach(teams::add);
-        answer.respond(200, out);
+        responder.respond(200, out);
     }
 
-    private void show(String name, ApiResponder answer) {
+    private void show(String name, ApiResponder responder) {
         KeySets.Known known = keys.snapshot().sets().get(name);
         if (!keys.known()) {
-            OptimisticUpdate.unknown(answer);
+            OptimisticUpdate.respondUnavailable(responder);
         } else if (known == null || known.set() == null) {
-            answer.respond(404, OptimisticUpdate.error("no such key set"));
+            responder.respond(404, OptimisticUpdate.error("no such key set"));
         } else {
-            answer.respond(200, shown(known.set()));
+            responder.respond(200, shown(known.set()));
         }
     }
 
-    private void jobs(String name, ClusterState book, ApiResponder answer) {
-        if (book == null) {
-            answer.respond(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
+    private void jobs(String name, ClusterState clusterState, ApiResponder responder) {
+        if (clusterState == null) {
+            responder.respond(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
             return;
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
         int more = 0;
-        for (Job job : book.jobs()) {
-            KeySetBinding pin = job.spec().pin();
-            if (pin == null || !pin.set().equals(name)) {
+        for (Job job : clusterState.jobs()) {
+            KeySetBinding pin = job.spec().keySetBinding();
+            if (pin == null || !pin.keySet().equals(name)) {
                 continue;
             }
             if (rows.size() == MOST_JOBS) {
@@ -269,17 +271,17 @@
                 continue;
             }
             ObjectNode row = rows.addObject()
-                    .put("ref", job.ref().text())
+                    .put("ref", job.id().text())
                     .put("version", pin.version())
                     .put("digest", pin.digest())
-                    .put("held", job.hold == null ? null : job.hold.why());
-            List<String> hosts = new ArrayList<>();
+                    .put("held", job.keySetHold == null ? null : job.keySetHold.why());
+            List<String> machines = new ArrayList<>();
             for (Placement p : job.record.live.values()) {
-                hosts.add(p.task.index() + " on " + p.host.text());
+                machines.add(p.task.index() + " on " + p.machine.text());
             }
             ArrayNode on = row.putArray("tasks");
-            hosts.stream().limit(MOST_JOBS).forEach(on::add);
+            machines.stream().limit(MOST_JOBS).forEach(on::add);
         }
-        answer.respond(200, out.put("more", more));
+        responder.respond(200, out.put("more", more));
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -28,41 +28,43 @@
     private static final Verdict OFF =
             new Verdict(Verdict.Kind.NOT_KNOWN, 0, "this node", "key sets are off on the leading node");
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final ClusterState book;
-    private final CommandDispatcher orders;
-    private final TaskRemoval departures;
+    private final ClusterState clusterState;
+    private final CommandDispatcher dispatcher;
+    private final TaskRemoval taskRemoval;
     /** Null where key sets are off. */
     private final KeySetRegistry keys;
 
     private boolean due = true;
 
     KeySetHolds(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
-            ClusterState book,
-            CommandDispatcher orders,
-            TaskRemoval departures,
+            ClusterState clusterState,
+            CommandDispatcher dispatcher,
+            TaskRemoval taskRemoval,
             KeySetRegistry keys) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
-        this.book = book;
-        this.orders = orders;
-        this.departures = departures;
+        this.clusterState = clusterState;
+        this.dispatcher = dispatcher;
+        this.taskRemoval = taskRemoval;
         this.keys = keys;
     }
 
     /** A key set has changed: all jobs are looked at before anything else is decided. */
     void changed() {
         due = true;
-        book.replan();
+        clusterState.requestReplan();
     }
 
     /** Before each plan: who may not run, by what is known of the sets now. */
     void look() {
-        for (Job job : book.jobs()) {
-            if (job.spec().pin() != null && !job.cancelled() && (due || job.hold == Verdict.NOT_KNOWN)) {
+        for (Job job : clusterState.jobs()) {
+            if (job.spec().keySetBinding() != null
+                    && !job.isCancelled()
+                    && (due || job.keySetHold == Verdict.NOT_KNOWN)) {
                 look(job);
             }
         }
@@ -76,25 +78,25 @@
     }
 
     private void look(Job job) {
-        Verdict verdict = keys == null ? OFF : keys.verdict(job.spec().pin());
-        boolean was = job.held();
-        job.hold = verdict.mayRun() ? null : verdict;
-        if (job.held() && !was) {
-            job.heldSinceMs = Math.max(verdict.sinceMs(), 0) == 0 ? turn.wallMs() : verdict.sinceMs();
+        Verdict verdict = keys == null ? OFF : keys.verdict(job.spec().keySetBinding());
+        boolean was = job.isHeld();
+        job.keySetHold = verdict.mayRun() ? null : verdict;
+        if (job.isHeld() && !was) {
+            job.heldSinceMs = Math.max(verdict.sinceMs(), 0) == 0 ? context.wallMs() : verdict.sinceMs();
             LOG.warn(
                     "{} is held, {} tasks may be running: key set {}: {}, by {}",
-                    job.ref(),
+                    job.id(),
                     job.record.live.size(),
-                    job.spec().pin(),
+                    job.spec().keySetBinding(),
                     verdict.why(),
                     verdict.by());
-            book.replan();
-        } else if (was && !job.held()) {
-            LOG.info("{} goes on: key set {}", job.ref(), job.spec().pin());
-            job.lastProgress = turn.now();
-            book.replan();
+            clusterState.requestReplan();
+        } else if (was && !job.isHeld()) {
+            LOG.info("{} goes on: key set {}", job.id(), job.spec().keySetBinding());
+            job.lastProgress = context.now();
+            clusterState.requestReplan();
         }
-        if (job.held()) {
+        if (job.isHeld()) {
             pursue(job, !was);
         }
     }
@@ -102,19 +104,19 @@
     /** What was not sent waits again; what was is ended. What is on its way to the state service is looked at when that is over. */
     private void pursue(Job job, boolean first) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
-            if (!placement.sent && (placement.committed || !job.inFlight)) {
-                departures.remove(job, placement);
-            } else if (placement.sent && first) {
-                Machine machine = book.host(placement.host);
+            if (!placement.launchSent && (placement.committed || !job.inFlight)) {
+                taskRemoval.remove(job, placement);
+            } else if (placement.launchSent && first) {
+                Machine machine = clusterState.machine(placement.machine);
                 machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
-                orders.direct(machine);
+                dispatcher.dispatch(machine);
             }
         }
     }
 
     /** By when all of it must be gone, by the time of day. */
     @Override
-    public long goneByMs(Job job) {
+    public long mustBeGoneByMs(Job job) {
         return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
 
@@ -126,24 +128,24 @@
      */
     @Override
     public boolean mayWrite(Job job) {
-        return job.uncommitted == 0
-                || job.spec().pin() == null
+        return job.uncommittedPlacements == 0
+                || job.spec().keySetBinding() == null
                 || keys != null
-                        && keys.sure(job.spec().pin().set())
-                        && keys.verdict(job.spec().pin()).mayRun();
+                        && keys.sure(job.spec().keySetBinding().keySet())
+                        && keys.verdict(job.spec().keySetBinding()).mayRun();
     }
 
     /** The guard that a job's new placements need; null: none. */
     @Override
     public String guardKey(Job job) {
-        return job.uncommitted == 0 || job.spec().pin() == null
+        return job.uncommittedPlacements == 0 || job.spec().keySetBinding() == null
                 ? null
-                : KeySetRegistry.SETS + job.spec().pin().set();
+                : KeySetRegistry.SETS + job.spec().keySetBinding().keySet();
     }
 
     @Override
-    public void guard(Transaction txn, Job job) {
-        keys.guard(txn, job.spec().pin().set());
+    public void guard(Transaction transaction, Job job) {
+        keys.guard(transaction, job.spec().keySetBinding().keySet());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
--- a/src/main/java/org/beechhoist/controller/KeySetRegistry.java
+++ b/src/main/java/org/beechhoist/controller/KeySetRegistry.java
@@ -42,7 +42,7 @@
 
     private record Number(long number, Revision revision) {}
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
@@ -65,13 +65,13 @@
     private boolean known;
 
     KeySetRegistry(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
             String node,
             Runnable changed) {
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
@@ -80,7 +80,7 @@
     }
 
     void start() {
-        new PrefixWatch(turn, store, requests, PREFIX, this::begun, this::take, this::changes).start();
+        new PrefixWatch(context, store, requests, PREFIX, this::begun, this::take, this::changes).start();
     }
 
     // ---- what follows from it ----
@@ -91,7 +91,7 @@
     }
 
     Verdict verdict(KeySetBinding pin) {
-        return known ? snapshot.verdict(pin, turn.wallMs()) : Verdict.NOT_KNOWN;
+        return known ? snapshot.verdict(pin, context.wallMs()) : Verdict.NOT_KNOWN;
     }
 
     KeySets snapshot() {
@@ -108,8 +108,8 @@
     }
 
     /** The transaction is made only if the set is as it is known here. */
-    void guard(Transaction txn, String set) {
-        txn.guard(SETS + set, snapshot.revision(set));
+    void guard(Transaction transaction, String set) {
+        transaction.guard(SETS + set, snapshot.revision(set));
     }
 
     /** Whether the transaction failed for a set that has changed; what is known of it is read again, and {@code then} follows. */
@@ -126,10 +126,10 @@
 
     private void refresh(String set, Runnable then) {
         behind.add(set);
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(SETS + set, read -> {
-            if (!read.known()) {
-                turn.after(AGAIN_MS, () -> refresh(set, then));
+            if (!read.answered()) {
+                context.schedule(AGAIN_MS, () -> refresh(set, then));
                 return;
             }
             // The change is not judged by this one read: its number comes with the watch.
@@ -269,7 +269,7 @@
                 name,
                 saw,
                 should);
-        KeySets.Mark mark = new KeySets.Mark(turn.wallMs(), node, saw, should);
+        KeySets.Mark mark = new KeySets.Mark(context.wallMs(), node, saw, should);
         marks.put(name, mark);
         toMark.put(name, mark);
     }
@@ -278,7 +278,7 @@
     private void mark() {
         for (Map.Entry<String, KeySets.Mark> entry : List.copyOf(toMark.entrySet())) {
             KeySets.Mark mark = entry.getValue();
-            Transaction txn = new Transaction()
+            Transaction transaction = new Transaction()
                     .guard(MARKS + entry.getKey(), Revision.ABSENT)
                     .put(
                             MARKS + entry.getKey(),
@@ -287,14 +287,14 @@
                                     .put("node", mark.node())
                                     .put("saw", mark.saw())
                                     .put("known", mark.known()));
-            requests.take(turn.now(), 1);
-            writes.take(turn.now(), 1);
-            store.commit(txn, commit -> {
-                if (commit.result() == StoreClient.CommitResult.Outcome.DONE
-                        || commit.result() == StoreClient.CommitResult.Outcome.CONFLICT) {
+            requests.takeOrOverdraw(context.now(), 1);
+            writes.takeOrOverdraw(context.now(), 1);
+            store.commit(transaction, commit -> {
+                if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED
+                        || commit.outcome() == StoreClient.CommitResult.Outcome.CONFLICT) {
                     toMark.remove(entry.getKey(), mark);
                 } else {
-                    turn.after(AGAIN_MS, this::mark);
+                    context.schedule(AGAIN_MS, this::mark);
                 }
             });
         }
