--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -57,42 +57,42 @@
 
     private static final long FIRST_REPORTS_MS = 4000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final LeaderElection election;
     private final PeerDirectory peers;
-    private final ClusterState book;
-    private final StateLoader loading;
+    private final ClusterState clusterState;
+    private final StateLoader loader;
     private final TransactionCommitter committer;
-    private final ColdStartRecovery starting;
-    private final CommandDispatcher orders;
-    private final LossRecovery recovery;
-    private final TaskRemoval departures;
-    private final HeartbeatHandler reports;
+    private final ColdStartRecovery coldStart;
+    private final CommandDispatcher dispatcher;
+    private final LossRecovery lossRecovery;
+    private final TaskRemoval taskRemoval;
+    private final HeartbeatHandler heartbeats;
     private final Provisioner provisioner;
     private final Admission admission;
     private final ElasticWidths elastic;
     private final Planner planner;
     private final Dispatch dispatch;
-    private final WidthReduction narrowing;
+    private final WidthReduction widthReduction;
     private final Preemption preemption;
     /** Null where cron is off: nothing of it is loaded then. */
     private final CronController schedules;
     /** Null where they are off: nothing of them is loaded then. */
-    private final FleetSnapshots notes;
+    private final FleetSnapshots fleetSnapshots;
 
-    private final MinimumServiceShare floor;
-    private final LoadShedding overload;
+    private final MinimumServiceShare serviceShare;
+    private final LoadShedding loadShedding;
     private final KeySetHolds holds;
     private final ReleaseController releases;
-    private final MigrationController moves;
-    private final PreemptionNotices notices;
+    private final MigrationController migrations;
+    private final PreemptionNotices preemptionNotices;
     private final DrainController drains;
     private final CancellationRegistry cancellations;
-    private final CancellationEnforcer pursuit;
+    private final CancellationEnforcer cancellationEnforcer;
 
     Leader(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             Policy policy,
             SplittableRandom random,
@@ -100,7 +100,7 @@
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            MachineTypeCatalog types,
+            MachineTypeCatalog machineTypes,
             UserApi users,
             IdempotencyKeys onceKeys,
             PeerDirectory peers,
@@ -110,250 +110,269 @@
             CancellationRegistry cancellations) {
         this.cancellations = cancellations;
         this.peers = peers;
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.election = election;
         DurationEstimates estimates = new DurationEstimates();
-        this.book = new ClusterState(turn, settings);
-        ChangeLog log = new ChangeLog();
+        this.clusterState = new ClusterState(context, settings);
+        ChangeLog changeLog = new ChangeLog();
         RecordSizes sizes = RecordSizes.of(
                 settings.stateLimits().valueBytes(), settings.stateLimits().txnOps());
-        this.loading = new StateLoader(
-                turn,
+        this.loader = new StateLoader(
+                context,
                 store,
                 election,
                 requests,
                 estimates,
-                book,
-                log,
+                clusterState,
+                changeLog,
                 sizes,
                 cancellations,
                 new StateLoader.Listener() {
                     @Override
-                    public void loaded() {
-                        reports.bookLoaded();
+                    public void stateLoaded() {
+                        heartbeats.stateLoaded();
                     }
 
                     @Override
-                    public void cancelled(JobId ref) {
-                        pursuit.cancelled(ref);
+                    public void jobCancelled(JobId jobId) {
+                        cancellationEnforcer.jobCancelled(jobId);
                     }
 
                     @Override
-                    public void resized(Job job) {
+                    public void jobResized(Job job) {
                         elastic.look(job);
                     }
                 });
-        this.starting = new ColdStartRecovery(turn, settings, book);
-        this.recovery = new LossRecovery(turn, book);
-        this.orders = new CommandDispatcher(
-                turn, settings, election, book, loading, starting, cancellations, new CommandDispatcher.Listener() {
+        this.coldStart = new ColdStartRecovery(context, settings, clusterState);
+        this.lossRecovery = new LossRecovery(context, clusterState);
+        this.dispatcher = new CommandDispatcher(
+                context,
+                settings,
+                election,
+                clusterState,
+                loader,
+                coldStart,
+                cancellations,
+                new CommandDispatcher.Listener() {
                     @Override
-                    public void reported(Machine machine, Heartbeat report) {
-                        reports.evaluate(machine, report, false);
+                    public void heartbeatReceived(Machine machine, Heartbeat report) {
+                        heartbeats.reconcile(machine, report, false);
                     }
 
                     @Override
-                    public void unanswered(FencingToken baton) {
-                        if (baton.equals(election.baton())) {
-                            committer.wantRotation();
+                    public void launchUnacknowledged(FencingToken fencingToken) {
+                        if (fencingToken.equals(election.fencingToken())) {
+                            committer.requestTokenRotation();
                         }
                     }
 
                     @Override
-                    public void fence() {
-                        committer.wantRotationSoon();
+                    public void fencingRequested() {
+                        committer.requestUrgentTokenRotation();
                     }
                 });
-        DisruptionAccounting disruptions =
-                new DisruptionAccounting(turn, settings, store, election, requests, writes, book, drainBook != null);
-        TaskEviction stopping = new TaskEviction(book, orders, disruptions);
-        this.departures = new TaskRemoval(book, stopping, recovery);
-        this.holds = new KeySetHolds(turn, settings, book, orders, departures, keys);
+        DisruptionAccounting disruptions = new DisruptionAccounting(
+                context, settings, store, election, requests, writes, clusterState, drainBook != null);
+        TaskEviction eviction = new TaskEviction(clusterState, dispatcher, disruptions);
+        this.taskRemoval = new TaskRemoval(clusterState, eviction, lossRecovery);
+        this.holds = new KeySetHolds(context, settings, clusterState, dispatcher, taskRemoval, keys);
         this.committer = new TransactionCommitter(
-                turn,
+                context,
                 settings,
                 store,
                 election,
                 requests,
                 writes,
-                book,
-                loading,
+                clusterState,
+                loader,
                 sizes,
-                log,
+                changeLog,
                 holds,
-                peers::allHeard,
+                peers::hasHeardAll,
                 new TransactionCommitter.Listener() {
                     @Override
-                    public void placed(List<Placement> placed) {
+                    public void placementsCommitted(List<Placement> placed) {
                         launch(placed);
                     }
 
                     @Override
-                    public void written(Job job) {
+                    public void jobWritten(Job job) {
                         elastic.look(job);
                     }
 
                     @Override
-                    public void ended(Job job, JsonNode state) {
-                        users.ended(job.ref(), state);
-                        recovery.over(job.ref());
-                        if (floor != null) {
-                            floor.ended(job);
+                    public void jobEnded(Job job, JsonNode state) {
+                        users.ended(job.id(), state);
+                        lossRecovery.forgetJob(job.id());
+                        if (serviceShare != null) {
+                            serviceShare.ended(job);
                         }
                         releases.ended(job);
                     }
                 });
-        FaultTracker faults = new FaultTracker(turn, book);
-        JobOrdering ordering = new JobOrdering(turn, settings, policy, book, estimates);
+        FaultTracker faultTracker = new FaultTracker(context, clusterState);
+        JobOrdering ordering = new JobOrdering(context, settings, policy, clusterState, estimates);
         this.provisioner = new Provisioner(
-                turn,
+                context,
                 settings,
                 policy,
                 election,
-                types,
-                book,
+                machineTypes,
+                clusterState,
                 ordering,
                 estimates,
-                faults,
-                departures,
-                recovery,
-                starting,
+                faultTracker,
+                taskRemoval,
+                lossRecovery,
+                coldStart,
                 this::beganAnew);
-        this.elastic = new ElasticWidths(turn, policy.elastic(), book, types, estimates, stopping, departures);
-        this.reports = new HeartbeatHandler(
-                turn,
+        this.elastic = new ElasticWidths(
+                context, policy.elastic(), clusterState, machineTypes, estimates, eviction, taskRemoval);
+        this.heartbeats = new HeartbeatHandler(
+                context,
                 settings,
                 election,
-                book,
-                loading,
-                types,
+                clusterState,
+                loader,
+                machineTypes,
                 estimates,
-                departures,
-                faults,
+                taskRemoval,
+                faultTracker,
                 provisioner,
                 elastic,
                 cancellations,
-                orders);
-        this.pursuit = new CancellationEnforcer(
-                turn, settings, book, orders, departures, recovery, provisioner, holds, cancellations);
-        this.admission = new Admission(turn, settings, types, book, faults);
-        this.releases =
-                new ReleaseController(turn, store, election, requests, writes, book, estimates, admission, releaseBook);
+                dispatcher);
+        this.cancellationEnforcer = new CancellationEnforcer(
+                context,
+                settings,
+                clusterState,
+                dispatcher,
+                taskRemoval,
+                lossRecovery,
+                provisioner,
+                holds,
+                cancellations);
+        this.admission = new Admission(context, settings, machineTypes, clusterState, faultTracker);
+        this.releases = new ReleaseController(
+                context, store, election, requests, writes, clusterState, estimates, admission, releaseBook);
         ordering.releases(releases);
-        this.dispatch = new Dispatch(turn, book, admission, estimates, elastic, types);
-        this.moves = new MigrationController(
-                turn,
+        this.dispatch = new Dispatch(context, clusterState, admission, estimates, elastic, machineTypes);
+        this.migrations = new MigrationController(
+                context,
                 policy,
                 store,
                 election,
                 requests,
                 writes,
-                types,
-                book,
+                machineTypes,
+                clusterState,
                 admission,
-                stopping,
-                orders,
+                eviction,
+                dispatcher,
                 dispatch,
                 disruptions,
                 () -> drainBook == null ? Budgets.NONE : drainBook.budgets());
-        disruptions.moving(moves::moves);
-        provisioner.kept(h -> !moves.keptOn(h).isEmpty());
-        admission.keeps(moves);
-        this.notices = new PreemptionNotices(turn, book, estimates, stopping, orders);
+        disruptions.moving(migrations::moves);
+        provisioner.kept(h -> !migrations.keptOn(h).isEmpty());
+        admission.keeps(migrations);
+        this.preemptionNotices = new PreemptionNotices(context, clusterState, estimates, eviction, dispatcher);
         this.planner = new Planner(
-                turn,
+                context,
                 settings,
                 policy,
                 random,
-                types,
-                book,
+                machineTypes,
+                clusterState,
                 estimates,
                 ordering,
                 admission,
                 provisioner,
                 elastic,
-                starting,
-                moves,
-                notices);
-        this.narrowing =
-                new WidthReduction(turn, policy, types, book, ordering, admission, provisioner.renting(), elastic);
-        this.preemption = new Preemption(turn, policy, types, book, ordering, admission, stopping);
+                coldStart,
+                migrations,
+                preemptionNotices);
+        this.widthReduction = new WidthReduction(
+                context, policy, machineTypes, clusterState, ordering, admission, provisioner.renting(), elastic);
+        this.preemption = new Preemption(context, policy, machineTypes, clusterState, ordering, admission, eviction);
         this.schedules = policy.cron().on()
-                ? new CronController(turn, settings, store, election, requests, writes, book, loading, users, onceKeys)
+                ? new CronController(
+                        context, settings, store, election, requests, writes, clusterState, loader, users, onceKeys)
                 : null;
-        this.notes = policy.fleetNotes()
-                ? new FleetSnapshots(turn, settings, store, election, requests, writes, book)
+        this.fleetSnapshots = policy.fleetNotes()
+                ? new FleetSnapshots(context, settings, store, election, requests, writes, clusterState)
                 : null;
-        this.floor = policy.servedFloor()
+        this.serviceShare = policy.servedFloor()
                 ? new MinimumServiceShare(
-                        turn,
+                        context,
                         settings,
                         store,
                         election,
                         requests,
                         writes,
-                        book,
+                        clusterState,
                         estimates,
                         ordering,
-                        h -> types.get(h.type) == null ? 0 : types.get(h.type).cpus())
+                        h -> machineTypes.get(h.type) == null
+                                ? 0
+                                : machineTypes.get(h.type).cpus())
                 : null;
         this.drains = new DrainController(
-                turn,
+                context,
                 settings,
                 store,
                 election,
                 requests,
                 writes,
-                book,
-                types,
+                clusterState,
+                machineTypes,
                 admission,
-                stopping,
-                orders,
+                eviction,
+                dispatcher,
                 provisioner,
                 elastic,
-                moves,
+                migrations,
                 disruptions,
                 new RollingReplacement(
-                        turn,
-                        book,
+                        context,
+                        clusterState,
                         provisioner,
-                        faults,
+                        faultTracker,
                         ordering,
-                        recovery,
-                        () -> floor == null ? Map.of() : floor.shares()),
+                        lossRecovery,
+                        () -> serviceShare == null ? Map.of() : serviceShare.shares()),
                 drainBook);
-        this.overload = policy.triage()
+        this.loadShedding = policy.triage()
                 ? new LoadShedding(
-                        turn,
+                        context,
                         settings,
-                        types,
-                        book,
+                        machineTypes,
+                        clusterState,
                         estimates,
                         ordering,
                         admission,
                         provisioner.renting(),
-                        () -> floor == null ? Map.of() : floor.shares(),
-                        j -> floor == null ? MinimumServiceShare.groups(j.spec()) : floor.groups(j))
+                        () -> serviceShare == null ? Map.of() : serviceShare.shares(),
+                        j -> serviceShare == null ? MinimumServiceShare.groups(j.spec()) : serviceShare.groups(j))
                 : null;
     }
 
     void begin() {
-        book.reset();
-        cancellations.begin();
-        starting.begin();
+        clusterState.reset();
+        cancellations.reset();
+        coldStart.begin();
         planner.begin();
         committer.reset();
-        provisioner.reset(election.baton());
+        provisioner.reset(election.fencingToken());
         releases.begin();
-        moves.begin();
+        migrations.begin();
         drains.begin();
-        loading.reload();
-        if (notes != null) {
-            notes.begin();
+        loader.reload();
+        if (fleetSnapshots != null) {
+            fleetSnapshots.begin();
         }
-        if (floor != null) {
-            floor.begin();
+        if (serviceShare != null) {
+            serviceShare.begin();
         }
         if (schedules != null) {
             schedules.begin();
@@ -364,19 +383,19 @@
         if (schedules != null) {
             schedules.end();
         }
-        loading.end();
-        book.reset();
+        loader.stop();
+        clusterState.reset();
         planner.end();
     }
 
     /** Whether it may command, and knows all open jobs. */
     boolean active() {
-        return loading.active();
+        return loader.isActive();
     }
 
     /** Answers a worker's report. */
     void checkin(long request, Heartbeat heartbeat) {
-        reports.checkin(request, heartbeat);
+        heartbeats.handle(request, heartbeat);
     }
 
     /**
@@ -385,50 +404,51 @@
      * carried out. So what the new one does not hold is gone once it has seen a newer token.
      */
     private void beganAnew(Machine machine, Heartbeat heartbeat) {
-        LOG.info("{} began anew: session {}, message {}", machine.id, heartbeat.shift(), heartbeat.counter());
-        machine.newest(heartbeat, turn.now());
-        machine.sessionHeard = turn.now();
-        machine.lastCheckin = null;
+        LOG.info("{} began anew: session {}, message {}", machine.id, heartbeat.epoch(), heartbeat.sequence());
+        machine.recordNewest(heartbeat, context.now());
+        machine.epochFirstHeardAt = context.now();
+        machine.lastHeartbeat = null;
         machine.images.clear();
-        machine.limbo = election.baton();
-        machine.ghosts = election.baton();
-        committer.wantRotation();
+        machine.unacknowledgedToken = election.fencingToken();
+        machine.previousIncarnationToken = election.fencingToken();
+        committer.requestTokenRotation();
         for (Placement placement : machine.placements.values()) {
-            if (placement.sent) {
-                placement.sentShift = heartbeat.shift();
-                placement.sentCounter = heartbeat.counter();
+            if (placement.launchSent) {
+                placement.launchEpoch = heartbeat.epoch();
+                placement.launchSequence = heartbeat.sequence();
             }
         }
-        book.replan();
+        clusterState.requestReplan();
     }
 
     private void launch(List<Placement> placed) {
-        placed.forEach(recovery::placed);
+        placed.forEach(lossRecovery::recordPlaced);
         Set<Machine> reached = new LinkedHashSet<>();
         for (Placement placement : placed) {
-            Job job = book.job(placement.task.job());
-            if (elastic.withdraws(job, placement, book.host(placement.host))) {
-                departures.remove(job, placement);
+            Job job = clusterState.job(placement.task.job());
+            if (elastic.withdraws(job, placement, clusterState.machine(placement.machine))) {
+                taskRemoval.remove(job, placement);
             } else {
-                departures.launch(placement);
+                taskRemoval.launch(placement);
             }
-            reached.add(book.host(placement.host));
+            reached.add(clusterState.machine(placement.machine));
         }
-        reached.forEach(orders::direct);
+        reached.forEach(dispatcher::dispatch);
     }
 
     /** A job's cancellation is committed, as another node says or this one's user was told. */
-    void cancelled(JobId ref) {
-        if (election.valid()) {
-            pursuit.cancelled(ref);
+    void cancelled(JobId jobId) {
+        if (election.holdsLease()) {
+            cancellationEnforcer.jobCancelled(jobId);
         }
     }
 
     /** Whether it is certain that no task of a cancelled job starts any more: what may have been launched is gone, or was seen running. */
-    boolean noTaskCanStart(JobId ref) {
-        Job job = book.job(ref);
+    boolean noTaskCanStart(JobId jobId) {
+        Job job = clusterState.job(jobId);
         return active()
-                && (job == null || job.record.live.values().stream().allMatch(p -> !p.sent || p.running != null));
+                && (job == null
+                        || job.record.live.values().stream().allMatch(p -> !p.launchSent || p.runningSince != null));
     }
 
     /** A key set has changed. */
@@ -452,25 +472,25 @@
     }
 
     ClusterState book() {
-        return book;
+        return clusterState;
     }
 
     /** Jobs that wait to be written. */
     int backlog() {
-        return committer.backlog();
+        return committer.pendingWrites();
     }
 
     LossRecovery recovery() {
-        return recovery;
+        return lossRecovery;
     }
 
     /** Null where it is off. */
     MinimumServiceShare floor() {
-        return floor;
+        return serviceShare;
     }
 
     ColdStartRecovery starting() {
-        return starting;
+        return coldStart;
     }
 
     Planner planner() {
@@ -488,10 +508,10 @@
     // ---- time ----
 
     void tick() {
-        if (!election.valid()) {
+        if (!election.holdsLease()) {
             return;
         }
-        pursuit.tick();
+        cancellationEnforcer.enforce();
         if (!active()) {
             provisioner.returnOverdue();
             return;
@@ -499,32 +519,32 @@
         if (deaf()) {
             return;
         }
-        starting.tick();
-        for (Machine machine : new ArrayList<>(book.hosts())) {
+        coldStart.advance();
+        for (Machine machine : new ArrayList<>(clusterState.machines())) {
             if (!machine.placements.isEmpty()
-                    && book.lapse(machine).before(turn.now())
+                    && clusterState.leaseExpiry(machine).isBefore(context.now())
                     && machine.placements.values().stream().allMatch(p -> p.committed)) {
-                departures.clear(machine, "its lease ran out");
+                taskRemoval.removeAll(machine, "its lease ran out");
             }
-            orders.direct(machine);
+            dispatcher.dispatch(machine);
         }
         holds.tick();
-        notices.tick();
+        preemptionNotices.enforce();
         elastic.tick();
-        if (overload != null) {
-            overload.tick();
+        if (loadShedding != null) {
+            loadShedding.tick();
         }
-        book.replan();
+        clusterState.requestReplan();
         provisioner.tick(planner.current());
         logStalled();
         releases.tick(planner);
-        moves.tick(planner.current());
+        migrations.tick(planner.current());
         drains.tick(planner);
-        if (notes != null) {
-            notes.tick();
+        if (fleetSnapshots != null) {
+            fleetSnapshots.tick();
         }
-        if (floor != null) {
-            floor.tick();
+        if (serviceShare != null) {
+            serviceShare.tick();
         }
         if (schedules != null) {
             schedules.tick();
@@ -533,31 +553,34 @@
 
     /** Whether no worker reaches this node while it leads; the lead is given up then. */
     private boolean deaf() {
-        long window =
-                WorkerReachability.window(Math.round(1000 * settings.workers().reportS()));
-        if (turn.now().since(book.wonAt()) < window + FIRST_REPORTS_MS) {
+        long window = WorkerReachability.reportingWindowMs(
+                Math.round(1000 * settings.workers().reportS()));
+        if (context.now().since(clusterState.termBeganAt()) < window + FIRST_REPORTS_MS) {
             return false;
         }
         int up = 0;
         int heard = 0;
         int unhearing = 0;
-        for (Machine machine : book.hosts()) {
-            if (machine.known() && machine.there && !machine.returning && (machine.up || machine.listedUp)) {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.isKnown()
+                    && machine.confirmedPresent
+                    && !machine.releasing
+                    && (machine.up || machine.listedRunning)) {
                 up++;
-                heard += machine.lastHeard != null && turn.now().since(machine.lastHeard) < window ? 1 : 0;
-                unhearing += machine.ears.speaksOn() ? 1 : 0;
+                heard += machine.lastHeardAt != null && context.now().since(machine.lastHeardAt) < window ? 1 : 0;
+                unhearing += machine.reachability.isOneWay() ? 1 : 0;
             }
         }
-        if (WorkerReachability.mute(up, unhearing)) {
+        if (WorkerReachability.isUnheard(up, unhearing)) {
             LOG.warn("{} of {} machines speak and don't hear this node: another is to lead", unhearing, up);
-            election.makeWay("what this node says does not reach workers", MAKE_WAY_MS);
+            election.stepDown("what this node says does not reach workers", MAKE_WAY_MS);
             return true;
         }
-        if (!WorkerReachability.deaf(up, heard, peers.reportsElsewhere(turn.now()))) {
+        if (!WorkerReachability.isUnreachable(up, heard, peers.heartbeatsAtPeers(context.now()))) {
             return false;
         }
         LOG.warn("{} of {} machines reach this node: another is to lead", heard, up);
-        election.makeWay("workers can't reach this node", MAKE_WAY_MS);
+        election.stepDown("workers can't reach this node", MAKE_WAY_MS);
         return true;
     }
 
@@ -567,28 +590,28 @@
     }
 
     private void logStalled() {
-        for (Job job : book.jobs()) {
-            boolean serves = job.spec().service() && elastic.sure(job) == 0;
-            if (!serves && turn.now().since(job.lastProgress) > STALLED_MS) {
-                job.lastProgress = turn.now();
+        for (Job job : clusterState.jobs()) {
+            boolean serves = job.spec().isService() && elastic.sure(job) == 0;
+            if (!serves && context.now().since(job.lastProgress) > STALLED_MS) {
+                job.lastProgress = context.now();
                 Plan plan = planner.current();
-                Long start = plan == null ? null : plan.plannedStart(job.ref());
+                Long start = plan == null ? null : plan.plannedStart(job.id());
                 LOG.warn(
                         "{} makes no progress: {} waiting, {} placed, {}",
-                        job.ref(),
+                        job.id(),
                         job.record.waitingCount(),
                         job.record.live.size(),
-                        job.hold != null
-                                ? "held: " + job.hold.why()
+                        job.keySetHold != null
+                                ? "held: " + job.keySetHold.why()
                                 : ElasticWidths.held(job) != null
                                         ? ElasticWidths.held(job)
-                                        : job.record.reason != null
-                                                ? job.record.reason
+                                        : job.record.failureReason != null
+                                                ? job.record.failureReason
                                                 : start == null
                                                         ? "no place in the plan"
                                                         : "planned in "
                                                                 + (start
-                                                                                - turn.now()
+                                                                                - context.now()
                                                                                         .ms())
                                                                         / 1000 + " s");
             }
@@ -601,16 +624,16 @@
             holds.look();
             releases.look();
             Plan plan = planner.plan();
-            moves.startMoved();
+            migrations.startMoved();
             dispatch.dispatch(plan);
-            Map<String, double[]> used = book.usedByTeams(); // deciding who goes changes nothing of it
-            if (starting.mayStop()) {
-                narrowing.run(plan, used);
+            Map<String, double[]> used = clusterState.teamUsage(); // deciding who goes changes nothing of it
+            if (coldStart.mayStop()) {
+                widthReduction.run(plan, used);
                 preemption.run(plan, used);
             }
             planner.pace();
         }
-        committer.pump();
+        committer.commitPending();
         if (plans()) {
             planner.searchStep();
         }
@@ -618,7 +641,7 @@
 
     /** Whether work may be placed: what is begun while a cancellation may not be known could not be kept. */
     private boolean plans() {
-        return active() && cancellations.mayRenew();
+        return active() && cancellations.mayRenewLeases();
     }
 
     boolean wantsPlan() {
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -35,90 +35,90 @@
     private static final Logger LOG = LoggerFactory.getLogger(LoadShedding.class);
     private static final long EVERY_MS = 1000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
     private final Admission admission;
-    private final ScaleOutPolicy renting;
+    private final ScaleOutPolicy scaleOut;
     private final Supplier<Map<String, Share>> lately;
     private final Function<Job, Set<String>> groups;
     private long next;
     private Set<JobId> behind = Set.of();
 
     LoadShedding(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             DurationEstimates estimates,
             JobOrdering ordering,
             Admission admission,
-            ScaleOutPolicy renting,
+            ScaleOutPolicy scaleOut,
             Supplier<Map<String, Share>> lately,
             Function<Job, Set<String>> groups) {
         this.groups = groups;
         this.lately = lately;
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.estimates = estimates;
         this.ordering = ordering;
         this.admission = admission;
-        this.renting = renting;
+        this.scaleOut = scaleOut;
     }
 
     /** Says anew who is left behind; the next plan goes by it. */
     void tick() {
-        if (turn.now().ms() < next) {
+        if (context.now().ms() < next) {
             return;
         }
-        next = turn.now().ms() + EVERY_MS;
+        next = context.now().ms() + EVERY_MS;
         Map<String, Boolean> grows = new HashMap<>();
         List<Demand> demands = new ArrayList<>();
         List<Job> missed = new ArrayList<>();
         boolean overloaded = false;
-        for (Job job : book.jobs()) {
-            if (job.cancelled()
-                    || job.hold != null
-                    || job.spec().service()
+        for (Job job : clusterState.jobs()) {
+            if (job.isCancelled()
+                    || job.keySetHold != null
+                    || job.spec().isService()
                     || job.record.waitingCount() == 0
-                    || !job.notBefore.before(turn.now())) {
+                    || !job.notBefore.isBefore(context.now())) {
                 continue;
             }
             JobSpec spec = job.spec();
             boolean more = grows.computeIfAbsent(
-                    spec.hostTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
+                    spec.machineTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
                             + "/" + spec.memGb(),
-                    k -> renting.mayGrow(spec));
+                    k -> scaleOut.mayGrow(spec));
             Long due = ordering.overBy(job);
             boolean late = due == null && ordering.hasEnd(spec);
             if (late && !more && ordering.shipKey(job) == ShipOrder.NONE) {
                 missed.add(job);
             }
             overloaded |= !more;
-            boolean begun = job.begun();
-            long length = estimates.lengthMs(spec);
+            boolean begun = job.hasBegun();
+            long length = estimates.expectedMs(spec);
             demands.add(new Demand(
-                    job.ref(),
+                    job.id(),
                     groups.apply(job),
-                    job.lifted ? -1 : JobOrdering.usualRank(job),
+                    job.prioritized ? -1 : JobOrdering.usualRank(job),
                     spec.team(),
                     spec.cpus() * length * job.record.waitingCount(),
                     spec.gpus() * length * job.record.waitingCount(),
                     length,
                     due == null ? Demand.NO_DUE : due,
                     late,
-                    more || begun || job.lifted || ordering.shipKey(job) != ShipOrder.NONE));
+                    more || begun || job.prioritized || ordering.shipKey(job) != ShipOrder.NONE));
         }
         Set<JobId> now = !overloaded ? Set.of() : Triage.behind(demands, means());
         if (!now.isEmpty()) {
             now = new HashSet<>(now);
             for (Job j : missed) {
-                now.add(j.ref()); // it has missed all it was promised, and delays nobody who has not
+                now.add(j.id()); // it has missed all it was promised, and delays nobody who has not
             }
         }
         if (now.isEmpty() != behind.isEmpty()) {
@@ -130,8 +130,8 @@
         }
         behind = now;
         ordering.overloaded(!now.isEmpty());
-        for (Job j : book.jobs()) {
-            j.behind = !j.lifted && behind.contains(j.ref());
+        for (Job j : clusterState.jobs()) {
+            j.shed = !j.prioritized && behind.contains(j.id());
         }
     }
 
@@ -141,21 +141,21 @@
         double gpus = 0;
         double busyGpus = 0;
         Map<String, Double> busyTeams = new HashMap<>();
-        for (Machine machine : book.hosts()) {
-            MachineType type = machine.known() && !machine.returning ? types.get(machine.type) : null;
+        for (Machine machine : clusterState.machines()) {
+            MachineType type = machine.isKnown() && !machine.releasing ? machineTypes.get(machine.type) : null;
             if (type == null || machine.up && !admission.usable(machine)) {
                 continue;
             }
             cpus += type.cpus();
             gpus += type.gpus();
             for (Placement placement : machine.placements.values()) {
-                Job job = book.job(placement.task.job());
-                if (job != null && job.spec().service()) {
+                Job job = clusterState.job(placement.task.job());
+                if (job != null && job.spec().isService()) {
                     cpus -= job.spec().cpus();
                     gpus -= job.spec().gpus();
                 } else if (job != null) {
-                    long left =
-                            Math.max(0, estimates.endOf(placement, turn.now()).since(turn.now()));
+                    long left = Math.max(
+                            0, estimates.expectedEnd(placement, context.now()).since(context.now()));
                     busy += left * job.spec().cpus();
                     busyGpus += left * job.spec().gpus();
                     busyTeams.merge(job.spec().team(), left * job.spec().cpus(), Double::sum);
@@ -168,6 +168,6 @@
                 teams.put(team.name(), new Means.Team(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
             }
         }
-        return new Means(turn.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
+        return new Means(context.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
     }
 }
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -62,7 +62,7 @@
 
     /** Tasks that leave a machine, each with a place kept: for a large one's sake, or because the machine is emptied. */
     private static final class Making {
-        private final MachineId host;
+        private final MachineId machine;
         /** Null where the machine is emptied. */
         private final JobId forJob;
         /** Whose machine it is, where it is emptied; else null. */
@@ -72,8 +72,8 @@
         private final Map<TaskId, MachineId> to =
                 new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
 
-        private Making(MachineId host, JobId forJob, String drain, long sinceMs) {
-            this.host = host;
+        private Making(MachineId machine, JobId forJob, String drain, long sinceMs) {
+            this.machine = machine;
             this.forJob = forJob;
             this.drain = drain;
             this.sinceMs = sinceMs;
@@ -110,17 +110,17 @@
         }
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Policy policy;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final Admission admission;
-    private final TaskEviction stopping;
-    private final CommandDispatcher orders;
+    private final TaskEviction eviction;
+    private final CommandDispatcher dispatcher;
     private final Dispatch dispatch;
     private final MigrationSearch search;
     private final PrefixReader reading;
@@ -138,36 +138,40 @@
     private long nextLook;
 
     MigrationController(
-            ControllerContext turn,
+            ControllerContext context,
             Policy policy,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             Admission admission,
-            TaskEviction stopping,
-            CommandDispatcher orders,
+            TaskEviction eviction,
+            CommandDispatcher dispatcher,
             Dispatch dispatch,
             DisruptionAccounting disruptions,
             Supplier<Budgets> budgets) {
-        this.turn = turn;
+        this.context = context;
         this.policy = policy;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.admission = admission;
-        this.stopping = stopping;
-        this.orders = orders;
+        this.eviction = eviction;
+        this.dispatcher = dispatcher;
         this.dispatch = dispatch;
         this.disruptions = disruptions;
-        this.reading = new PrefixReader(turn, store, requests, book);
+        this.reading = new PrefixReader(context, store, requests, clusterState);
         this.search = new MigrationSearch(
-                turn, types, book, admission, (j, p) -> !policy.drains() || mayDisturb(budgets.get(), j, p));
+                context,
+                machineTypes,
+                clusterState,
+                admission,
+                (j, p) -> !policy.drains() || mayDisturb(budgets.get(), j, p));
     }
 
     /** Whether the budgets that somebody declared for its team and class allow that it is moved. */
@@ -180,13 +184,13 @@
         Account.Ask ask = new Account.Ask(
                 placement.task,
                 spec.jobClass(),
-                spec.service(),
-                spec.service() ? spec.tasks() : 0,
-                DisruptionAccounting.lostCpuS(spec, placement, turn.now()));
+                spec.isService(),
+                spec.isService() ? spec.tasks() : 0,
+                DisruptionAccounting.lostCpuS(spec, placement, context.now()));
         DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
         return disruptions.known()
-                && account.refuses(budgets.ofTeam(spec.team()), ask, turn.wallMs()) == null
-                && (own == null || account.refuses(own, ask, turn.wallMs()) == null);
+                && account.refuses(budgets.ofTeam(spec.team()), ask, context.wallMs()) == null
+                && (own == null || account.refuses(own, ask, context.wallMs()) == null);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is moved. */
@@ -208,33 +212,33 @@
     }
 
     private boolean gpus() {
-        return types.known() && types.all().stream().anyMatch(t -> t.gpus() > 0);
+        return machineTypes.isLoaded() && machineTypes.all().stream().anyMatch(t -> t.gpus() > 0);
     }
 
     private void read() {
-        long reign = book.reign();
+        long term = clusterState.term();
         asking = true;
         reading.read(
                 PREFIX,
                 item -> {
                     Making move = Making.parse(item.key(), item.value());
-                    making.put(move.host, move);
-                    LOG.info("{}, {}: it is gone on with, {} moves", move.host, move.why(), move.to.size());
+                    making.put(move.machine, move);
+                    LOG.info("{}, {}: it is gone on with, {} moves", move.machine, move.why(), move.to.size());
                 },
-                () -> recent(reign));
+                () -> recent(term));
     }
 
-    private void recent(long reign) {
-        if (reign != book.reign()) {
+    private void recent(long term) {
+        if (term != clusterState.term()) {
             return;
         }
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(RECENT, recent -> {
-            if (reign != book.reign()) {
+            if (term != clusterState.term()) {
                 return;
             }
-            if (!recent.known()) {
-                turn.after(AGAIN_READ_MS, () -> recent(reign));
+            if (!recent.answered()) {
+                context.schedule(AGAIN_READ_MS, () -> recent(term));
                 return;
             }
             if (recent.item() != null) {
@@ -246,7 +250,7 @@
                 });
             }
             read = true;
-            book.replan();
+            clusterState.requestReplan();
         });
     }
 
@@ -258,8 +262,8 @@
             return Sizes.NONE;
         }
         Map<Double, Double> now = new HashMap<>();
-        for (Job job : book.jobs()) {
-            if (job.spec().gpus() > 0 && !job.cancelled()) {
+        for (Job job : clusterState.jobs()) {
+            if (job.spec().gpus() > 0 && !job.isCancelled()) {
                 now.merge(
                         job.spec().gpus(),
                         (double) Math.min(64, job.spec().tasks() - job.record.done.size()),
@@ -275,7 +279,7 @@
     int roomsFor(Job job) {
         int count = 0;
         for (Making m : making.values()) {
-            count += job.ref().equals(m.forJob) && !there(m) ? 1 : 0;
+            count += job.id().equals(m.forJob) && !there(m) ? 1 : 0;
         }
         return count;
     }
@@ -285,23 +289,23 @@
         int count = 0;
         for (Making move : making.values()) {
             for (TaskId t : move.to.keySet()) {
-                count += t.job().equals(job.ref()) && waits(t) ? 1 : 0;
+                count += t.job().equals(job.id()) && waits(t) ? 1 : 0;
             }
         }
         return count;
     }
 
     /** Places that are kept on the machine for tasks on their way to it. */
-    List<JobSpec> keptOn(MachineId host) {
+    List<JobSpec> keptOn(MachineId machine) {
         if (making.isEmpty()) {
             return List.of();
         }
         List<JobSpec> out = new ArrayList<>();
         for (Making move : making.values()) {
             move.to.forEach((task, to) -> {
-                Job job = book.job(task.job());
-                if (to.equals(host) && job != null && !job.record.live.containsKey(task.index())
-                        || to.equals(host) && onItsWay(move, task)) {
+                Job job = clusterState.job(task.job());
+                if (to.equals(machine) && job != null && !job.record.live.containsKey(task.index())
+                        || to.equals(machine) && onItsWay(move, task)) {
                     out.add(job.spec());
                 }
             });
@@ -310,30 +314,30 @@
     }
 
     /** Whether the room on the machine is kept for another job than this one. */
-    boolean keptFromOthers(MachineId host, JobId job) {
-        Making m = making.get(host);
+    boolean keptFromOthers(MachineId machine, JobId job) {
+        Making m = making.get(machine);
         return m != null && !job.equals(m.forJob);
     }
 
     private boolean onItsWay(Making making, TaskId task) {
-        Job job = book.job(task.job());
+        Job job = clusterState.job(task.job());
         Placement p = job == null ? null : job.record.live.get(task.index());
-        return p != null && p.host.equals(making.host);
+        return p != null && p.machine.equals(making.machine);
     }
 
     private boolean waits(TaskId task) {
-        Job job = book.job(task.job());
+        Job job = clusterState.job(task.job());
         return job != null
-                && !job.cancelled()
-                && job.hold == null
+                && !job.isCancelled()
+                && job.keySetHold == null
                 && !job.record.live.containsKey(task.index())
                 && !job.record.done.contains(task.index());
     }
 
     /** Whether the one that room was made for is there. */
     private boolean there(Making making) {
-        Job j = making.forJob == null ? null : book.job(making.forJob);
-        return j != null && j.record.live.values().stream().anyMatch(p -> p.host.equals(making.host));
+        Job j = making.forJob == null ? null : clusterState.job(making.forJob);
+        return j != null && j.record.live.values().stream().anyMatch(p -> p.machine.equals(making.machine));
     }
 
     // ---- going on ----
@@ -342,12 +346,12 @@
     void startMoved() {
         for (Making move : making.values()) {
             for (Map.Entry<TaskId, MachineId> entry : move.to.entrySet()) {
-                Machine to = book.known(entry.getValue());
+                Machine to = clusterState.findMachine(entry.getValue());
                 if (waits(entry.getKey()) && to != null) {
-                    Job job = book.job(entry.getKey().job());
+                    Job job = clusterState.job(entry.getKey().job());
                     if (dispatch.place(job, entry.getKey().index(), to)) {
-                        moved.put(entry.getKey(), turn.wallMs());
-                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.host);
+                        moved.put(entry.getKey(), context.wallMs());
+                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.machine);
                     }
                 }
             }
@@ -361,50 +365,57 @@
             }
             return;
         }
-        moved.values().removeIf(at -> turn.wallMs() - at > AGAIN_MS);
+        moved.values().removeIf(at -> context.wallMs() - at > AGAIN_MS);
         for (Making m : List.copyOf(making.values())) {
             goOn(m);
         }
         long rooms = making.values().stream().filter(m -> m.forJob != null).count();
-        if (plan != null && policy.moves() && gpus() && turn.now().ms() >= nextLook && !writing && rooms < MOST_ROOMS) {
-            nextLook = turn.now().ms() + LOOK_EVERY_MS;
+        if (plan != null
+                && policy.moves()
+                && gpus()
+                && context.now().ms() >= nextLook
+                && !writing
+                && rooms < MOST_ROOMS) {
+            nextLook = context.now().ms() + LOOK_EVERY_MS;
             look(plan);
         }
     }
 
     private void goOn(Making making) {
-        Job large = making.forJob == null ? null : book.job(making.forJob);
-        Machine from = book.known(making.host);
+        Job large = making.forJob == null ? null : clusterState.job(making.forJob);
+        Machine from = clusterState.findMachine(making.machine);
         boolean senseless = making.drain != null
-                ? from == null || !making.drain.equals(from.cordonedBy) || turn.wallMs() - making.sinceMs > LONGEST_MS
+                ? from == null
+                        || !making.drain.equals(from.cordonedBy)
+                        || context.wallMs() - making.sinceMs > LONGEST_MS
                 : large == null
-                        || large.cancelled()
-                        || large.hold != null
-                        || turn.wallMs() - making.sinceMs > LONGEST_MS
+                        || large.isCancelled()
+                        || large.keySetHold != null
+                        || context.wallMs() - making.sinceMs > LONGEST_MS
                         || large.record.waitingCount() == 0 && !there(making);
         boolean over = true;
         for (Map.Entry<TaskId, MachineId> entry : List.copyOf(making.to.entrySet())) {
-            Job job = book.job(entry.getKey().job());
+            Job job = clusterState.job(entry.getKey().job());
             Placement placement =
                     job == null ? null : job.record.live.get(entry.getKey().index());
-            if (placement != null && placement.host.equals(making.host)) {
-                if (senseless && !placement.killSent) {
+            if (placement != null && placement.machine.equals(making.machine)) {
+                if (senseless && !placement.stopRequested) {
                     making.to.remove(entry.getKey()); // it stays where it is
-                } else if (!placement.killSent && placement.sent && mayLeave(job)) {
+                } else if (!placement.stopRequested && placement.launchSent && mayLeave(job)) {
                     LOG.info(
                             "{} is moved from {} to {}: {}",
                             entry.getKey(),
-                            making.host,
+                            making.machine,
                             entry.getValue(),
                             making.why());
-                    stopping.stop(placement, making.drain != null ? Cause.DRAIN : Cause.MOVE);
-                    orders.direct(book.host(making.host));
+                    eviction.evict(placement, making.drain != null ? Cause.DRAIN : Cause.MOVE);
+                    dispatcher.dispatch(clusterState.machine(making.machine));
                     over = false;
                 } else {
                     over = false;
                 }
             } else if (waits(entry.getKey())) {
-                Machine to = book.known(entry.getValue());
+                Machine to = clusterState.findMachine(entry.getValue());
                 if (to == null || !admission.usable(to)) {
                     making.to.remove(entry.getKey()); // its place is lost: it is planned like any other
                 } else {
@@ -424,24 +435,24 @@
         if (writing) {
             return;
         }
-        LOG.info("{}, {}: {}", move.host, move.why(), why);
+        LOG.info("{}, {}: {}", move.machine, move.why(), why);
         ObjectNode recent = Codec.map();
         moved.forEach((t, at) -> recent.put(t.toString(), at));
-        write(election.guarded().delete(PREFIX + move.host.text()).put(RECENT, recent), commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
-                making.remove(move.host, move);
-                book.replan();
+        write(election.guardedTransaction().delete(PREFIX + move.machine.text()).put(RECENT, recent), commit -> {
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                making.remove(move.machine, move);
+                clusterState.requestReplan();
             }
         });
     }
 
-    private void write(Transaction txn, Consumer<CommitResult> then) {
-        long reign = book.reign();
+    private void write(Transaction transaction, Consumer<CommitResult> then) {
+        long term = clusterState.term();
         writing = true;
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
-        store.commit(txn, commit -> {
-            if (reign == book.reign()) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
+        store.commit(transaction, commit -> {
+            if (term == clusterState.term()) {
                 writing = false;
                 then.accept(commit);
             }
@@ -470,35 +481,35 @@
     /** Where room is being made for the job, or null. */
     private String zoneOfRooms(Job job) {
         return making.values().stream()
-                .filter(m -> m.forJob.equals(job.ref()) && book.known(m.host) != null)
-                .map(m -> book.known(m.host).zone)
+                .filter(m -> m.forJob.equals(job.id()) && clusterState.findMachine(m.machine) != null)
+                .map(m -> clusterState.findMachine(m.machine).zone)
                 .findFirst()
                 .orElse(null);
     }
 
     /** Of a service one replica leaves at a time: the next once that one runs in its place. */
     private static boolean mayLeave(Job job) {
-        return !job.spec().service() || MigrationSearch.allThere(job);
+        return !job.spec().isService() || MigrationSearch.allThere(job);
     }
 
     private void make(Job large, Moves.Found found) {
-        Making move = new Making(found.host(), large.ref(), null, turn.wallMs());
+        Making move = new Making(found.host(), large.id(), null, context.wallMs());
         found.moves().forEach(o -> move.to.put(o.task(), o.to()));
-        Transaction txn = election.guarded().put(PREFIX + move.host.text(), move.toNode());
+        Transaction transaction = election.guardedTransaction().put(PREFIX + move.machine.text(), move.toNode());
         Map<String, Account> charged = charge(move);
-        charged.forEach((team, a) -> disruptions.into(txn, team, a));
+        charged.forEach((team, a) -> disruptions.into(transaction, team, a));
         // Nothing is stopped before it is written.
-        write(txn, commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
+        write(transaction, commit -> {
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 charged.forEach(disruptions::adopt);
-                making.put(move.host, move);
+                making.put(move.machine, move);
                 LOG.info(
                         "room on {} for {}: {} tasks are moved, {} GPU s",
-                        move.host,
+                        move.machine,
                         move.forJob,
                         move.to.size(),
                         Math.round(found.cost()));
-                book.replan();
+                clusterState.requestReplan();
             }
         });
     }
@@ -511,7 +522,7 @@
         }
         Map<String, Account> all = disruptions.copies();
         for (TaskId task : making.to.keySet()) {
-            Job job = book.job(task.job());
+            Job job = clusterState.job(task.job());
             Placement placement = job == null ? null : job.record.live.get(task.index());
             if (placement != null) {
                 Account account = all.computeIfAbsent(job.spec().team(), k -> new Account());
@@ -521,8 +532,8 @@
                                 placement.attempt,
                                 job.spec().jobClass(),
                                 Cause.MOVE,
-                                DisruptionAccounting.lostCpuS(job.spec(), placement, turn.now()),
-                                turn.wallMs()));
+                                DisruptionAccounting.lostCpuS(job.spec(), placement, context.now()),
+                                context.wallMs()));
                 out.put(job.spec().team(), account);
             }
         }
@@ -532,8 +543,8 @@
     // ---- machines that are emptied ----
 
     /** Whether tasks of the machine are on their way, or about to be. */
-    boolean moves(MachineId host) {
-        return making.containsKey(host);
+    boolean moves(MachineId machine) {
+        return making.containsKey(machine);
     }
 
     /** Whether what earlier leaders had in hand is known. */
@@ -542,17 +553,17 @@
     }
 
     /** Tasks leave a machine that is emptied, each for a place that is kept: written with the rest of the transaction. */
-    void relocate(Transaction txn, MachineId host, String drain, Map<TaskId, MachineId> to) {
-        Making making = new Making(host, null, drain, turn.wallMs());
+    void relocate(Transaction transaction, MachineId machine, String drain, Map<TaskId, MachineId> to) {
+        Making making = new Making(machine, null, drain, context.wallMs());
         making.to.putAll(to);
-        txn.put(PREFIX + host.text(), making.toNode());
+        transaction.put(PREFIX + machine.text(), making.toNode());
     }
 
     /** That transaction is made. */
-    void relocated(MachineId host, String drain, Map<TaskId, MachineId> to) {
-        Making move = new Making(host, null, drain, turn.wallMs());
+    void relocated(MachineId machine, String drain, Map<TaskId, MachineId> to) {
+        Making move = new Making(machine, null, drain, context.wallMs());
         move.to.putAll(to);
-        making.put(host, move);
-        book.replan();
+        making.put(machine, move);
+        clusterState.requestReplan();
     }
 }
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -57,39 +57,39 @@
     /** Whom to make room for, and how. */
     record Wish(Job large, Moves.Found found) {}
 
-    private final ControllerContext turn;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final ControllerContext context;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final Admission admission;
     /** Whether its team's budget allows that a task is moved. */
     private final BiPredicate<Job, Placement> allowed;
 
     MigrationSearch(
-            ControllerContext turn,
-            MachineTypeCatalog types,
-            ClusterState book,
+            ControllerContext context,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             Admission admission,
             BiPredicate<Job, Placement> allowed) {
         this.allowed = allowed;
-        this.turn = turn;
-        this.types = types;
-        this.book = book;
+        this.context = context;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.admission = admission;
     }
 
     /** The first that moving is worth it for, or null. */
     Wish look(Plan plan, InHand hand, Sizes sizes) {
-        Map<String, double[]> used = book.usedByTeams();
-        for (Job large : book.jobs()) {
+        Map<String, double[]> used = clusterState.teamUsage();
+        for (Job large : clusterState.jobs()) {
             if (!lacksRoom(large, plan, used, hand)) {
                 continue;
             }
             Moves.Found found = Moves.cheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
-            long waits = plan.plannedStart(large.ref()) == null
+            long waits = plan.plannedStart(large.id()) == null
                     ? LONGEST_GAIN_MS
                     : Math.min(
                             LONGEST_GAIN_MS,
-                            plan.plannedStart(large.ref()) - turn.now().ms());
+                            plan.plannedStart(large.id()) - context.now().ms());
             if (found != null && found.cost() <= WORTH * large.spec().gpus() * waits / 1000) {
                 return new Wish(large, found);
             }
@@ -99,20 +99,20 @@
 
     private boolean lacksRoom(Job job, Plan plan, Map<String, double[]> used, InHand hand) {
         JobSpec spec = job.spec();
-        boolean plain = spec.gpus() > 1 && !spec.gang() && !spec.apart();
+        boolean plain = spec.gpus() > 1 && !spec.isGang() && !spec.antiAffinity();
         if (!plain
-                || job.cancelled()
-                || job.hold != null
-                || job.suspect()
-                || job.behind
+                || job.isCancelled()
+                || job.keySetHold != null
+                || job.isSuspect()
+                || job.shed
                 || job.record.waitingCount() <= hand.roomsFor.applyAsInt(job)
-                || job.notBefore.ms() > turn.now().ms()
-                || turn.now().since(job.submitted) < LEAST_WAIT_MS
+                || job.notBefore.ms() > context.now().ms()
+                || context.now().since(job.submittedAt) < LEAST_WAIT_MS
                 || admission.overLimit(job, used)) {
             return false;
         }
-        Long start = plan.plannedStart(job.ref());
-        return start == null || start > turn.now().ms() + SOON_MS || spec.sameZone() && plan.unplaced(job.ref()) > 0;
+        Long start = plan.plannedStart(job.id());
+        return start == null || start > context.now().ms() + SOON_MS || spec.sameZone() && plan.unplaced(job.id()) > 0;
     }
 
     private static Moves.Room room(JobSpec spec) {
@@ -120,9 +120,9 @@
     }
 
     private boolean allowed(TaskId task, MachineId id) {
-        Machine machine = book.known(id);
-        JobSpec s = book.job(task.job()).spec();
-        return machine != null && s.mayRunOn(types.get(machine.type), machine.zone, machine.spot);
+        Machine machine = clusterState.findMachine(id);
+        JobSpec s = clusterState.job(task.job()).spec();
+        return machine != null && s.mayRunOn(machineTypes.get(machine.type), machine.zone, machine.spot);
     }
 
     /** The only zone that room may be made in; null: any; {@link #NOWHERE}: none has what all of the job's tasks need. */
@@ -143,12 +143,12 @@
         }
         // What can be made free counts whole: the zone with the most of it, if that is enough for all.
         Map<String, Integer> fit = new HashMap<>();
-        for (Machine machine : book.hosts()) {
-            MachineType type = machine.known() ? types.get(machine.type) : null;
+        for (Machine machine : clusterState.machines()) {
+            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
             if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
                 double gpus = type.gpus();
                 for (Placement placement : machine.placements.values()) {
-                    Job job = book.job(placement.task.job());
+                    Job job = clusterState.job(placement.task.job());
                     gpus -= job == null
                             ? type.gpus()
                             : mayMove(job, placement, large, Map.of(), hand)
@@ -168,11 +168,15 @@
     private List<Moves.Machine> machines(Job large, InHand hand) {
         Map<String, Integer> ofTeam = new HashMap<>();
         hand.tasks.forEach(t -> ofTeam.merge(
-                book.job(t.job()) == null ? "" : book.job(t.job()).spec().team(), 1, Integer::sum));
+                clusterState.job(t.job()) == null
+                        ? ""
+                        : clusterState.job(t.job()).spec().team(),
+                1,
+                Integer::sum));
         String only = onlyZone(large, hand);
         List<Moves.Machine> out = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            MachineType type = machine.known() ? types.get(machine.type) : null;
+        for (Machine machine : clusterState.machines()) {
+            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
             Admission.Room free =
                     type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
                             ? null
@@ -184,7 +188,7 @@
             boolean may = large.spec().mayRunOn(type, machine.zone, machine.spot)
                     && (only == null || only.equals(machine.zone));
             for (Placement placement : may ? machine.placements.values() : List.<Placement>of()) {
-                Job job = book.job(placement.task.job());
+                Job job = clusterState.job(placement.task.job());
                 if (job != null
                         && job != large
                         && !hand.tasks.contains(placement.task)
@@ -201,37 +205,37 @@
     /** Equal urgency may be moved, more urgent work is left alone; and what needs others, a place, or has done much that it can't save. */
     private boolean mayMove(Job job, Placement placement, Job large, Map<String, Integer> ofTeam, InHand hand) {
         JobSpec spec = job.spec();
-        if (!placement.sent
-                || placement.killSent
-                || placement.running == null
-                || spec.gang()
+        if (!placement.launchSent
+                || placement.stopRequested
+                || placement.runningSince == null
+                || spec.isGang()
                 || spec.sameZone()
-                || spec.apart()
-                || job.cancelled()
+                || spec.antiAffinity()
+                || job.isCancelled()
                 || spec.gpus() >= large.spec().gpus()
-                || spec.urgency().compareTo(large.spec().urgency()) < 0
+                || spec.priority().compareTo(large.spec().priority()) < 0
                 || hand.lately.contains(placement.task)
                 || ofTeam.getOrDefault(spec.team(), 0) >= MOST_OF_TEAM
                 || !allowed.test(job, placement)) {
             return false;
         }
-        if (spec.service()) {
+        if (spec.isService()) {
             // One replica away at a time, and never the only one.
             return spec.tasks() > 1 && allThere(job);
         }
-        return spec.checkpointS() > 0 || turn.now().since(placement.running) < 1000 * HARDLY_BEGUN_S;
+        return spec.checkpointEveryS() > 0 || context.now().since(placement.runningSince) < 1000 * HARDLY_BEGUN_S;
     }
 
     static boolean allThere(Job job) {
         return job.record.live.size() == job.spec().tasks()
-                && job.record.live.values().stream().allMatch(o -> o.running != null && !o.killSent);
+                && job.record.live.values().stream().allMatch(o -> o.runningSince != null && !o.stopRequested);
     }
 
     private double cost(Job job, Placement placement) {
         JobSpec spec = job.spec();
-        double ran = turn.now().since(placement.running) / 1000.0;
-        double lost = spec.service() || spec.checkpointS() > 0 ? 0 : ran;
-        MachineType t = types.get(book.host(placement.host).type);
-        return spec.gpus() * (spec.saveS() + PROVED_GONE_S + spec.imageGb() / t.fetchGbPerS() + lost);
+        double ran = context.now().since(placement.runningSince) / 1000.0;
+        double lost = spec.isService() || spec.checkpointEveryS() > 0 ? 0 : ran;
+        MachineType t = machineTypes.get(clusterState.machine(placement.machine).type);
+        return spec.gpus() * (spec.checkpointCostS() + PROVED_GONE_S + spec.imageGb() / t.fetchGbPerS() + lost);
     }
 }
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -40,13 +40,13 @@
     private static final long AGAIN_MS = 1000;
     private static final long READ_AFTER_MS = 4000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
     private final Ledger ledger = new Ledger();
@@ -61,25 +61,25 @@
     private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
     MinimumServiceShare(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
+            ClusterState clusterState,
             DurationEstimates estimates,
             JobOrdering ordering,
             ToDoubleFunction<Machine> cpus) {
         this.cpus = cpus;
         this.ordering = ordering;
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
+        this.clusterState = clusterState;
         this.estimates = estimates;
     }
 
@@ -91,32 +91,32 @@
         lifted = Set.of();
         known = false;
         countedUntilWallMs = 0;
-        nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
-        long reign = book.reign();
-        turn.after(READ_AFTER_MS, () -> {
-            if (reign == book.reign()) {
+        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
+        long term = clusterState.term();
+        context.schedule(READ_AFTER_MS, () -> {
+            if (term == clusterState.term()) {
                 read(); // nothing hangs on it in a leadership's first seconds, in which all else is read
             }
         });
     }
 
     private void read() {
-        long reign = book.reign();
-        requests.take(turn.now(), 1);
+        long term = clusterState.term();
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(ServiceShareRecord.KEY, read -> {
-            if (reign != book.reign()) {
+            if (term != clusterState.term()) {
                 return;
             }
-            if (!read.known()) {
-                turn.after(AGAIN_MS, () -> {
-                    if (reign == book.reign()) {
+            if (!read.answered()) {
+                context.schedule(AGAIN_MS, () -> {
+                    if (term == clusterState.term()) {
                         read();
                     }
                 });
                 return;
             }
             // Without a record the time before is unknown: jobs that were late by then count for nobody.
-            countedUntilWallMs = turn.wallMs();
+            countedUntilWallMs = context.wallMs();
             if (read.item() != null) {
                 try {
                     countedUntilWallMs = ServiceShareRecord.read(read.item().value(), ledger, largest);
@@ -148,28 +148,28 @@
         if (!known) {
             return groups(job.spec());
         }
-        if (job.groups == null) {
+        if (job.shareGroups == null) {
             JobSpec spec = job.spec();
             Set<String> all = new HashSet<>(groups(spec));
             if (job.release != null) {
                 all.add("maker:" + job.release.maker());
             }
             all.addAll(largest.meet(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
-            job.groups = Set.copyOf(all);
+            job.shareGroups = Set.copyOf(all);
         }
-        return job.groups;
+        return job.shareGroups;
     }
 
     /** The job is over, by its tasks. */
     void ended(Job job) {
-        if (known && !job.cancelled() && counted.add(job.ref())) {
-            count(job, turn.wallMs() <= limitWallMs(job));
+        if (known && !job.isCancelled() && counted.add(job.id())) {
+            count(job, context.wallMs() <= limitWallMs(job));
         }
-        counted.remove(job.ref());
+        counted.remove(job.id());
     }
 
     private void count(Job job, boolean served) {
-        groups(job).forEach(g -> ledger.count(g, turn.wallMs(), served));
+        groups(job).forEach(g -> ledger.count(g, context.wallMs(), served));
     }
 
     /** Counts whose time is up, decides who goes first, and stores the counts now and then. */
@@ -179,55 +179,55 @@
         }
         List<Floor.Waiting> waiting = new ArrayList<>();
         Set<String> guaranteed = new HashSet<>();
-        for (Job job : book.jobs()) {
-            if (job.guaranteed && job.hold == null && !job.cancelled() && job.record.waitingCount() > 0) {
+        for (Job job : clusterState.jobs()) {
+            if (job.withinQuota && job.keySetHold == null && !job.isCancelled() && job.record.waitingCount() > 0) {
                 guaranteed.add(job.spec().team());
             }
         }
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             long limit = limitWallMs(job);
-            if (job.hold != null) {
-                counted.add(job.ref()); // its waiting is on nobody's account, also when it goes on
+            if (job.keySetHold != null) {
+                counted.add(job.id()); // its waiting is on nobody's account, also when it goes on
             }
-            if (job.cancelled() || job.hold != null) {
+            if (job.isCancelled() || job.keySetHold != null) {
                 continue;
             }
-            if (job.spec().service()) {
+            if (job.spec().isService()) {
                 service(job, limit);
                 continue;
             }
             groups(job);
-            if (turn.wallMs() > limit) {
-                if (counted.add(job.ref()) && limit > countedUntilWallMs) {
+            if (context.wallMs() > limit) {
+                if (counted.add(job.id()) && limit > countedUntilWallMs) {
                     count(job, false);
                 }
-            } else if (job.lifted
+            } else if (job.prioritized
                     || job.record.waitingCount() > 0
-                            && (job.guaranteed
+                            && (job.withinQuota
                                     || guaranteed.stream().allMatch(job.spec().team()::equals))) {
-                long ends = turn.wallMs() + estimates.lengthMs(job.spec());
-                waiting.add(new Floor.Waiting(job.ref(), groups(job), job.lifted, ends, limit));
+                long ends = context.wallMs() + estimates.expectedMs(job.spec());
+                waiting.add(new Floor.Waiting(job.id(), groups(job), job.prioritized, ends, limit));
             }
         }
         Set<JobId> before = lifted;
-        lifted = Floor.lifted(ledger.shares(turn.wallMs()), waiting);
+        lifted = Floor.lifted(ledger.shares(context.wallMs()), waiting);
         Map<JobId, Integer> aged = aged();
-        for (Job job : book.jobs()) {
-            Integer part = aged.get(job.ref());
-            if (part != null && !job.aged) {
+        for (Job job : clusterState.jobs()) {
+            Integer part = aged.get(job.id());
+            if (part != null && !job.starving) {
                 LOG.info(
                         "{} tasks of {} go first: nothing of it has begun for {} s",
                         part,
-                        job.ref(),
-                        (turn.wallMs() - job.record.submittedWallMs) / 1000);
+                        job.id(),
+                        (context.wallMs() - job.record.submittedWallMs) / 1000);
             }
-            job.aged = part != null;
-            job.firstUpTo = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
-            job.lifted = lifted.contains(job.ref());
-            if (job.lifted && !before.contains(job.ref())) {
+            job.starving = part != null;
+            job.expeditedUpTo = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
+            job.prioritized = lifted.contains(job.id());
+            if (job.prioritized && !before.contains(job.id())) {
                 LOG.info(
                         "{} goes first: its class {}, team {} or class's largest are below its half",
-                        job.ref(),
+                        job.id(),
                         job.spec().jobClass(),
                         job.spec().team());
             }
@@ -238,9 +238,9 @@
     /** A service is served once all of it runs in time; how long it then goes on is its user's matter. */
     private void service(Job job, long limit) {
         boolean runs = job.record.live.size() == job.spec().tasks()
-                && job.record.live.values().stream().allMatch(p -> p.running != null);
-        boolean late = turn.wallMs() > limit;
-        if ((runs || late) && limit > countedUntilWallMs && counted.add(job.ref())) {
+                && job.record.live.values().stream().allMatch(p -> p.runningSince != null);
+        boolean late = context.wallMs() > limit;
+        if ((runs || late) && limit > countedUntilWallMs && counted.add(job.id())) {
             count(job, !late);
         }
     }
@@ -248,24 +248,24 @@
     private Map<JobId, Integer> aged() {
         List<Aged.Waiting> waiting = new ArrayList<>();
         double all = 0;
-        for (Machine h : book.hosts()) {
-            all += h.up && !h.returning ? cpus.applyAsDouble(h) : 0;
+        for (Machine h : clusterState.machines()) {
+            all += h.up && !h.releasing ? cpus.applyAsDouble(h) : 0;
         }
-        for (Job job : book.jobs()) {
-            if (!job.cancelled()
-                    && job.hold == null
-                    && !job.suspect()
-                    && job.notBefore.ms() <= turn.now().ms()
-                    && (job.aged || !job.begun())
+        for (Job job : clusterState.jobs()) {
+            if (!job.isCancelled()
+                    && job.keySetHold == null
+                    && !job.isSuspect()
+                    && job.notBefore.ms() <= context.now().ms()
+                    && (job.starving || !job.hasBegun())
                     && groups(job).stream().anyMatch(Largest::ofSize)) {
                 long first = job.record.live.values().stream()
-                        .mapToLong(p -> turn.now().since(p.since))
+                        .mapToLong(p -> context.now().since(p.placedAt))
                         .max()
                         .orElse(0);
                 JobSpec spec = job.spec();
-                boolean whole = spec.gang() || spec.service() || spec.sameZone() || spec.apart();
+                boolean whole = spec.isGang() || spec.isService() || spec.sameZone() || spec.antiAffinity();
                 waiting.add(new Aged.Waiting(
-                        job.ref(),
+                        job.id(),
                         job.record.submittedWallMs,
                         whole,
                         spec.tasks(),
@@ -275,37 +275,37 @@
                         spec.cpus()));
             }
         }
-        return Aged.first(waiting, all, turn.wallMs());
+        return Aged.first(waiting, all, context.wallMs());
     }
 
     private void write() {
-        if (turn.now().before(nextWrite) || writes.available(turn.now()) < PLENTY * writes.most()) {
+        if (context.now().isBefore(nextWrite) || writes.available(context.now()) < PLENTY * writes.capacity()) {
             return;
         }
-        nextWrite = turn.now().plusMs(WRITE_EVERY_MS);
-        Transaction txn = election.guarded()
+        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
+        Transaction transaction = election.guardedTransaction()
                 .put(
                         ServiceShareRecord.KEY,
                         ServiceShareRecord.toNode(
                                 ledger,
                                 largest,
-                                turn.wallMs(),
+                                context.wallMs(),
                                 settings.stateLimits().valueBytes()));
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        store.commit(txn, c -> {}); // the next one says it again
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        store.commit(transaction, c -> {}); // the next one says it again
     }
 
     /** What was asked and served lately, by class and by team. */
     Map<String, Share> shares() {
-        return ledger.shares(turn.wallMs());
+        return ledger.shares(context.wallMs());
     }
 
     /** The same, to be shown. */
     ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("served");
-        ledger.shares(turn.wallMs()).forEach((group, share) -> {
+        ledger.shares(context.wallMs()).forEach((group, share) -> {
             int colon = group.indexOf(':');
             rows.addObject()
                     .put("kind", group.substring(0, colon))
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -27,13 +27,13 @@
                 break;
             }
             ObjectNode node = rows.addObject()
-                    .put("ref", job.ref().text())
+                    .put("ref", job.id().text())
                     .put("class", job.spec().jobClass())
                     .put("team", job.spec().team())
                     .put("waiting", job.record.waitingCount())
                     .put("placed", job.record.live.size())
                     .put("done", job.record.done.size());
-            Long start = plan == null ? null : plan.plannedStart(job.ref());
+            Long start = plan == null ? null : plan.plannedStart(job.id());
             if (start != null) {
                 node.put("startsInS", Math.max(0, (start - nowMs) / 1000.0));
             }
@@ -42,8 +42,8 @@
             }
             if (ElasticWidths.held(job) != null) {
                 node.put("reason", ElasticWidths.held(job));
-            } else if (job.record.reason != null) {
-                node.put("reason", job.record.reason);
+            } else if (job.record.failureReason != null) {
+                node.put("reason", job.record.failureReason);
             }
         }
         leader.elastic().counts().forEach((name, count) -> out.withObject("/elastic")
@@ -58,7 +58,7 @@
     static ObjectNode hosts(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
-        for (Machine machine : leader.book().hosts()) {
+        for (Machine machine : leader.book().machines()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
@@ -69,13 +69,13 @@
                     .put("spot", machine.spot)
                     .put(
                             "state",
-                            machine.returning
+                            machine.releasing
                                     ? "returning"
                                     : !machine.up
                                             ? "booting"
                                             : leader.admission().usable(machine) ? "usable" : "avoided")
                     .put("tasks", machine.placements.size())
-                    .put("heardS", machine.lastHeard == null ? null : (nowMs - machine.lastHeard.ms()) / 1000.0);
+                    .put("heardS", machine.lastHeardAt == null ? null : (nowMs - machine.lastHeardAt.ms()) / 1000.0);
         }
         return out;
     }
@@ -85,8 +85,9 @@
         for (Job job : leader.book().jobs()) {
             double[] shares = sums.computeIfAbsent(job.spec().team(), k -> new double[2]);
             shares[0] += job.record.live.size() * job.spec().cpus();
-            shares[1] +=
-                    job.cancelled() ? 0 : job.record.waitingCount() * job.spec().cpus();
+            shares[1] += job.isCancelled()
+                    ? 0
+                    : job.record.waitingCount() * job.spec().cpus();
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("teams");
@@ -114,13 +115,13 @@
     }
 
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
-    static void promised(Leader leader, JobId ref, ObjectNode state, long nowMs) {
+    static void promised(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().current();
-        Job job = leader.book().job(ref);
+        Job job = leader.book().job(jobId);
         if (plan == null || job == null) {
             return;
         }
-        Long start = plan.plannedStart(ref);
+        Long start = plan.plannedStart(jobId);
         if (start != null && state.path("status").asText().equals("queued")) {
             state.put("startsInS", Math.max(0, (start - nowMs) / 1000.0));
         }
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -46,20 +46,20 @@
     /** Keeps a team that has used nothing yet from outweighing all others. */
     private static final double USAGE_FLOOR = 0.05;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
     private final SplittableRandom random;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
     private final Admission admission;
     private final Provisioner provisioner;
     private final ElasticWidths elastic;
-    private final ColdStartRecovery starting;
-    private final MigrationController moves;
-    private final PreemptionNotices notices;
+    private final ColdStartRecovery coldStart;
+    private final MigrationController migrations;
+    private final PreemptionNotices preemptionNotices;
     private MonotonicTime nextPlan = MonotonicTime.ZERO;
     private Plan plan;
     private RandomSearch<Arrangement> search;
@@ -72,29 +72,29 @@
     private long searchKept;
 
     Planner(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             Policy policy,
             SplittableRandom random,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             DurationEstimates estimates,
             JobOrdering ordering,
             Admission admission,
             Provisioner provisioner,
             ElasticWidths elastic,
-            ColdStartRecovery starting,
-            MigrationController moves,
-            PreemptionNotices notices) {
-        this.moves = moves;
-        this.notices = notices;
-        this.starting = starting;
-        this.turn = turn;
+            ColdStartRecovery coldStart,
+            MigrationController migrations,
+            PreemptionNotices preemptionNotices) {
+        this.migrations = migrations;
+        this.preemptionNotices = preemptionNotices;
+        this.coldStart = coldStart;
+        this.context = context;
         this.settings = settings;
         this.policy = policy;
         this.random = random;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.estimates = estimates;
         this.ordering = ordering;
         this.admission = admission;
@@ -114,36 +114,36 @@
 
     /** Whether something has changed and the last plan has served long enough. */
     boolean due() {
-        return book.changed() && !turn.now().before(nextPlan);
+        return clusterState.replanRequested() && !context.now().isBefore(nextPlan);
     }
 
     /** Makes a new plan. */
     Plan plan() {
-        book.planned();
+        clusterState.replanDone();
         plan = build(ordered(), preferred.fixed());
         return plan;
     }
 
     /** The plan has been acted on; the larger it is, the longer it must serve before the next. */
     void pace() {
-        nextPlan = turn.now().plusMs(pause(plan));
+        nextPlan = context.now().plusMs(pause(plan));
     }
 
     /** When the newest plan has all of the job's tasks over; null where it doesn't reach that far, or has no end. */
     Long plannedEnd(Job job) {
-        if (plan == null || job.spec().service() || plan.unplaced(job.ref()) > 0) {
+        if (plan == null || job.spec().isService() || plan.unplaced(job.id()) > 0) {
             return null;
         }
         long end = 0;
         int waiting = 0;
         for (Plan.Reservation reservation : plan.reservations()) {
-            if (reservation.job().equals(job.ref())) {
+            if (reservation.job().equals(job.id())) {
                 waiting++;
                 end = Math.max(end, reservation.endMs());
             }
         }
         for (Placement p : job.record.live.values()) {
-            end = Math.max(end, estimates.endOf(p, turn.now()).ms());
+            end = Math.max(end, estimates.expectedEnd(p, context.now()).ms());
         }
         return waiting + job.record.live.size() + job.record.done.size()
                         < job.spec().tasks()
@@ -153,11 +153,11 @@
 
     /** Whether a plan or a step of the search is to follow, at {@link #next}. */
     boolean wantsTurn() {
-        return book.changed() || search != null;
+        return clusterState.replanRequested() || search != null;
     }
 
     MonotonicTime next() {
-        return search != null ? turn.now().plusMs(1) : nextPlan;
+        return search != null ? context.now().plusMs(1) : nextPlan;
     }
 
     long searchSteps() {
@@ -170,14 +170,14 @@
 
     /** A plan with what runs and, in the given order, what waits; widths that are not given are weighed. */
     private Plan build(List<Job> order, Map<JobId, Integer> widths) {
-        long now = turn.now().ms();
-        List<PlanHost> planHosts = new ArrayList<>();
+        long now = context.now().ms();
+        List<PlanHost> planMachines = new ArrayList<>();
         Set<MachineId> planned = new HashSet<>();
-        for (Machine machine : book.hosts()) {
-            MachineType type = machine.known() ? types.get(machine.type) : null;
+        for (Machine machine : clusterState.machines()) {
+            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
-                    || (!admission.usable(machine) && (machine.up || machine.returning))
-                    || starting.doubted(machine)) {
+                    || (!admission.usable(machine) && (machine.up || machine.releasing))
+                    || coldStart.isDoubted(machine)) {
                 continue;
             }
             PlanHost planMachine = new PlanHost(
@@ -189,52 +189,55 @@
                     machine.up ? now : provisioner.readyAt(machine, type));
             planMachine.holds(machine.images.keySet());
             for (Placement placement : machine.placements.values()) {
-                Job job = book.job(placement.task.job());
+                Job job = clusterState.job(placement.task.job());
                 if (job != null) {
                     JobSpec spec = job.spec();
                     planMachine.occupy(
-                            estimates.endOf(placement, turn.now()).ms(), spec.cpus(), spec.gpus(), spec.memGb());
+                            estimates.expectedEnd(placement, context.now()).ms(),
+                            spec.cpus(),
+                            spec.gpus(),
+                            spec.memGb());
                     planMachine.image(
                             spec.image(),
-                            placement.running != null
+                            placement.runningSince != null
                                     ? now
-                                    : Math.max(now + 500, placement.since.ms() + placement.fetchMs));
+                                    : Math.max(now + 500, placement.placedAt.ms() + placement.fetchMs));
                 }
             }
-            for (JobSpec kept : moves.keptOn(machine.id)) {
+            for (JobSpec kept : migrations.keptOn(machine.id)) {
                 planMachine.occupy(now + 3_600_000, kept.cpus(), kept.gpus(), kept.memGb());
             }
             if (machine.up && admission.mayWiden(machine)) {
                 planMachine.mayWiden();
             }
-            planHosts.add(planMachine);
+            planMachines.add(planMachine);
             planned.add(machine.id);
         }
-        Plan next = new Plan(now, planHosts);
-        next.sizes(moves.sizes());
+        Plan next = new Plan(now, planMachines);
+        next.sizes(migrations.sizes());
         for (Settings.Team t : settings.teams().values()) {
             next.limit(t.name(), t.cpusMax(), t.gpusMax());
         }
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             for (Placement placement : job.record.live.values()) {
-                Machine machine = book.known(placement.host);
-                long end = planned.contains(placement.host)
-                                || machine != null && (machine.noticeEnds != null || machine.cordonedBy != null)
-                        ? notices.endOf(machine, placement).ms()
+                Machine machine = clusterState.findMachine(placement.machine);
+                long end = planned.contains(placement.machine)
+                                || machine != null && (machine.preemptedAt != null || machine.cordonedBy != null)
+                        ? preemptionNotices.expectedEnd(machine, placement).ms()
                         : now + 3_600_000;
                 next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
             }
         }
         for (Job job : order) {
             if (first(job) > 0) {
-                next.place(entry(job, Math.min(first(job), job.mayTry(elastic.sure(job))), 0));
+                next.place(entry(job, Math.min(first(job), job.maxPlaceable(elastic.sure(job))), 0));
             }
         }
         for (Job job : order) {
-            if (job.spec().gang() && !job.record.live.isEmpty()) {
+            if (job.spec().isGang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int sure = job.mayTry(elastic.sure(job)) - first(job) - moves.underWay(job);
+            int sure = job.maxPlaceable(elastic.sure(job)) - first(job) - migrations.underWay(job);
             if (sure > 0) {
                 next.place(entry(job, sure, ordering.patience(job)));
             }
@@ -245,15 +248,15 @@
 
     /** Tasks of it that come before all others: what has waited for long, and whom room is made for. */
     private int first(Job job) {
-        return Math.max(job.firstPart(), moves.roomsFor(job));
+        return Math.max(job.expeditedTasks(), migrations.roomsFor(job));
     }
 
     private Plan.Entry entry(Job job, int waiting, long patienceMs) {
         return new Plan.Entry(
-                job.ref(),
+                job.id(),
                 job.spec(),
                 waiting,
-                estimates.lengthMs(job.spec()),
+                estimates.expectedMs(job.spec()),
                 admission.liveByZone(job),
                 job.notBefore.ms(),
                 patienceMs);
@@ -267,7 +270,7 @@
                 continue;
             }
             int sure = elastic.sure(job);
-            Plan.Wish wish = elastic.wish(job, sure, widths.get(job.ref()));
+            Plan.Wish wish = elastic.wish(job, sure, widths.get(job.id()));
             if (wish == null) {
                 continue;
             }
@@ -276,11 +279,11 @@
             }
             List<Long> busyUntil = new ArrayList<>();
             for (Placement p : job.record.live.values()) {
-                busyUntil.add(estimates.endOf(p, turn.now()).ms());
+                busyUntil.add(estimates.expectedEnd(p, context.now()).ms());
             }
             long slack = wish.untilMs() == Ending.NEVER
                     ? NO_HURRY_MS
-                    : Math.max(0, wish.untilMs() - turn.now().ms());
+                    : Math.max(0, wish.untilMs() - context.now().ms());
             next.widen(
                     entry(job, job.record.waitingCount() - sure, Math.round(policy.patience() * slack)),
                     busyUntil,
@@ -291,16 +294,16 @@
     /** One step of the periodic search, if it is time for one; other inputs come in between. */
     void searchStep() {
         if (search == null) {
-            if (turn.now().before(nextSearch) || policy.searchIterations() == 0) {
+            if (context.now().isBefore(nextSearch) || policy.searchIterations() == 0) {
                 return;
             }
-            nextSearch = turn.now().plusMs(policy.searchEveryMs());
-            searchEnds = turn.now().plusMs(policy.searchMs());
+            nextSearch = context.now().plusMs(policy.searchEveryMs());
+            searchEnds = context.now().plusMs(policy.searchMs());
             // Where an objective still speaks for a job it decides the order, and search was measured to spend the
             // slack that objectives need; what none speaks for is ordered by waits, slowdown and fairness.
             List<JobId> free = ordered().stream()
                     .filter(j -> !ordering.objectiveOpen(j))
-                    .map(Job::ref)
+                    .map(Job::id)
                     .toList();
             Arrangement start = arrangement(free);
             search = new RandomSearch<>(
@@ -311,16 +314,16 @@
                     start.movable() ? policy.searchIterations() : 0,
                     random);
         }
-        if (search.finished() || !turn.now().before(searchEnds)) {
+        if (search.finished() || !context.now().isBefore(searchEnds)) {
             searchSteps += search.steps();
             searchKept += search.kept();
             if (search.kept() > 0) {
                 preferred = search.best();
-                book.replan();
+                clusterState.requestReplan();
                 LOG.debug("search kept {} of {} moves", search.kept(), search.steps());
             } else if (!preferred.fixed().isEmpty()) {
                 preferred = preferred.unfixed(); // the plan weighs them again
-                book.replan();
+                clusterState.requestReplan();
             }
             search = null;
             return;
@@ -331,12 +334,12 @@
     private Arrangement arrangement(List<JobId> free) {
         List<JobId> wide = new ArrayList<>();
         Map<JobId, Integer> widest = new HashMap<>();
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             if (job.record.width != null && elastic.wish(job, elastic.sure(job), null) != null) {
-                wide.add(job.ref());
+                wide.add(job.id());
                 widest.put(
-                        job.ref(),
-                        Math.min(job.record.width.allowed().most(), job.spec().tasks()));
+                        job.id(),
+                        Math.min(job.record.width.allowed().max(), job.spec().tasks()));
             }
         }
         return new Arrangement(free, wide, widest, Map.of());
@@ -347,28 +350,28 @@
         Map<JobId, Evaluation.Facts> facts = new HashMap<>();
         for (Job job : list) {
             facts.put(
-                    job.ref(),
+                    job.id(),
                     new Evaluation.Facts(
                             job.spec().team(),
-                            job.submitted.ms(),
+                            job.submittedAt.ms(),
                             ordering.latestStart(job),
-                            estimates.lengthMs(job.spec())));
+                            estimates.expectedMs(job.spec())));
         }
         Map<String, Double> usage = new HashMap<>();
         double all = Math.max(
                 1,
-                book.teamCpuMs().values().stream()
+                clusterState.teamCpuMs().values().stream()
                         .mapToDouble(Double::doubleValue)
                         .sum());
         for (String team : settings.teams().keySet()) {
-            usage.put(team, USAGE_FLOOR + book.teamCpuMs().getOrDefault(team, 0.0) / all);
+            usage.put(team, USAGE_FLOOR + clusterState.teamCpuMs().getOrDefault(team, 0.0) / all);
         }
         return Evaluation.of(build(list, arrangement.fixed()), facts, usage);
     }
 
     /** How long a plan must serve before the next: the larger it is, and the further this node is behind, the longer. */
     private long pause(Plan plan) {
-        return PLAN_EVERY_MS + plan.fits() / FITS_PER_MS + Math.min(MOST_BEHIND_MS, turn.lateMs());
+        return PLAN_EVERY_MS + plan.fits() / FITS_PER_MS + Math.min(MOST_BEHIND_MS, context.lagMs());
     }
 
     /** The newest plan, or null. */
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -29,13 +29,13 @@
     /** Jobs that room is looked for in one plan, most urgent first: each costs a look at every machine. */
     private static final int MAX_JOBS = 20;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Policy policy;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final JobOrdering ordering;
     private final Admission admission;
-    private final TaskEviction stopping;
+    private final TaskEviction eviction;
 
     /** What would be stopped on one machine, how many tasks that makes room for, and what it throws away. */
     private record Offer(List<Placement> victims, int tasks, double cost, long beginsMs) {
@@ -45,20 +45,20 @@
     }
 
     Preemption(
-            ControllerContext turn,
+            ControllerContext context,
             Policy policy,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             JobOrdering ordering,
             Admission admission,
-            TaskEviction stopping) {
-        this.turn = turn;
+            TaskEviction eviction) {
+        this.context = context;
         this.policy = policy;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.ordering = ordering;
         this.admission = admission;
-        this.stopping = stopping;
+        this.eviction = eviction;
     }
 
     void run(Plan plan, Map<String, double[]> used) {
@@ -72,40 +72,40 @@
         }
         int jobs = 0;
         for (Map.Entry<JobId, List<Long>> entry : late.entrySet()) {
-            Job job = book.job(entry.getKey());
+            Job job = clusterState.job(entry.getKey());
             if (!mayAsk(job) || admission.overLimit(job, used) || jobs++ == MAX_JOBS) {
                 continue;
             }
             if (serve(job, entry.getValue())) {
-                job.nextPreemption = turn.now().plusMs(PAUSE_MS);
+                job.nextPreemption = context.now().plusMs(PAUSE_MS);
             }
         }
     }
 
     /** Work that begins by then, or that may stop nobody, is not late. */
-    private long lateFrom(JobId ref) {
-        Job job = book.job(ref);
+    private long lateFrom(JobId jobId) {
+        Job job = clusterState.job(jobId);
         return job == null || !mayAsk(job)
                 ? Long.MAX_VALUE
-                : Math.max(ordering.latestStart(job), turn.now().ms() + SOON_MS);
+                : Math.max(ordering.latestStart(job), context.now().ms() + SOON_MS);
     }
 
     private boolean mayAsk(Job job) {
         JobSpec spec = job.spec();
-        return !job.behind
-                && !job.suspect()
-                && !spec.gang()
+        return !job.shed
+                && !job.isSuspect()
+                && !spec.isGang()
                 && !spec.sameZone()
-                && !spec.apart()
-                && job.notBefore.ms() <= turn.now().ms()
-                && !turn.now().before(job.nextPreemption)
-                && !turn.now().before(job.nextNarrowing)
+                && !spec.antiAffinity()
+                && job.notBefore.ms() <= context.now().ms()
+                && !context.now().isBefore(job.nextPreemption)
+                && !context.now().isBefore(job.nextWidthReduction)
                 && outranksSome(job);
     }
 
     private boolean outranksSome(Job job) {
-        for (Job other : book.jobs()) {
-            if (!other.record.live.isEmpty() && job.outranks(other)) {
+        for (Job other : clusterState.jobs()) {
+            if (!other.record.live.isEmpty() && job.mayPreempt(other)) {
                 return true;
             }
         }
@@ -117,8 +117,8 @@
         double most = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
         long last = begins.stream().mapToLong(Long::longValue).max().orElse(0);
         List<Offer> offers = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            if (machine.placements.isEmpty() || machine.ordersInFlight > 0 || !admission.usable(machine)) {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.placements.isEmpty() || machine.commandsInFlight > 0 || !admission.usable(machine)) {
                 continue;
             }
             // Room that must first fetch the image may begin later than what is planned already. Made all the
@@ -141,7 +141,7 @@
                 break;
             }
             if (offer.beginsMs() + LEAST_GAIN_MS <= waiting.get(served)) {
-                offer.victims().forEach(v -> stopping.makeRoom(v, job));
+                offer.victims().forEach(v -> eviction.preempt(v, job));
                 served += offer.tasks();
             }
         }
@@ -150,13 +150,13 @@
 
     /** When a task of the job would begin on the host if room were made there now. */
     private long roomBegins(Machine machine, Job job) {
-        return turn.now().ms() + SOON_MS / 2 + machine.fetchMs(job.spec(), types.get(machine.type));
+        return context.now().ms() + SOON_MS / 2 + machine.fetchMs(job.spec(), machineTypes.get(machine.type));
     }
 
     /** The tasks to stop so that the job's fit on the host, youngest first; null where that can't be. */
     private Offer offer(Machine machine, Job job, int waiting, long beginsMs) {
         JobSpec spec = job.spec();
-        MachineType type = types.get(machine.type);
+        MachineType type = machineTypes.get(machine.type);
         Admission.Room room =
                 spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null || room.enough()) {
@@ -164,17 +164,19 @@
         }
         List<Placement> lower = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
-            if (placement.sent && !placement.killSent && job.outranks(book.job(placement.task.job()))) {
+            if (placement.launchSent
+                    && !placement.stopRequested
+                    && job.mayPreempt(clusterState.job(placement.task.job()))) {
                 lower.add(placement);
             }
         }
-        lower.sort(Comparator.comparing((Placement p) -> p.since).reversed());
+        lower.sort(Comparator.comparing((Placement p) -> p.placedAt).reversed());
         List<Placement> out = new ArrayList<>();
         for (Placement placement : lower) {
             if (room.enough()) {
                 break;
             }
-            room = room.plus(book.job(placement.task.job()).spec(), 1);
+            room = room.plus(clusterState.job(placement.task.job()).spec(), 1);
             out.add(placement);
         }
         if (!room.enough()) {
@@ -193,10 +195,10 @@
     private double lost(List<Placement> set) {
         double sum = 0;
         for (Placement placement : set) {
-            JobSpec spec = book.job(placement.task.job()).spec();
+            JobSpec spec = clusterState.job(placement.task.job()).spec();
             // The time it waited for its image has held its share of the machine too.
-            double ran = turn.now().since(placement.since) / 1000.0;
-            double kept = spec.checkpointS() > 0 ? Math.min(ran, spec.checkpointS()) : ran;
+            double ran = context.now().since(placement.placedAt) / 1000.0;
+            double kept = spec.checkpointEveryS() > 0 ? Math.min(ran, spec.checkpointEveryS()) : ran;
             sum += (1 + kept) * spec.cpus();
         }
         return sum;
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -50,20 +50,20 @@
     /** How long a new leadership waits for the first list before it rents without. */
     private static final long FIRST_LIST_MS = 15_000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
     private final LeaderElection election;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
-    private final FaultTracker faults;
-    private final TaskRemoval departures;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
+    private final FaultTracker faultTracker;
+    private final TaskRemoval taskRemoval;
     private final TokenBucket calls;
-    private final ScaleOutPolicy renting;
-    private final FailureDetector silence;
-    private final LossRecovery recovery;
-    private final ColdStartRecovery starting;
-    private final Set<MachineId> gone = BoundedCollections.added(REMEMBERED_GONE);
+    private final ScaleOutPolicy scaleOut;
+    private final FailureDetector failureDetector;
+    private final LossRecovery lossRecovery;
+    private final ColdStartRecovery coldStart;
+    private final Set<MachineId> gone = BoundedCollections.insertionOrderedSet(REMEMBERED_GONE);
     private MonotonicTime nextTurn = MonotonicTime.ZERO;
     private MonotonicTime nextList = MonotonicTime.ZERO;
     private boolean listing;
@@ -74,44 +74,46 @@
     private Predicate<MachineId> kept = h -> false;
 
     Provisioner(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             Policy policy,
             LeaderElection election,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             JobOrdering ordering,
             DurationEstimates estimates,
-            FaultTracker faults,
-            TaskRemoval departures,
-            LossRecovery recovery,
-            ColdStartRecovery starting,
+            FaultTracker faultTracker,
+            TaskRemoval taskRemoval,
+            LossRecovery lossRecovery,
+            ColdStartRecovery coldStart,
             BiConsumer<Machine, Heartbeat> beganAnew) {
-        this.starting = starting;
-        this.turn = turn;
+        this.coldStart = coldStart;
+        this.context = context;
         this.election = election;
         this.settings = settings;
         this.policy = policy;
-        this.types = types;
-        this.book = book;
-        this.faults = faults;
-        this.departures = departures;
-        this.silence = new FailureDetector(turn, settings, policy, election, book, starting, recovery, beganAnew);
-        this.recovery = recovery;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
+        this.faultTracker = faultTracker;
+        this.taskRemoval = taskRemoval;
+        this.failureDetector = new FailureDetector(
+                context, settings, policy, election, clusterState, coldStart, lossRecovery, beganAnew);
+        this.lossRecovery = lossRecovery;
         this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8);
-        this.renting = new ScaleOutPolicy(turn, policy, election, types, book, ordering, estimates, calls);
+        this.scaleOut =
+                new ScaleOutPolicy(context, policy, election, machineTypes, clusterState, ordering, estimates, calls);
     }
 
     /** A new leadership begins: its fencing token makes the names of its rentals. */
     void reset(FencingToken newBaton) {
-        renting.reset(newBaton);
+        scaleOut.reset(newBaton);
         listed = false;
         listing = false;
         returnCalls = 0;
-        silence.reset();
-        recovery.reset();
-        nextList = turn.now();
-        nextTurn = turn.now();
+        failureDetector.reset();
+        lossRecovery.reset();
+        nextList = context.now();
+        nextTurn = context.now();
     }
 
     /** Whether this leadership has seen all machines that the cloud lists. */
@@ -125,37 +127,37 @@
     }
 
     ScaleOutPolicy renting() {
-        return renting;
+        return scaleOut;
     }
 
     @Override
-    public boolean gone(MachineId id) {
+    public boolean isReleased(MachineId id) {
         return gone.contains(id);
     }
 
     long readyAt(Machine machine, MachineType type) {
-        if (machine.listedUp) {
-            return turn.now().ms() + SOON_HEARD_MS; // it runs, and only has to find this node
+        if (machine.listedRunning) {
+            return context.now().ms() + SOON_HEARD_MS; // it runs, and only has to find this node
         }
-        long expected = (machine.rentedAt == null ? turn.now().ms() : machine.rentedAt.ms())
+        long expected = (machine.rentedAt == null ? context.now().ms() : machine.rentedAt.ms())
                 + Math.round(1100 * type.startupS());
-        long late = turn.now().ms() - expected;
-        return late > -2000 ? turn.now().ms() + Math.max(3000, late / 2) : expected;
+        long late = context.now().ms() - expected;
+        return late > -2000 ? context.now().ms() + Math.max(3000, late / 2) : expected;
     }
 
     void tick(Plan plan) {
-        if (turn.now().before(nextTurn)) {
+        if (context.now().isBefore(nextTurn)) {
             return;
         }
-        nextTurn = turn.now().plusMs(EVERY_MS);
+        nextTurn = context.now().plusMs(EVERY_MS);
         lookAfterHosts(plan);
-        if (turn.now().since(nextList) > LIST_OVERDUE_MS) {
+        if (context.now().since(nextList) > LIST_OVERDUE_MS) {
             list(); // with few calls, or a fall that takes long, everything else would always come first
         }
         sendReturns(true);
-        boolean oriented = listed || turn.now().since(book.wonAt()) > FIRST_LIST_MS;
+        boolean oriented = listed || context.now().since(clusterState.termBeganAt()) > FIRST_LIST_MS;
         if (plan != null && oriented) {
-            renting.rentFor(plan);
+            scaleOut.rentFor(plan);
         }
         list();
         sendReturns(false);
@@ -169,22 +171,22 @@
     // ---- the list ----
 
     private void list() {
-        if (!turn.now().before(nextList) && !listing && calls.tryTake(turn.now(), 1)) {
+        if (!context.now().isBefore(nextList) && !listing && calls.tryTake(context.now(), 1)) {
             listing = true;
-            list(null, new HashMap<>(), turn.now());
+            list(null, new HashMap<>(), context.now());
         }
     }
 
     private void list(String after, Map<MachineId, JsonNode> found, MonotonicTime asked) {
-        long term = book.reign();
+        long term = clusterState.term();
         String path = "/machines?limit=500" + (after == null ? "" : "&after=" + after);
-        turn.call(ServiceCalls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
-            if (term != book.reign()) {
+        context.call(ServiceCalls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
+            if (term != clusterState.term()) {
                 return;
             }
             listing = false;
-            nextList = turn.now().plusMs(6000);
-            if (!result.ok() || !result.body().path("hosts").isArray()) {
+            nextList = context.now().plusMs(6000);
+            if (!result.isOk() || !result.body().path("hosts").isArray()) {
                 return;
             }
             String last = null;
@@ -196,7 +198,7 @@
             }
             if (result.body().path("more").asBoolean() && last != null) {
                 listing = true;
-                calls.take(turn.now(), 1);
+                calls.takeOrOverdraw(context.now(), 1);
                 list(last, found, asked);
             } else {
                 listed(found, asked);
@@ -206,13 +208,13 @@
 
     private void listed(Map<MachineId, JsonNode> found, MonotonicTime asked) {
         listed = true;
-        starting.listed();
+        coldStart.markListed();
         found.forEach((id, node) -> {
             if (gone.contains(id)) {
                 return; // the list lags
             }
-            Machine machine = book.host(id);
-            if (!machine.known()) {
+            Machine machine = clusterState.machine(id);
+            if (!machine.isKnown()) {
                 machine.type = node.path("hosttype").asText(null);
                 machine.zone = node.path("yard").asText(null);
                 machine.spot = node.path("loaner").asBoolean();
@@ -222,19 +224,22 @@
                 machine.rentedAt =
                         asked.plusMs(-Math.round(1000 * node.path("ageS").asDouble(0)));
             }
-            machine.listedUp = node.path("status").asText().equals("running");
-            machine.there = true;
+            machine.listedRunning = node.path("status").asText().equals("running");
+            machine.confirmedPresent = true;
             if (node.path("status").asText().equals("failed")) {
-                giveBack(machine, "it failed");
+                releaseMachine(machine, "it failed");
             }
         });
         long blind = Math.round(1000 * (2 * settings.cloudLimits().listLagS() + 5));
-        for (Machine machine : book.hosts()) {
-            MonotonicTime since =
-                    machine.rentedAt != null ? machine.rentedAt : machine.placements.isEmpty() ? asked : book.wonAt();
+        for (Machine machine : clusterState.machines()) {
+            MonotonicTime since = machine.rentedAt != null
+                    ? machine.rentedAt
+                    : machine.placements.isEmpty() ? asked : clusterState.termBeganAt();
             boolean old = asked.since(since) > blind;
-            if (!found.containsKey(machine.id) && old && turn.now().since(book.heard(machine)) > 6000) {
-                giveBack(machine, "the cloud doesn't list it any more");
+            if (!found.containsKey(machine.id)
+                    && old
+                    && context.now().since(clusterState.lastHeardOf(machine)) > 6000) {
+                releaseMachine(machine, "the cloud doesn't list it any more");
             }
         }
     }
@@ -242,78 +247,78 @@
     // ---- returning ----
 
     @Override
-    public void giveBack(Machine machine, String why) {
-        if (!machine.returning) {
-            machine.returning = true;
+    public void releaseMachine(Machine machine, String why) {
+        if (!machine.releasing) {
+            machine.releasing = true;
             LOG.info("{} is returned: {}", machine.id, why);
         }
     }
 
     private void lookAfterHosts(Plan plan) {
         Set<MachineId> planned = plan == null ? Set.of() : plan.plannedHosts();
-        silence.look();
-        for (Machine machine : book.hosts()) {
-            if (machine.returning) {
+        failureDetector.check();
+        for (Machine machine : clusterState.machines()) {
+            if (machine.releasing) {
                 continue;
             }
-            MachineType type = types.get(machine.type);
-            if (!machine.up && !machine.placements.isEmpty() && silence.gone(machine)) {
-                giveBack(machine, "it holds tasks and has not reported to this leader");
+            MachineType type = machineTypes.get(machine.type);
+            if (!machine.up && !machine.placements.isEmpty() && failureDetector.isGone(machine)) {
+                releaseMachine(machine, "it holds tasks and has not reported to this leader");
             } else if (!machine.up) {
-                MonotonicTime since = machine.rentedAt == null ? book.heard(machine) : machine.rentedAt;
+                MonotonicTime since = machine.rentedAt == null ? clusterState.lastHeardOf(machine) : machine.rentedAt;
                 double allowed = type == null ? 120 : Math.max(3 * type.startupS(), type.startupS() + 45);
-                if (turn.now().since(since) > 1000 * allowed
-                        && turn.now().since(book.heard(machine)) > silence.missedMs()) {
-                    giveBack(machine, "it never came up");
+                if (context.now().since(since) > 1000 * allowed
+                        && context.now().since(clusterState.lastHeardOf(machine)) > failureDetector.silenceLimitMs()) {
+                    releaseMachine(machine, "it never came up");
                 }
-            } else if (silence.gone(machine)) {
-                giveBack(machine, "it is silent");
-            } else if (silence.deaf(machine)) {
-                giveBack(machine, "it speaks but does not hear");
-            } else if (machine.noticeEnds != null && machine.placements.isEmpty() && machine.strangers == 0) {
-                giveBack(machine, "it is about to be taken and empty");
-            } else if (machine.noticeEnds != null && turn.now().since(machine.noticeEnds) > NOTICE_OVER_MS) {
-                giveBack(machine, "its notice has run out");
-            } else if (faults.faulty(machine)) {
-                giveBack(machine, "jobs of several users failed on it");
+            } else if (failureDetector.isGone(machine)) {
+                releaseMachine(machine, "it is silent");
+            } else if (failureDetector.isUnreachable(machine)) {
+                releaseMachine(machine, "it speaks but does not hear");
+            } else if (machine.preemptedAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
+                releaseMachine(machine, "it is about to be taken and empty");
+            } else if (machine.preemptedAt != null && context.now().since(machine.preemptedAt) > NOTICE_OVER_MS) {
+                releaseMachine(machine, "its notice has run out");
+            } else if (faultTracker.isMachineFaulty(machine)) {
+                releaseMachine(machine, "jobs of several users failed on it");
             } else if (!machine.placements.isEmpty()
-                    || machine.strangers > 0
+                    || machine.unknownTasks > 0
                     || planned.contains(machine.id)
                     || machine.cordonedBy != null
-                    || machine.spareOf != null
+                    || machine.standbyFor != null
                     || kept.test(machine.id)) {
                 machine.idleSince = null;
             } else if (machine.idleSince == null) {
-                machine.idleSince = turn.now();
-            } else if (turn.now().since(machine.idleSince)
+                machine.idleSince = context.now();
+            } else if (context.now().since(machine.idleSince)
                     > (machine.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
-                giveBack(machine, "it idles");
+                releaseMachine(machine, "it idles");
             }
         }
     }
 
     /** Several calls may be on their way: five hundred dead machines are five calls, and their tasks wait for each. */
     private void sendReturns(boolean withTasks) {
-        List<Machine> due = recovery.toReturn(withTasks);
+        List<Machine> due = lossRecovery.machinesToRelease(withTasks);
         for (int from = 0; from < due.size() && returnCalls < MOST_RETURN_CALLS; from += MAX_RETURN) {
-            if (!calls.tryTake(turn.now(), 1)) {
+            if (!calls.tryTake(context.now(), 1)) {
                 return;
             }
             sendReturn(due.subList(from, Math.min(due.size(), from + MAX_RETURN)));
         }
     }
 
-    private void sendReturn(List<Machine> hosts) {
+    private void sendReturn(List<Machine> machines) {
         ObjectNode body = Codec.map();
         ArrayNode list = body.putArray("hosts");
-        for (Machine machine : hosts) {
-            machine.returnAsked = true;
+        for (Machine machine : machines) {
+            machine.releaseRequested = true;
             list.add(machine.id.text());
         }
         returnCalls++;
-        long term = book.reign();
-        turn.command(
-                election.validUntil(),
+        long term = clusterState.term();
+        context.callBefore(
+                election.leaseValidUntil(),
                 ServiceCalls.Target.CLOUD,
                 null,
                 "POST",
@@ -321,15 +326,15 @@
                 body,
                 5000,
                 result -> {
-                    if (term != book.reign()) {
+                    if (term != clusterState.term()) {
                         return;
                     }
                     returnCalls--;
-                    for (Machine machine : hosts) {
-                        machine.returnAsked = false;
-                        if (result.is(200)) {
+                    for (Machine machine : machines) {
+                        machine.releaseRequested = false;
+                        if (result.hasStatus(200)) {
                             gone.add(machine.id);
-                            departures.hostGone(machine.id);
+                            taskRemoval.machineGone(machine.id);
                         }
                     }
                 });
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -29,7 +29,7 @@
         Release of(Release before, Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final TokenBucket requests;
@@ -38,23 +38,23 @@
     private final CalendarDays openDays;
 
     ReleaseApi(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
             ReleaseRegistry releases) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
         this.releases = releases;
-        this.amending = new OptimisticUpdate(turn, settings, store, requests, writes);
-        this.openDays = new CalendarDays(turn, store, requests);
+        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
+        this.openDays = new CalendarDays(context, store, requests);
     }
 
     /** @param leader null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, Leader leader, ApiResponder answer) {
+    void request(String method, String path, byte[] body, Leader leader, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         int slash = rest.lastIndexOf('/');
@@ -63,11 +63,11 @@
         try {
             JsonNode node = post ? Codec.decodeMap(body) : null;
             if (rest.isEmpty() && !post) {
-                list(leader, path.endsWith("/"), answer);
+                list(leader, path.endsWith("/"), responder);
             } else if (slash < 0 && !post) {
-                show(name, answer);
+                show(name, responder);
             } else if (verb.equals("put") && post) {
-                put(name, node, answer);
+                put(name, node, responder);
             } else if (verb.equals("move") && post) {
                 String who = text(node, "who");
                 String why = text(node, "why");
@@ -79,18 +79,18 @@
                                 ship,
                                 inTime(ship.toString(), Release.due(ship, before.zone(), before.leadDays(), open)),
                                 who,
-                                turn.wallMs(),
+                                context.wallMs(),
                                 why),
-                        answer);
+                        responder);
             } else if (verb.equals("remove") && post) {
                 String who = text(node, "who");
                 String why = text(node, "why");
-                change(name, null, (before, open) -> before.remove(who, turn.wallMs(), why), answer);
+                change(name, null, (before, open) -> before.remove(who, context.wallMs(), why), responder);
             } else {
-                answer.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdate.error("no such path"));
             }
         } catch (MalformedMessageException e) {
-            answer.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
         }
     }
 
@@ -104,14 +104,14 @@
     }
 
     private long inTime(String ship, long due) throws MalformedMessageException {
-        if (due <= turn.wallMs()) {
+        if (due <= context.wallMs()) {
             throw new MalformedMessageException(
                     "ship = " + ship + ": a date whose factory moment, less the lead, is yet to come is expected");
         }
         return due;
     }
 
-    private void put(String name, JsonNode node, ApiResponder answer) throws MalformedMessageException {
+    private void put(String name, JsonNode node, ApiResponder responder) throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
         Release described = Release.described(name, node);
@@ -132,14 +132,14 @@
                                 described.ship().toString(),
                                 Release.due(described.ship(), described.zone(), described.leadDays(), open)),
                         who,
-                        turn.wallMs(),
+                        context.wallMs(),
                         why),
-                answer);
+                responder);
     }
 
     /** @param described what is put, or null: what stands is changed */
-    private void change(String name, Release described, Edit edit, ApiResponder answer) {
-        amending.change(
+    private void change(String name, Release described, Edit edit, ApiResponder responder) {
+        amending.updateLater(
                 ReleaseRegistry.SETS + name,
                 (node, then) -> {
                     Release before;
@@ -153,24 +153,24 @@
                         throw new OptimisticUpdate.RejectedException(
                                 404, "name = " + name + ": the name of a release that stands is expected");
                     }
-                    openDays.of(described != null ? described.calendar() : before.calendar(), answer, open -> {
+                    openDays.of(described != null ? described.calendar() : before.calendar(), responder, open -> {
                         ObjectNode next = edit.of(before, open).toNode();
-                        then.becomes(next, t -> {}, next);
+                        then.complete(next, t -> {}, next);
                     });
                 },
-                answer);
+                responder);
     }
 
     /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
-    private void list(Leader leader, boolean orderAlone, ApiResponder answer) {
+    private void list(Leader leader, boolean orderAlone, ApiResponder responder) {
         if (!releases.read()) {
-            OptimisticUpdate.unknown(answer);
+            OptimisticUpdate.respondUnavailable(responder);
             return;
         }
         ObjectNode out = Codec.map();
         if (leader != null && !orderAlone) {
             out.set("releases", leader.releases().view(leader.planner()));
-            answer.respond(200, out);
+            responder.respond(200, out);
             return;
         }
         ArrayNode rows = out.putArray("releases");
@@ -183,25 +183,25 @@
                 .put("ship", release.ship().toString())
                 .put("zone", release.zone().getId())
                 .put("due", release.dueMs())
-                .put("dueInS", (release.dueMs() - turn.wallMs()) / 1000.0));
-        answer.respond(
+                .put("dueInS", (release.dueMs() - context.wallMs()) / 1000.0));
+        responder.respond(
                 orderAlone ? 200 : 421, orderAlone ? out : out.put("error", "this node does not lead: no forecast"));
     }
 
-    private void show(String name, ApiResponder answer) {
+    private void show(String name, ApiResponder responder) {
         Release release = releases.known(name);
         if (!releases.read()) {
-            OptimisticUpdate.unknown(answer);
+            OptimisticUpdate.respondUnavailable(responder);
         } else if (release == null) {
-            answer.respond(404, OptimisticUpdate.error("no such release"));
+            responder.respond(404, OptimisticUpdate.error("no such release"));
         } else {
-            requests.take(turn.now(), 1);
+            requests.takeOrOverdraw(context.now(), 1);
             store.get(ReleaseController.REORDERED + name, read -> {
                 ObjectNode node = release.toNode();
                 if (read.item() != null) {
                     node.set("reordered", read.item().value());
                 }
-                answer.respond(200, node);
+                responder.respond(200, node);
             });
         }
     }
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -49,12 +49,12 @@
 
     private record Tally(int jobs, int tasks, double cpuS, long lastMs) {}
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final Admission admission;
     /** Null where the calendar is off. */
@@ -78,21 +78,21 @@
     }
 
     ReleaseController(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
+            ClusterState clusterState,
             DurationEstimates estimates,
             Admission admission,
             ReleaseRegistry releases) {
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
+        this.clusterState = clusterState;
         this.estimates = estimates;
         this.admission = admission;
         this.releases = releases;
@@ -123,11 +123,11 @@
 
     private Map<JobId, Long> keys(Releases of) {
         List<ShipOrder.Open> open = new ArrayList<>();
-        for (Job job : book.jobs()) {
-            if (!job.cancelled()) {
+        for (Job job : clusterState.jobs()) {
+            if (!job.isCancelled()) {
                 job.release = of.of(job.spec());
                 open.add(new ShipOrder.Open(
-                        job.ref(),
+                        job.id(),
                         job.release,
                         job.record.submittedWallMs,
                         job.spec().tasks()
@@ -135,12 +135,12 @@
                                 * Math.max(1, job.spec().estimateS())));
             }
         }
-        return ShipOrder.keys(open, turn.wallMs());
+        return ShipOrder.keys(open, context.wallMs());
     }
 
     /** The smaller the earlier; {@link ShipOrder#NONE} for a job that no release speaks for. */
     long key(Job job) {
-        return keys.getOrDefault(job.ref(), ShipOrder.NONE);
+        return keys.getOrDefault(job.id(), ShipOrder.NONE);
     }
 
     /** The factory moment of what it counts for, by the time of day, or null. */
@@ -152,16 +152,16 @@
     void changed(Release before, Release now) {
         Map<JobId, Long> old = keys;
         look();
-        book.replan();
+        clusterState.requestReplan();
         Release release = now != null ? now : before;
         if (release == null) {
             return;
         }
         List<JobId> moved = new ArrayList<>();
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             if (job.record.waitingCount() > 0
-                    && !old.getOrDefault(job.ref(), ShipOrder.NONE).equals(key(job))) {
-                moved.add(job.ref());
+                    && !old.getOrDefault(job.id(), ShipOrder.NONE).equals(key(job))) {
+                moved.add(job.id());
             }
         }
         LOG.info(
@@ -174,20 +174,20 @@
         ObjectNode value = Codec.map().put("number", release.number()).put("jobs", moved.size());
         ArrayNode names = value.putArray("first");
         moved.stream().sorted().limit(MOST_TOLD).forEach(m -> names.add(m.text()));
-        write(election.guarded().put(REORDERED + release.name(), value));
+        write(election.guardedTransaction().put(REORDERED + release.name(), value));
     }
 
-    private void write(Transaction txn) {
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        store.commit(txn, c -> {}); // a hint: the next change says it again
+    private void write(Transaction transaction) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        store.commit(transaction, c -> {}); // a hint: the next change says it again
     }
 
     // ---- what is done, and whether it will be met ----
 
     /** The job is over, by its tasks. */
     void ended(Job job) {
-        Release release = on() && !job.cancelled() ? releases.snapshot().of(job.spec()) : null;
+        Release release = on() && !job.isCancelled() ? releases.snapshot().of(job.spec()) : null;
         if (release != null) {
             Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
             tallies.put(
@@ -196,8 +196,11 @@
                             tally.jobs + 1,
                             tally.tasks + job.spec().tasks(),
                             tally.cpuS
-                                    + job.spec().tasks() * job.spec().cpus() * estimates.lengthMs(job.spec()) / 1000.0,
-                            turn.wallMs()));
+                                    + job.spec().tasks()
+                                            * job.spec().cpus()
+                                            * estimates.expectedMs(job.spec())
+                                            / 1000.0,
+                            context.wallMs()));
             tallyDirty = true;
         }
     }
@@ -209,8 +212,8 @@
         if (!tallied) {
             readTally();
         }
-        if (turn.now().ms() >= next.lookMs) {
-            next.lookMs = turn.now().ms() + LOOK_EVERY_MS;
+        if (context.now().ms() >= next.lookMs) {
+            next.lookMs = context.now().ms() + LOOK_EVERY_MS;
             Map<String, List<Job>> jobs = jobsOf();
             for (Release release : releases.snapshot().all()) {
                 List<Job> open = jobs.getOrDefault(release.name(), List.of());
@@ -223,17 +226,17 @@
                             release.name(),
                             release.maker(),
                             forecast.risk(),
-                            (release.dueMs() - turn.wallMs()) / 1000);
+                            (release.dueMs() - context.wallMs()) / 1000);
                 }
             }
         }
         if (tallyDirty
                 && tallied
-                && turn.now().ms() >= next.writeMs
-                && writes.available(turn.now()) >= PLENTY * writes.most()) {
-            next.writeMs = turn.now().ms() + WRITE_EVERY_MS;
+                && context.now().ms() >= next.writeMs
+                && writes.available(context.now()) >= PLENTY * writes.capacity()) {
+            next.writeMs = context.now().ms() + WRITE_EVERY_MS;
             tallyDirty = false;
-            write(election.guarded().put(TALLY, tallyNode()));
+            write(election.guardedTransaction().put(TALLY, tallyNode()));
         }
     }
 
@@ -249,8 +252,8 @@
             before.clear();
         } else if (saidMs > 0
                 && before.size() < MOST_SAID
-                && (before.isEmpty() || turn.wallMs() - before.get(before.size() - 1)[0] >= SAID_EVERY_MS)) {
-            before.add(new long[] {turn.wallMs(), saidMs});
+                && (before.isEmpty() || context.wallMs() - before.get(before.size() - 1)[0] >= SAID_EVERY_MS)) {
+            before.add(new long[] {context.wallMs(), saidMs});
         }
     }
 
@@ -271,13 +274,13 @@
 
     private void readTally() {
         tallied = true;
-        long reign = book.reign();
-        requests.take(turn.now(), 1);
+        long term = clusterState.term();
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(TALLY, read -> {
-            if (reign != book.reign()) {
+            if (term != clusterState.term()) {
                 return;
             }
-            if (!read.known()) {
+            if (!read.answered()) {
                 tallied = false;
                 return;
             }
@@ -303,8 +306,8 @@
 
     private Map<String, List<Job>> jobsOf() {
         Map<String, List<Job>> out = new LinkedHashMap<>();
-        for (Job job : book.jobs()) {
-            Release release = job.cancelled() ? null : releases.snapshot().of(job.spec());
+        for (Job job : clusterState.jobs()) {
+            Release release = job.isCancelled() ? null : releases.snapshot().of(job.spec());
             if (release != null) {
                 out.computeIfAbsent(release.name(), k -> new ArrayList<>()).add(job);
             }
@@ -316,10 +319,10 @@
     private long plannedEnd(List<Job> jobs, Planner planner) {
         long end = 0;
         for (Job job : jobs) {
-            Long planned = job.hold != null ? null : planner.plannedEnd(job);
+            Long planned = job.keySetHold != null ? null : planner.plannedEnd(job);
             end = planned == null
                     ? end
-                    : Math.max(end, turn.wallMs() + planned - turn.now().ms());
+                    : Math.max(end, context.wallMs() + planned - context.now().ms());
         }
         return end;
     }
@@ -329,28 +332,28 @@
         int unplanned = 0;
         boolean limited = false;
         long longest = 0;
-        Map<String, double[]> used = book.usedByTeams();
+        Map<String, double[]> used = clusterState.teamUsage();
         for (Job job : jobs) {
-            held += job.hold != null ? 1 : 0;
-            longest = Math.max(longest, estimates.lengthMs(job.spec()));
+            held += job.keySetHold != null ? 1 : 0;
+            longest = Math.max(longest, estimates.expectedMs(job.spec()));
             limited |= job.record.waitingCount() > 0 && admission.overLimit(job, used);
-            Long planned = job.hold != null ? null : planner.plannedEnd(job);
+            Long planned = job.keySetHold != null ? null : planner.plannedEnd(job);
             if (planned == null) {
-                unplanned += job.hold != null
+                unplanned += job.keySetHold != null
                         ? 0
                         : Math.max(
                                 1,
                                 planner.current() == null
                                         ? job.record.waitingCount()
-                                        : planner.current().unplaced(job.ref()));
+                                        : planner.current().unplaced(job.id()));
             }
         }
         long said = plannedEnd(jobs, planner);
-        long end = said == 0 ? 0 : calibration.middle(turn.wallMs(), said);
+        long end = said == 0 ? 0 : calibration.middle(context.wallMs(), said);
         return Forecast.of(
                 new Forecast.Facts(jobs.size(), held, unplanned, limited, end, longest),
                 release.dueMs(),
-                turn.wallMs());
+                context.wallMs());
     }
 
     /** For each release what is asked, done, running and waiting, and when it will be over: by the plan as it is. */
@@ -374,7 +377,7 @@
         double runningS = 0;
         double waitingS = 0;
         for (Job job : jobs) {
-            double each = job.spec().cpus() * estimates.lengthMs(job.spec()) / 1000.0;
+            double each = job.spec().cpus() * estimates.expectedMs(job.spec()) / 1000.0;
             done += job.record.done.size();
             doneS += each * job.record.done.size();
             running += job.record.live.size();
@@ -389,7 +392,7 @@
                 .put("ship", release.ship().toString())
                 .put("zone", release.zone().getId())
                 .put("due", release.dueMs())
-                .put("dueInS", (release.dueMs() - turn.wallMs()) / 1000.0)
+                .put("dueInS", (release.dueMs() - context.wallMs()) / 1000.0)
                 .put("jobsOpen", jobs.size())
                 .put("jobsDone", tally.jobs)
                 .put("tasksAsked", done + running + waiting)
@@ -402,10 +405,10 @@
                 .put("cpuSWaiting", Math.round(waitingS));
         if (forecast.endMs() > 0) {
             long said = plannedEnd(jobs, planner);
-            node.put("endsInS", (forecast.endMs() - turn.wallMs()) / 1000.0)
+            node.put("endsInS", (forecast.endMs() - context.wallMs()) / 1000.0)
                     .put("slackS", forecast.slackMs() / 1000.0)
-                    .put("endsInSByPlan", (said - turn.wallMs()) / 1000.0)
-                    .put("nineOfTenInS", (calibration.late(turn.wallMs(), said) - turn.wallMs()) / 1000.0)
+                    .put("endsInSByPlan", (said - context.wallMs()) / 1000.0)
+                    .put("nineOfTenInS", (calibration.late(context.wallMs(), said) - context.wallMs()) / 1000.0)
                     .put("forecastsSeen", calibration.size());
         }
         if (jobs.isEmpty() && tally.lastMs > 0) {
--- a/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
@@ -23,7 +23,7 @@
         void changed(Release before, Release now);
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final Listener listener;
@@ -31,15 +31,15 @@
     private Releases snapshot = Releases.NONE;
     private boolean read;
 
-    ReleaseRegistry(ControllerContext turn, StoreClient store, TokenBucket requests, Listener listener) {
-        this.turn = turn;
+    ReleaseRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Listener listener) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.listener = listener;
     }
 
     void start() {
-        new PrefixWatch(turn, store, requests, SETS, known::clear, this::take, this::changes).start();
+        new PrefixWatch(context, store, requests, SETS, known::clear, this::take, this::changes).start();
     }
 
     Releases snapshot() {
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -24,10 +24,10 @@
 
     /** Reads a job; hands over null where nothing could be learnt. */
     interface Reader {
-        void read(JobId ref, Consumer<UserApi.Found> then);
+        void read(JobId jobId, Consumer<UserApi.Found> then);
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
@@ -36,14 +36,14 @@
     private final LongConsumer refuse;
 
     ResizeHandler(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
             Policy policy,
             Reader reader,
             LongConsumer refuse) {
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
@@ -53,53 +53,53 @@
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
-    void resize(long request, JobId ref, byte[] body) {
+    void resize(long request, JobId jobId, byte[] body) {
         ResizeRequest resize;
         try {
             resize = ResizeRequest.parse(Codec.decodeMap(body));
         } catch (MalformedMessageException e) {
-            turn.answer(request, 400, JobStates.reason(e.getMessage()));
+            context.answer(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
         if (!policy.elastic().on()) {
-            turn.answer(
+            context.answer(
                     request,
                     409,
                     JobStates.reason(
                             "width: elastic jobs are off; a script that sets elastic = true switches them on"));
             return;
         }
-        resize(request, ref, resize, 0);
+        resize(request, jobId, resize, 0);
     }
 
-    private void resize(long request, JobId ref, ResizeRequest resize, int races) {
-        reader.read(ref, found -> {
+    private void resize(long request, JobId jobId, ResizeRequest resize, int races) {
+        reader.read(jobId, found -> {
             if (found == null || races > MOST_RACES) {
                 refuse.accept(request);
                 return;
             }
             if (found.status() == null) {
-                turn.answer(request, 404, JobStates.reason("no such job"));
+                context.answer(request, 404, JobStates.reason("no such job"));
                 return;
             }
             try {
                 JobRecord record = found.open() == null
                         ? null
                         : JobRecord.parse(found.open().value());
-                String never = record == null || record.cancelled()
+                String never = record == null || record.isCancelled()
                         ? "the job is " + found.status().get("status").asText()
-                        : record.spec.gang() ? "width: a gang's tasks start together" : older(record, resize);
+                        : record.spec.isGang() ? "width: a gang's tasks start together" : older(record, resize);
                 if (never != null) {
-                    turn.answer(request, 409, JobStates.reason(never));
+                    context.answer(request, 409, JobStates.reason(never));
                 } else if (record.width != null
                         && resize.number() != null
                         && resize.number() == record.width.number()) {
-                    turn.answer(request, 200, found.status()); // asked again
+                    context.answer(request, 200, found.status()); // asked again
                 } else {
-                    widen(request, ref, resize, found.open(), record, races);
+                    widen(request, jobId, resize, found.open(), record, races);
                 }
             } catch (MalformedMessageException e) {
-                LOG.error("record of {} can't be read: {}", ref, e.getMessage());
+                LOG.error("record of {} can't be read: {}", jobId, e.getMessage());
                 refuse.accept(request);
             }
         });
@@ -119,20 +119,20 @@
     }
 
     private void widen(
-            long request, JobId ref, ResizeRequest resize, StoreClient.KeyValue open, JobRecord record, int races) {
+            long request, JobId jobId, ResizeRequest resize, StoreClient.KeyValue open, JobRecord record, int races) {
         long number = resize.number() != null ? resize.number() : record.width == null ? 1 : record.width.number() + 1;
         int now = record.width != null
                 ? record.width.target()
                 : open.value().path("running").asInt();
         ObjectNode value = ((ObjectNode) open.value()).deepCopy();
         value.set("width", new WidthRecord(resize.width(), number, now).toNode());
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        String key = JobRecord.openKey(ref);
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
-            switch (commit.result()) {
-                case DONE -> turn.answer(request, 200, JobStates.openState(ref, value));
-                case CONFLICT -> resize(request, ref, resize, races + 1);
+            switch (commit.outcome()) {
+                case COMMITTED -> context.answer(request, 200, JobStates.openState(jobId, value));
+                case CONFLICT -> resize(request, jobId, resize, races + 1);
                 default -> refuse.accept(request);
             }
         });
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -32,32 +32,32 @@
     /** Machines that boot at once to have a place for what leaves. */
     private static final int MOST_PLACES = 20;
 
-    private final ControllerContext turn;
-    private final ClusterState book;
+    private final ControllerContext context;
+    private final ClusterState clusterState;
     private final Provisioner provisioner;
-    private final FaultTracker faults;
+    private final FaultTracker faultTracker;
     private final JobOrdering ordering;
-    private final LossRecovery recovery;
+    private final LossRecovery lossRecovery;
     private final Supplier<Map<String, Share>> served;
     /** New machines that were asked for and not answered yet. */
     private final Map<String, Integer> asked = new HashMap<>();
 
-    private final Set<MachineId> wasUp = BoundedCollections.added(1000);
+    private final Set<MachineId> wasUp = BoundedCollections.insertionOrderedSet(1000);
 
     RollingReplacement(
-            ControllerContext turn,
-            ClusterState book,
+            ControllerContext context,
+            ClusterState clusterState,
             Provisioner provisioner,
-            FaultTracker faults,
+            FaultTracker faultTracker,
             JobOrdering ordering,
-            LossRecovery recovery,
+            LossRecovery lossRecovery,
             Supplier<Map<String, Share>> served) {
-        this.turn = turn;
-        this.book = book;
+        this.context = context;
+        this.clusterState = clusterState;
         this.provisioner = provisioner;
-        this.faults = faults;
+        this.faultTracker = faultTracker;
         this.ordering = ordering;
-        this.recovery = recovery;
+        this.lossRecovery = lossRecovery;
         this.served = served;
     }
 
@@ -82,7 +82,7 @@
             }
         }
         if (progress.canaryGoneMs == 0 && progress.gone >= drain.pace().canary()) {
-            progress.canaryGoneMs = turn.wallMs();
+            progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
         String stops = Waves.stops(health(progress, planner.current()));
@@ -93,9 +93,9 @@
                 changed = true;
             }
             progress.paused = stops;
-            progress.pausedMs = turn.wallMs();
+            progress.pausedMs = context.wallMs();
         } else if (progress.paused != null
-                && turn.wallMs() - progress.pausedMs >= 1000 * drain.pace().holdS()) {
+                && context.wallMs() - progress.pausedMs >= 1000 * drain.pace().holdS()) {
             LOG.info("drain {} goes on: {} is over", drain.name(), progress.paused);
             progress.paused = null;
             progress.sparesAsked = progress.spares.size();
@@ -111,13 +111,13 @@
                 Math.min(drain.pace().spare(), waiting.size() + progress.begun.size()) - progress.spares.size(),
                 kinds);
         int up = (int) progress.spares.keySet().stream()
-                .map(book::known)
-                .filter(h -> h != null && h.up && h.there && !h.going())
+                .map(clusterState::findMachine)
+                .filter(h -> h != null && h.up && h.confirmedPresent && !h.isLeaving())
                 .count();
         List<MachineId> next = Waves.next(
                 drain.pace(),
                 new Waves.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
-                turn.wallMs());
+                context.wallMs());
         if (!next.isEmpty()) {
             LOG.info(
                     "drain {}: step {}, {} machines are begun, {} in hand, {} gone, {} wait",
@@ -127,7 +127,7 @@
                     progress.begun.size() + next.size(),
                     progress.gone,
                     waiting.size() - next.size());
-            next.forEach(h -> progress.begun.put(h, turn.wallMs()));
+            next.forEach(h -> progress.begun.put(h, context.wallMs()));
             changed = true;
         }
         return changed;
@@ -136,22 +136,24 @@
     private double lost(Machine machine) {
         double sum = 0;
         for (Placement placement : machine.placements.values()) {
-            Job j = book.job(placement.task.job());
-            sum += j == null ? 0 : DisruptionAccounting.lostCpuS(j.spec(), placement, turn.now());
+            Job j = clusterState.job(placement.task.job());
+            sum += j == null ? 0 : DisruptionAccounting.lostCpuS(j.spec(), placement, context.now());
         }
         return sum;
     }
 
     private Waves.Health health(Progress progress, Plan plan) {
         int faulty = (int) progress.spares.keySet().stream()
-                .map(book::known)
-                .filter(h -> h != null && faults.faulty(h))
+                .map(clusterState::findMachine)
+                .filter(h -> h != null && faultTracker.isMachineFaulty(h))
                 .count();
         int late = 0;
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
-                Job j = book.job(reservation.job());
-                late += j != null && LossRecovery.urgent(j) && reservation.beginMs() > ordering.latestStart(j) ? 1 : 0;
+                Job j = clusterState.job(reservation.job());
+                late += j != null && LossRecovery.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
+                        ? 1
+                        : 0;
             }
         }
         double least = 1;
@@ -162,7 +164,7 @@
                 of = entry.getKey();
             }
         }
-        int machines = (int) book.hosts().stream().filter(h -> h.up).count();
+        int machines = (int) clusterState.machines().stream().filter(h -> h.up).count();
         return new Waves.Health(
                 progress.sparesAsked,
                 progress.sparesFailed,
@@ -170,7 +172,7 @@
                 late,
                 least,
                 of,
-                recovery.machinesLost(A_MINUTE_MS),
+                lossRecovery.recentlyLostMachines(A_MINUTE_MS),
                 machines);
     }
 
@@ -180,22 +182,22 @@
     boolean spares(Drain drain, Progress progress) {
         boolean changed = false;
         for (MachineId id : List.copyOf(progress.spares.keySet())) {
-            Machine machine = book.known(id);
-            if (machine == null || machine.returning) {
+            Machine machine = clusterState.findMachine(id);
+            if (machine == null || machine.releasing) {
                 progress.sparesFailed += wasUp.contains(id) ? 0 : 1;
                 progress.spares.remove(id);
                 changed = true;
             } else if (machine.up) {
                 wasUp.add(id);
                 boolean takes = drain.replace() ? progress.released < progress.gone : !machine.placements.isEmpty();
-                machine.spareOf = takes ? null : drain.name();
+                machine.standbyFor = takes ? null : drain.name();
                 if (takes) {
                     progress.released += drain.replace() ? 1 : 0;
                     progress.spares.remove(id);
                     changed = true;
                 }
             } else {
-                machine.spareOf = drain.name();
+                machine.standbyFor = drain.name();
             }
         }
         return changed;
@@ -205,7 +207,7 @@
     void makePlace(Drain drain, Progress progress, Map<String, Integer> kinds) {
         int lacking = kinds.values().stream().mapToInt(Integer::intValue).sum();
         int booting = (int) progress.spares.keySet().stream()
-                .map(book::known)
+                .map(clusterState::findMachine)
                 .filter(h -> h != null && !h.up)
                 .count();
         standBy(drain, progress, Math.min(MOST_PLACES, lacking) - booting, kinds);
@@ -228,11 +230,11 @@
                 .getKey();
         String[] kind = most.split(" ");
         String type = drain.with() == null ? kind[0] : drain.with();
-        long reign = book.reign();
+        long term = clusterState.term();
         if (provisioner.renting().spare(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
-            if (reign == book.reign()) {
+            if (term == clusterState.term()) {
                 asked.merge(drain.name(), -missing, Integer::sum);
-                had.forEach(h -> progress.spares.put(h, turn.wallMs()));
+                had.forEach(h -> progress.spares.put(h, context.wallMs()));
                 progress.sparesAsked += had.size();
             }
         })) {
@@ -243,9 +245,9 @@
     /** Nothing stands by for it any more. */
     void over(Drain drain, Progress progress) {
         progress.spares.keySet().stream()
-                .map(book::known)
-                .filter(h -> h != null && drain.name().equals(h.spareOf))
-                .forEach(h -> h.spareOf = null);
+                .map(clusterState::findMachine)
+                .filter(h -> h != null && drain.name().equals(h.standbyFor))
+                .forEach(h -> h.standbyFor = null);
         progress.spares.clear();
     }
 }
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -106,34 +106,34 @@
         }
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Policy policy;
     private final LeaderElection election;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final JobOrdering ordering;
     private final DurationEstimates estimates;
     private final TokenBucket calls;
     private final Map<String, Offer> offers = new LinkedHashMap<>();
-    private FencingToken baton = FencingToken.NONE;
+    private FencingToken fencingToken = FencingToken.NONE;
     private long sequence;
     private MonotonicTime lastRented = MonotonicTime.ZERO;
 
     /** @param calls the cloud calls left, shared with whoever else calls it */
     ScaleOutPolicy(
-            ControllerContext turn,
+            ControllerContext context,
             Policy policy,
             LeaderElection election,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             JobOrdering ordering,
             DurationEstimates estimates,
             TokenBucket calls) {
-        this.turn = turn;
+        this.context = context;
         this.election = election;
         this.policy = policy;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.ordering = ordering;
         this.estimates = estimates;
         this.calls = calls;
@@ -141,7 +141,7 @@
 
     /** A new leadership begins: its fencing token makes the names of its rentals. */
     void reset(FencingToken newBaton) {
-        baton = newBaton;
+        fencingToken = newBaton;
         sequence = 0;
         offers.clear();
         lastRented = MonotonicTime.ZERO;
@@ -149,7 +149,7 @@
 
     private List<Offer> offers() {
         List<Offer> out = new ArrayList<>();
-        for (MachineType type : types.all()) {
+        for (MachineType type : machineTypes.all()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     Offer offer = new Offer(type, zone, spot);
@@ -174,7 +174,7 @@
     /** Whether more machines for such a task may be had: none of the kind was refused lately, by all that is known. */
     boolean mayGrow(JobSpec spec) {
         for (Offer offer : offers.values()) {
-            if (offer.suits(spec) && (offer.shortAt == null || turn.now().since(offer.shortAt) > SHORT_MS)) {
+            if (offer.suits(spec) && (offer.shortAt == null || context.now().since(offer.shortAt) > SHORT_MS)) {
                 return true;
             }
         }
@@ -183,7 +183,7 @@
 
     /** Room is being made at this moment: plans made before don't know it, and nothing is rented by them. */
     void wait(MonotonicTime now) {
-        lastRented = lastRented.before(now) ? now : lastRented;
+        lastRented = lastRented.isBefore(now) ? now : lastRented;
     }
 
     /** Rents what the plan needs. A plan older than the last rental's answer doesn't know those machines yet. */
@@ -191,7 +191,7 @@
         if (plan.madeAtMs() <= lastRented.ms()) {
             return;
         }
-        long now = turn.now().ms();
+        long now = context.now().ms();
         List<Offer> all = offers();
         List<Space> spaces = new ArrayList<>();
         for (Offer offer : all) {
@@ -201,9 +201,9 @@
         }
         // Room on machines that boot counts, as far as this plan has not given it away.
         Map<MachineId, Space> booting = new LinkedHashMap<>();
-        for (Machine machine : book.hosts()) {
-            if (!machine.up && !machine.returning && machine.known() && !machine.listedUp) {
-                MachineType type = types.get(machine.type);
+        for (Machine machine : clusterState.machines()) {
+            if (!machine.up && !machine.releasing && machine.isKnown() && !machine.listedRunning) {
+                MachineType type = machineTypes.get(machine.type);
                 if (type != null) {
                     booting.put(machine.id, new Space(new Offer(type, machine.zone, machine.spot)));
                 }
@@ -212,7 +212,7 @@
         Map<Job, Long> rentAfter = new HashMap<>();
         Map<Job, List<Long>> late = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
-            Job job = book.job(reservation.job());
+            Job job = clusterState.job(reservation.job());
             long begin = job == null ? now : reservation.beginMs();
             if (!reservation.hostUp()) {
                 Space space = booting.get(reservation.host());
@@ -222,26 +222,26 @@
             }
             if (job != null
                     && !reservation.wide()
-                    && !job.suspect()
+                    && !job.isSuspect()
                     && begin - now >= rentAfter.computeIfAbsent(job, this::rentAfterMs)) {
                 late.computeIfAbsent(job, k -> new ArrayList<>()).add(begin);
             }
         }
         spaces.addAll(booting.values());
         late.forEach((j, begins) -> want(j, begins, all, spaces));
-        for (Job job : book.jobs()) {
-            int unplaced = job.cancelled() || job.suspect() || !job.notBefore.before(turn.now())
+        for (Job job : clusterState.jobs()) {
+            int unplaced = job.isCancelled() || job.isSuspect() || !job.notBefore.isBefore(context.now())
                     ? 0
-                    : plan.unplaced(job.ref());
+                    : plan.unplaced(job.id());
             if (unplaced > 0) {
                 want(job, Collections.nCopies(Math.min(MAX_UNPLACED, unplaced), Long.MAX_VALUE), all, spaces);
             }
         }
         for (Offer offer : all) {
-            for (int i = 0; i < MAX_CALLS && offer.wanted > 0 && calls.tryTake(turn.now(), 1); i++) {
+            for (int i = 0; i < MAX_CALLS && offer.wanted > 0 && calls.tryTake(context.now(), 1); i++) {
                 int count = Math.min(MAX_RENTAL, offer.wanted);
                 offer.wanted -= count;
-                rent(offer, count, "r-" + baton.value() + "-" + ++sequence);
+                rent(offer, count, "r-" + fencingToken.value() + "-" + ++sequence);
             }
         }
     }
@@ -256,7 +256,7 @@
             return LEAST_LATE_MS; // its sure part is wanted at once, not one round of tasks after the other
         }
         double share = policy.patience()
-                * Math.max(0, ordering.latestStart(job) - turn.now().ms());
+                * Math.max(0, ordering.latestStart(job) - context.now().ms());
         return Math.max(LEAST_LATE_MS, Math.min(LATE_MS, Math.round(share)));
     }
 
@@ -279,7 +279,7 @@
             for (Offer offer : all) {
                 boolean allowed = offer.spot || begin > latest || !spec.spot();
                 if (allowed
-                        && offer.refusedUntil.before(turn.now())
+                        && offer.refusedUntil.isBefore(context.now())
                         && worth(offer, job, begin)
                         && offer.suits(spec)
                         && (best == null || cheaper(offer, best, spec))) {
@@ -297,12 +297,12 @@
     }
 
     private boolean worth(Offer offer, Job job, long beginMs) {
-        long ready = turn.now().ms()
+        long ready = context.now().ms()
                 + Math.round(1000 * (offer.type.startupS() + job.spec().imageGb() / offer.type.fetchGbPerS()));
         if (beginMs == Long.MAX_VALUE || ready + WORTH_MS <= beginMs) {
             return true;
         }
-        return offer.spot && ready <= beginMs + estimates.lengthMs(job.spec());
+        return offer.spot && ready <= beginMs + estimates.expectedMs(job.spec());
     }
 
     private static boolean cheaper(Offer offer, Offer than, JobSpec spec) {
@@ -320,15 +320,15 @@
                 .filter(x -> x.type.name().equals(type) && x.zone.equals(zone) && x.spot == spot)
                 .findFirst()
                 .orElse(null);
-        if (offer == null || turn.now().before(offer.refusedUntil) || !calls.tryTake(turn.now(), 1)) {
+        if (offer == null || context.now().isBefore(offer.refusedUntil) || !calls.tryTake(context.now(), 1)) {
             return false;
         }
-        rent(offer, Math.min(MAX_RENTAL, number), "r-" + baton.value() + "-" + ++sequence, then);
+        rent(offer, Math.min(MAX_RENTAL, number), "r-" + fencingToken.value() + "-" + ++sequence, then);
         return true;
     }
 
     private void rent(Offer offer, int number, String name) {
-        rent(offer, number, name, hosts -> {});
+        rent(offer, number, name, machines -> {});
     }
 
     /** The name is never used for anything else; it is repeated until there is an answer. */
@@ -340,7 +340,7 @@
                 .put("yard", offer.zone)
                 .put("loaner", offer.spot)
                 .put("number", number);
-        attempt(offer, number, name, body, turn.now(), then);
+        attempt(offer, number, name, body, context.now(), then);
     }
 
     private void attempt(
@@ -350,24 +350,31 @@
             ObjectNode body,
             MonotonicTime first,
             Consumer<List<MachineId>> then) {
-        long term = book.reign();
-        turn.command(
-                election.validUntil(), ServiceCalls.Target.CLOUD, null, "POST", "/machines", body, 5000, result -> {
-                    if (term != book.reign()) {
+        long term = clusterState.term();
+        context.callBefore(
+                election.leaseValidUntil(),
+                ServiceCalls.Target.CLOUD,
+                null,
+                "POST",
+                "/machines",
+                body,
+                5000,
+                result -> {
+                    if (term != clusterState.term()) {
                         return;
                     }
                     Offer offer = offers.get(asked.key());
-                    if (result.ok() && result.body().path("hosts").isArray()) {
+                    if (result.isOk() && result.body().path("hosts").isArray()) {
                         offer.renting -= number;
-                        lastRented = turn.now();
+                        lastRented = context.now();
                         List<MachineId> had = new ArrayList<>();
                         for (JsonNode node : result.body().get("hosts")) {
                             had.add(new MachineId(node.asText()));
-                            Machine machine = book.host(new MachineId(node.asText()));
+                            Machine machine = clusterState.machine(new MachineId(node.asText()));
                             machine.type = offer.type.name();
                             machine.zone = offer.zone;
                             machine.spot = offer.spot;
-                            machine.there = true;
+                            machine.confirmedPresent = true;
                             machine.rentedAt = first;
                         }
                         int got = had.size();
@@ -379,27 +386,27 @@
                                 offer.type.name(),
                                 offer.zone,
                                 offer.spot ? ", spot" : "");
-                        offer.shortAt = got < number ? turn.now() : null;
+                        offer.shortAt = got < number ? context.now() : null;
                         if (got < number) {
-                            offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
+                            offer.refusedUntil = context.now().plusMs(NO_CAPACITY_PAUSE_MS);
                         }
                         then.accept(had);
-                    } else if (result.is(400)) {
+                    } else if (result.hasStatus(400)) {
                         offer.renting -= number;
-                        offer.refusedUntil = turn.now().plusMs(300_000);
+                        offer.refusedUntil = context.now().plusMs(300_000);
                         LOG.warn("rental {} is refused as malformed", name);
                         then.accept(List.of());
-                    } else if (result.is(503)
+                    } else if (result.hasStatus(503)
                             && result.body() != null
                             && "no capacity".equals(result.body().path("error").asText())) {
                         offer.renting -= number;
-                        offer.shortAt = turn.now();
-                        offer.refusedUntil = turn.now().plusMs(NO_CAPACITY_PAUSE_MS);
+                        offer.shortAt = context.now();
+                        offer.refusedUntil = context.now().plusMs(NO_CAPACITY_PAUSE_MS);
                         then.accept(List.of());
                     } else {
-                        turn.after(1500, () -> {
-                            if (term == book.reign()) {
-                                calls.take(turn.now(), 1);
+                        context.schedule(1500, () -> {
+                            if (term == clusterState.term()) {
+                                calls.takeOrOverdraw(context.now(), 1);
                                 attempt(asked, number, name, body, first, then);
                             }
                         });
--- a/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
@@ -67,7 +67,7 @@
         }
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final Map<String, Calendar> calendars = new HashMap<>();
@@ -79,8 +79,8 @@
     private long epoch;
     private Instant servedSince;
 
-    ScheduleRegistry(ControllerContext turn, StoreClient store, TokenBucket requests) {
-        this.turn = turn;
+    ScheduleRegistry(ControllerContext context, StoreClient store, TokenBucket requests) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
     }
@@ -139,14 +139,14 @@
     Set<Line> dueAt(Instant now) {
         while (!waiting.isEmpty() && !waiting.peek().next.isAfter(now)) {
             Line line = waiting.poll();
-            line.dueSince = turn.now();
+            line.dueSince = context.now();
             due.add(line);
         }
         return due;
     }
 
     Instant wall() {
-        return Instant.ofEpochMilli(turn.wallMs());
+        return Instant.ofEpochMilli(context.wallMs());
     }
 
     /** Puts a line where its next occurrence finds it. */
@@ -200,13 +200,13 @@
             List<StoreClient.KeyValue> items,
             Revision first,
             Pages then) {
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.list(prefix, after, 500, page -> {
             if (expectedEpoch != epoch) {
                 return;
             }
-            if (!page.ok()) {
-                turn.after(500, () -> {
+            if (!page.isOk()) {
+                context.schedule(500, () -> {
                     if (expectedEpoch == epoch) {
                         page(expectedEpoch, prefix, after, items, first, then);
                     }
@@ -285,7 +285,7 @@
             line.cursorS = Math.max(
                     line.entry.since(), cursor == null ? 0 : cursor.path(0).asLong());
             if (cursor != null) {
-                line.last = JobId.valid(cursor.path(1).asText())
+                line.last = JobId.isValid(cursor.path(1).asText())
                         ? new JobId(cursor.path(1).asText())
                         : null;
                 line.firedS = cursor.path(2).asLong();
@@ -299,21 +299,21 @@
     }
 
     private void watch(long expectedEpoch, Revision after) {
-        requests.take(turn.now(), 1);
-        store.changes(ScheduleKeys.DEFINITIONS, after, 10_000, changes -> {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.watch(ScheduleKeys.DEFINITIONS, after, 10_000, changes -> {
             if (expectedEpoch != epoch) {
                 return;
             }
             boolean changed = changes.status() == 410
-                    || (changes.status() == 200 && !changes.log().isEmpty());
+                    || (changes.status() == 200 && !changes.changes().isEmpty());
             if (changed) {
-                turn.after(200, () -> {
+                context.schedule(200, () -> {
                     if (expectedEpoch == epoch) {
                         reload();
                     }
                 });
             } else {
-                turn.after(changes.status() == 200 ? 0 : 500, () -> {
+                context.schedule(changes.status() == 200 ? 0 : 500, () -> {
                     if (expectedEpoch == epoch) {
                         watch(expectedEpoch, changes.revision());
                     }
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -23,7 +23,7 @@
  * read, and some jobs were unlucky again and again.
  */
 final class SharedRecordReads {
-    private static final String LISTED = JobRecord.OPEN;
+    private static final String LISTED = JobRecord.OPEN_PREFIX;
     /** Of one listing: some hundred records are a few hundred KB at the most. */
     private static final int MOST_LISTED = 100;
 
@@ -33,28 +33,28 @@
 
     private record Waiting(JobId ref, MonotonicTime since, Consumer<ReadResult> then) {}
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final Pacer pace;
     private List<Waiting> waiting = new ArrayList<>();
     private boolean asking;
 
-    SharedRecordReads(ControllerContext turn, StoreClient store, TokenBucket requests, Settings settings) {
-        this.turn = turn;
+    SharedRecordReads(ControllerContext context, StoreClient store, TokenBucket requests, Settings settings) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
-        this.pace = new Pacer(turn, ConditionalStatusReads.gatherMs(settings));
+        this.pace = new Pacer(context, ConditionalStatusReads.gatherMs(settings));
     }
 
     /** Hands over what the state service holds, or {@link Read#UNKNOWN}. */
-    void read(JobId ref, Consumer<ReadResult> then) {
-        if (ConditionalStatusReads.spare(requests, turn.now()) && requests.tryTake(turn.now(), 1)) {
-            store.get(JobRecord.openKey(ref), then);
+    void read(JobId jobId, Consumer<ReadResult> then) {
+        if (ConditionalStatusReads.spare(requests, context.now()) && requests.tryTake(context.now(), 1)) {
+            store.get(JobRecord.openKey(jobId), then);
         } else if (waiting.size() >= MOST_WAITING) {
             then.accept(ReadResult.UNKNOWN);
         } else {
-            waiting.add(new Waiting(ref, turn.now(), then));
+            waiting.add(new Waiting(jobId, context.now(), then));
             ask();
         }
     }
@@ -64,17 +64,17 @@
         if (asking || waiting.isEmpty()) {
             return;
         }
-        if (pace.tooSoon(this::ask)) {
+        if (pace.postponeIfTooSoon(this::ask)) {
             return;
         }
-        pace.done();
+        pace.markDone();
         asking = true;
         String first = JobRecord.openKey(waiting.get(0).ref);
         Set<Waiting> asked = new HashSet<>(waiting);
-        requests.take(turn.now(), 1); // so few of them that none needs to wait for its turn
+        requests.takeOrOverdraw(context.now(), 1); // so few of them that none needs to wait for its turn
         store.list(LISTED, before(first), MOST_LISTED, page -> {
             asking = false;
-            if (page.ok()) {
+            if (page.isOk()) {
                 listed(first, asked, page);
             }
             ask();
@@ -113,7 +113,7 @@
 
     private void refuseLate() {
         List<Waiting> late = new ArrayList<>();
-        waiting.removeIf(w -> turn.now().since(w.since) > LONGEST_WAIT_MS && late.add(w));
+        waiting.removeIf(w -> context.now().since(w.since) > LONGEST_WAIT_MS && late.add(w));
         late.forEach(w -> w.then.accept(ReadResult.UNKNOWN));
     }
 }
--- a/src/main/java/org/beechhoist/controller/TeamRoundRobin.java
+++ b/src/main/java/org/beechhoist/controller/TeamRoundRobin.java
@@ -39,7 +39,7 @@
     }
 
     private void fade(MonotonicTime now) {
-        if (faded != MonotonicTime.ZERO && faded.before(now)) {
+        if (faded != MonotonicTime.ZERO && faded.isBefore(now)) {
             double by = Math.exp(-now.since(faded) / FADES_MS);
             given.replaceAll((t, n) -> n * by);
             given.values().removeIf(n -> n < IDLE);
