--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -52,17 +52,17 @@
     /** {@code key}: the version of its once key that it was found to replace. */
     private record Submission(long request, JobSpec spec, Revision key) {}
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final MachineTypeCatalog types;
+    private final MachineTypeCatalog machineTypes;
     /** Adds to an open job's state what this node knows beyond its record. */
     private final BiConsumer<JobId, ObjectNode> promised;
 
-    private final Map<JobId, JsonNode> ended = BoundedCollections.used(CACHED_ENDED);
+    private final Map<JobId, JsonNode> ended = BoundedCollections.leastRecentlyUsedMap(CACHED_ENDED);
     private final IdempotencyKeys onceKeys;
     private final ConditionalStatusReads reads;
     private final SharedRecordReads openReads;
@@ -81,62 +81,62 @@
     /** Told of each cancellation that is committed, and when that was, by the time of day, before its user is. */
     private final BiConsumer<JobId, Long> confirmed;
 
-    private final CancellationAcknowledgements confirmations;
+    private final CancellationAcknowledgements acknowledgements;
     private final List<Submission> queue = new ArrayList<>();
     private final ResizeHandler resizing;
     private int commits;
 
     UserApi(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             Policy policy,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
-            MachineTypeCatalog types,
+            MachineTypeCatalog machineTypes,
             BiConsumer<JobId, ObjectNode> promised,
             IdempotencyKeys onceKeys,
             BooleanSupplier leaderWrites,
             BooleanSupplier cutOff,
             KeySetRegistry keys,
             BiConsumer<JobId, Long> confirmed,
-            CancellationAcknowledgements confirmations) {
+            CancellationAcknowledgements acknowledgements) {
         this.confirmed = confirmed;
-        this.confirmations = confirmations;
+        this.acknowledgements = acknowledgements;
         this.keys = keys;
         this.cutOff = cutOff;
         this.leaderWrites = leaderWrites;
         this.beside = new TokenBucket(
-                Math.max(1, RequestShares.usersPart(settings.stateLimits().writeRps(), settings.nodes())));
+                Math.max(1, RequestShares.followerShare(settings.stateLimits().writeRps(), settings.nodes())));
         this.onceKeys = onceKeys;
         this.resizing = new ResizeHandler(
-                turn,
+                context,
                 store,
                 requests,
                 writes,
                 policy,
-                (ref, then) -> read(ref, requests.tryTake(turn.now(), 1), then),
+                (jobId, then) -> read(jobId, requests.tryTake(context.now(), 1), then),
                 r -> refuse(r, STORE));
-        this.reads = new ConditionalStatusReads(turn, store, requests, settings);
-        this.openReads = new SharedRecordReads(turn, store, requests, settings);
-        this.turn = turn;
+        this.reads = new ConditionalStatusReads(context, store, requests, settings);
+        this.openReads = new SharedRecordReads(context, store, requests, settings);
+        this.context = context;
         this.settings = settings;
         this.policy = policy;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
-        this.types = types;
+        this.machineTypes = machineTypes;
         this.promised = promised;
     }
 
-    void ended(JobId ref, JsonNode state) {
-        reads.forget(ref);
-        ended.put(ref, state);
+    void ended(JobId jobId, JsonNode state) {
+        reads.forget(jobId);
+        ended.put(jobId, state);
     }
 
     private void refuse(long request, String why) {
         LOG.debug("request {} is refused: {}", request, why);
-        turn.answer(request, 503, JobStates.reason(why));
+        context.answer(request, 503, JobStates.reason(why));
     }
 
     // ---- submission ----
@@ -148,25 +148,25 @@
             if (!policy.elastic().on()) {
                 spec = spec.withoutWidth(); // as any field that a node does not know
             }
-            spec = (policy.cron().on() ? spec : spec.withoutOnceKey())
-                    .from(null)
-                    .pinned(null);
+            spec = (policy.cron().on() ? spec : spec.withoutIdempotencyKey())
+                    .withOrigin(null)
+                    .withKeySetBinding(null);
             spec = policy.releases() ? spec : spec.withoutRelease();
             spec = keys == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
         } catch (MalformedMessageException e) {
-            turn.answer(request, 400, JobStates.reason(e.getMessage()));
+            context.answer(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
-        JsonNode over = ended.get(spec.ref());
+        JsonNode over = ended.get(spec.id());
         if (over != null) {
-            turn.answer(request, 200, JobStates.endedState(spec.ref(), over));
+            context.answer(request, 200, JobStates.endedState(spec.id(), over));
             return;
         }
         if (cutOff.getAsBoolean()) {
             refuse(request, STORE);
             return;
         }
-        if (!types.known()) {
+        if (!machineTypes.isLoaded()) {
             refuse(request, TYPES);
             return;
         }
@@ -182,13 +182,13 @@
         String never = neverRuns(spec) == null ? binding.refusal() : neverRuns(spec);
         if (never != null) {
             // A job that was accepted once, when there were other machine types, is never refused later.
-            read(spec.ref(), requests.tryTake(turn.now(), 1), found -> {
+            read(spec.id(), requests.tryTake(context.now(), 1), found -> {
                 if (found == null) {
                     refuse(request, STORE);
                 } else if (found.status == null) {
-                    turn.answer(request, 422, JobStates.reason(never));
+                    context.answer(request, 422, JobStates.reason(never));
                 } else {
-                    turn.answer(request, 200, found.status);
+                    context.answer(request, 200, found.status);
                 }
             });
             return;
@@ -197,20 +197,22 @@
             refuse(request, FULL);
             return;
         }
-        if (!turns.may(spec.team(), writes.available(turn.now()) - queue.size(), writes.most(), turn.now())) {
-            writes.missed(1);
+        if (!turns.may(spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
+            writes.recordMissed(1);
             refuse(request, BUSY);
             return;
         }
-        turns.given(spec.team(), turn.now());
-        queue.add(new Submission(request, spec.pinned(binding.pin()), Revision.ABSENT));
+        turns.given(spec.team(), context.now());
+        queue.add(new Submission(request, spec.withKeySetBinding(binding.pin()), Revision.ABSENT));
         flush();
     }
 
     /** Why a job of a schedule can't enter, by the rules for every submission: for now ({@link #later}) or ever; or null. */
     String judge(JobSpec spec) {
         KeySets.Binding b = bind(spec);
-        return !types.known() ? TYPES : b == null ? KEYS : b.refusal() != null ? b.refusal() : neverRuns(spec);
+        return !machineTypes.isLoaded()
+                ? TYPES
+                : b == null ? KEYS : b.refusal() != null ? b.refusal() : neverRuns(spec);
     }
 
     static boolean later(String why) {
@@ -219,7 +221,7 @@
 
     /** A job that was judged well, bound to its key set if it needs one. */
     JobSpec bound(JobSpec spec) {
-        return spec.pinned(bind(spec).pin());
+        return spec.withKeySetBinding(bind(spec).pin());
     }
 
     /** Null: nothing is known yet. */
@@ -232,10 +234,10 @@
         if (team == null) {
             return "owner: unknown team";
         }
-        if (!spec.fitsAny(types.all())) {
+        if (!spec.fitsAnyType(machineTypes.all())) {
             return "a task fits no allowed machine type";
         }
-        int together = spec.service() || spec.gang() ? spec.tasks() : 1;
+        int together = spec.isService() || spec.isGang() ? spec.tasks() : 1;
         if (together * spec.cpus() > team.cpusMax() + 1e-6 || together * spec.gpus() > team.gpusMax() + 1e-6) {
             return "more than the team's limit";
         }
@@ -245,12 +247,12 @@
     private void flush() {
         while (!queue.isEmpty() && commits < MAX_COMMITS) {
             double left = Math.min(
-                    writes.available(turn.now()),
-                    leaderWrites.getAsBoolean() ? beside.available(turn.now()) : MAX_BATCH);
+                    writes.available(context.now()),
+                    leaderWrites.getAsBoolean() ? beside.available(context.now()) : MAX_BATCH);
             int room = (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH), Math.floor(left));
-            if (room < 1 || !requests.tryTake(turn.now(), 1)) {
+            if (room < 1 || !requests.tryTake(context.now(), 1)) {
                 // Refused rather than held: the user is told when to come back.
-                writes.missed(queue.size());
+                writes.recordMissed(queue.size());
                 queue.forEach(s -> refuse(s.request, BUSY));
                 queue.clear();
                 return;
@@ -261,54 +263,54 @@
             Set<String> keys = new HashSet<>();
             while (!queue.isEmpty() && (batch.isEmpty() || puts + IdempotencyKeys.puts(queue.get(0).spec) <= room)) {
                 Submission submission = queue.get(0);
-                if (submission.spec.onceKey() != null && !keys.add(IdempotencyKeys.place(submission.spec))) {
+                if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.place(submission.spec))) {
                     break; // the same work twice: the second is answered after the first
                 }
                 queue.remove(0);
-                boolean twin = batch.stream().anyMatch(o -> o.spec.ref().equals(submission.spec.ref()));
+                boolean twin = batch.stream().anyMatch(o -> o.spec.id().equals(submission.spec.id()));
                 (twin ? twins : batch).add(submission);
                 puts += IdempotencyKeys.puts(submission.spec);
             }
-            writes.take(turn.now(), puts);
-            beside.take(turn.now(), puts);
+            writes.takeOrOverdraw(context.now(), puts);
+            beside.takeOrOverdraw(context.now(), puts);
             send(batch);
-            twins.forEach(t -> answerKnown(t.request, t.spec.ref()));
+            twins.forEach(t -> answerKnown(t.request, t.spec.id()));
         }
     }
 
     private void send(List<Submission> batch) {
-        Transaction txn = new Transaction();
+        Transaction transaction = new Transaction();
         for (Submission s : batch) {
-            onceKeys.enter(txn, s.spec, s.key, turn.wallMs());
+            onceKeys.enter(transaction, s.spec, s.key, context.wallMs());
         }
         commits++;
-        store.commit(txn, commit -> {
+        store.commit(transaction, commit -> {
             commits--;
-            if (commit.result() == CommitResult.Outcome.DONE) {
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 for (Submission submission : batch) {
                     reads.remember(
-                            submission.spec.ref(),
+                            submission.spec.id(),
                             commit.revision(),
                             JobStates.openState(
-                                    submission.spec.ref(), new JobRecord(submission.spec, turn.wallMs()).toNode()));
-                    turn.answer(submission.request, 201, JobStates.state(submission.spec.ref(), "queued"));
+                                    submission.spec.id(), new JobRecord(submission.spec, context.wallMs()).toNode()));
+                    context.answer(submission.request, 201, JobStates.state(submission.spec.id(), "queued"));
                 }
-            } else if (commit.result() == CommitResult.Outcome.CONFLICT) {
+            } else if (commit.outcome() == CommitResult.Outcome.CONFLICT) {
                 for (Submission submission : batch) {
-                    if (commit.failed().contains(JobRecord.openKey(submission.spec.ref()))
-                            || commit.failed().contains(JobRecord.endedKey(submission.spec.ref()))) {
-                        answerKnown(submission.request, submission.spec.ref());
-                    } else if (submission.spec.onceKey() != null
-                            && commit.failed().contains(IdempotencyKeys.place(submission.spec))) {
+                    if (commit.failedKeys().contains(JobRecord.openKey(submission.spec.id()))
+                            || commit.failedKeys().contains(JobRecord.endedKey(submission.spec.id()))) {
+                        answerKnown(submission.request, submission.spec.id());
+                    } else if (submission.spec.idempotencyKey() != null
+                            && commit.failedKeys().contains(IdempotencyKeys.place(submission.spec))) {
                         sameWork(submission);
-                    } else if (submission.spec.pin() != null
-                            && commit.failed()
+                    } else if (submission.spec.keySetBinding() != null
+                            && commit.failedKeys()
                                     .contains(KeySetRegistry.SETS
-                                            + submission.spec.pin().set())) {
+                                            + submission.spec.keySetBinding().keySet())) {
                         keys.overtaken(
                                 Set.of(KeySetRegistry.SETS
-                                        + submission.spec.pin().set()),
-                                () -> enter(submission.request, submission.spec.pinned(null)));
+                                        + submission.spec.keySetBinding().keySet()),
+                                () -> enter(submission.request, submission.spec.withKeySetBinding(null)));
                     } else {
                         queue.add(submission);
                     }
@@ -322,12 +324,12 @@
 
     /** Its key is taken: the answer is the first one's, unless that is longer ago than its class says. */
     private void sameWork(Submission submission) {
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.place(submission.spec), read -> {
             JobId owner = read.item() == null
                     ? null
-                    : IdempotencyKeys.owner(read.item().value(), turn.wallMs());
-            if (!read.known()) {
+                    : IdempotencyKeys.owner(read.item().value(), context.wallMs());
+            if (!read.answered()) {
                 refuse(submission.request, STORE);
             } else if (owner != null) {
                 answerKnown(submission.request, owner);
@@ -341,13 +343,13 @@
         });
     }
 
-    private void answerKnown(long request, JobId ref) {
-        requests.take(turn.now(), 1);
-        read(ref, true, found -> {
+    private void answerKnown(long request, JobId jobId) {
+        requests.takeOrOverdraw(context.now(), 1);
+        read(jobId, true, found -> {
             if (found == null || found.status == null) {
                 refuse(request, STORE);
             } else {
-                turn.answer(request, 200, found.status);
+                context.answer(request, 200, found.status);
             }
         });
     }
@@ -358,157 +360,157 @@
     record Found(JsonNode status, StoreClient.KeyValue open) {}
 
     /** Reads a job; hands over null where nothing could be learnt. */
-    private void read(JobId ref, boolean allowed, Consumer<Found> then) {
-        JsonNode over = ended.get(ref);
+    private void read(JobId jobId, boolean allowed, Consumer<Found> then) {
+        JsonNode over = ended.get(jobId);
         if (over != null) {
-            then.accept(new Found(JobStates.endedState(ref, over), null));
+            then.accept(new Found(JobStates.endedState(jobId, over), null));
             return;
         }
         if (!allowed || cutOff.getAsBoolean()) {
             then.accept(null);
             return;
         }
-        store.get(JobRecord.openKey(ref), open -> found(ref, open, then));
+        store.get(JobRecord.openKey(jobId), open -> found(jobId, open, then));
     }
 
     /** Open before ended: a job moves from the one to the other, so this order can't miss it. */
-    private void found(JobId ref, StoreClient.ReadResult open, Consumer<Found> then) {
-        if (!open.known()) {
+    private void found(JobId jobId, StoreClient.ReadResult open, Consumer<Found> then) {
+        if (!open.answered()) {
             then.accept(null);
-        } else if (open.item() != null && JobRecord.isOver(open.item().value())) {
-            ended.put(ref, open.item().value());
-            then.accept(new Found(JobStates.endedState(ref, open.item().value()), null));
+        } else if (open.item() != null && JobRecord.isFinalState(open.item().value())) {
+            ended.put(jobId, open.item().value());
+            then.accept(new Found(JobStates.endedState(jobId, open.item().value()), null));
         } else if (open.item() != null) {
-            then.accept(new Found(JobStates.openState(ref, open.item().value()), open.item()));
+            then.accept(new Found(JobStates.openState(jobId, open.item().value()), open.item()));
         } else {
-            requests.take(turn.now(), 1);
-            store.get(JobRecord.endedKey(ref), end -> {
-                if (!end.known()) {
+            requests.takeOrOverdraw(context.now(), 1);
+            store.get(JobRecord.endedKey(jobId), end -> {
+                if (!end.answered()) {
                     then.accept(null);
                 } else if (end.item() == null) {
                     then.accept(new Found(null, null));
                 } else {
-                    ended.put(ref, end.item().value());
-                    then.accept(new Found(JobStates.endedState(ref, end.item().value()), null));
+                    ended.put(jobId, end.item().value());
+                    then.accept(new Found(JobStates.endedState(jobId, end.item().value()), null));
                 }
             });
         }
     }
 
     /** A job's state for somebody else's answer, or null where it can't be told now. */
-    void peek(JobId ref, Consumer<JsonNode> then) {
-        read(ref, requests.tryTake(turn.now(), 1), found -> then.accept(found == null ? null : found.status));
+    void peek(JobId jobId, Consumer<JsonNode> then) {
+        read(jobId, requests.tryTake(context.now(), 1), found -> then.accept(found == null ? null : found.status));
     }
 
-    void status(long request, JobId ref) {
-        if (ended.containsKey(ref)) {
-            read(ref, true, found -> told(request, ref, found));
+    void status(long request, JobId jobId) {
+        if (ended.containsKey(jobId)) {
+            read(jobId, true, found -> told(request, jobId, found));
             return;
         }
         if (cutOff.getAsBoolean()) {
             refuse(request, STORE);
             return;
         }
-        reads.poll(ref, (result, state) -> {
+        reads.poll(jobId, (result, state) -> {
             switch (result) {
                 case SAME -> {
-                    promised.accept(ref, state);
-                    turn.answer(request, 200, state);
+                    promised.accept(jobId, state);
+                    context.answer(request, 200, state);
                 }
-                case READ -> openReads.read(ref, open -> readStatus(request, ref, open));
+                case READ -> openReads.read(jobId, open -> readStatus(request, jobId, open));
                 default -> refuse(request, STORE);
             }
         });
     }
 
-    private void readStatus(long request, JobId ref, StoreClient.ReadResult open) {
-        JsonNode over = ended.get(ref);
+    private void readStatus(long request, JobId jobId, StoreClient.ReadResult open) {
+        JsonNode over = ended.get(jobId);
         if (over != null) {
-            told(request, ref, new Found(JobStates.endedState(ref, over), null));
+            told(request, jobId, new Found(JobStates.endedState(jobId, over), null));
         } else {
-            found(ref, open, f -> told(request, ref, f));
+            found(jobId, open, f -> told(request, jobId, f));
         }
     }
 
-    private void told(long request, JobId ref, Found found) {
+    private void told(long request, JobId jobId, Found found) {
         if (found == null) {
             refuse(request, STORE);
         } else if (found.status == null) {
-            turn.answer(request, 404, JobStates.reason("no such job"));
+            context.answer(request, 404, JobStates.reason("no such job"));
         } else {
             if (found.open != null) {
-                reads.remember(ref, found.open.version(), (ObjectNode) found.status);
-                promised.accept(ref, (ObjectNode) found.status);
+                reads.remember(jobId, found.open.version(), (ObjectNode) found.status);
+                promised.accept(jobId, (ObjectNode) found.status);
             }
-            turn.answer(request, 200, found.status);
+            context.answer(request, 200, found.status);
         }
     }
 
     // ---- cancellation ----
 
-    void cancel(long request, JobId ref, int races) {
-        read(ref, requests.tryTake(turn.now(), 1), found -> {
+    void cancel(long request, JobId jobId, int races) {
+        read(jobId, requests.tryTake(context.now(), 1), found -> {
             if (found == null || races > MAX_RACES) {
                 refuse(request, STORE);
             } else if (found.status == null) {
-                turn.answer(request, 404, JobStates.reason("no such job"));
+                context.answer(request, 404, JobStates.reason("no such job"));
             } else if (found.open == null) {
-                turn.answer(
+                context.answer(
                         request,
                         200,
-                        JobStates.state(ref, found.status.get("status").asText()));
+                        JobStates.state(jobId, found.status.get("status").asText()));
             } else if (found.open.value().path("cancel").asLong() > 0) {
-                confirmed.accept(ref, found.open.value().path("cancel").asLong());
-                answerCancelled(request, ref);
+                confirmed.accept(jobId, found.open.value().path("cancel").asLong());
+                answerCancelled(request, jobId);
             } else {
-                mark(request, ref, found.open, races);
+                mark(request, jobId, found.open, races);
             }
         });
     }
 
     /** Cancels a run that another of its schedule replaces; {@code then} is told whether that is certain. */
-    void replace(JobId ref, Consumer<Boolean> then) {
-        read(ref, requests.tryTake(turn.now(), 1), found -> {
+    void replace(JobId jobId, Consumer<Boolean> then) {
+        read(jobId, requests.tryTake(context.now(), 1), found -> {
             if (found == null
                     || found.open == null
                     || found.open.value().path("cancel").asLong() > 0) {
                 then.accept(found != null);
                 return;
             }
-            commitCancel(ref, found.open, c -> then.accept(c.result() == CommitResult.Outcome.DONE));
+            commitCancel(jobId, found.open, c -> then.accept(c.outcome() == CommitResult.Outcome.COMMITTED));
         });
     }
 
-    private void commitCancel(JobId ref, StoreClient.KeyValue open, Consumer<CommitResult> then) {
-        long at = Math.max(1, turn.wallMs());
+    private void commitCancel(JobId jobId, StoreClient.KeyValue open, Consumer<CommitResult> then) {
+        long at = Math.max(1, context.wallMs());
         ObjectNode value = ((ObjectNode) open.value()).deepCopy().put("cancel", at);
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        String key = JobRecord.openKey(ref);
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
-            if (commit.result() == CommitResult.Outcome.DONE) {
-                confirmed.accept(ref, at);
+            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                confirmed.accept(jobId, at);
             }
             then.accept(commit);
         });
     }
 
-    private void mark(long request, JobId ref, StoreClient.KeyValue open, int races) {
-        commitCancel(ref, open, commit -> {
-            switch (commit.result()) {
-                case DONE -> answerCancelled(request, ref);
-                case CONFLICT -> cancel(request, ref, races + 1);
+    private void mark(long request, JobId jobId, StoreClient.KeyValue open, int races) {
+        commitCancel(jobId, open, commit -> {
+            switch (commit.outcome()) {
+                case COMMITTED -> answerCancelled(request, jobId);
+                case CONFLICT -> cancel(request, jobId, races + 1);
                 default -> refuse(request, STORE);
             }
         });
     }
 
-    private void answerCancelled(long request, JobId ref) {
-        confirmations.answer(ref, () -> turn.answer(request, 200, JobStates.state(ref, "cancelled")));
+    private void answerCancelled(long request, JobId jobId) {
+        acknowledgements.await(jobId, () -> context.answer(request, 200, JobStates.state(jobId, "cancelled")));
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
-    void resize(long request, JobId ref, byte[] body) {
-        resizing.resize(request, ref, body);
+    void resize(long request, JobId jobId, byte[] body) {
+        resizing.resize(request, jobId, body);
     }
 }
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -32,13 +32,13 @@
     /** By when room is made for guaranteed work that no objective speaks for. */
     private static final long GUARANTEED_MS = 10_000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Policy policy;
-    private final MachineTypeCatalog types;
-    private final ClusterState book;
+    private final MachineTypeCatalog machineTypes;
+    private final ClusterState clusterState;
     private final JobOrdering ordering;
     private final Admission admission;
-    private final ScaleOutPolicy renting;
+    private final ScaleOutPolicy scaleOut;
     private final ElasticWidths elastic;
 
     /** Tasks on one machine that could go, and how many tasks that makes room for by when. */
@@ -57,27 +57,27 @@
     }
 
     WidthReduction(
-            ControllerContext turn,
+            ControllerContext context,
             Policy policy,
-            MachineTypeCatalog types,
-            ClusterState book,
+            MachineTypeCatalog machineTypes,
+            ClusterState clusterState,
             JobOrdering ordering,
             Admission admission,
-            ScaleOutPolicy renting,
+            ScaleOutPolicy scaleOut,
             ElasticWidths elastic) {
-        this.turn = turn;
+        this.context = context;
         this.policy = policy;
-        this.types = types;
-        this.book = book;
+        this.machineTypes = machineTypes;
+        this.clusterState = clusterState;
         this.ordering = ordering;
         this.admission = admission;
-        this.renting = renting;
+        this.scaleOut = scaleOut;
         this.elastic = elastic;
     }
 
     void run(Plan plan, Map<String, double[]> used) {
         List<Job> givers = new ArrayList<>();
-        for (Job job : book.jobs()) {
+        for (Job job : clusterState.jobs()) {
             if (spare(job) > 0) {
                 givers.add(job);
             }
@@ -98,25 +98,25 @@
                 return;
             }
             if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
-                job.nextNarrowing = turn.now().plusMs(PAUSE_MS);
-                renting.wait(turn.now());
+                job.nextWidthReduction = context.now().plusMs(PAUSE_MS);
+                scaleOut.wait(context.now());
             }
         }
     }
 
     /** How many tasks the job could do without. */
     private static int spare(Job job) {
-        return job.record.width == null || job.spec().service() || job.cancelled()
+        return job.record.width == null || job.spec().isService() || job.isCancelled()
                 ? 0
-                : ElasticWidths.staying(job) - job.record.width.allowed().least();
+                : ElasticWidths.staying(job) - job.record.width.allowed().min();
     }
 
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
     private boolean gives(Job giver, Job to) {
         boolean guaranteed =
-                to.guaranteed && !to.spec().team().equals(giver.spec().team());
-        boolean asUrgent = to.spec().urgency().compareTo(giver.spec().urgency()) <= 0;
-        return to.outranks(giver) || guaranteed || (asUrgent && ordering.objectiveOpen(to));
+                to.withinQuota && !to.spec().team().equals(giver.spec().team());
+        boolean asUrgent = to.spec().priority().compareTo(giver.spec().priority()) <= 0;
+        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.objectiveOpen(to));
     }
 
     /** Which jobs begin later than they should, or late enough for a machine to be rented. */
@@ -124,17 +124,17 @@
         Map<JobId, Long> bounds = new HashMap<>();
         Map<Job, Late> out = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
-            long bound = bounds.computeIfAbsent(reservation.job(), ref -> bound(book.job(ref)));
+            long bound = bounds.computeIfAbsent(reservation.job(), jobId -> bound(clusterState.job(jobId)));
             if (!reservation.wide() && reservation.beginMs() > bound) {
-                Job j = book.job(reservation.job());
+                Job j = clusterState.job(reservation.job());
                 out.merge(j, new Late(1, reservation.beginMs(), atStake(j, reservation.beginMs())), Late::and);
             }
         }
-        for (Job job : book.jobs()) {
-            if (plan.unplaced(job.ref()) > 0 && bound(job) < Long.MAX_VALUE) {
+        for (Job job : clusterState.jobs()) {
+            if (plan.unplaced(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
                 out.merge(
                         job,
-                        new Late(plan.unplaced(job.ref()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
+                        new Late(plan.unplaced(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
                         Late::and);
             }
         }
@@ -143,29 +143,30 @@
 
     /** Work may be thrown away for what is promised, not to save a rental. */
     private boolean atStake(Job job, long begin) {
-        return job.guaranteed
+        return job.withinQuota
                 || (ordering.objectiveOpen(job)
                         && begin
-                                > Math.max(ordering.latestStart(job), turn.now().ms() + SOON_MS));
+                                > Math.max(
+                                        ordering.latestStart(job), context.now().ms() + SOON_MS));
     }
 
     private long bound(Job job) {
         boolean asks = job != null
-                && !job.spec().gang()
+                && !job.spec().isGang()
                 && !job.spec().sameZone()
-                && !job.spec().apart()
-                && job.notBefore.ms() <= turn.now().ms()
-                && !turn.now().before(job.nextNarrowing);
+                && !job.spec().antiAffinity()
+                && job.notBefore.ms() <= context.now().ms()
+                && !context.now().isBefore(job.nextWidthReduction);
         if (!asks) {
             return Long.MAX_VALUE;
         }
-        long now = turn.now().ms();
-        long bound = Math.min(now + renting.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
-        return Math.max(now + SOON_MS, job.guaranteed ? Math.min(bound, now + SOON_MS) : bound);
+        long now = context.now().ms();
+        long bound = Math.min(now + scaleOut.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
+        return Math.max(now + SOON_MS, job.withinQuota ? Math.min(bound, now + SOON_MS) : bound);
     }
 
     private long neededBy(Job job) {
-        long now = turn.now().ms();
+        long now = context.now().ms();
         long latest = ordering.latestStart(job);
         return ordering.objectiveOpen(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
     }
@@ -173,7 +174,7 @@
     private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         List<Offer> offers = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
+        for (Machine machine : clusterState.machines()) {
             if (!machine.placements.isEmpty() && admission.usable(machine)) {
                 Offer offer = offer(machine, job, late, givers, limited);
                 // What may be thrown away for one task's sake is the same whoever gives the room.
@@ -191,15 +192,16 @@
                 break;
             }
             Map<Job, Integer> wanted = new HashMap<>();
-            offer.going.forEach(c -> wanted.merge(book.job(c.task().task.job()), 1, Integer::sum));
+            offer.going.forEach(c -> wanted.merge(clusterState.job(c.task().task.job()), 1, Integer::sum));
             if (wanted.entrySet().stream().anyMatch(w -> spare(w.getKey()) < w.getValue())) {
                 continue; // given away to an earlier offer
             }
             for (Surplus.Choice<Placement> c : offer.going) {
-                elastic.leave(book.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + job.ref());
+                elastic.leave(
+                        clusterState.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + job.id());
             }
-            offer.host.damping = offer.host.damping.narrowed(
-                    turn.now().ms(), policy.elastic().settleMs());
+            offer.host.growthDamping = offer.host.growthDamping.narrowed(
+                    context.now().ms(), policy.elastic().settleMs());
             served += offer.tasks;
         }
         return served > 0;
@@ -209,7 +211,7 @@
     private Offer offer(Machine machine, Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         JobSpec spec = job.spec();
-        MachineType type = types.get(machine.type);
+        MachineType type = machineTypes.get(machine.type);
         Admission.Room room =
                 spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
         if (room == null) {
@@ -219,7 +221,7 @@
         Ending.Need need = new Ending.Need(neededBy(job) - fetch, late.atStake);
         List<Surplus.Choice<Placement>> could = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
-            Job giver = book.job(placement.task.job());
+            Job giver = clusterState.job(placement.task.job());
             boolean counts =
                     givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
             if (counts && ElasticWidths.mayGo(giver, placement)) {
@@ -237,7 +239,7 @@
             if (fits >= tasks) {
                 break;
             }
-            JobSpec gone = book.job(choice.task().task.job()).spec();
+            JobSpec gone = clusterState.job(choice.task().task.job()).spec();
             room = room.plus(gone, 1);
             given += gone.cpus();
             going.add(choice);
--- a/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
+++ b/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
@@ -10,7 +10,7 @@
     private BoundedCollections() {}
 
     /** Keeps the entries that were used last. */
-    public static <K, V> Map<K, V> used(int most) {
+    public static <K, V> Map<K, V> leastRecentlyUsedMap(int most) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
@@ -20,7 +20,7 @@
     }
 
     /** Keeps what was added last. */
-    public static <K> Set<K> added(int most) {
+    public static <K> Set<K> insertionOrderedSet(int most) {
         return Collections.newSetFromMap(new LinkedHashMap<>() {
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, Boolean> eldest) {
--- a/src/main/java/org/beechhoist/controller/context/ControllerContext.java
+++ b/src/main/java/org/beechhoist/controller/context/ControllerContext.java
@@ -16,20 +16,20 @@
 public final class ControllerContext implements ServiceCalls {
     private record Timer(MonotonicTime at, long order, Runnable action) {}
 
-    private static final double FADES = 0.9;
+    private static final double LAG_DECAY = 0.9;
 
     private MonotonicTime now = MonotonicTime.ZERO;
-    private static final long LATE_MS = 1000;
-    private double lateMs;
+    private static final long LAGGING_MS = 1000;
+    private double lagMs;
     private long wallMs;
     private long nextId = 1;
     private List<Effect> effects = new ArrayList<>();
-    private final Map<Long, Consumer<CallResult>> waiting = new HashMap<>();
+    private final Map<Long, Consumer<CallResult>> pendingCalls = new HashMap<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>((a, b) -> a.at.equals(b.at) ? Long.compare(a.order, b.order) : a.at.compareTo(b.at));
 
-    public void begin(MonotonicTime at, long wall) {
-        now = at.before(now) ? now : at;
+    public void beginInput(MonotonicTime at, long wall) {
+        now = at.isBefore(now) ? now : at;
         wallMs = wall;
     }
 
@@ -50,7 +50,7 @@
         effects.add(new Effect.Answer(request, status, body, 0, until));
     }
 
-    public void tell(PeerState state) {
+    public void publishToPeers(PeerState state) {
         effects.add(new Effect.PublishToPeers(state));
     }
 
@@ -63,11 +63,11 @@
             JsonNode body,
             long timeoutMs,
             Consumer<CallResult> then) {
-        command(null, target, address, method, path, body, timeoutMs, then);
+        callBefore(null, target, address, method, path, body, timeoutMs, then);
     }
 
     /** A call that is sent before {@code until} or not at all; {@link CallResult#NOT_SENT} then. */
-    public void command(
+    public void callBefore(
             MonotonicTime until,
             Target target,
             String address,
@@ -77,33 +77,33 @@
             long timeoutMs,
             Consumer<CallResult> then) {
         long id = nextId++;
-        waiting.put(id, then);
+        pendingCalls.put(id, then);
         effects.add(new Effect.Call(id, target, address, method, path, body, timeoutMs, until));
     }
 
-    public void outcome(long id, CallResult result) {
-        Consumer<CallResult> then = waiting.remove(id);
+    public void completeCall(long id, CallResult result) {
+        Consumer<CallResult> then = pendingCalls.remove(id);
         if (then != null) {
             then.accept(result);
         }
     }
 
-    public void after(long ms, Runnable action) {
+    public void schedule(long ms, Runnable action) {
         timers.add(new Timer(now.plusMs(ms), nextId++, action));
     }
 
     /** When the next deadline is due, or null. */
-    public MonotonicTime nextTimer() {
+    public MonotonicTime nextDeadline() {
         return timers.isEmpty() ? null : timers.peek().at;
     }
 
-    public void runTimers() {
+    public void runDueTimers() {
         boolean first = true;
-        while (!timers.isEmpty() && !now.before(timers.peek().at)) {
+        while (!timers.isEmpty() && !now.isBefore(timers.peek().at)) {
             Timer timer = timers.poll();
             if (first) {
                 // The longest wait of those due; it fades, for one slow turn says little of the next.
-                lateMs = Math.max(FADES * lateMs, now.since(timer.at));
+                lagMs = Math.max(LAG_DECAY * lagMs, now.since(timer.at));
                 first = false;
             }
             timer.action.run();
@@ -111,16 +111,16 @@
     }
 
     /** Whether this node is so far behind that what others don't seem to answer says nothing of them. */
-    public boolean late() {
-        return lateMs > LATE_MS;
+    public boolean isLagging() {
+        return lagMs > LAGGING_MS;
     }
 
     /** How late deadlines have lately been met: a node that has used its share of the processor falls behind. */
-    public long lateMs() {
-        return Math.round(lateMs);
+    public long lagMs() {
+        return Math.round(lagMs);
     }
 
-    public List<Effect> drain() {
+    public List<Effect> drainEffects() {
         List<Effect> out = effects;
         effects = new ArrayList<>();
         return out;
--- a/src/main/java/org/beechhoist/controller/context/Effect.java
+++ b/src/main/java/org/beechhoist/controller/context/Effect.java
@@ -19,8 +19,8 @@
         }
 
         /** What is to be answered at that moment. */
-        public Answer at(MonotonicTime now) {
-            return until == null || now.before(until) ? this : new Answer(request, 421, Codec.map(), 0);
+        public Answer asOf(MonotonicTime now) {
+            return until == null || now.isBefore(until) ? this : new Answer(request, 421, Codec.map(), 0);
         }
     }
 
@@ -38,8 +38,8 @@
             long timeoutMs,
             MonotonicTime until)
             implements Effect {
-        public boolean expired(MonotonicTime now) {
-            return until != null && !now.before(until);
+        public boolean isExpired(MonotonicTime now) {
+            return until != null && !now.isBefore(until);
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/context/Pacer.java
+++ b/src/main/java/org/beechhoist/controller/context/Pacer.java
@@ -4,25 +4,25 @@
 
 /** Something that is done at once after a quiet while, and then no more often than every so long: what comes in between shares one. */
 public final class Pacer {
-    private final ControllerContext turn;
-    private final long everyMs;
+    private final ControllerContext context;
+    private final long intervalMs;
     private MonotonicTime next = MonotonicTime.ZERO;
-    private boolean timed;
+    private boolean scheduled;
 
-    public Pacer(ControllerContext turn, long everyMs) {
-        this.turn = turn;
-        this.everyMs = everyMs;
+    public Pacer(ControllerContext context, long everyMs) {
+        this.context = context;
+        this.intervalMs = everyMs;
     }
 
     /** Whether it is too soon; {@code again} is called when it is not any more. */
-    public boolean tooSoon(Runnable again) {
-        if (!turn.now().before(next)) {
+    public boolean postponeIfTooSoon(Runnable again) {
+        if (!context.now().isBefore(next)) {
             return false;
         }
-        if (!timed) {
-            timed = true;
-            turn.after(next.since(turn.now()), () -> {
-                timed = false;
+        if (!scheduled) {
+            scheduled = true;
+            context.schedule(next.since(context.now()), () -> {
+                scheduled = false;
                 again.run();
             });
         }
@@ -30,7 +30,7 @@
     }
 
     /** It is done now. */
-    public void done() {
-        next = turn.now().plusMs(everyMs);
+    public void markDone() {
+        next = context.now().plusMs(intervalMs);
     }
 }
--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -27,21 +27,21 @@
 
     private static final long MARGIN_MS = 300;
     /** A node that ends again and again would take its own key back each time, and lead for moments: others come first then. */
-    private static final long SHORT_REIGN_MS = 20_000;
+    private static final long SHORT_TERM_MS = 20_000;
 
-    private static final int MOST_SHORT_REIGNS = 2;
-    private static final long LONGEST_PAUSE_MS = 8000;
+    private static final int MAX_SHORT_TERMS = 2;
+    private static final long MAX_PAUSE_MS = 8000;
     /** A watch is answered every 4 s: what the state service told longer ago is a memory. */
-    private static final long TOLD_MS = 6000;
+    private static final long LEADER_KNOWN_MS = 6000;
 
     /** What a change of leadership means to the rest. */
     public interface Listener {
-        void won(FencingToken baton);
+        void won(FencingToken fencingToken);
 
         void lost();
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final String node;
@@ -49,29 +49,29 @@
     private final Listener listener;
     private String leader;
     private long lease;
-    private boolean leading;
-    private FencingToken baton = FencingToken.NONE;
-    private FencingToken firstBaton = FencingToken.NONE;
-    private MonotonicTime validUntil = MonotonicTime.ZERO;
+    private boolean isLeading;
+    private FencingToken fencingToken = FencingToken.NONE;
+    private FencingToken firstFencingToken = FencingToken.NONE;
+    private MonotonicTime leaseValidUntil = MonotonicTime.ZERO;
     /** When the state service last told whose the key is. */
-    private MonotonicTime told = MonotonicTime.ZERO;
+    private MonotonicTime leaderKnownAt = MonotonicTime.ZERO;
     /** After giving the lead up: others come first. */
-    private MonotonicTime standFrom = MonotonicTime.ZERO;
+    private MonotonicTime campaignFrom = MonotonicTime.ZERO;
 
     private long round;
     /** How many short terms in a row this node has had, its earlier lives included, and when the present one began. */
-    private int shortReigns;
+    private int shortTerms;
 
     private long wonWallMs;
 
     public LeaderElection(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             TokenBucket requests,
             String node,
             long ttlMs,
             Listener listener) {
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.node = node;
@@ -80,67 +80,67 @@
     }
 
     /** True while this node may command workers. */
-    public boolean valid() {
-        return leading && turn.now().before(validUntil);
+    public boolean holdsLease() {
+        return isLeading && context.now().isBefore(leaseValidUntil);
     }
 
     /** Until when this node may command workers, by what is known now. */
-    public MonotonicTime validUntil() {
-        return validUntil;
+    public MonotonicTime leaseValidUntil() {
+        return leaseValidUntil;
     }
 
     /** True while the leadership is not known to be lost, though perhaps suspended. */
-    boolean leading() {
-        return leading;
+    boolean isLeading() {
+        return isLeading;
     }
 
-    public FencingToken baton() {
-        return baton;
+    public FencingToken fencingToken() {
+        return fencingToken;
     }
 
     /** The first token of this leadership: whoever has seen it has spoken since. */
-    public FencingToken firstBaton() {
-        return firstBaton;
+    public FencingToken firstFencingToken() {
+        return firstFencingToken;
     }
 
     /** The other node that leads, or null: none does, or who did so is only remembered. */
     public String otherLeader() {
-        return leading || turn.now().since(told) > TOLD_MS ? null : leader;
+        return isLeading || context.now().since(leaderKnownAt) > LEADER_KNOWN_MS ? null : leader;
     }
 
     /** Guards a leader's transaction: late ones die when the key changes hands or is written anew. */
-    public Transaction guarded() {
-        return new Transaction().guard(KEY, new Revision(baton.value()));
+    public Transaction guardedTransaction() {
+        return new Transaction().guard(KEY, new Revision(fencingToken.value()));
     }
 
     /** Adds a rewrite of the key, so that the commit's revision becomes the new fencing token. */
-    public void rotateIn(Transaction txn) {
-        txn.put(KEY, value(), lease);
+    public void addTokenRotation(Transaction transaction) {
+        transaction.put(KEY, keyValue(), lease);
     }
 
-    public void rotated(Revision revision) {
-        baton = new FencingToken(revision.value());
+    public void adoptToken(Revision revision) {
+        fencingToken = new FencingToken(revision.value());
     }
 
     /** What a leader finds when it reads its key. */
     public enum KeyOwnership {
-        STILL,
-        GONE,
-        NOT_KNOWN
+        HELD,
+        LOST,
+        UNKNOWN
     }
 
     /** Reads whether the key is still held by this leadership's lease; its newest revision is the fencing token then. */
-    public void readOwn(Consumer<KeyOwnership> then) {
-        requests.take(turn.now(), 1);
+    public void readKeyOwnership(Consumer<KeyOwnership> then) {
+        requests.takeOrOverdraw(context.now(), 1);
         long held = lease;
         store.get(KEY, read -> {
-            if (!read.known() || !leading || held != lease) {
-                then.accept(KeyOwnership.NOT_KNOWN);
+            if (!read.answered() || !isLeading || held != lease) {
+                then.accept(KeyOwnership.UNKNOWN);
             } else if (read.item() == null || read.item().lease() != held) {
-                then.accept(KeyOwnership.GONE);
+                then.accept(KeyOwnership.LOST);
             } else {
-                rotated(read.item().version());
-                then.accept(KeyOwnership.STILL);
+                adoptToken(read.item().version());
+                then.accept(KeyOwnership.HELD);
             }
         });
     }
@@ -149,24 +149,24 @@
         readKey(++round);
     }
 
-    private void later(long ms, long expectedRound) {
-        turn.after(ms, () -> {
-            if (expectedRound == round && !leading) {
+    private void readKeyLater(long ms, long expectedRound) {
+        context.schedule(ms, () -> {
+            if (expectedRound == round && !isLeading) {
                 readKey(expectedRound);
             }
         });
     }
 
     private void readKey(long expectedRound) {
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         // A listing, for it tells the store's revision too: the key's own may be older than any change the store still
         // keeps, and a watch from there would be answered 410 at once, for ever.
         store.list(KEY, null, 10, page -> {
-            if (expectedRound != round || leading) {
+            if (expectedRound != round || isLeading) {
                 return;
             }
-            if (!page.ok()) {
-                later(700, expectedRound);
+            if (!page.isOk()) {
+                readKeyLater(700, expectedRound);
                 return;
             }
             StoreClient.KeyValue item = null;
@@ -174,157 +174,158 @@
                 item = i.key().equals(KEY) ? i : item;
             }
             leader = item == null ? null : item.value().path("node").asText(null);
-            told = turn.now();
-            if (item == null && turn.now().before(standFrom)) {
-                later(700, expectedRound);
+            leaderKnownAt = context.now();
+            if (item == null && context.now().isBefore(campaignFrom)) {
+                readKeyLater(700, expectedRound);
             } else if (item == null) {
-                stand(expectedRound, Revision.ABSENT);
-            } else if (node.equals(leader) && endsAgainAndAgain(item)) {
-                store.revoke(item.lease());
-                later(700, expectedRound);
+                campaign(expectedRound, Revision.ABSENT);
+            } else if (node.equals(leader) && restartsRepeatedly(item)) {
+                store.revokeLease(item.lease());
+                readKeyLater(700, expectedRound);
             } else if (node.equals(leader)) {
                 // An earlier life of this process held it; that process is dead, so its key may be replaced.
                 leader = null;
-                stand(expectedRound, item.version());
+                campaign(expectedRound, item.version());
             } else {
-                watch(expectedRound, page.revision());
+                watchKey(expectedRound, page.revision());
             }
         });
     }
 
-    private ObjectNode value() {
-        return Codec.map().put("node", node).put("at", wonWallMs).put("short", shortReigns);
+    private ObjectNode keyValue() {
+        return Codec.map().put("node", node).put("at", wonWallMs).put("short", shortTerms);
     }
 
     /** This node's earlier life held the key: was that one short term too many? It stands again after a pause that grows. */
-    private boolean endsAgainAndAgain(StoreClient.KeyValue own) {
-        boolean brief = turn.wallMs() - own.value().path("at").longValue() < SHORT_REIGN_MS;
-        shortReigns = brief ? own.value().path("short").intValue() + 1 : 0;
-        if (shortReigns <= MOST_SHORT_REIGNS) {
+    private boolean restartsRepeatedly(StoreClient.KeyValue own) {
+        boolean brief = context.wallMs() - own.value().path("at").longValue() < SHORT_TERM_MS;
+        shortTerms = brief ? own.value().path("short").intValue() + 1 : 0;
+        if (shortTerms <= MAX_SHORT_TERMS) {
             return false;
         }
-        long pause = Math.min(LONGEST_PAUSE_MS, 1000L << Math.min(10, shortReigns - MOST_SHORT_REIGNS - 1));
-        LOG.warn("{} short reigns of this node in a row: others come first for {} s", shortReigns, pause / 1000.0);
-        standFrom = turn.now().plusMs(pause);
+        long pause = Math.min(MAX_PAUSE_MS, 1000L << Math.min(10, shortTerms - MAX_SHORT_TERMS - 1));
+        LOG.warn("{} short reigns of this node in a row: others come first for {} s", shortTerms, pause / 1000.0);
+        campaignFrom = context.now().plusMs(pause);
         return true;
     }
 
-    private void watch(long expectedRound, Revision after) {
-        requests.take(turn.now(), 1);
-        store.changes(KEY, after, 4000, changes -> {
-            if (expectedRound != round || leading) {
+    private void watchKey(long expectedRound, Revision after) {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.watch(KEY, after, 4000, changes -> {
+            if (expectedRound != round || isLeading) {
                 return;
             }
             if (changes.status() != 200) {
-                later(changes.status() == 410 ? 100 : 500, expectedRound);
+                readKeyLater(changes.status() == 410 ? 100 : 500, expectedRound);
                 return;
             }
-            told = turn.now();
+            leaderKnownAt = context.now();
             StoreClient.KeyValue last = null;
-            for (StoreClient.KeyValue i : changes.log()) {
+            for (StoreClient.KeyValue i : changes.changes()) {
                 last = i.key().equals(KEY) ? i : last;
             }
             if (last == null) {
                 // Nothing for a while; read the key instead of trusting the watch for ever.
-                later(0, expectedRound);
+                readKeyLater(0, expectedRound);
             } else if (last.value() == null) {
                 leader = null;
-                if (turn.now().before(standFrom)) {
-                    later(700, expectedRound);
+                if (context.now().isBefore(campaignFrom)) {
+                    readKeyLater(700, expectedRound);
                 } else {
-                    stand(expectedRound, Revision.ABSENT);
+                    campaign(expectedRound, Revision.ABSENT);
                 }
             } else {
                 leader = last.value().path("node").asText(null);
-                watch(expectedRound, changes.revision());
+                watchKey(expectedRound, changes.revision());
             }
         });
     }
 
-    private void stand(long expectedRound, Revision expected) {
-        MonotonicTime sent = turn.now();
-        requests.take(turn.now(), 2);
-        store.grant(ttlMs, hold -> {
+    private void campaign(long expectedRound, Revision expected) {
+        MonotonicTime sent = context.now();
+        requests.takeOrOverdraw(context.now(), 2);
+        store.grantLease(ttlMs, hold -> {
             if (expectedRound != round || hold == 0) {
-                later(500, expectedRound);
+                readKeyLater(500, expectedRound);
                 return;
             }
-            wonWallMs = turn.wallMs();
-            Transaction txn = new Transaction().guard(KEY, expected).put(KEY, value(), hold);
-            store.commit(txn, commit -> {
+            wonWallMs = context.wallMs();
+            Transaction transaction = new Transaction().guard(KEY, expected).put(KEY, keyValue(), hold);
+            store.commit(transaction, commit -> {
                 if (expectedRound != round) {
                     return;
                 }
-                if (commit.result() == CommitResult.Outcome.DONE) {
-                    win(hold, commit.revision(), sent);
+                if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                    becomeLeader(hold, commit.revision(), sent);
                 } else {
                     // Ending the lease also ends a transaction that may still be on its way.
-                    store.revoke(hold);
-                    later(commit.result() == CommitResult.Outcome.CONFLICT ? 20 : 500, expectedRound);
+                    store.revokeLease(hold);
+                    readKeyLater(commit.outcome() == CommitResult.Outcome.CONFLICT ? 20 : 500, expectedRound);
                 }
             });
         });
     }
 
-    private void win(long hold, Revision revision, MonotonicTime sent) {
+    private void becomeLeader(long hold, Revision revision, MonotonicTime sent) {
         lease = hold;
-        leading = true;
-        baton = new FencingToken(revision.value());
-        firstBaton = baton;
-        validUntil = MonotonicTime.ZERO;
-        vouch(sent);
-        LOG.info("leader from now on, baton {}", baton.value());
+        isLeading = true;
+        fencingToken = new FencingToken(revision.value());
+        firstFencingToken = fencingToken;
+        leaseValidUntil = MonotonicTime.ZERO;
+        extendValidity(sent);
+        LOG.info("leader from now on, baton {}", fencingToken.value());
         long expectedRound = ++round;
-        turn.after(ttlMs / 5, () -> extend(expectedRound));
-        listener.won(baton);
+        context.schedule(ttlMs / 5, () -> extendLease(expectedRound));
+        listener.won(fencingToken);
     }
 
-    private void vouch(MonotonicTime sent) {
+    private void extendValidity(MonotonicTime sent) {
         MonotonicTime until = sent.plusMs((long) (ttlMs * (1 - DRIFT)) - MARGIN_MS);
-        if (validUntil.before(until)) {
-            validUntil = until;
+        if (leaseValidUntil.isBefore(until)) {
+            leaseValidUntil = until;
         }
     }
 
-    private void extend(long expectedRound) {
-        if (expectedRound != round || !leading) {
+    private void extendLease(long expectedRound) {
+        if (expectedRound != round || !isLeading) {
             return;
         }
-        MonotonicTime sent = turn.now();
-        requests.take(turn.now(), 1);
-        store.extend(lease, result -> {
-            if (expectedRound != round || !leading) {
+        MonotonicTime sent = context.now();
+        requests.takeOrOverdraw(context.now(), 1);
+        store.extendLease(lease, result -> {
+            if (expectedRound != round || !isLeading) {
                 return;
             }
-            if (result.is(200)) {
-                vouch(sent);
-                turn.after(Math.max(100, ttlMs / 5 - turn.now().since(sent)), () -> extend(expectedRound));
-            } else if (result.is(404)) {
-                lose("the lease ended");
-            } else if (result.kind() == CallResult.Kind.UNKNOWN && !valid()) {
+            if (result.hasStatus(200)) {
+                extendValidity(sent);
+                context.schedule(
+                        Math.max(100, ttlMs / 5 - context.now().since(sent)), () -> extendLease(expectedRound));
+            } else if (result.hasStatus(404)) {
+                loseLeadership("the lease ended");
+            } else if (result.kind() == CallResult.Kind.UNKNOWN && !holdsLease()) {
                 // Its requests may arrive all the same, and would keep the key from all others for as long as they do.
-                lose("the state service has not answered for a lease");
+                loseLeadership("the state service has not answered for a lease");
             } else {
-                turn.after(300, () -> extend(expectedRound));
+                context.schedule(300, () -> extendLease(expectedRound));
             }
         });
     }
 
     /** Gives the lead up for another node to take; this one stands again after a while. */
-    public void makeWay(String cause, long forMs) {
-        standFrom = turn.now().plusMs(forMs);
-        lose(cause);
+    public void stepDown(String cause, long forMs) {
+        campaignFrom = context.now().plusMs(forMs);
+        loseLeadership(cause);
     }
 
     /** Called when the key turned out not to be this leader's any more. */
-    public void lose(String cause) {
-        if (!leading) {
+    public void loseLeadership(String cause) {
+        if (!isLeading) {
             return;
         }
-        LOG.info("no longer leader, baton {}: {}", baton.value(), cause);
-        leading = false;
+        LOG.info("no longer leader, baton {}: {}", fencingToken.value(), cause);
+        isLeading = false;
         leader = null;
-        store.revoke(lease);
+        store.revokeLease(lease);
         listener.lost();
         start();
     }
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -15,38 +15,38 @@
  */
 public final class PeerDirectory {
     private static final long FRESH_MS = 5000;
-    private static final long SERVED_MS = 2500;
+    private static final long STORE_ANSWER_MS = 2500;
 
     private record LastMessage(PeerState state, MonotonicTime at) {}
 
     private final Set<String> seeds;
-    private final Map<String, LastMessage> heard = new HashMap<>();
+    private final Map<String, LastMessage> lastMessages = new HashMap<>();
 
     public PeerDirectory(Set<String> seeds) {
         this.seeds = seeds;
     }
 
-    public void heard(PeerState state, MonotonicTime now) {
+    public void lastMessages(PeerState state, MonotonicTime now) {
         if (seeds.contains(state.node())) {
-            heard.put(state.node(), new LastMessage(state, now));
+            lastMessages.put(state.node(), new LastMessage(state, now));
         }
     }
 
-    private boolean fresh(LastMessage message, MonotonicTime now) {
+    private boolean isFresh(LastMessage message, MonotonicTime now) {
         return now.since(message.at) < FRESH_MS;
     }
 
     /** Whether every other node has been heard since this one began: they are of a version that speaks as this one does. */
-    public boolean allHeard() {
-        return heard.size() == seeds.size();
+    public boolean hasHeardAll() {
+        return lastMessages.size() == seeds.size();
     }
 
     /** What each of the others wants of the state service's changes, or of all requests; not known where nothing was heard lately. */
-    public List<RequestShares.Demand> wants(MonotonicTime now, ToDoubleFunction<PeerState> of) {
+    public List<RequestShares.Demand> demands(MonotonicTime now, ToDoubleFunction<PeerState> of) {
         List<RequestShares.Demand> out = new ArrayList<>();
         for (String node : seeds) {
-            LastMessage message = heard.get(node);
-            boolean fresh = message != null && fresh(message, now);
+            LastMessage message = lastMessages.get(node);
+            boolean fresh = message != null && isFresh(message, now);
             out.add(new RequestShares.Demand(
                     fresh && message.state.leading(), fresh ? of.applyAsDouble(message.state) : -1));
         }
@@ -54,11 +54,11 @@
     }
 
     /** How many workers' reports have lately reached each of the others that is heard of. */
-    public List<Integer> reportsElsewhere(MonotonicTime now) {
+    public List<Integer> heartbeatsAtPeers(MonotonicTime now) {
         List<Integer> out = new ArrayList<>();
-        for (LastMessage message : heard.values()) {
-            if (fresh(message, now)) {
-                out.add(message.state.reportsHeard());
+        for (LastMessage message : lastMessages.values()) {
+            if (isFresh(message, now)) {
+                out.add(message.state.heartbeatsReceived());
             }
         }
         return out;
@@ -67,10 +67,10 @@
     /** Who says that it leads, or null; of two the one with the newer fencing token. */
     public String leader(MonotonicTime now) {
         PeerState best = null;
-        for (LastMessage message : heard.values()) {
-            if (fresh(message, now)
+        for (LastMessage message : lastMessages.values()) {
+            if (isFresh(message, now)
                     && message.state.leading()
-                    && (best == null || message.state.baton().compareTo(best.baton()) > 0)) {
+                    && (best == null || message.state.fencingToken().compareTo(best.fencingToken()) > 0)) {
                 best = message.state;
             }
         }
@@ -78,14 +78,16 @@
     }
 
     /** Whether there are others, and none has been heard for so long. */
-    public boolean silent(MonotonicTime now, long forMs) {
-        return !seeds.isEmpty() && heard.values().stream().allMatch(h -> now.since(h.at) > forMs);
+    public boolean allSilentFor(MonotonicTime now, long forMs) {
+        return !seeds.isEmpty() && lastMessages.values().stream().allMatch(h -> now.since(h.at) > forMs);
     }
 
     /** Whether the state service serves some other node that users can turn to. */
-    public boolean servedElsewhere(MonotonicTime now) {
-        for (LastMessage message : heard.values()) {
-            if (fresh(message, now) && message.state.ready() && message.state.storeAnswersMs() < SERVED_MS) {
+    public boolean isServedElsewhere(MonotonicTime now) {
+        for (LastMessage message : lastMessages.values()) {
+            if (isFresh(message, now)
+                    && message.state.ready()
+                    && message.state.msSinceStoreAnswer() < STORE_ANSWER_MS) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
+++ b/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
@@ -10,37 +10,37 @@
  */
 public final class RequestShares {
     /** The leader's sure part; the other nodes' users have the rest in equal parts. */
-    private static final double LEADER = 0.55;
+    private static final double LEADER_SHARE = 0.55;
     /** How much of what nobody asked for a node may take at once, for bursts come before anybody has heard of them. */
-    private static final double LEADERS_SLACK = 0.75;
+    private static final double LEADER_SLACK_SHARE = 0.75;
 
-    private static final double SLACK = 0.5;
+    private static final double FOLLOWER_SLACK_SHARE = 0.5;
 
     /** What a node wants a second; below 0: not known. */
-    public record Demand(boolean leads, double perSecond) {}
+    public record Demand(boolean leading, double perSecond) {}
 
     private RequestShares() {}
 
     /** What users of one node may count on while a leader is busy. */
-    public static double usersPart(double total, int nodes) {
-        return (1 - LEADER) * total / nodes;
+    public static double followerShare(double total, int nodes) {
+        return (1 - LEADER_SHARE) * total / nodes;
     }
 
     /** @param total changes a second for all nodes together; {@code wants} of all nodes, the asking one first */
-    public static double of(double total, List<Demand> wants) {
+    public static double shareOfFirst(double total, List<Demand> wants) {
         int nodes = wants.size();
         double[] part = new double[nodes];
         double[] open = new double[nodes];
         double[] got = new double[nodes];
-        long others = wants.stream().filter(w -> !w.leads).count();
+        long others = wants.stream().filter(w -> !w.leading).count();
         for (int i = 0; i < nodes; i++) {
             Demand want = wants.get(i);
             boolean led = others < nodes;
             part[i] = !led
                     ? total / nodes
-                    : want.leads
-                            ? (others == 0 ? total : LEADER * total) / (nodes - others)
-                            : (1 - LEADER) * total / others;
+                    : want.leading
+                            ? (others == 0 ? total : LEADER_SHARE * total) / (nodes - others)
+                            : (1 - LEADER_SHARE) * total / others;
             open[i] = want.perSecond < 0 ? part[i] : want.perSecond;
         }
         double left = total;
@@ -65,7 +65,7 @@
         return Math.max(
                 Math.min(part[0], total),
                 got[0]
-                        + (wants.get(0).leads ? LEADERS_SLACK : SLACK)
+                        + (wants.get(0).leading ? LEADER_SLACK_SHARE : FOLLOWER_SLACK_SHARE)
                                 * Math.max(0, total - Arrays.stream(got).sum()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
+++ b/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
@@ -11,47 +11,47 @@
  */
 public final class WorkerReachability {
     /** Fewer of its machines than this share in the time in which all should have reported: something is in between. */
-    private static final double DEAF_SHARE = 0.3;
+    private static final double UNREACHABLE_SHARE = 0.3;
 
-    private static final int LEAST_MACHINES = 5;
+    private static final int MIN_MACHINES = 5;
     /** So many of its machines speak and prove not to hear it: more than a zone that is cut off one way. */
-    private static final double MUTE_SHARE = 0.6;
+    private static final double UNHEARD_SHARE = 0.6;
     /** Machines that are silent for all: other nodes must have been turned to by this share of the missing ones. */
-    private static final double TURNED_SHARE = 0.2;
+    private static final double DIVERTED_SHARE = 0.2;
 
-    private static final int MOST_REMEMBERED = 20_000;
+    private static final int MAX_REMEMBERED = 20_000;
 
     private final long windowMs;
-    private final ArrayDeque<MonotonicTime> reports = new ArrayDeque<>();
+    private final ArrayDeque<MonotonicTime> heartbeats = new ArrayDeque<>();
 
     /** @param reportMs how often a worker reports */
     public WorkerReachability(long reportMs) {
-        this.windowMs = window(reportMs);
+        this.windowMs = reportingWindowMs(reportMs);
     }
 
     /** The time in which a worker that can reach a node has reported: a quarter late, and some for the way. */
-    public static long window(long reportMs) {
+    public static long reportingWindowMs(long reportMs) {
         return reportMs * 3 / 2 + 2000;
     }
 
-    public void report(MonotonicTime now) {
-        reports.addLast(now);
-        if (reports.size() > MOST_REMEMBERED) {
-            reports.removeFirst();
+    public void recordHeartbeat(MonotonicTime now) {
+        heartbeats.addLast(now);
+        if (heartbeats.size() > MAX_REMEMBERED) {
+            heartbeats.removeFirst();
         }
     }
 
     /** Reports that have reached this node lately, answered or turned away. */
-    public int lately(MonotonicTime now) {
-        while (!reports.isEmpty() && now.since(reports.peekFirst()) > windowMs) {
-            reports.removeFirst();
+    public int recentHeartbeats(MonotonicTime now) {
+        while (!heartbeats.isEmpty() && now.since(heartbeats.peekFirst()) > windowMs) {
+            heartbeats.removeFirst();
         }
-        return reports.size();
+        return heartbeats.size();
     }
 
     /** Whether what a leader says reaches so few of its machines that another should say it. */
-    public static boolean mute(int up, int unhearing) {
-        return up >= LEAST_MACHINES && unhearing >= MUTE_SHARE * up;
+    public static boolean isUnheard(int up, int unhearing) {
+        return up >= MIN_MACHINES && unhearing >= UNHEARD_SHARE * up;
     }
 
     /**
@@ -60,12 +60,12 @@
      * @param up machines that have reported to it before and are not on their way out; {@code heard} of them lately
      * @param elsewhere reports that reached each other node that is heard of; empty: none is heard of
      */
-    public static boolean deaf(int up, int heard, Collection<Integer> elsewhere) {
+    public static boolean isUnreachable(int up, int heard, Collection<Integer> elsewhere) {
         int missing = up - heard;
-        if (up < LEAST_MACHINES || heard >= DEAF_SHARE * up) {
+        if (up < MIN_MACHINES || heard >= UNREACHABLE_SHARE * up) {
             return false;
         }
         int turned = elsewhere.stream().mapToInt(Integer::intValue).sum();
-        return elsewhere.isEmpty() || turned >= TURNED_SHARE * missing;
+        return elsewhere.isEmpty() || turned >= DIVERTED_SHARE * missing;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/ChangeLog.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLog.java
@@ -18,7 +18,7 @@
  */
 public final class ChangeLog {
     /** Beyond this many segments what the oldest say is gathered in new ones: a take-over has to read them all. */
-    private static final int MANY = 40;
+    private static final int CROWDED_SEGMENTS = 40;
 
     private record Segment(long number, int slot, Set<JobId> jobs) {}
 
@@ -39,7 +39,7 @@
         return lastNumber;
     }
 
-    void numbered(long number) {
+    void noteNumber(long number) {
         lastNumber = Math.max(lastNumber, number);
     }
 
@@ -48,19 +48,19 @@
     }
 
     /** A slot to be written; it is in use until {@link #release}. */
-    int reserve() {
+    int reserveSlot() {
         int slot = slots.nextClearBit(0);
         slots.set(slot);
         return slot;
     }
 
     /** The slot was not written after all. */
-    void release(int slot) {
+    void releaseSlot(int slot) {
         slots.clear(slot);
     }
 
     /** The state service holds a segment with these jobs' news. */
-    void holds(long number, int slot, Collection<JobId> jobs) {
+    void recordSegment(long number, int slot, Collection<JobId> jobs) {
         if (jobs.isEmpty()) {
             slots.clear(slot);
             return;
@@ -72,7 +72,7 @@
     }
 
     /** The job has ended, or its record says all that the log does. */
-    void settled(JobId job) {
+    void forgetJob(JobId job) {
         Deque<Segment> of = byJob.remove(job);
         if (of == null) {
             return;
@@ -87,20 +87,20 @@
     }
 
     /** Whether the job's record lacks what the log says. */
-    boolean beyond(JobId job) {
+    boolean hasChangesOf(JobId job) {
         return byJob.containsKey(job);
     }
 
-    boolean crowded() {
-        return inUse.size() > MANY;
+    boolean isCrowded() {
+        return inUse.size() > CROWDED_SEGMENTS;
     }
 
-    int segments() {
+    int segmentCount() {
         return inUse.size();
     }
 
     /** The jobs that keep the oldest segments in use, about so many. */
-    Set<JobId> oldest(int most) {
+    Set<JobId> oldestJobs(int most) {
         Set<JobId> out = new LinkedHashSet<>();
         for (Segment segment : inUse.values()) {
             if (out.size() >= most) {
--- a/src/main/java/org/beechhoist/controller/state/ClusterState.java
+++ b/src/main/java/org/beechhoist/controller/state/ClusterState.java
@@ -22,48 +22,48 @@
 
     private static final long LEASE_MARGIN_MS = 1000;
 
-    private static final int REMEMBERED_ENDED = 2000;
+    private static final int MAX_REMEMBERED_ENDED = 2000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-    private final Map<MachineId, Machine> hosts = new TreeMap<>();
+    private final Map<MachineId, Machine> machines = new TreeMap<>();
     /** Jobs whose record the state service does not hold as it is here. */
-    private final Set<Job> dirty = new LinkedHashSet<>();
+    private final Set<Job> dirtyJobs = new LinkedHashSet<>();
     /** CPU milliseconds that each team has used, by this leadership's knowledge. */
     private final Map<String, Double> teamCpuMs = new HashMap<>();
     /** Jobs whose record, or part of the log, can't be read: only that it is there is known of them. */
-    private final Set<JobId> unreadable = new HashSet<>();
+    private final Set<JobId> isUnreadable = new HashSet<>();
 
-    private final Set<JobId> ended = BoundedCollections.added(REMEMBERED_ENDED);
-    private MonotonicTime wonAt = MonotonicTime.ZERO;
-    private long reign;
-    private boolean changed;
+    private final Set<JobId> markEnded = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_ENDED);
+    private MonotonicTime termBeganAt = MonotonicTime.ZERO;
+    private long term;
+    private boolean replanRequested;
 
-    public ClusterState(ControllerContext turn, Settings settings) {
-        this.turn = turn;
+    public ClusterState(ControllerContext context, Settings settings) {
+        this.context = context;
         this.settings = settings;
     }
 
     /** Leadership begins or ends: nothing that was known counts any more. */
     public void reset() {
-        reign++;
-        wonAt = turn.now();
+        term++;
+        termBeganAt = context.now();
         jobs.clear();
-        unreadable.clear();
-        hosts.clear();
-        dirty.clear();
+        isUnreadable.clear();
+        machines.clear();
+        dirtyJobs.clear();
         teamCpuMs.clear();
     }
 
     /** When this leadership began. */
-    public MonotonicTime wonAt() {
-        return wonAt;
+    public MonotonicTime termBeganAt() {
+        return termBeganAt;
     }
 
     /** Changes with leadership; answers to calls of an earlier one are left alone. */
-    public long reign() {
-        return reign;
+    public long term() {
+        return term;
     }
 
     // ---- jobs ----
@@ -72,102 +72,105 @@
         return jobs.values();
     }
 
-    public Job job(JobId ref) {
-        return jobs.get(ref);
+    public Job job(JobId jobId) {
+        return jobs.get(jobId);
     }
 
-    void add(Job job) {
-        jobs.put(job.ref(), job);
+    void addJob(Job job) {
+        jobs.put(job.id(), job);
     }
 
-    void remove(Job job) {
-        jobs.remove(job.ref());
+    void removeJob(Job job) {
+        jobs.remove(job.id());
     }
 
     /** The job's final state is committed: what the watch still brings of it is old. */
-    void ended(Job job) {
-        remove(job);
-        ended.add(job.ref());
+    void markEnded(Job job) {
+        removeJob(job);
+        markEnded.add(job.id());
     }
 
     /** What is stored of the job can't be read: it is left alone, and so are its tasks. */
-    void leaveAlone(JobId ref) {
-        jobs.remove(ref);
-        unreadable.add(ref);
+    void ignoreUnreadable(JobId jobId) {
+        jobs.remove(jobId);
+        isUnreadable.add(jobId);
     }
 
-    public boolean unreadable(JobId ref) {
-        return unreadable.contains(ref);
+    public boolean isUnreadable(JobId jobId) {
+        return isUnreadable.contains(jobId);
     }
 
-    boolean hasEnded(JobId ref) {
-        return ended.contains(ref);
+    boolean hasEnded(JobId jobId) {
+        return markEnded.contains(jobId);
     }
 
     /** Forgets all jobs and what was to be written of them, for they are read anew; hands over what was known. */
-    Map<JobId, Job> dropJobs() {
+    Map<JobId, Job> takeAllJobs() {
         Map<JobId, Job> old = new HashMap<>(jobs);
         jobs.clear();
-        unreadable.clear();
-        dirty.clear();
+        isUnreadable.clear();
+        dirtyJobs.clear();
         return old;
     }
 
     /** The job's record is to be written. */
-    public void touch(Job job) {
+    public void markDirty(Job job) {
         if (!job.dirty) {
             job.dirty = true;
-            job.dirtySince = turn.now();
-            dirty.add(job);
+            job.dirtySince = context.now();
+            dirtyJobs.add(job);
         }
     }
 
-    Collection<Job> dirty() {
-        return dirty;
+    Collection<Job> dirtyJobs() {
+        return dirtyJobs;
     }
 
     /** The job's record is on its way to the state service. */
-    void sent(Job job) {
+    void markInFlight(Job job) {
         job.dirty = false;
-        dirty.remove(job);
+        dirtyJobs.remove(job);
         job.inFlight = true;
     }
 
     // ---- machines ----
 
-    public Collection<Machine> hosts() {
-        return hosts.values();
+    public Collection<Machine> machines() {
+        return machines.values();
     }
 
     /** The machine, entered if it was not known. */
-    public Machine host(MachineId id) {
-        return hosts.computeIfAbsent(id, k -> new Machine(k, turn.now()));
+    public Machine machine(MachineId id) {
+        return machines.computeIfAbsent(id, k -> new Machine(k, context.now()));
     }
 
     /** The machine, or null. */
-    public Machine known(MachineId id) {
-        return hosts.get(id);
+    public Machine findMachine(MachineId id) {
+        return machines.get(id);
     }
 
-    public Machine drop(MachineId id) {
-        return hosts.remove(id);
+    public Machine removeMachine(MachineId id) {
+        return machines.remove(id);
     }
 
     /** When the worker's lease has certainly run out, whoever answered it last, and whenever its session began. */
-    public MonotonicTime lapse(Machine machine) {
-        MonotonicTime last =
-                machine.lastAnswered == null || machine.lastAnswered.before(wonAt) ? wonAt : machine.lastAnswered;
-        last = last.before(machine.sessionHeard) ? machine.sessionHeard : last;
+    public MonotonicTime leaseExpiry(Machine machine) {
+        MonotonicTime last = machine.lastAnsweredAt == null || machine.lastAnsweredAt.isBefore(termBeganAt)
+                ? termBeganAt
+                : machine.lastAnsweredAt;
+        last = last.isBefore(machine.epochFirstHeardAt) ? machine.epochFirstHeardAt : last;
         return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
     }
 
-    public MonotonicTime heard(Machine machine) {
-        return machine.lastHeard == null || machine.lastHeard.before(wonAt) ? wonAt : machine.lastHeard;
+    public MonotonicTime lastHeardOf(Machine machine) {
+        return machine.lastHeardAt == null || machine.lastHeardAt.isBefore(termBeganAt)
+                ? termBeganAt
+                : machine.lastHeardAt;
     }
 
     // ---- teams ----
 
-    public void used(String team, double cpuMs) {
+    public void addTeamUsage(String team, double cpuMs) {
         teamCpuMs.merge(team, cpuMs, Double::sum);
     }
 
@@ -176,7 +179,7 @@
     }
 
     /** CPUs and accelerators of each team's tasks that may be on machines. */
-    public Map<String, double[]> usedByTeams() {
+    public Map<String, double[]> teamUsage() {
         Map<String, double[]> used = new HashMap<>();
         for (Job job : jobs.values()) {
             double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
@@ -189,15 +192,15 @@
     // ---- the plan's age ----
 
     /** Something happened that a new plan should know. */
-    public void replan() {
-        changed = true;
+    public void requestReplan() {
+        replanRequested = true;
     }
 
-    public boolean changed() {
-        return changed;
+    public boolean replanRequested() {
+        return replanRequested;
     }
 
-    public void planned() {
-        changed = false;
+    public void replanDone() {
+        replanRequested = false;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
+++ b/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
@@ -12,15 +12,15 @@
     private static final double WEIGHT = 0.08;
     private final Map<String, Double> ratios = new HashMap<>();
 
-    public long lengthMs(JobSpec spec) {
-        if (spec.service()) {
+    public long expectedMs(JobSpec spec) {
+        if (spec.isService()) {
             return SERVICE_MS;
         }
         return Math.max(1000, Math.round(1000 * spec.estimateS() * ratios.getOrDefault(spec.jobClass(), 1.0)));
     }
 
-    public void observed(JobSpec spec, long ms) {
-        if (spec.service() || spec.estimateS() <= 0) {
+    public void observe(JobSpec spec, long ms) {
+        if (spec.isService() || spec.estimateS() <= 0) {
             return;
         }
         double ratio = Math.max(0.2, Math.min(5, ms / (1000 * spec.estimateS())));
@@ -28,14 +28,15 @@
     }
 
     /** When the task is expected to be over. */
-    public MonotonicTime endOf(Placement placement, MonotonicTime now) {
-        MonotonicTime begin = placement.running != null ? placement.running : placement.since.plusMs(placement.fetchMs);
-        MonotonicTime end = begin.plusMs(placement.expectedMs);
-        if (placement.killSent) {
+    public MonotonicTime expectedEnd(Placement placement, MonotonicTime now) {
+        MonotonicTime begin =
+                placement.runningSince != null ? placement.runningSince : placement.placedAt.plusMs(placement.fetchMs);
+        MonotonicTime end = begin.plusMs(placement.expectedDurationMs);
+        if (placement.stopRequested) {
             return now.plusMs(300);
         }
-        if (placement.leavesAt > 0) {
-            return new MonotonicTime(Math.max(now.ms() + 300, placement.leavesAt));
+        if (placement.expectedGoneAtMs > 0) {
+            return new MonotonicTime(Math.max(now.ms() + 300, placement.expectedGoneAtMs));
         }
         long late = now.since(end);
         // Past its estimate: the end moves ahead, further the longer it has run.
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -35,66 +35,66 @@
     MonotonicTime dirtySince = MonotonicTime.ZERO;
     public boolean inFlight;
     /** What the watch brought of the record while a commit of the job was on its way, or null. */
-    StoreClient.KeyValue news;
+    StoreClient.KeyValue pendingChange;
     /** When its cancellation was committed, where that was heard before the record told; 0: it was not. */
-    public long cancelHeardMs;
+    public long cancelHeardAtMs;
     /** Placements that no transaction holds yet: their launches wait for one. */
-    public int uncommitted;
+    public int uncommittedPlacements;
     /** Chosen from the time of day the job was accepted. */
-    public final MonotonicTime submitted;
+    public final MonotonicTime submittedAt;
 
     public MonotonicTime notBefore = MonotonicTime.ZERO;
     public MonotonicTime nextPreemption = MonotonicTime.ZERO;
-    public MonotonicTime nextNarrowing = MonotonicTime.ZERO;
+    public MonotonicTime nextWidthReduction = MonotonicTime.ZERO;
     /** Tasks that are to go, and how; most are not stopped yet. */
-    public final Map<Placement, Ending> leaving = new LinkedHashMap<>();
+    public final Map<Placement, Ending> endings = new LinkedHashMap<>();
     /** The width that the state service holds. */
     public int committedWidth;
     /** Failures that the record in the state service counts. */
-    int storedFailures;
+    int committedFailures;
     /** Its tasks as the state service holds them, by record and log. */
-    CommittedTasks stored;
+    CommittedTasks committedTasks;
     /** The same by the record alone. */
-    CommittedTasks recorded;
+    CommittedTasks recordedTasks;
 
-    public final Set<MachineId> failedOn = new HashSet<>();
+    public final Set<MachineId> failedOnMachines = new HashSet<>();
     /** Failures since it was first thought to be submitted with a mistake. */
-    public int trials;
+    public int failureBackoffs;
 
     public MonotonicTime lastProgress;
     /** Whether it fits into its team's guarantee together with the team's earlier open jobs. */
-    public boolean guaranteed;
+    public boolean withinQuota;
     /** Whether it goes first, for its class, its team or its class's largest are below their half. */
-    public boolean lifted;
+    public boolean prioritized;
     /** So many of its tasks are to begin before others' do, for nothing of it has begun for long; none is to be stopped while it is {@link #aged}. */
-    public int firstUpTo;
+    public int expeditedUpTo;
 
-    public boolean aged;
+    public boolean starving;
     /** Why nothing of it may start, and perhaps nothing run: its key set; null: nothing stands against it. */
-    public Verdict hold;
+    public Verdict keySetHold;
 
     public long heldSinceMs;
     /** What of the release calendar it counts for, as of the last plan, or null. */
     public Release release;
     /** What it counts for: its class, its team, and its class's largest; null until it is first asked. */
-    public Set<String> groups;
+    public Set<String> shareGroups;
     /** Whether it is left behind under overload, so that others are in time. */
-    public boolean behind;
+    public boolean shed;
 
     Job(JobRecord record, Revision version, MonotonicTime submitted) {
         this.record = record;
         this.version = version;
-        this.submitted = submitted;
+        this.submittedAt = submitted;
         this.lastProgress = submitted;
         this.committedWidth = width();
-        this.storedFailures = record.failures;
-        this.stored = CommittedTasks.of(record);
-        this.recorded = CommittedTasks.of(record);
-        this.hold = record.spec.pin() == null ? null : Verdict.NOT_KNOWN;
+        this.committedFailures = record.failures;
+        this.committedTasks = CommittedTasks.of(record);
+        this.recordedTasks = CommittedTasks.of(record);
+        this.keySetHold = record.spec.keySetBinding() == null ? null : Verdict.NOT_KNOWN;
     }
 
-    public JobId ref() {
-        return record.spec.ref();
+    public JobId id() {
+        return record.spec.id();
     }
 
     public JobSpec spec() {
@@ -107,68 +107,68 @@
     }
 
     /** Whether its tasks may have the other job's stopped. */
-    public boolean outranks(Job other) {
-        if (other.lifted || other.aged) {
+    public boolean mayPreempt(Job other) {
+        if (other.prioritized || other.starving) {
             return false; // it would be lifted again, and stopped again
         }
-        int urgency = spec().urgency().compareTo(other.spec().urgency());
-        boolean borrowed = !other.guaranteed && !other.spec().team().equals(spec().team());
+        int urgency = spec().priority().compareTo(other.spec().priority());
+        boolean borrowed = !other.withinQuota && !other.spec().team().equals(spec().team());
         // A guarantee could take back borrowed machines from more urgent work too, but that work waits worst.
-        return urgency < 0 || (urgency == 0 && guaranteed && borrowed);
+        return urgency < 0 || (urgency == 0 && withinQuota && borrowed);
     }
 
     /**
      * Whether it may have been submitted with a mistake: several tasks failed, on more than one machine as far as this leader
      * saw them, and none is done. It is tried with one task at a time then, and nobody makes room or rents for it.
      */
-    public boolean suspect() {
+    public boolean isSuspect() {
         return record.done.size() == 0
-                && (failedOn.size() >= SUSPECT_MACHINES && record.failures >= SUSPECT_FAILURES
+                && (failedOnMachines.size() >= SUSPECT_MACHINES && record.failures >= SUSPECT_FAILURES
                         || record.failures >= SUSPECT_BEFORE);
     }
 
     /** Whether it is held: nothing of it may run. */
-    public boolean held() {
-        return hold != null && hold.held();
+    public boolean isHeld() {
+        return keySetHold != null && keySetHold.held();
     }
 
     /** Tasks of it that go first now. */
-    public int firstPart() {
-        return Math.max(0, firstUpTo - record.live.size() - record.done.size());
+    public int expeditedTasks() {
+        return Math.max(0, expeditedUpTo - record.live.size() - record.done.size());
     }
 
     /** Whether something of it has begun. */
-    public boolean begun() {
+    public boolean hasBegun() {
         return !record.live.isEmpty() || record.done.size() > 0;
     }
 
     /** How many of its tasks may be placed now beside those that are. */
-    public int mayTry(int waiting) {
-        return suspect() ? Math.min(waiting, record.live.isEmpty() ? 1 : 0) : waiting;
+    public int maxPlaceable(int waiting) {
+        return isSuspect() ? Math.min(waiting, record.live.isEmpty() ? 1 : 0) : waiting;
     }
 
     /** Whether its cancellation is committed, as far as is known: by its record, or by who heard of it first. */
-    public boolean cancelled() {
-        return record.cancelled() || cancelHeardMs > 0;
+    public boolean isCancelled() {
+        return record.isCancelled() || cancelHeardAtMs > 0;
     }
 
     /** When that was, by the time of day. */
     public long cancelledAtMs() {
-        return record.cancelled() ? record.cancelWallMs : cancelHeardMs;
+        return record.isCancelled() ? record.cancelledAtWallMs : cancelHeardAtMs;
     }
 
     /** Whether its record has changed since it was read, as is known: a commit under the version that was read would fail. */
-    boolean overtaken() {
-        return cancelHeardMs > 0 && !record.cancelled();
+    boolean isRecordOutdated() {
+        return cancelHeardAtMs > 0 && !record.isCancelled();
     }
 
     /** What it is called once nothing of it is live. */
     String finalState() {
-        return record.cancelled() ? "cancelled" : "done";
+        return record.isCancelled() ? "cancelled" : "done";
     }
 
     /** Whether what the leader holds of it is what the state service holds. */
-    public boolean settled() {
+    public boolean isSettled() {
         return !dirty && !inFlight;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/MachineReachability.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineReachability.java
@@ -11,42 +11,46 @@
  * @param deafFrom when that became too many; null: it is thought to hear
  * @param spokeAt when it last spoke, having missed something; null: it has not
  */
-public record MachineReachability(MonotonicTime provedAt, int missed, MonotonicTime deafFrom, MonotonicTime spokeAt) {
+public record MachineReachability(
+        MonotonicTime lastProvenAt, int missed, MonotonicTime unreachableSince, MonotonicTime lastHeartbeatAt) {
     /** So many lost messages in a row: one may be lost on the way, or be late because this node was. */
-    public static final int ENOUGH = 2;
+    public static final int MISSED_LIMIT = 2;
     /** What was given to it and never seen there waits no longer than this. */
     private static final long SETTLE_MS = 2000;
     /** Where most of a zone is deaf, its machines are kept for so many leases. */
-    private static final int DARK_LEASES = 4;
+    private static final int ZONE_OUTAGE_LEASES = 4;
 
-    public static MachineReachability from(MonotonicTime now) {
+    public static MachineReachability initial(MonotonicTime now) {
         return new MachineReachability(now, 0, null, null);
     }
 
     /** Something that it can only know from us, or an answer to a question. */
-    public MachineReachability proved(MonotonicTime now) {
-        return from(now);
+    public MachineReachability proven(MonotonicTime now) {
+        return initial(now);
     }
 
     /** A message of ours was lost, or its answer. */
     public MachineReachability missed(int times, MonotonicTime now) {
         int sum = missed + times;
         return new MachineReachability(
-                provedAt, sum, deafFrom != null ? deafFrom : sum >= ENOUGH ? now : null, spokeAt);
+                lastProvenAt,
+                sum,
+                unreachableSince != null ? unreachableSince : sum >= MISSED_LIMIT ? now : null,
+                lastHeartbeatAt);
     }
 
     /** A new report of it has come. */
-    public MachineReachability spoke(MonotonicTime now) {
-        return missed == 0 ? this : new MachineReachability(provedAt, missed, deafFrom, now);
+    public MachineReachability withHeartbeat(MonotonicTime now) {
+        return missed == 0 ? this : new MachineReachability(lastProvenAt, missed, unreachableSince, now);
     }
 
-    public boolean deaf() {
-        return deafFrom != null;
+    public boolean isUnreachable() {
+        return unreachableSince != null;
     }
 
     /** It speaks and does not hear; what neither speaks nor hears is silent, which is another matter. */
-    public boolean speaksOn() {
-        return deaf() && spokeAt != null && !spokeAt.before(deafFrom);
+    public boolean isOneWay() {
+        return isUnreachable() && lastHeartbeatAt != null && !lastHeartbeatAt.isBefore(unreachableSince);
     }
 
     /**
@@ -60,25 +64,25 @@
      * @param answeredWithinLease we answered a report of its last session so lately that its lease can't have ended if it heard
      */
     public record MessageContext(
-            boolean same,
-            boolean afterOurAnswer,
-            boolean next,
-            boolean newToken,
+            boolean sameEpoch,
+            boolean followsOurAnswer,
+            boolean consecutive,
+            boolean carriesNewToken,
             boolean callsLost,
             boolean answeredWithinLease) {}
 
     /** A new report has come. */
-    public MachineReachability after(MessageContext message, MonotonicTime now) {
-        if (message.newToken || message.same && message.afterOurAnswer && message.next) {
-            return proved(now);
+    public MachineReachability afterHeartbeat(MessageContext message, MonotonicTime now) {
+        if (message.carriesNewToken || message.sameEpoch && message.followsOurAnswer && message.consecutive) {
+            return proven(now);
         }
-        MachineReachability then = spoke(now);
-        if (!message.same) {
-            return message.answeredWithinLease ? then.missed(ENOUGH, now).spoke(now) : then;
+        MachineReachability then = withHeartbeat(now);
+        if (!message.sameEpoch) {
+            return message.answeredWithinLease ? then.missed(MISSED_LIMIT, now).withHeartbeat(now) : then;
         }
         // It turned to another node: our answer did not reach it. Calls that were lost have been counted by themselves.
-        return message.afterOurAnswer && !message.callsLost
-                ? then.missed(1, now).spoke(now)
+        return message.followsOurAnswer && !message.callsLost
+                ? then.missed(1, now).withHeartbeat(now)
                 : then;
     }
 
@@ -89,17 +93,17 @@
      * @param seen tasks that it has shown
      * @param dark most of its zone, or of all, is silent or does not hear: the network is the likelier cause
      */
-    public boolean givenUp(int waiting, int seen, boolean dark, long leaseMs, MonotonicTime now) {
-        if (!deaf()) {
+    public boolean shouldRelease(int waiting, int seen, boolean dark, long leaseMs, MonotonicTime now) {
+        if (!isUnreachable()) {
             return false;
         }
-        long unheard = now.since(provedAt);
+        long unheard = now.since(lastProvenAt);
         if (dark) {
-            return unheard > DARK_LEASES * leaseMs; // what is there may hear again, and all come back at once
+            return unheard > ZONE_OUTAGE_LEASES * leaseMs; // what is there may hear again, and all come back at once
         }
         if (waiting > 0 && seen == 0) {
-            return now.since(deafFrom) > SETTLE_MS;
+            return now.since(unreachableSince) > SETTLE_MS;
         }
-        return speaksOn() && unheard > leaseMs + SETTLE_MS; // its worker has ended all that it had
+        return isOneWay() && unheard > leaseMs + SETTLE_MS; // its worker has ended all that it had
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
@@ -15,33 +15,33 @@
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
     private static final long REFRESH_MS = 30_000;
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private Map<String, MachineType> types = Map.of();
-    private boolean strangeLogged;
+    private boolean unexpectedLogged;
 
-    public MachineTypeCatalog(ControllerContext turn) {
-        this.turn = turn;
+    public MachineTypeCatalog(ControllerContext context) {
+        this.context = context;
     }
 
     public void start() {
-        turn.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
+        context.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
             boolean read = false;
-            if (result.ok() && result.body().path("hosttypes").isArray()) {
-                read = take(result.body().get("hosttypes"));
+            if (result.isOk() && result.body().path("hosttypes").isArray()) {
+                read = replaceAll(result.body().get("hosttypes"));
             }
-            turn.after(read ? REFRESH_MS : types.isEmpty() ? 1000 : 5000, this::start);
+            context.schedule(read ? REFRESH_MS : types.isEmpty() ? 1000 : 5000, this::start);
         });
     }
 
-    private boolean take(JsonNode list) {
+    private boolean replaceAll(JsonNode list) {
         Map<String, MachineType> next = new LinkedHashMap<>();
         for (JsonNode node : list) {
             try {
                 MachineType t = MachineType.parse(node);
                 next.put(t.name(), t);
             } catch (MalformedMessageException e) {
-                if (!strangeLogged) {
-                    strangeLogged = true;
+                if (!unexpectedLogged) {
+                    unexpectedLogged = true;
                     LOG.warn("cloud: a machine type can't be read: {}", e.getMessage());
                 }
                 return false;
@@ -53,7 +53,7 @@
         return !next.isEmpty();
     }
 
-    public boolean known() {
+    public boolean isLoaded() {
         return !types.isEmpty();
     }
 
--- a/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
+++ b/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
@@ -16,7 +16,7 @@
 
 /** A person's change of one record: read, edited and committed under its version, and once more where somebody was quicker. */
 public final class OptimisticUpdate {
-    private static final int MOST_RACES = 6;
+    private static final int MAX_ATTEMPTS = 6;
 
     /** An answer other than that the change is made. */
     public static final class RejectedException extends Exception {
@@ -32,30 +32,30 @@
     /** What becomes of the record. */
     public interface Edit {
         /** @param before null where there is none; {@code then} is told, now or later, what it becomes */
-        void of(JsonNode before, Completion then) throws MalformedMessageException, RejectedException;
+        void apply(JsonNode before, Completion then) throws MalformedMessageException, RejectedException;
     }
 
     /** The same, decided at once; null: the record goes. */
     public interface ImmediateEdit {
-        ObjectNode of(JsonNode before) throws MalformedMessageException, RejectedException;
+        ObjectNode apply(JsonNode before) throws MalformedMessageException, RejectedException;
     }
 
     /** Where an edit's outcome goes. */
     public interface Completion {
         /** @param more what is written in the same transaction, {@code shown} what is answered */
-        void becomes(ObjectNode value, Consumer<Transaction> more, ObjectNode shown);
+        void complete(ObjectNode value, Consumer<Transaction> more, ObjectNode shown);
     }
 
     private final int valueBytes;
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
 
     public OptimisticUpdate(
-            ControllerContext turn, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {
+            ControllerContext context, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {
         this.valueBytes = settings.stateLimits().valueBytes();
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
@@ -65,74 +65,74 @@
         return Codec.map().put("error", text);
     }
 
-    public static void unknown(ApiResponder answer) {
-        answer.respond(503, error("the state service does not answer, or what it holds is not read yet"));
+    public static void respondUnavailable(ApiResponder responder) {
+        responder.respond(503, error("the state service does not answer, or what it holds is not read yet"));
     }
 
     /** Answers with the record as it stands then. */
-    public void now(String key, ImmediateEdit edit, ApiResponder answer) {
-        change(
+    public void update(String key, ImmediateEdit edit, ApiResponder responder) {
+        updateLater(
                 key,
                 (before, then) -> {
-                    ObjectNode next = edit.of(before);
-                    then.becomes(next, t -> {}, next == null ? Codec.map() : next);
+                    ObjectNode next = edit.apply(before);
+                    then.complete(next, t -> {}, next == null ? Codec.map() : next);
                 },
-                answer);
+                responder);
     }
 
-    public void change(String key, Edit edit, ApiResponder answer) {
-        change(key, edit, answer, 0);
+    public void updateLater(String key, Edit edit, ApiResponder responder) {
+        updateLater(key, edit, responder, 0);
     }
 
-    private void change(String key, Edit edit, ApiResponder answer, int races) {
-        if (!requests.tryTake(turn.now(), 1) || races > MOST_RACES) {
-            unknown(answer);
+    private void updateLater(String key, Edit edit, ApiResponder responder, int races) {
+        if (!requests.tryTake(context.now(), 1) || races > MAX_ATTEMPTS) {
+            respondUnavailable(responder);
             return;
         }
         store.get(key, read -> {
-            if (!read.known()) {
-                unknown(answer);
+            if (!read.answered()) {
+                respondUnavailable(responder);
                 return;
             }
             Revision version =
                     read.item() == null ? Revision.ABSENT : read.item().version();
             try {
-                edit.of(read.item() == null ? null : read.item().value(), (value, more, shown) -> {
-                    if (value != null && Codec.countedBytes(value) > valueBytes) {
-                        answer.respond(
+                edit.apply(read.item() == null ? null : read.item().value(), (value, more, shown) -> {
+                    if (value != null && Codec.jsonBytes(value) > valueBytes) {
+                        responder.respond(
                                 400,
                                 error(key + ": with this change it takes more than " + valueBytes
                                         + " bytes, as much as a value may have"));
                         return;
                     }
-                    Transaction txn = new Transaction().guard(key, version);
+                    Transaction transaction = new Transaction().guard(key, version);
                     if (value == null) {
-                        txn.delete(key);
+                        transaction.delete(key);
                     } else {
-                        txn.put(key, value);
+                        transaction.put(key, value);
                     }
-                    more.accept(txn);
-                    requests.take(turn.now(), 1);
-                    writes.take(turn.now(), txn.ops());
-                    store.commit(txn, commit -> {
-                        if (commit.result() == CommitResult.Outcome.DONE) {
-                            answer.respond(200, shown);
-                        } else if (commit.result() == CommitResult.Outcome.CONFLICT) {
-                            change(key, edit, answer, races + 1);
+                    more.accept(transaction);
+                    requests.takeOrOverdraw(context.now(), 1);
+                    writes.takeOrOverdraw(context.now(), transaction.operationCount());
+                    store.commit(transaction, commit -> {
+                        if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                            responder.respond(200, shown);
+                        } else if (commit.outcome() == CommitResult.Outcome.CONFLICT) {
+                            updateLater(key, edit, responder, races + 1);
                         } else {
-                            unknown(answer);
+                            respondUnavailable(responder);
                         }
                     });
                 });
             } catch (MalformedMessageException e) {
-                answer.respond(400, error(e.getMessage()));
+                responder.respond(400, error(e.getMessage()));
             } catch (RejectedException e) {
-                refuse(answer, e);
+                reject(responder, e);
             }
         });
     }
 
-    static void refuse(ApiResponder answer, RejectedException refused) {
-        answer.respond(refused.status, error(refused.getMessage()));
+    static void reject(ApiResponder responder, RejectedException refused) {
+        responder.respond(refused.status, error(refused.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/PrefixReader.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixReader.java
@@ -7,41 +7,41 @@
 
 /** What a leader reads once when it has won: all of a prefix, page by page, asked again until there is an answer or the leadership is over. */
 public final class PrefixReader {
-    private static final long AGAIN_MS = 700;
-    private static final int PAGE = 60;
+    private static final long RETRY_MS = 700;
+    private static final int PAGE_SIZE = 60;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final ClusterState book;
+    private final ClusterState clusterState;
 
-    public PrefixReader(ControllerContext turn, StoreClient store, TokenBucket requests, ClusterState book) {
-        this.turn = turn;
+    public PrefixReader(ControllerContext context, StoreClient store, TokenBucket requests, ClusterState clusterState) {
+        this.context = context;
         this.store = store;
         this.requests = requests;
-        this.book = book;
+        this.clusterState = clusterState;
     }
 
     public void read(String prefix, Consumer<StoreClient.KeyValue> each, Runnable done) {
-        page(book.reign(), prefix, null, each, done);
+        readPage(clusterState.term(), prefix, null, each, done);
     }
 
-    private void page(long reign, String prefix, String after, Consumer<StoreClient.KeyValue> each, Runnable done) {
-        if (reign != book.reign()) {
+    private void readPage(long term, String prefix, String after, Consumer<StoreClient.KeyValue> each, Runnable done) {
+        if (term != clusterState.term()) {
             return;
         }
-        requests.take(turn.now(), 1);
-        store.list(prefix, after, PAGE, page -> {
-            if (reign != book.reign()) {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.list(prefix, after, PAGE_SIZE, page -> {
+            if (term != clusterState.term()) {
                 return;
             }
-            if (!page.ok()) {
-                turn.after(AGAIN_MS, () -> page(reign, prefix, after, each, done));
+            if (!page.isOk()) {
+                context.schedule(RETRY_MS, () -> readPage(term, prefix, after, each, done));
                 return;
             }
             page.items().forEach(each);
             if (page.more() && !page.items().isEmpty()) {
-                page(reign, prefix, page.items().get(page.items().size() - 1).key(), each, done);
+                readPage(term, prefix, page.items().get(page.items().size() - 1).key(), each, done);
             } else {
                 done.run();
             }
--- a/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
@@ -10,19 +10,19 @@
 /** Reads all of a prefix, page by page, and follows its changes; read anew where the state service has forgotten some. */
 public final class PrefixWatch {
     private static final long HOLD_MS = 20_000;
-    private static final long AGAIN_MS = 500;
+    private static final long RETRY_MS = 500;
     /** Several changes a second are taken together. */
     private static final long PAUSE_MS = 40;
 
-    private static final int PAGE = 200;
+    private static final int PAGE_SIZE = 200;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final String prefix;
-    private final Runnable begun;
-    private final Consumer<StoreClient.KeyValue> found;
-    private final Consumer<List<StoreClient.KeyValue>> changes;
+    private final Runnable onRestart;
+    private final Consumer<StoreClient.KeyValue> onItem;
+    private final Consumer<List<StoreClient.KeyValue>> onChanges;
     private long round;
 
     /**
@@ -31,49 +31,50 @@
      * @param changes since, none perhaps: the first call is for those in between, and all is known with it
      */
     public PrefixWatch(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             TokenBucket requests,
             String prefix,
             Runnable begun,
             Consumer<StoreClient.KeyValue> found,
             Consumer<List<StoreClient.KeyValue>> changes) {
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.requests = requests;
         this.prefix = prefix;
-        this.begun = begun;
-        this.found = found;
-        this.changes = changes;
+        this.onRestart = begun;
+        this.onItem = found;
+        this.onChanges = changes;
     }
 
     public void start() {
-        begun.run();
-        page(++round, null, null);
+        onRestart.run();
+        readPage(++round, null, null);
     }
 
-    private void again(long ms, long expectedRound, Runnable then) {
-        turn.after(ms, () -> {
+    private void runLater(long ms, long expectedRound, Runnable then) {
+        context.schedule(ms, () -> {
             if (expectedRound == round) {
                 then.run();
             }
         });
     }
 
-    private void page(long expectedRound, String after, Revision start) {
-        requests.take(turn.now(), 1);
-        store.list(prefix, after, PAGE, page -> {
+    private void readPage(long expectedRound, String after, Revision start) {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.list(prefix, after, PAGE_SIZE, page -> {
             if (expectedRound != round) {
                 return;
             }
-            if (!page.ok()) {
-                again(AGAIN_MS, expectedRound, this::start);
+            if (!page.isOk()) {
+                runLater(RETRY_MS, expectedRound, this::start);
                 return;
             }
-            page.items().forEach(found);
+            page.items().forEach(onItem);
             Revision first = start == null ? page.revision() : start;
             if (page.more() && !page.items().isEmpty()) {
-                page(expectedRound, page.items().get(page.items().size() - 1).key(), first);
+                readPage(
+                        expectedRound, page.items().get(page.items().size() - 1).key(), first);
             } else {
                 watch(expectedRound, first, 0);
             }
@@ -81,19 +82,19 @@
     }
 
     private void watch(long expectedRound, Revision after, long holdMs) {
-        requests.take(turn.now(), 1);
-        store.changes(prefix, after, holdMs, news -> {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.watch(prefix, after, holdMs, news -> {
             if (expectedRound != round) {
                 return;
             }
             if (news.status() == 410) {
                 start();
             } else if (news.status() != 200) {
-                again(AGAIN_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
+                runLater(RETRY_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
             } else {
-                changes.accept(news.log());
-                again(
-                        news.log().isEmpty() ? 0 : PAUSE_MS,
+                onChanges.accept(news.changes());
+                runLater(
+                        news.changes().isEmpty() ? 0 : PAUSE_MS,
                         expectedRound,
                         () -> watch(expectedRound, news.revision(), HOLD_MS));
             }
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -36,9 +36,9 @@
 public final class StateLoader {
     private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
     /** The oldest placement taken at its word. */
-    private static final long LONGEST_AGO_MS = 24L * 3600 * 1000;
+    private static final long MAX_PLACEMENT_AGE_MS = 24L * 3600 * 1000;
 
-    private static final long LOG_AGAIN_MS = 5000;
+    private static final long LOG_RETRY_MS = 5000;
 
     private enum Phase {
         IDLE,
@@ -49,93 +49,93 @@
     /** What others do when the records say so. */
     public interface Listener {
         /** All open records are known, as of a revision after the last win or doubt. */
-        void loaded();
+        void stateLoaded();
 
         /** A job's cancellation is committed, on whatever node; its record is taken up before or after that. */
-        void cancelled(JobId ref);
+        void jobCancelled(JobId jobId);
 
         /** Its user allows a job another width. */
-        void resized(Job job);
+        void jobResized(Job job);
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final DurationEstimates estimates;
-    private final ClusterState book;
-    private final ChangeLog log;
+    private final ClusterState clusterState;
+    private final ChangeLog changeLog;
     private final RecordSizes sizes;
     private final CancellationRegistry cancellations;
     private final Listener listener;
-    private final Set<StoreClient.KeyValue> over = new LinkedHashSet<>();
+    private final Set<StoreClient.KeyValue> misplacedFinalStates = new LinkedHashSet<>();
     private Phase phase = Phase.IDLE;
     /** Changes whenever the book is read anew, and with leadership. */
-    private long epoch;
+    private long loadEpoch;
     /** Changes with each reading that is followed by a watch of its own, and with leadership: an earlier watch ends. */
-    private long watching;
+    private long watchRound;
 
     public StateLoader(
-            ControllerContext turn,
+            ControllerContext context,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             DurationEstimates estimates,
-            ClusterState book,
-            ChangeLog log,
+            ClusterState clusterState,
+            ChangeLog changeLog,
             RecordSizes sizes,
             CancellationRegistry cancellations,
             Listener listener) {
         this.cancellations = cancellations;
-        this.log = log;
+        this.changeLog = changeLog;
         this.sizes = sizes;
-        this.turn = turn;
+        this.context = context;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.estimates = estimates;
-        this.book = book;
+        this.clusterState = clusterState;
         this.listener = listener;
     }
 
     /** Final states that stand where open records do, to be moved to their own keys. */
-    Collection<StoreClient.KeyValue> over() {
-        return over;
+    Collection<StoreClient.KeyValue> misplacedFinalStates() {
+        return misplacedFinalStates;
     }
 
-    void standsOver(StoreClient.KeyValue item) {
-        over.add(item);
+    void addMisplacedFinalState(StoreClient.KeyValue item) {
+        misplacedFinalStates.add(item);
     }
 
-    long epoch() {
-        return epoch;
+    long loadEpoch() {
+        return loadEpoch;
     }
 
     /** Whether the book holds all open records. */
-    public boolean complete() {
+    public boolean isComplete() {
         return phase == Phase.ACTIVE;
     }
 
     /** Whether commands may be given: the book holds all open records and this node still leads. */
-    public boolean active() {
-        return complete() && election.valid();
+    public boolean isActive() {
+        return isComplete() && election.holdsLease();
     }
 
     /** Reads the book, all of it; what an earlier reading still brings is left alone. */
     public void reload() {
-        epoch++;
+        loadEpoch++;
         load();
     }
 
     /** The book is not to be trusted until it is read again. */
-    void suspend() {
-        epoch++;
+    void invalidate() {
+        loadEpoch++;
         phase = Phase.LOADING;
     }
 
-    public void end() {
-        epoch++;
-        watching++;
+    public void stop() {
+        loadEpoch++;
+        watchRound++;
         phase = Phase.IDLE;
     }
 
@@ -143,21 +143,21 @@
         phase = Phase.LOADING;
         List<StoreClient.KeyValue> records = new ArrayList<>();
         List<StoreClient.KeyValue> segments = new ArrayList<>();
-        MonotonicTime asked = turn.now();
+        MonotonicTime asked = context.now();
         // Records before the log: a job that enters in between has nothing in the log yet.
         loadPage(
-                epoch,
-                JobRecord.OPEN,
+                loadEpoch,
+                JobRecord.OPEN_PREFIX,
                 null,
                 records,
                 null,
                 start -> loadPage(
-                        epoch,
+                        loadEpoch,
                         ChangeLogSegment.PREFIX,
                         null,
                         segments,
                         start,
-                        ignored -> loaded(records, segments, start, asked)));
+                        ignored -> finishLoad(records, segments, start, asked)));
     }
 
     private void loadPage(
@@ -167,13 +167,13 @@
             List<StoreClient.KeyValue> items,
             Revision first,
             Consumer<Revision> then) {
-        requests.take(turn.now(), 1);
+        requests.takeOrOverdraw(context.now(), 1);
         store.list(prefix, after, 200, page -> {
-            if (expectedEpoch != epoch) {
+            if (expectedEpoch != loadEpoch) {
                 return;
             }
-            if (!page.ok()) {
-                again(250);
+            if (!page.isOk()) {
+                retryLater(250);
                 return;
             }
             items.addAll(page.items());
@@ -186,50 +186,50 @@
         });
     }
 
-    private void again(long ms) {
-        long expectedEpoch = epoch;
-        turn.after(ms, () -> {
-            if (expectedEpoch == epoch) {
+    private void retryLater(long ms) {
+        long expectedEpoch = loadEpoch;
+        context.schedule(ms, () -> {
+            if (expectedEpoch == loadEpoch) {
                 load();
             }
         });
     }
 
-    private void loaded(
+    private void finishLoad(
             List<StoreClient.KeyValue> items,
             List<StoreClient.KeyValue> segments,
             Revision start,
             MonotonicTime asked) {
         Map<TaskId, Placement> before = new HashMap<>();
-        for (Machine machine : book.hosts()) {
+        for (Machine machine : clusterState.machines()) {
             before.putAll(machine.placements);
             machine.placements.clear();
         }
-        Map<JobId, Job> old = book.dropJobs();
-        over.clear();
+        Map<JobId, Job> old = clusterState.takeAllJobs();
+        misplacedFinalStates.clear();
         for (StoreClient.KeyValue item : items) {
             try {
-                takeRecord(item, old);
+                addRecord(item, old);
             } catch (MalformedMessageException e) {
                 LOG.error(
                         "record {} can't be read, the job and its tasks are left alone: {}",
                         item.key(),
                         e.getMessage());
-                book.leaveAlone(jobOf(item.key()));
+                clusterState.ignoreUnreadable(jobIdOf(item.key()));
             }
         }
-        if (!takeLog(segments)) {
-            again(LOG_AGAIN_MS);
+        if (!applyLog(segments)) {
+            retryLater(LOG_RETRY_MS);
             return;
         }
-        for (Job job : book.jobs()) {
-            Job known = old.get(job.ref());
+        for (Job job : clusterState.jobs()) {
+            Job known = old.get(job.id());
             for (Map.Entry<Integer, Placement> live : job.record.live.entrySet()) {
                 Placement placement = live.getValue();
                 Placement kept = before.get(placement.task);
                 if (kept != null
                         && kept.attempt == placement.attempt
-                        && kept.host.equals(placement.host)
+                        && kept.machine.equals(placement.machine)
                         && kept.committed) {
                     live.setValue(kept);
                     placement = kept;
@@ -237,43 +237,44 @@
                     // Some leader, perhaps this one, may have launched it: only a worker that has seen this
                     // leadership's newest token can prove that it isn't there.
                     placement.committed = true;
-                    placement.sent = true;
-                    placement.provenFrom = election.baton();
+                    placement.launchSent = true;
+                    placement.evidenceFrom = election.fencingToken();
                     placement.recovered = true;
-                    long ago = turn.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
-                    placement.since = turn.now().plusMs(-Math.max(0, Math.min(ago, LONGEST_AGO_MS)));
-                    placement.expectedMs = estimates.lengthMs(job.spec());
+                    long ago = context.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
+                    placement.placedAt = context.now().plusMs(-Math.max(0, Math.min(ago, MAX_PLACEMENT_AGE_MS)));
+                    placement.expectedDurationMs = estimates.expectedMs(job.spec());
                 }
-                book.host(placement.host).placements.put(placement.task, placement);
-                Ending leaves = known == null ? null : known.leaving.get(placement);
+                clusterState.machine(placement.machine).placements.put(placement.task, placement);
+                Ending leaves = known == null ? null : known.endings.get(placement);
                 if (leaves != null) {
-                    job.leaving.put(placement, leaves);
+                    job.endings.put(placement, leaves);
                 }
             }
             if (known == null && !job.record.live.isEmpty()) {
                 job.lastProgress =
-                        turn.now(); // when it last moved is not in the records; each take-over called all jobs stalled
+                        context.now(); // when it last moved is not in the records; each take-over called all jobs
+                // stalled
             }
-            if (job.record.cancelled() || job.record.complete()) {
-                book.touch(job);
+            if (job.record.isCancelled() || job.record.isComplete()) {
+                clusterState.markDirty(job);
             }
         }
         phase = Phase.ACTIVE;
-        book.replan();
+        clusterState.requestReplan();
         LOG.info(
                 "book loaded: {} open jobs, {} log segments, at revision {}",
-                book.jobs().size(),
-                log.segments(),
+                clusterState.jobs().size(),
+                changeLog.segmentCount(),
                 start.value());
-        cancellations.knownAsOf(asked);
-        watch(++watching, start);
-        listener.loaded();
+        cancellations.markCompleteAsOf(asked);
+        watch(++watchRound, start);
+        listener.stateLoaded();
     }
 
     /** Brings the records up to what the log says; false where a segment can't be read, and nothing is certain. */
-    private boolean takeLog(List<StoreClient.KeyValue> items) {
-        log.reset();
-        book.jobs().forEach(j -> j.recorded = CommittedTasks.of(j.record));
+    private boolean applyLog(List<StoreClient.KeyValue> items) {
+        changeLog.reset();
+        clusterState.jobs().forEach(j -> j.recordedTasks = CommittedTasks.of(j.record));
         Map<ChangeLogSegment, Integer> segments = new TreeMap<>(Comparator.comparingLong(ChangeLogSegment::number));
         Set<JobId> unreadable = new HashSet<>();
         for (StoreClient.KeyValue item : items) {
@@ -281,9 +282,9 @@
                 segments.put(
                         ChangeLogSegment.parse(
                                 item.value(),
-                                r -> book.job(r) == null
+                                r -> clusterState.job(r) == null
                                         ? -1
-                                        : book.job(r).spec().tasks(),
+                                        : clusterState.job(r).spec().tasks(),
                                 unreadable),
                         Integer.parseInt(item.key().substring(ChangeLogSegment.PREFIX.length())));
             } catch (MalformedMessageException | NumberFormatException e) {
@@ -291,79 +292,80 @@
                 return false;
             }
         }
-        for (JobId ref : unreadable) {
-            LOG.error("what the log says of {} can't be read, the job and its tasks are left alone", ref);
-            book.leaveAlone(ref);
+        for (JobId jobId : unreadable) {
+            LOG.error("what the log says of {} can't be read, the job and its tasks are left alone", jobId);
+            clusterState.ignoreUnreadable(jobId);
         }
         Map<JobId, Long> from = new HashMap<>();
-        segments.forEach((segment, slot) -> segment.jobs().forEach((ref, delta) -> {
-            if (delta.begins()) {
-                from.put(ref, segment.number());
+        segments.forEach((segment, slot) -> segment.jobs().forEach((jobId, delta) -> {
+            if (delta.replacesEarlier()) {
+                from.put(jobId, segment.number());
             }
         }));
         segments.forEach((segment, slot) -> {
-            log.numbered(segment.number());
+            changeLog.noteNumber(segment.number());
             Set<JobId> holds = new HashSet<>();
-            segment.jobs().forEach((ref, delta) -> {
-                Job job = book.job(ref);
+            segment.jobs().forEach((jobId, delta) -> {
+                Job job = clusterState.job(jobId);
                 if (job != null
-                        && segment.number() > job.record.folded
-                        && segment.number() >= from.getOrDefault(ref, 0L)) {
+                        && segment.number() > job.record.foldedSegment
+                        && segment.number() >= from.getOrDefault(jobId, 0L)) {
                     delta.apply(job.record);
-                    holds.add(ref);
+                    holds.add(jobId);
                 }
             });
-            log.holds(segment.number(), slot, holds);
+            changeLog.recordSegment(segment.number(), slot, holds);
         });
-        for (Job job : book.jobs()) {
-            log.numbered(job.record.folded);
-            job.stored = CommittedTasks.of(job.record);
+        for (Job job : clusterState.jobs()) {
+            changeLog.noteNumber(job.record.foldedSegment);
+            job.committedTasks = CommittedTasks.of(job.record);
         }
         return true;
     }
 
-    private static JobId jobOf(String key) {
-        int slash = key.indexOf('/', JobRecord.OPEN.length());
-        return new JobId(key.substring(JobRecord.OPEN.length(), slash < 0 ? key.length() : slash));
+    private static JobId jobIdOf(String key) {
+        int slash = key.indexOf('/', JobRecord.OPEN_PREFIX.length());
+        return new JobId(key.substring(JobRecord.OPEN_PREFIX.length(), slash < 0 ? key.length() : slash));
     }
 
-    private void takeRecord(StoreClient.KeyValue item, Map<JobId, Job> old) throws MalformedMessageException {
-        String rest = item.key().substring(JobRecord.OPEN.length());
+    private void addRecord(StoreClient.KeyValue item, Map<JobId, Job> old) throws MalformedMessageException {
+        String rest = item.key().substring(JobRecord.OPEN_PREFIX.length());
         int slash = rest.indexOf('/');
         if (slash >= 0) {
-            Job job = book.job(new JobId(rest.substring(0, slash)));
+            Job job = clusterState.job(new JobId(rest.substring(0, slash)));
             if (job != null) {
-                job.record.addLive(item.value());
+                job.record.addLiveTasks(item.value());
                 job.chunks.put(item.key(), (ArrayNode) item.value());
             }
             return;
         }
-        if (JobRecord.isOver(item.value())) {
-            over.add(item);
+        if (JobRecord.isFinalState(item.value())) {
+            misplacedFinalStates.add(item);
             return;
         }
-        JobRecord record = record(item);
-        Job job = entered(record, item.version());
-        Job known = old.get(job.ref());
+        JobRecord record = parseRecord(item);
+        Job job = newJob(record, item.version());
+        Job known = old.get(job.id());
         if (known != null) {
             job.notBefore = known.notBefore;
-            job.failedOn.addAll(known.failedOn);
+            job.failedOnMachines.addAll(known.failedOnMachines);
             job.lastProgress = known.lastProgress;
         }
-        book.add(job);
+        clusterState.addJob(job);
     }
 
-    private Job entered(JobRecord record, Revision version) {
-        Job job = new Job(record, version, turn.now().plusMs(Math.min(0, record.submittedWallMs - turn.wallMs())));
-        if (record.cancelled()) {
-            cancellations.heard(job.ref(), record.cancelWallMs);
+    private Job newJob(JobRecord record, Revision version) {
+        Job job =
+                new Job(record, version, context.now().plusMs(Math.min(0, record.submittedWallMs - context.wallMs())));
+        if (record.isCancelled()) {
+            cancellations.record(job.id(), record.cancelledAtWallMs);
         } else {
-            job.cancelHeardMs = cancellations.at(job.ref());
+            job.cancelHeardAtMs = cancellations.cancelledAtWallMs(job.id());
         }
         return job;
     }
 
-    private JobRecord record(StoreClient.KeyValue item) throws MalformedMessageException {
+    private JobRecord parseRecord(StoreClient.KeyValue item) throws MalformedMessageException {
         JobRecord record = JobRecord.parse(item.value());
         record.sizes = sizes;
         return record;
@@ -374,97 +376,97 @@
      * an answer may take long to settle, and nothing of what is cancelled may wait for that.
      */
     private void watch(long expectedWatch, Revision after) {
-        requests.take(turn.now(), 1);
-        MonotonicTime asked = turn.now();
-        store.changes(JobRecord.OPEN, after, cancellations.holdMs(), changes -> {
-            if (expectedWatch != watching) {
+        requests.takeOrOverdraw(context.now(), 1);
+        MonotonicTime asked = context.now();
+        store.watch(JobRecord.OPEN_PREFIX, after, cancellations.watchHoldMs(), changes -> {
+            if (expectedWatch != watchRound) {
                 return;
             }
             if (changes.status() == 410 && phase == Phase.ACTIVE) {
                 reload();
             }
             if (changes.status() != 200) {
-                again(expectedWatch, 300, after);
+                retryLater(expectedWatch, 300, after);
                 return;
             }
-            changes.log().forEach(this::cancelled);
+            changes.changes().forEach(this::noteCancellation);
             if (phase == Phase.ACTIVE) {
-                changes.log().forEach(this::changed);
+                changes.changes().forEach(this::applyChange);
             }
-            cancellations.knownAsOf(asked);
+            cancellations.markCompleteAsOf(asked);
             // Own commits come back here too; a short pause keeps a busy day from spending the request limit on it.
-            again(expectedWatch, changes.log().isEmpty() ? 0 : 40, changes.revision());
+            retryLater(expectedWatch, changes.changes().isEmpty() ? 0 : 40, changes.revision());
         });
     }
 
-    private void again(long expectedWatch, long ms, Revision after) {
-        turn.after(ms, () -> {
-            if (expectedWatch == watching) {
+    private void retryLater(long expectedWatch, long ms, Revision after) {
+        context.schedule(ms, () -> {
+            if (expectedWatch == watchRound) {
                 watch(expectedWatch, after);
             }
         });
     }
 
     /** A change says that a job is cancelled: that counts at once, whatever is on its way of the job. */
-    private void cancelled(StoreClient.KeyValue item) {
-        long at = item.value() == null || JobRecord.isOver(item.value())
+    private void noteCancellation(StoreClient.KeyValue item) {
+        long at = item.value() == null || JobRecord.isFinalState(item.value())
                 ? 0
                 : item.value().path("cancel").longValue();
-        if (at > 0 && item.key().indexOf('/', JobRecord.OPEN.length()) < 0) {
-            JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
-            if (cancellations.heard(ref, at)) {
-                listener.cancelled(ref);
+        if (at > 0 && item.key().indexOf('/', JobRecord.OPEN_PREFIX.length()) < 0) {
+            JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
+            if (cancellations.record(jobId, at)) {
+                listener.jobCancelled(jobId);
             }
         }
     }
 
     /** The job's commit is over: what came of its record meanwhile counts now, if it is not our own. */
-    void takeUp(Job job) {
-        StoreClient.KeyValue item = job.news;
-        job.news = null;
-        if (item != null && book.job(job.ref()) == job) {
-            changed(item);
+    void applyPendingChange(Job job) {
+        StoreClient.KeyValue item = job.pendingChange;
+        job.pendingChange = null;
+        if (item != null && clusterState.job(job.id()) == job) {
+            applyChange(item);
         }
     }
 
-    private void changed(StoreClient.KeyValue item) {
+    private void applyChange(StoreClient.KeyValue item) {
         if (item.value() == null
-                || JobRecord.isOver(item.value())
-                || item.key().indexOf('/', JobRecord.OPEN.length()) >= 0) {
+                || JobRecord.isFinalState(item.value())
+                || item.key().indexOf('/', JobRecord.OPEN_PREFIX.length()) >= 0) {
             return;
         }
-        JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
-        Job job = book.job(ref);
-        if (job == null ? book.hasEnded(ref) : item.version().compareTo(job.version) <= 0) {
+        JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
+        Job job = clusterState.job(jobId);
+        if (job == null ? clusterState.hasEnded(jobId) : item.version().compareTo(job.version) <= 0) {
             return; // our own
         }
         if (job != null && job.inFlight) {
             // Either our own, or our commit will conflict, or it was made just before this. In the last case nothing
             // else
             // would tell. Only the record waits: what is cancelled is pursued already.
-            job.news = item;
+            job.pendingChange = item;
             return;
         }
         try {
             if (job == null) {
-                JobRecord record = record(item);
+                JobRecord record = parseRecord(item);
                 if (record.live.isEmpty() && record.done.size() == 0) { // else it is our own ended job's echo
-                    job = entered(record, item.version());
-                    book.add(job);
+                    job = newJob(record, item.version());
+                    clusterState.addJob(job);
                     LOG.info(
                             "{} enters: {} {} x {}",
-                            job.ref(),
+                            job.id(),
                             job.spec().jobClass(),
                             job.spec().tasks(),
                             job.spec().cpus());
-                    if (record.cancelled()) {
-                        book.touch(job);
+                    if (record.isCancelled()) {
+                        clusterState.markDirty(job);
                     }
                 }
             } else {
                 // Other nodes change nothing but the cancellation and what width the user allows.
                 job.version = item.version();
-                WidthRecord width = Codec.absent(item.value(), "width")
+                WidthRecord width = Codec.isAbsent(item.value(), "width")
                         ? null
                         : WidthRecord.parse(item.value().get("width"));
                 if (width != null && (job.record.width == null || width.number() > job.record.width.number())) {
@@ -472,19 +474,19 @@
                     job.committedWidth = width.target();
                     LOG.info(
                             "{} may be {} to {} wide from now on",
-                            job.ref(),
-                            width.allowed().least(),
-                            width.allowed().most());
-                    listener.resized(job);
+                            job.id(),
+                            width.allowed().min(),
+                            width.allowed().max());
+                    listener.jobResized(job);
                 }
                 long cancel = item.value().path("cancel").longValue();
-                if (cancel > 0 && !job.record.cancelled()) {
-                    job.record.cancelWallMs = cancel;
-                    LOG.info("{} is cancelled, {} tasks may be running", job.ref(), job.record.live.size());
-                    book.touch(job);
+                if (cancel > 0 && !job.record.isCancelled()) {
+                    job.record.cancelledAtWallMs = cancel;
+                    LOG.info("{} is cancelled, {} tasks may be running", job.id(), job.record.live.size());
+                    clusterState.markDirty(job);
                 }
             }
-            book.replan();
+            clusterState.requestReplan();
         } catch (MalformedMessageException e) {
             LOG.error("record {} can't be read: {}", item.key(), e.getMessage());
         }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -24,11 +24,11 @@
 /** Writes what the book holds and the state service does not, one transaction at a time, the most urgent first. */
 public final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
-    private static final int GATHERED = 10;
+    private static final int DEFERRED_RANK = 10;
     /** Finished tasks are gathered this long before their job is written for them alone. */
-    private static final long GATHER_MS = 2000;
+    private static final long DEFER_MS = 2000;
     /** The share of a second's writes that is kept for launches and ends of jobs. */
-    private static final double KEPT_WRITES = 0.4;
+    private static final double RESERVED_WRITES = 0.4;
     /** Writes that are left to this node's own users: a leader that spends all would refuse every submission. */
     private static final double USERS_WRITES = 4;
 
@@ -38,217 +38,222 @@
     /** On a state service with few writes, the users' part of them is a share. */
     private static final double USERS_SHARE = 0.15;
     /** Writes are to spare where this much of a full budget is left. */
-    private static final double PLENTY = 0.8;
+    private static final double PLENTIFUL = 0.8;
     /** Segments of the log that a full second's writes are thought to be at most; the rest is for records and ends. */
     private static final double LOG_SHARE = 4;
     /** With less of a full budget, and so many jobs that have ended at once, a job ends with one change instead of two. */
-    private static final double TIGHT = 0.5;
+    private static final double SCARCE = 0.5;
 
-    private static final int MANY_ENDS = 5;
-    private static final int MOST_MOVED = 6;
+    private static final int MANY_ENDED_JOBS = 5;
+    private static final int MAX_RELOCATED = 6;
     /** They are moved only while hardly anything else is written, and seldom: commits wait for one another. */
-    private static final double QUIET = 0.95;
+    private static final double IDLE = 0.95;
 
-    private static final long MOVE_EVERY_MS = 1000;
-    private static final long LONGEST_PACE_MS = 400;
+    private static final long RELOCATE_EVERY_MS = 1000;
+    private static final long MAX_PACE_MS = 400;
     private static final long FOLD_EVERY_MS = 1000;
     /** A job that is younger will have ended before long, and is never written for the log's sake. */
     private static final long FOLD_AGE_MS = 60_000;
 
-    private static final int MOST_RECORDS = 2;
-    private static final int MOST_GATHERED = 100;
-    private static final int GATHERED_SEGMENTS = 2;
+    private static final int MAX_FOLDED_RECORDS = 2;
+    private static final int MAX_CONSOLIDATED_JOBS = 100;
+    private static final int MAX_CONSOLIDATED_SEGMENTS = 2;
 
     /** What may follow only once it is written. */
     public interface Listener {
         /** These placements are committed: their launches may be sent. */
-        void placed(List<Placement> placed);
+        void placementsCommitted(List<Placement> placed);
 
         /** The job's record is committed as it was sent. */
-        void written(Job job);
+        void jobWritten(Job job);
 
         /** The job's final state is committed. */
-        void ended(Job job, JsonNode state);
+        void jobEnded(Job job, JsonNode state);
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final LeaderElection election;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final ClusterState book;
-    private final StateLoader loading;
+    private final ClusterState clusterState;
+    private final StateLoader loader;
     private final RecordSizes sizes;
-    private final ChangeLog log;
+    private final ChangeLog changeLog;
     private final CommitGuards guards;
     private final BooleanSupplier logAllowed;
     private final Listener listener;
     private MonotonicTime nextFold = MonotonicTime.ZERO;
     private boolean commitInFlight;
-    private boolean rotateWanted;
+    private boolean rotationRequested;
     /** Whether changes run short: what can be done later is. */
-    private boolean tight;
+    private boolean writesScarce;
 
     private MonotonicTime lastRotation = MonotonicTime.ZERO;
-    private boolean rotateSoon;
+    private boolean rotationUrgent;
     private MonotonicTime nextCommit = MonotonicTime.ZERO;
-    private MonotonicTime nextMove = MonotonicTime.ZERO;
+    private MonotonicTime nextRelocation = MonotonicTime.ZERO;
 
     /** @param logAllowed whether every node that may lead reads the log */
     public TransactionCommitter(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             StoreClient store,
             LeaderElection election,
             TokenBucket requests,
             TokenBucket writes,
-            ClusterState book,
-            StateLoader loading,
+            ClusterState clusterState,
+            StateLoader loader,
             RecordSizes sizes,
-            ChangeLog log,
+            ChangeLog changeLog,
             CommitGuards guards,
             BooleanSupplier logAllowed,
             Listener listener) {
         this.guards = guards;
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
         this.store = store;
         this.election = election;
         this.requests = requests;
         this.writes = writes;
-        this.book = book;
-        this.loading = loading;
+        this.clusterState = clusterState;
+        this.loader = loader;
         this.sizes = sizes;
-        this.log = log;
+        this.changeLog = changeLog;
         this.logAllowed = logAllowed;
         this.listener = listener;
     }
 
     public void reset() {
         commitInFlight = false;
-        rotateWanted = false;
-        rotateSoon = false;
+        rotationRequested = false;
+        rotationUrgent = false;
     }
 
     /** A command may be executed late as long as no worker has seen a newer token: one is to be made. */
-    public void wantRotation() {
-        rotateWanted = true;
+    public void requestTokenRotation() {
+        rotationRequested = true;
     }
 
     /** The same, and sooner: a cancelled job's launch may be executed late. Workers report a newer token at most twice a lease. */
-    public void wantRotationSoon() {
-        rotateWanted = true;
-        rotateSoon = true;
+    public void requestUrgentTokenRotation() {
+        rotationRequested = true;
+        rotationUrgent = true;
     }
 
     /** Writes what changed, one transaction at a time. */
-    public void pump() {
-        if (!loading.active() || commitInFlight || turn.now().before(nextCommit)) {
+    public void commitPending() {
+        if (!loader.isActive() || commitInFlight || context.now().isBefore(nextCommit)) {
             return;
         }
         // Each new fencing token makes every worker report once more, so that many lost orders share one.
-        boolean rotating =
-                rotateWanted && turn.now().since(lastRotation) >= (rotateSoon ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
-        boolean foldDue = log.segments() > 0 && !turn.now().before(nextFold);
-        if (book.dirty().isEmpty() && !rotating && !foldDue && !moveDue()) {
+        boolean rotating = rotationRequested
+                && context.now().since(lastRotation) >= (rotationUrgent ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
+        boolean foldDue = changeLog.segmentCount() > 0 && !context.now().isBefore(nextFold);
+        if (clusterState.dirtyJobs().isEmpty() && !rotating && !foldDue && !isRelocationDue()) {
             return;
         }
-        double budget = writes.available(turn.now()) - Math.min(USERS_WRITES, USERS_SHARE * writes.most());
+        double budget = writes.available(context.now()) - Math.min(USERS_WRITES, USERS_SHARE * writes.capacity());
         if (budget < 1) {
             return;
         }
-        tight = budget < TIGHT * writes.most()
-                && book.dirty().stream()
-                                .filter(TransactionCommitter::ends)
-                                .limit(MANY_ENDS)
+        writesScarce = budget < SCARCE * writes.capacity()
+                && clusterState.dirtyJobs().stream()
+                                .filter(TransactionCommitter::isEnding)
+                                .limit(MANY_ENDED_JOBS)
                                 .count()
-                        == MANY_ENDS;
-        Transaction txn = election.guarded();
+                        == MANY_ENDED_JOBS;
+        Transaction transaction = election.guardedTransaction();
         if (rotating) {
-            election.rotateIn(txn);
+            election.addTokenRotation(transaction);
         }
-        WriteBatch batch = new WriteBatch(txn, settings.stateLimits(), sizes, log, guards, (int) Math.floor(budget));
-        gather(batch, budget > KEPT_WRITES * writes.rate());
+        WriteBatch batch =
+                new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
+        collectDueWrites(batch, budget > RESERVED_WRITES * writes.rate());
         if (foldDue) {
-            fold(batch, budget > PLENTY * writes.most());
+            foldLog(batch, budget > PLENTIFUL * writes.capacity());
         }
         if (batch.isEmpty()) {
-            move(budget);
+            relocateFinalStates(budget);
             return;
         }
         if (rotating) {
-            rotateWanted = false;
-            rotateSoon = false;
-            lastRotation = turn.now();
+            rotationRequested = false;
+            rotationUrgent = false;
+            lastRotation = context.now();
         }
-        List<Placement> placed = batch.placed();
-        batch.close();
-        if (batch.logged() > 0 && budget < PLENTY * writes.most()) {
+        List<Placement> placed = batch.newPlacements();
+        batch.seal();
+        if (batch.segmentCount() > 0 && budget < PLENTIFUL * writes.capacity()) {
             // What comes next shares a segment with what comes a moment later.
-            nextCommit = turn.now().plusMs(Math.min(LONGEST_PACE_MS, Math.round(1000 * LOG_SHARE / writes.rate())));
+            nextCommit = context.now().plusMs(Math.min(MAX_PACE_MS, Math.round(1000 * LOG_SHARE / writes.rate())));
         }
-        send(txn, c -> committed(c, rotating, batch, placed));
+        send(transaction, c -> completeCommit(c, rotating, batch, placed));
     }
 
     /** Sends the one transaction that is on its way at a time; its outcome is handed over if it is still the book's matter. */
-    private void send(Transaction txn, Consumer<CommitResult> then) {
+    private void send(Transaction transaction, Consumer<CommitResult> then) {
         commitInFlight = true;
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), txn.ops());
-        long expectedEpoch = loading.epoch();
-        long term = book.reign();
-        store.commit(txn, commit -> {
-            if (term != book.reign()) {
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), transaction.operationCount());
+        long expectedEpoch = loader.loadEpoch();
+        long term = clusterState.term();
+        store.commit(transaction, commit -> {
+            if (term != clusterState.term()) {
                 return;
             }
             commitInFlight = false;
-            if (expectedEpoch == loading.epoch()) {
+            if (expectedEpoch == loader.loadEpoch()) {
                 then.accept(commit);
             } else {
                 // The book was read anew meanwhile, perhaps without this commit: make sure of its fate. Left alone,
                 // it would be taken for one that never ends, and nothing would be written any more.
-                settle();
+                settleUnknownCommit();
             }
         });
     }
 
-    private boolean moveDue() {
-        return !loading.over().isEmpty() && !turn.now().before(nextMove);
+    private boolean isRelocationDue() {
+        return !loader.misplacedFinalStates().isEmpty() && !context.now().isBefore(nextRelocation);
     }
 
     /**
      * Final states that stand where open records do go to their own keys, so that the next leader need not read them. Of a job
      * there is one key at any moment: both changes are one transaction, guarded by the version of the one that goes.
      */
-    private void move(double budget) {
-        int most = Math.min(MOST_MOVED, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
+    private void relocateFinalStates(double budget) {
+        int most = Math.min(MAX_RELOCATED, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
         if (most < 1
-                || !moveDue()
-                || budget < QUIET * writes.most() - Math.min(USERS_WRITES, USERS_SHARE * writes.most())) {
+                || !isRelocationDue()
+                || budget < IDLE * writes.capacity() - Math.min(USERS_WRITES, USERS_SHARE * writes.capacity())) {
             return;
         }
-        nextMove = turn.now().plusMs(MOVE_EVERY_MS);
-        Transaction txn = election.guarded();
-        List<StoreClient.KeyValue> moved = loading.over().stream().limit(most).toList();
+        nextRelocation = context.now().plusMs(RELOCATE_EVERY_MS);
+        Transaction transaction = election.guardedTransaction();
+        List<StoreClient.KeyValue> moved =
+                loader.misplacedFinalStates().stream().limit(most).toList();
         for (StoreClient.KeyValue item : moved) {
-            JobId ref = new JobId(item.key().substring(JobRecord.OPEN.length()));
-            txn.guard(item.key(), item.version()).delete(item.key()).put(JobRecord.endedKey(ref), item.value());
+            JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
+            transaction
+                    .guard(item.key(), item.version())
+                    .delete(item.key())
+                    .put(JobRecord.endedKey(jobId), item.value());
         }
-        send(txn, commit -> {
-            switch (commit.result()) {
-                case DONE -> loading.over().removeAll(moved);
+        send(transaction, commit -> {
+            switch (commit.outcome()) {
+                case COMMITTED -> loader.misplacedFinalStates().removeAll(moved);
                 case CONFLICT -> {
-                    if (commit.failed().contains(LeaderElection.KEY)) {
-                        election.lose("the key was rewritten");
+                    if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                        election.loseLeadership("the key was rewritten");
                     } else {
-                        loading.reload();
+                        loader.reload();
                     }
                 }
-                case NO_LEASE -> election.lose("the lease ended");
-                case UNCERTAIN -> settle();
-                case REFUSED -> nextCommit = turn.now().plusMs(200);
-                default -> throw new IllegalStateException("commit ended with " + commit.result());
+                case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
+                case UNKNOWN -> settleUnknownCommit();
+                case REJECTED -> nextCommit = context.now().plusMs(200);
+                default -> throw new IllegalStateException("commit ended with " + commit.outcome());
             }
         });
     }
@@ -256,23 +261,23 @@
     private record DueWrite(Job job, int rank) {}
 
     /** Takes in what is due, the most urgent first, and of the rest what costs no more. */
-    private void gather(WriteBatch batch, boolean spare) {
+    private void collectDueWrites(WriteBatch batch, boolean spare) {
         List<DueWrite> due = new ArrayList<>();
         List<Job> rest = new ArrayList<>();
-        for (Job job : new ArrayList<>(book.dirty())) {
-            if (job.overtaken()) {
+        for (Job job : new ArrayList<>(clusterState.dirtyJobs())) {
+            if (job.isRecordOutdated()) {
                 continue; // its record says that it is cancelled, and has not been read: that comes by itself
             }
-            if (!ends(job) && !guards.mayWrite(job)) {
+            if (!isEnding(job) && !guards.mayWrite(job)) {
                 continue; // its key set has changed: what is placed of it is written, or not, once that is known
             }
-            int rank = commitRank(job);
+            int rank = writeRank(job);
             // A finished task frees its machine without this: the worker's report proves it, to a later leader too.
-            if (rank == GATHERED && !(spare && turn.now().since(job.dirtySince) >= GATHER_MS)) {
+            if (rank == DEFERRED_RANK && !(spare && context.now().since(job.dirtySince) >= DEFER_MS)) {
                 rest.add(job);
-            } else if (way(job) == WriteBatch.WriteMode.LOG
-                    && job.stored.until(job.record).isEmpty()) {
-                book.sent(job); // it was touched, and is as the state service holds it
+            } else if (writeMode(job) == WriteBatch.WriteMode.LOG
+                    && job.committedTasks.changesTo(job.record).isEmpty()) {
+                clusterState.markInFlight(job); // it was touched, and is as the state service holds it
                 job.inFlight = false;
             } else {
                 due.add(new DueWrite(job, rank));
@@ -280,31 +285,35 @@
         }
         due.sort(Comparator.comparingInt(DueWrite::rank).thenComparing(d -> d.job.dirtySince));
         for (DueWrite next : due) {
-            if (!take(batch, next.job) && next.rank < GATHERED && turn.now().since(next.job.dirtySince) > STARVED_MS) {
+            if (!addToBatch(batch, next.job)
+                    && next.rank < DEFERRED_RANK
+                    && context.now().since(next.job.dirtySince) > STARVED_MS) {
                 break; // let the budget fill up for it instead of spending it on smaller ones for ever
             }
         }
-        for (Job job : batch.logged() == 0 ? List.<Job>of() : rest) {
-            if (way(job) == WriteBatch.WriteMode.LOG && batch.free(job)) {
-                take(batch, job);
+        for (Job job : batch.segmentCount() == 0 ? List.<Job>of() : rest) {
+            if (writeMode(job) == WriteBatch.WriteMode.LOG && batch.costsNothing(job)) {
+                addToBatch(batch, job);
             }
         }
     }
 
-    private boolean take(WriteBatch batch, Job job) {
-        boolean taken = (ends(job) || guards.mayWrite(job)) && batch.take(job, way(job));
+    private boolean addToBatch(WriteBatch batch, Job job) {
+        boolean taken = (isEnding(job) || guards.mayWrite(job)) && batch.add(job, writeMode(job));
         if (taken) {
-            book.sent(job);
+            clusterState.markInFlight(job);
         }
         return taken;
     }
 
-    private WriteBatch.WriteMode way(Job job) {
-        return ends(job)
-                ? tight && logAllowed.getAsBoolean() ? WriteBatch.WriteMode.END_HERE : WriteBatch.WriteMode.END
+    private WriteBatch.WriteMode writeMode(Job job) {
+        return isEnding(job)
+                ? writesScarce && logAllowed.getAsBoolean()
+                        ? WriteBatch.WriteMode.FINAL_STATE_IN_PLACE
+                        : WriteBatch.WriteMode.FINAL_STATE
                 : !logAllowed.getAsBoolean()
                                 || job.width() != job.committedWidth
-                                || job.record.failures != job.storedFailures
+                                || job.record.failures != job.committedFailures
                         ? WriteBatch.WriteMode.RECORD
                         : WriteBatch.WriteMode.LOG;
     }
@@ -313,159 +322,160 @@
      * Keeps the log short. Where it is long, what the oldest segments say of jobs that are still open is gathered in new
      * ones, a segment or two each time; where writes are to spare, a job that has been open for long has its record written.
      */
-    private void fold(WriteBatch batch, boolean plenty) {
-        nextFold = turn.now().plusMs(FOLD_EVERY_MS);
-        boolean gather = log.crowded() && logAllowed.getAsBoolean();
+    private void foldLog(WriteBatch batch, boolean plenty) {
+        nextFold = context.now().plusMs(FOLD_EVERY_MS);
+        boolean gather = changeLog.isCrowded() && logAllowed.getAsBoolean();
         if (!gather && !plenty) {
             return;
         }
-        int before = batch.logged();
+        int before = batch.segmentCount();
         int records = 0;
-        for (JobId ref : log.oldest(gather ? MOST_GATHERED : MOST_RECORDS)) {
-            Job job = book.job(ref);
+        for (JobId jobId : changeLog.oldestJobs(gather ? MAX_CONSOLIDATED_JOBS : MAX_FOLDED_RECORDS)) {
+            Job job = clusterState.job(jobId);
             if (job == null
                     || job.inFlight
-                    || job.overtaken()
-                    || ends(job)
+                    || job.isRecordOutdated()
+                    || isEnding(job)
                     || !guards.mayWrite(job)
-                    || (!gather && turn.now().since(job.submitted) < FOLD_AGE_MS)) {
+                    || (!gather && context.now().since(job.submittedAt) < FOLD_AGE_MS)) {
                 continue;
             }
-            if (batch.logged() - before > GATHERED_SEGMENTS
-                    || records == MOST_RECORDS
-                    || !batch.take(job, gather ? WriteBatch.WriteMode.GATHER : WriteBatch.WriteMode.RECORD)) {
+            if (batch.segmentCount() - before > MAX_CONSOLIDATED_SEGMENTS
+                    || records == MAX_FOLDED_RECORDS
+                    || !batch.add(job, gather ? WriteBatch.WriteMode.CONSOLIDATE : WriteBatch.WriteMode.RECORD)) {
                 return;
             }
-            book.sent(job);
+            clusterState.markInFlight(job);
             records += gather ? 0 : 1;
         }
     }
 
-    private static boolean ends(Job job) {
-        return job.record.live.isEmpty() && (job.record.cancelled() || job.record.complete());
+    private static boolean isEnding(Job job) {
+        return job.record.live.isEmpty() && (job.record.isCancelled() || job.record.isComplete());
     }
 
     /**
      * More urgent jobs first; of one urgency those that have ended, for their users wait, then launches. Ended tasks come last. With
      * all ends first, thousands of tiny jobs' ends kept urgent launches waiting for seconds.
      */
-    private static int commitRank(Job job) {
-        if (ends(job)) {
-            return 2 * job.spec().urgency().ordinal();
+    private static int writeRank(Job job) {
+        if (isEnding(job)) {
+            return 2 * job.spec().priority().ordinal();
         }
-        return job.uncommitted > 0 || job.width() < job.committedWidth
-                ? 1 + 2 * job.spec().urgency().ordinal()
-                : GATHERED;
+        return job.uncommittedPlacements > 0 || job.width() < job.committedWidth
+                ? 1 + 2 * job.spec().priority().ordinal()
+                : DEFERRED_RANK;
     }
 
     /** Jobs that wait to be written, for whoever shares out the state service's limits. */
-    public int backlog() {
-        return loading.active() ? book.dirty().size() : 0;
+    public int pendingWrites() {
+        return loader.isActive() ? clusterState.dirtyJobs().size() : 0;
     }
 
-    private void committed(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
-        batch.parts().forEach(p -> p.job.inFlight = false);
-        result(commit, rotating, batch, placed);
-        if (loading.complete()) {
-            batch.parts().forEach(p -> loading.takeUp(p.job));
+    private void completeCommit(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+        batch.writes().forEach(p -> p.job.inFlight = false);
+        applyOutcome(commit, rotating, batch, placed);
+        if (loader.isComplete()) {
+            batch.writes().forEach(p -> loader.applyPendingChange(p.job));
         }
     }
 
-    private void result(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
-        switch (commit.result()) {
-            case DONE -> {
+    private void applyOutcome(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+        switch (commit.outcome()) {
+            case COMMITTED -> {
                 if (rotating) {
-                    election.rotated(commit.revision());
-                    LOG.info("baton rewritten: {}", election.baton().value());
+                    election.adoptToken(commit.revision());
+                    LOG.info("baton rewritten: {}", election.fencingToken().value());
                 }
-                batch.made();
-                for (WriteBatch.JobWrite part : batch.parts()) {
-                    if (part.way == WriteBatch.WriteMode.RECORD) {
+                batch.applyCommitted();
+                for (WriteBatch.JobWrite part : batch.writes()) {
+                    if (part.mode == WriteBatch.WriteMode.RECORD) {
                         part.job.version = commit.revision();
-                    } else if (part.way.ends()) {
-                        JsonNode state = part.job.record.endedNode(part.job.finalState());
-                        if (part.way == WriteBatch.WriteMode.END_HERE) {
-                            loading.standsOver(new StoreClient.KeyValue(
-                                    JobRecord.openKey(part.job.ref()), state, commit.revision(), 0));
+                    } else if (part.mode.isFinal()) {
+                        JsonNode state = part.job.record.finalStateNode(part.job.finalState());
+                        if (part.mode == WriteBatch.WriteMode.FINAL_STATE_IN_PLACE) {
+                            loader.addMisplacedFinalState(new StoreClient.KeyValue(
+                                    JobRecord.openKey(part.job.id()), state, commit.revision(), 0));
                         }
-                        book.ended(part.job);
-                        listener.ended(part.job, state);
-                        LOG.info("{} ended: {}", part.job.ref(), part.job.finalState());
+                        clusterState.markEnded(part.job);
+                        listener.jobEnded(part.job, state);
+                        LOG.info("{} ended: {}", part.job.id(), part.job.finalState());
                     }
-                    if (!part.way.ends() && ends(part.job)) {
-                        book.touch(part.job); // gathered for the log's sake; written off as clean, it once never ended
+                    if (!part.mode.isFinal() && isEnding(part.job)) {
+                        clusterState.markDirty(
+                                part.job); // gathered for the log's sake; written off as clean, it once never ended
                     }
                 }
                 for (Placement placement : placed) {
                     placement.committed = true;
-                    Job job = book.job(placement.task.job());
+                    Job job = clusterState.job(placement.task.job());
                     if (job != null && job.record.live.get(placement.task.index()) == placement) {
-                        job.uncommitted--;
+                        job.uncommittedPlacements--;
                     }
                 }
-                listener.placed(placed);
-                batch.parts().forEach(p -> listener.written(p.job));
+                listener.placementsCommitted(placed);
+                batch.writes().forEach(p -> listener.jobWritten(p.job));
             }
             case CONFLICT -> {
-                if (commit.failed().contains(LeaderElection.KEY)) {
-                    election.lose("the key was rewritten");
-                } else if (guards.overtaken(commit.failed())) {
-                    notMade(batch, rotating);
+                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                    election.loseLeadership("the key was rewritten");
+                } else if (guards.overtaken(commit.failedKeys())) {
+                    restorePending(batch, rotating);
                 } else {
                     // A cancellation came first, most likely: read the book again and go on from there.
-                    LOG.info("commit overtaken on {}", commit.failed());
-                    loading.reload();
+                    LOG.info("commit overtaken on {}", commit.failedKeys());
+                    loader.reload();
                 }
             }
-            case NO_LEASE -> election.lose("the lease ended");
-            case UNCERTAIN -> {
+            case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
+            case UNKNOWN -> {
                 LOG.info("a commit's fate is unknown; rewriting the baton");
-                settle();
+                settleUnknownCommit();
             }
-            case REFUSED -> {
-                notMade(batch, rotating);
-                nextCommit = turn.now().plusMs(200);
+            case REJECTED -> {
+                restorePending(batch, rotating);
+                nextCommit = context.now().plusMs(200);
             }
-            default -> throw new IllegalStateException("commit ended with " + commit.result());
+            default -> throw new IllegalStateException("commit ended with " + commit.outcome());
         }
     }
 
-    private void notMade(WriteBatch batch, boolean rotating) {
-        batch.dropped();
-        rotateWanted |= rotating;
-        batch.parts().forEach(p -> book.touch(p.job));
+    private void restorePending(WriteBatch batch, boolean rotating) {
+        batch.discard();
+        rotationRequested |= rotating;
+        batch.writes().forEach(p -> clusterState.markDirty(p.job));
     }
 
     /**
      * After a transaction without an answer: rewriting the key under its guard makes sure that it was applied before
      * or never will be; then the book is read again.
      */
-    private void settle() {
-        loading.suspend();
-        long expectedEpoch = loading.epoch();
-        Transaction txn = election.guarded();
-        election.rotateIn(txn);
-        requests.take(turn.now(), 1);
-        writes.take(turn.now(), 1);
-        store.commit(txn, commit -> {
-            if (expectedEpoch != loading.epoch()) {
+    private void settleUnknownCommit() {
+        loader.invalidate();
+        long expectedEpoch = loader.loadEpoch();
+        Transaction transaction = election.guardedTransaction();
+        election.addTokenRotation(transaction);
+        requests.takeOrOverdraw(context.now(), 1);
+        writes.takeOrOverdraw(context.now(), 1);
+        store.commit(transaction, commit -> {
+            if (expectedEpoch != loader.loadEpoch()) {
                 return;
             }
-            switch (commit.result()) {
-                case DONE -> {
-                    election.rotated(commit.revision());
-                    loading.reload();
+            switch (commit.outcome()) {
+                case COMMITTED -> {
+                    election.adoptToken(commit.revision());
+                    loader.reload();
                 }
-                case CONFLICT -> rewritten(expectedEpoch);
-                case NO_LEASE -> election.lose("the lease ended");
-                default -> again(expectedEpoch, this::settle);
+                case CONFLICT -> resolveRewrittenKey(expectedEpoch);
+                case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
+                default -> retryLater(expectedEpoch, this::settleUnknownCommit);
             }
         });
     }
 
-    private void again(long expectedEpoch, Runnable then) {
-        turn.after(300, () -> {
-            if (expectedEpoch == loading.epoch()) {
+    private void retryLater(long expectedEpoch, Runnable then) {
+        context.schedule(300, () -> {
+            if (expectedEpoch == loader.loadEpoch()) {
                 then.run();
             }
         });
@@ -475,15 +485,15 @@
      * The key is not as this leader knows it: an earlier rewriting of its own was made and only its answer was lost, or another node's.
      * Its own settles the matter as well, for whatever was guarded by the older revision can't be made any more.
      */
-    private void rewritten(long expectedEpoch) {
-        election.readOwn(own -> {
-            if (expectedEpoch != loading.epoch()) {
+    private void resolveRewrittenKey(long expectedEpoch) {
+        election.readKeyOwnership(own -> {
+            if (expectedEpoch != loader.loadEpoch()) {
                 return;
             }
             switch (own) {
-                case STILL -> loading.reload();
-                case GONE -> election.lose("the key was rewritten");
-                default -> again(expectedEpoch, () -> rewritten(expectedEpoch));
+                case HELD -> loader.reload();
+                case LOST -> election.loseLeadership("the key was rewritten");
+                default -> retryLater(expectedEpoch, () -> resolveRewrittenKey(expectedEpoch));
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -22,27 +22,27 @@
     /** How a job's news are written. */
     enum WriteMode {
         /** Its final state, under a key of its own; its record goes. */
-        END,
+        FINAL_STATE,
         /** Its final state where its record stood: one change instead of two, moved later. */
-        END_HERE,
+        FINAL_STATE_IN_PLACE,
         /** Its record, whole. */
         RECORD,
         /** What changed of its tasks, beside other jobs' news. */
         LOG,
         /** All that its record lacks, so that the segments that said so before are free. */
-        GATHER;
+        CONSOLIDATE;
 
-        boolean ends() {
-            return this == END || this == END_HERE;
+        boolean isFinal() {
+            return this == FINAL_STATE || this == FINAL_STATE_IN_PLACE;
         }
     }
 
     /** A job's part, as it was when it was sent. */
     static final class JobWrite {
         final Job job;
-        final WriteMode way;
+        final WriteMode mode;
         Map<String, ArrayNode> chunks;
-        TaskChanges delta;
+        TaskChanges changes;
         CommittedTasks stored;
         CommittedTasks recorded;
         int width;
@@ -50,130 +50,131 @@
 
         JobWrite(Job job, WriteMode way) {
             this.job = job;
-            this.way = way;
+            this.mode = way;
         }
     }
 
-    private static final int MOST_BYTES = 40_000;
+    private static final int MAX_BYTES = 40_000;
     private static final int RECORD_BYTES = 2500;
     private static final int GUARD_BYTES = 60;
 
-    private final Transaction txn;
+    private final Transaction transaction;
     private final RecordSizes sizes;
-    private final ChangeLog log;
-    private final int mostOps;
-    private final int mostGuards;
+    private final ChangeLog addToLog;
+    private final int maxOperations;
+    private final int maxGuards;
     private final ChangeLogSegment.Writer writer;
-    private final List<JobWrite> parts = new ArrayList<>();
+    private final List<JobWrite> writes = new ArrayList<>();
     private final Map<Long, Integer> slots = new HashMap<>();
-    private final Map<Long, Set<JobId>> written = new HashMap<>();
+    private final Map<Long, Set<JobId>> writtenJobs = new HashMap<>();
     private int bytes;
     private final CommitGuards guards;
     private final Set<String> keyGuards = new HashSet<>();
 
-    /** @param txn with the leader's guard in it; {@code mostOps} changes may be made by now */
+    /** @param transaction with the leader's guard in it; {@code mostOps} changes may be made by now */
     WriteBatch(
-            Transaction txn,
+            Transaction transaction,
             Settings.State limits,
             RecordSizes sizes,
-            ChangeLog log,
+            ChangeLog changeLog,
             CommitGuards guards,
             int mostOps) {
         this.guards = guards;
-        this.txn = txn;
+        this.transaction = transaction;
         this.sizes = sizes;
-        this.log = log;
-        this.mostOps = Math.min(limits.txnOps(), mostOps);
-        this.mostGuards = 4 * limits.txnOps() - 1;
+        this.addToLog = changeLog;
+        this.maxOperations = Math.min(limits.txnOps(), mostOps);
+        this.maxGuards = 4 * limits.txnOps() - 1;
         this.writer = new ChangeLogSegment.Writer(sizes.segmentBytes());
     }
 
     boolean isEmpty() {
-        return txn.ops() == 0 && parts.isEmpty();
+        return transaction.operationCount() == 0 && writes.isEmpty();
     }
 
-    List<JobWrite> parts() {
-        return parts;
+    List<JobWrite> writes() {
+        return writes;
     }
 
-    int logged() {
-        return writer.size();
+    int segmentCount() {
+        return writer.segmentCount();
     }
 
     /** Takes the job's news in, if there is room; false where there is none. */
-    boolean take(Job job, WriteMode way) {
+    boolean add(Job job, WriteMode way) {
         JobWrite part = new JobWrite(job, way);
-        boolean fits = way == WriteMode.LOG || way == WriteMode.GATHER ? log(part) : record(part);
-        String key = fits && !way.ends() ? guards.guardKey(job) : null;
+        boolean fits = way == WriteMode.LOG || way == WriteMode.CONSOLIDATE ? addToLog(part) : addRecord(part);
+        String key = fits && !way.isFinal() ? guards.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
-            guards.guard(txn, job);
+            guards.guard(transaction, job);
         }
         if (fits) {
             part.width = job.width();
             part.failures = job.record.failures;
-            txn.guard(JobRecord.openKey(job.ref()), job.version);
-            parts.add(part);
+            transaction.guard(JobRecord.openKey(job.id()), job.version);
+            writes.add(part);
         }
         return fits;
     }
 
     /** Whether the job's news would cost no change more. */
-    boolean free(Job job) {
-        return writer.size() > 0
-                && parts.size() + keyGuards.size() < mostGuards - 1
-                && writer.with(job.ref(), job.stored.until(job.record)) == writer.size();
+    boolean costsNothing(Job job) {
+        return writer.segmentCount() > 0
+                && writes.size() + keyGuards.size() < maxGuards - 1
+                && writer.segmentCountWith(job.id(), job.committedTasks.changesTo(job.record)) == writer.segmentCount();
     }
 
-    private boolean room(int ops, int more, int segments) {
-        return parts.size() + keyGuards.size() < mostGuards - 1
-                && txn.ops() + ops + segments <= mostOps
-                && (parts.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MOST_BYTES);
+    private boolean hasRoom(int ops, int more, int segments) {
+        return writes.size() + keyGuards.size() < maxGuards - 1
+                && transaction.operationCount() + ops + segments <= maxOperations
+                && (writes.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MAX_BYTES);
     }
 
-    private boolean log(JobWrite part) {
-        part.delta = part.way == WriteMode.LOG
-                ? part.job.stored.until(part.job.record)
-                : part.job.recorded.allUntil(part.job.record);
-        if (!room(0, GUARD_BYTES, writer.with(part.job.ref(), part.delta))) {
+    private boolean addToLog(JobWrite part) {
+        part.changes = part.mode == WriteMode.LOG
+                ? part.job.committedTasks.changesTo(part.job.record)
+                : part.job.recordedTasks.allChangesTo(part.job.record);
+        if (!hasRoom(0, GUARD_BYTES, writer.segmentCountWith(part.job.id(), part.changes))) {
             return false;
         }
         bytes += GUARD_BYTES;
-        writer.add(part.job.ref(), part.delta);
-        part.stored = part.way == WriteMode.LOG ? null : CommittedTasks.of(part.job.record);
+        writer.add(part.job.id(), part.changes);
+        part.stored = part.mode == WriteMode.LOG ? null : CommittedTasks.of(part.job.record);
         return true;
     }
 
-    private boolean record(JobWrite part) {
+    private boolean addRecord(JobWrite part) {
         Job job = part.job;
         part.chunks = job.record.chunks();
-        boolean ends = part.way == WriteMode.END;
+        boolean ends = part.mode == WriteMode.FINAL_STATE;
         int changed = changedChunks(job, part.chunks);
-        int size =
-                RECORD_BYTES + 30 * sizes.chunk() * changed + (job.record.chunked() ? 0 : 40 * job.record.live.size());
-        if (!room(1 + (ends ? 1 : 0) + changed, size, writer.size())) {
+        int size = RECORD_BYTES
+                + 30 * sizes.chunkTasks() * changed
+                + (job.record.isChunked() ? 0 : 40 * job.record.live.size());
+        if (!hasRoom(1 + (ends ? 1 : 0) + changed, size, writer.segmentCount())) {
             return false;
         }
         bytes += size;
         part.chunks.forEach((key, array) -> {
             if (!array.equals(job.chunks.get(key))) {
-                txn.put(key, array);
+                transaction.put(key, array);
             }
         });
         for (String key : job.chunks.keySet()) {
             if (!part.chunks.containsKey(key)) {
-                txn.delete(key);
+                transaction.delete(key);
             }
         }
-        String key = JobRecord.openKey(job.ref());
-        if (part.way == WriteMode.END_HERE) {
-            txn.put(key, job.record.endedNode(job.finalState()));
+        String key = JobRecord.openKey(job.id());
+        if (part.mode == WriteMode.FINAL_STATE_IN_PLACE) {
+            transaction.put(key, job.record.finalStateNode(job.finalState()));
         } else if (ends) {
-            txn.delete(key).put(JobRecord.endedKey(job.ref()), job.record.endedNode(job.finalState()));
+            transaction.delete(key).put(JobRecord.endedKey(job.id()), job.record.finalStateNode(job.finalState()));
         } else {
-            job.record.folded = log.lastNumber();
+            job.record.foldedSegment = addToLog.lastNumber();
             part.stored = CommittedTasks.of(job.record);
             part.recorded = CommittedTasks.of(job.record);
-            txn.put(key, job.record.toNode());
+            transaction.put(key, job.record.toNode());
         }
         return true;
     }
@@ -190,22 +191,22 @@
     }
 
     /** The whole transaction; nothing more is taken in. */
-    Transaction close() {
+    Transaction seal() {
         for (Map<JobId, TaskChanges> jobs : writer.segments()) {
-            long number = log.nextNumber();
-            int slot = log.reserve();
+            long number = addToLog.nextNumber();
+            int slot = addToLog.reserveSlot();
             slots.put(number, slot);
-            written.put(number, jobs.keySet());
-            txn.put(ChangeLogSegment.key(slot), new ChangeLogSegment(number, jobs).toNode());
+            writtenJobs.put(number, jobs.keySet());
+            transaction.put(ChangeLogSegment.key(slot), new ChangeLogSegment(number, jobs).toNode());
         }
-        return txn;
+        return transaction;
     }
 
     /** Placements that are committed with it. */
-    List<Placement> placed() {
+    List<Placement> newPlacements() {
         List<Placement> out = new ArrayList<>();
-        for (JobWrite part : parts) {
-            if (!part.way.ends()) {
+        for (JobWrite part : writes) {
+            if (!part.mode.isFinal()) {
                 part.job.record.live.values().stream().filter(l -> !l.committed).forEach(out::add);
             }
         }
@@ -213,27 +214,27 @@
     }
 
     /** It was not made: its slots are free again. */
-    void dropped() {
-        slots.values().forEach(log::release);
+    void discard() {
+        slots.values().forEach(addToLog::releaseSlot);
     }
 
     /** It was made: what the state service holds now. */
-    void made() {
-        for (JobWrite part : parts) {
-            if (part.way == WriteMode.LOG) {
-                part.job.stored.apply(part.delta);
-            } else if (part.way == WriteMode.GATHER) {
-                log.settled(part.job.ref());
-                part.job.stored = part.stored;
+    void applyCommitted() {
+        for (JobWrite part : writes) {
+            if (part.mode == WriteMode.LOG) {
+                part.job.committedTasks.apply(part.changes);
+            } else if (part.mode == WriteMode.CONSOLIDATE) {
+                addToLog.forgetJob(part.job.id());
+                part.job.committedTasks = part.stored;
             } else {
-                log.settled(part.job.ref());
-                part.job.stored = part.stored;
-                part.job.recorded = part.recorded;
+                addToLog.forgetJob(part.job.id());
+                part.job.committedTasks = part.stored;
+                part.job.recordedTasks = part.recorded;
                 part.job.chunks = part.chunks;
                 part.job.committedWidth = part.width;
-                part.job.storedFailures = part.failures;
+                part.job.committedFailures = part.failures;
             }
         }
-        slots.forEach((number, slot) -> log.holds(number, slot, written.get(number)));
+        slots.forEach((number, slot) -> addToLog.recordSegment(number, slot, writtenJobs.get(number)));
     }
 }
