--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -21,146 +21,149 @@
  */
 public final class CancellationEnforcer {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
-    private static final long KILL_AGAIN_MS = 3000;
+    private static final long KILL_RETRY_MS = 3000;
     /** A launch is usually answered within some ten milliseconds. */
-    private static final long UNANSWERED_MS = 100;
+    private static final long LAUNCH_ANSWER_MS = 100;
     /** A new token is usually committed within this; where the state service does not answer, it is waited for so long. */
     private static final long TOKEN_MS = 40;
 
-    private static final long KILL_LOST_MS = 400;
-    private static final long FENCED_WITHIN_MS = 3000;
+    private static final long KILL_TIMEOUT_MS = 400;
+    private static final long FENCE_WITHIN_MS = 3000;
     /** What a return takes, with a request limit and an answer that is lost once. */
-    private static final long RETURN_MS = 12_000;
+    private static final long RELEASE_MS = 12_000;
     /** How much sooner than a lease's end the time must not be over, and how long a worker waits for an answer. */
     private static final long SPARE_MS = 4000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final ClusterState book;
-    private final CommandDispatcher orders;
-    private final TaskRemoval departures;
-    private final LossRecovery recovery;
+    private final ClusterState clusterState;
+    private final CommandDispatcher dispatcher;
+    private final TaskRemoval taskRemoval;
+    private final LossRecovery lossRecovery;
     private final MachineReleases releases;
     private final JobHolds holds;
     private final CancellationRegistry cancellations;
     private MonotonicTime nextKills = MonotonicTime.ZERO;
 
     public CancellationEnforcer(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
-            ClusterState book,
-            CommandDispatcher orders,
-            TaskRemoval departures,
-            LossRecovery recovery,
+            ClusterState clusterState,
+            CommandDispatcher dispatcher,
+            TaskRemoval taskRemoval,
+            LossRecovery lossRecovery,
             MachineReleases releases,
             JobHolds holds,
             CancellationRegistry cancellations) {
-        this.turn = turn;
+        this.context = context;
         this.settings = settings;
-        this.book = book;
-        this.orders = orders;
-        this.departures = departures;
-        this.recovery = recovery;
+        this.clusterState = clusterState;
+        this.dispatcher = dispatcher;
+        this.taskRemoval = taskRemoval;
+        this.lossRecovery = lossRecovery;
         this.releases = releases;
         this.holds = holds;
         this.cancellations = cancellations;
     }
 
     /** The job's cancellation is committed, whether its record has been read again or not. */
-    public void cancelled(JobId ref) {
-        Job job = book.job(ref);
+    public void jobCancelled(JobId jobId) {
+        Job job = clusterState.job(jobId);
         if (job == null) {
             return;
         }
-        if (!job.cancelled()) {
-            job.cancelHeardMs = cancellations.at(ref);
+        if (!job.isCancelled()) {
+            job.cancelHeardAtMs = cancellations.cancelledAtWallMs(jobId);
             LOG.info(
                     "{} is cancelled, as is heard before its record is read: {} tasks may be running",
-                    ref,
+                    jobId,
                     job.record.live.size());
         }
-        recovery.over(ref);
+        lossRecovery.forgetJob(jobId);
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
-            if (placement.committed && !placement.sent) {
-                departures.remove(job, placement);
+            if (placement.committed && !placement.launchSent) {
+                taskRemoval.remove(job, placement);
             }
         }
-        kill(job);
-        book.replan();
-        LaunchFence fence =
-                new LaunchFence(ref, book.reign(), orders.token(), turn.now().plusMs(FENCED_WITHIN_MS));
-        turn.after(UNANSWERED_MS, () -> fenceOff(fence));
+        killAll(job);
+        clusterState.requestReplan();
+        LaunchFence fence = new LaunchFence(
+                jobId,
+                clusterState.term(),
+                dispatcher.fencingToken(),
+                context.now().plusMs(FENCE_WITHIN_MS));
+        context.schedule(LAUNCH_ANSWER_MS, () -> fenceLaunches(fence));
     }
 
     /** @param token the one that launches of the job were sent with, or a later one */
-    private record LaunchFence(JobId ref, long term, FencingToken token, MonotonicTime until) {}
+    private record LaunchFence(JobId job, long term, FencingToken token, MonotonicTime until) {}
 
     /**
      * A launch that has no answer by now may be executed seconds later, after the user was told. A new token makes the worker refuse it; a
      * kill that does not wait for the launch's answer brings that token to the worker.
      */
-    private void fenceOff(LaunchFence fence) {
-        Job job = book.job(fence.ref);
-        if (fence.term != book.reign()
+    private void fenceLaunches(LaunchFence fence) {
+        Job job = clusterState.job(fence.job);
+        if (fence.term != clusterState.term()
                 || job == null
-                || !orders.launchUnanswered(job)
-                || !turn.now().before(fence.until)) {
+                || !dispatcher.hasUnacknowledgedLaunch(job)
+                || !context.now().isBefore(fence.until)) {
             return;
         }
-        if (orders.token().compareTo(fence.token) > 0) {
-            LOG.info("{} is cancelled and a launch of it has no answer: its worker is told a newer token", fence.ref);
-            orders.killUnanswered(job);
-            turn.after(KILL_LOST_MS, () -> fenceOff(fence));
+        if (dispatcher.fencingToken().compareTo(fence.token) > 0) {
+            LOG.info("{} is cancelled and a launch of it has no answer: its worker is told a newer token", fence.job);
+            dispatcher.killUnacknowledged(job);
+            context.schedule(KILL_TIMEOUT_MS, () -> fenceLaunches(fence));
         } else {
-            orders.wantToken();
-            turn.after(TOKEN_MS, () -> fenceOff(fence));
+            dispatcher.requestFencing();
+            context.schedule(TOKEN_MS, () -> fenceLaunches(fence));
         }
     }
 
-    private void kill(Job job) {
+    private void killAll(Job job) {
         for (Placement placement : job.record.live.values()) {
-            if (placement.sent) {
-                orders.kill(book.host(placement.host), placement);
+            if (placement.launchSent) {
+                dispatcher.kill(clusterState.machine(placement.machine), placement);
             }
         }
     }
 
     /** While this node may command, whether or not it knows all records now. */
-    public void tick() {
-        boolean again = !turn.now().before(nextKills);
+    public void enforce() {
+        boolean again = !context.now().isBefore(nextKills);
         if (again) {
-            nextKills = turn.now().plusMs(KILL_AGAIN_MS);
+            nextKills = context.now().plusMs(KILL_RETRY_MS);
         }
-        for (Job job : book.jobs()) {
-            if (job.cancelled()) {
+        for (Job job : clusterState.jobs()) {
+            if (job.isCancelled()) {
                 if (again) {
-                    kill(job);
+                    killAll(job);
                 }
-                overdue(
+                releaseUnreachable(
                         job,
                         job.cancelledAtMs() + settings.workers().cancelMs() - (long) settings.clockErrorMs(),
                         "cancelled");
-            } else if (job.held()) {
-                overdue(job, holds.goneByMs(job), "held");
+            } else if (job.isHeld()) {
+                releaseUnreachable(job, holds.mustBeGoneByMs(job), "held");
             }
         }
     }
 
     /** A task on a machine that can't be reached: the machine is returned while there is time. */
-    private void overdue(Job job, long deadlineWallMs, String is) {
-        long left = deadlineWallMs - turn.wallMs();
-        if (left >= RETURN_MS) {
+    private void releaseUnreachable(Job job, long deadlineWallMs, String is) {
+        long left = deadlineWallMs - context.wallMs();
+        if (left >= RELEASE_MS) {
             return;
         }
         for (Placement placement : job.record.live.values()) {
-            Machine machine = book.host(placement.host);
-            boolean lapsesInTime = book.lapse(machine).since(turn.now()) < left - SPARE_MS
-                    && turn.now().since(book.heard(machine)) > SPARE_MS;
-            if (!lapsesInTime && !machine.returning) {
+            Machine machine = clusterState.machine(placement.machine);
+            boolean lapsesInTime = clusterState.leaseExpiry(machine).since(context.now()) < left - SPARE_MS
+                    && context.now().since(clusterState.lastHeardOf(machine)) > SPARE_MS;
+            if (!lapsesInTime && !machine.releasing) {
                 LOG.info("{} is {} but still on {}: returning the machine", placement.task, is, machine.id);
-                releases.giveBack(machine, "a " + is + " task can't be reached");
+                releases.releaseMachine(machine, "a " + is + " task can't be reached");
             }
-            machine.goneByMs = Math.min(machine.goneByMs, deadlineWallMs);
+            machine.mustBeGoneByMs = Math.min(machine.mustBeGoneByMs, deadlineWallMs);
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -1,7 +1,6 @@
 package org.beechhoist.controller.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Locale;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.ClusterState;
@@ -20,65 +19,65 @@
 public final class ColdStartRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(ColdStartRecovery.class);
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final long reportMs;
-    private RecoveryProgress progression;
-    private RecoveryPacer pace;
-    private boolean listed;
+    private RecoveryProgress progress;
+    private RecoveryPacer pacer;
+    private boolean markListed;
     /** What was counted last, for whoever asks. */
     private RecoveryProgress.Facts facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
 
-    public ColdStartRecovery(ControllerContext turn, Settings settings, ClusterState book) {
-        this.turn = turn;
+    public ColdStartRecovery(ControllerContext context, Settings settings, ClusterState clusterState) {
+        this.context = context;
         this.settings = settings;
-        this.book = book;
+        this.clusterState = clusterState;
         this.reportMs = Math.round(1000 * settings.workers().reportS());
         begin();
     }
 
     /** A new leadership begins. */
     public void begin() {
-        progression =
-                new RecoveryProgress(turn.now(), reportMs, settings.workers().leaseMs());
-        pace = new RecoveryPacer(settings.maxSockets());
-        listed = false;
+        progress =
+                new RecoveryProgress(context.now(), reportMs, settings.workers().leaseMs());
+        pacer = new RecoveryPacer(settings.maxSockets());
+        markListed = false;
         facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
     }
 
     /** The cloud has told of all its machines. */
-    public void listed() {
-        listed = true;
+    public void markListed() {
+        markListed = true;
     }
 
-    boolean over() {
-        return progression.phase() == RecoveryProgress.Phase.OVER;
+    boolean isComplete() {
+        return progress.phase() == RecoveryProgress.Phase.COMPLETE;
     }
 
     /** Whether work may be stopped for another's sake: not before most of the machines that have room could say so. */
     public boolean mayStop() {
-        return progression.phase().compareTo(RecoveryProgress.Phase.LISTENING) > 0;
+        return progress.phase().compareTo(RecoveryProgress.Phase.LISTENING) > 0;
     }
 
     /** Looks how far it has come, all records being known; every phase leaves a line. */
-    public void tick() {
-        if (over()) {
+    public void advance() {
+        if (isComplete()) {
             return;
         }
         facts = count();
-        RecoveryProgress.Phase before = progression.phase();
-        while (progression.advance(turn.now(), facts)) {
+        RecoveryProgress.Phase before = progress.phase();
+        while (progress.advance(context.now(), facts)) {
             LOG.info(
                     "start: {} is over after {} s, {} of {} machines heard, {} placements in doubt, {} orders waiting",
-                    before.name().toLowerCase(Locale.ROOT),
-                    turn.now().since(progression.began()) / 1000.0,
+                    before.label(),
+                    context.now().since(progress.beganAt()) / 1000.0,
                     facts.heard(),
                     facts.expected(),
-                    facts.inDoubt(),
-                    facts.waitingOrders());
-            before = progression.phase();
-            book.replan();
+                    facts.unconfirmed(),
+                    facts.waitingCommands());
+            before = progress.phase();
+            clusterState.requestReplan();
         }
     }
 
@@ -87,66 +86,66 @@
         int heard = 0;
         int doubt = 0;
         int waiting = 0;
-        for (Machine machine : book.hosts()) {
-            boolean spoke = machine.lastCheckin != null;
+        for (Machine machine : clusterState.machines()) {
+            boolean spoke = machine.lastHeartbeat != null;
             if (spoke
-                    || (machine.listedUp || !machine.placements.isEmpty())
+                    || (machine.listedRunning || !machine.placements.isEmpty())
                             && presence(machine) != MachinePresence.Assessment.DOUBTED) {
                 expected++;
                 heard += spoke ? 1 : 0;
             }
-            doubt += spoke ? machine.inDoubt : machine.placements.size();
+            doubt += spoke ? machine.unconfirmedPlacements : machine.placements.size();
             waiting += machine.outbox.size();
         }
-        return new RecoveryProgress.Facts(true, listed, expected, heard, doubt, waiting);
+        return new RecoveryProgress.Facts(true, markListed, expected, heard, doubt, waiting);
     }
 
     // ---- machines that have not spoken ----
 
     private MachinePresence.Assessment presence(Machine machine) {
-        return MachinePresence.of(
+        return MachinePresence.assess(
                 new MachinePresence.SilentMachine(
                         !machine.placements.isEmpty(),
-                        machine.listedUp,
-                        machine.unanswered,
-                        machine.answersAt != MonotonicTime.ZERO),
-                turn.now().since(progression.began()),
+                        machine.listedRunning,
+                        machine.unansweredProbes,
+                        machine.probeAnsweredAt != MonotonicTime.ZERO),
+                context.now().since(progress.beganAt()),
                 RecoveryProgress.allReportedMs(reportMs));
     }
 
     /** Whether the plan should not count on the machine: it has not spoken, and should have, or does not answer. */
-    public boolean doubted(Machine machine) {
-        return machine.lastCheckin == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
+    public boolean isDoubted(Machine machine) {
+        return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
     }
 
     /** Whether the machine is to be asked though its report is not late yet. */
-    boolean asksEarly(Machine machine) {
-        return machine.lastCheckin == null
-                && progression.gathering(turn.now())
-                && presence(machine) != MachinePresence.Assessment.COUNTED_ON;
+    boolean probesEarly(Machine machine) {
+        return machine.lastHeartbeat == null
+                && progress.isGathering(context.now())
+                && presence(machine) != MachinePresence.Assessment.ASSUMED_PRESENT;
     }
 
     // ---- what may be sent ----
 
     /** Whether a question may be sent to the machine now. */
-    boolean mayAsk(Machine machine) {
-        return over() || pace.take(RecoveryPacer.CallKind.QUESTION, machine.zone, turn.now());
+    boolean mayProbe(Machine machine) {
+        return isComplete() || pacer.tryAcquire(RecoveryPacer.CallKind.PROBE, machine.zone, context.now());
     }
 
     /** Whether the orders that wait for the machine may be sent straight to it now; they go with the answer to its report otherwise. */
     boolean mayCommand(Machine machine) {
-        return over() || pace.take(kind(machine), machine.zone, turn.now());
+        return isComplete() || pacer.tryAcquire(callKind(machine), machine.zone, context.now());
     }
 
     /** A question or command has been answered, or given up. */
-    void answered() {
-        pace.over();
+    void callFinished() {
+        pacer.callFinished();
     }
 
-    private RecoveryPacer.CallKind kind(Machine machine) {
+    private RecoveryPacer.CallKind callKind(Machine machine) {
         for (Placement placement : machine.placements.values()) {
-            Job job = book.job(placement.task.job());
-            if (job != null && (job.cancelled() || LossRecovery.urgent(job))) {
+            Job job = clusterState.job(placement.task.job());
+            if (job != null && (job.isCancelled() || LossRecovery.isUrgent(job))) {
                 return RecoveryPacer.CallKind.URGENT;
             }
         }
@@ -156,18 +155,18 @@
     /** For operators: see docs/operations/start.md. */
     public ObjectNode view() {
         ObjectNode node = Codec.map()
-                .put("phase", progression.phase().name().toLowerCase(Locale.ROOT))
-                .put("agoS", turn.now().since(progression.began()) / 1000.0)
+                .put("phase", progress.phase().label())
+                .put("agoS", context.now().since(progress.beganAt()) / 1000.0)
                 .put("heard", facts.heard())
                 .put("expected", facts.expected())
-                .put("inDoubt", facts.inDoubt())
-                .put("ordersWaiting", facts.waitingOrders())
-                .put("ordersHeldBack", pace.heldBack())
-                .put("ordersSent", pace.sent())
-                .put("ordersPerSecond", pace.perSecond())
-                .put("overInS", progression.longestLeftMs(turn.now()) / 1000.0);
-        if (progression.read() != null) {
-            node.put("readAfterS", progression.read().since(progression.began()) / 1000.0);
+                .put("inDoubt", facts.unconfirmed())
+                .put("ordersWaiting", facts.waitingCommands())
+                .put("ordersHeldBack", pacer.deferred())
+                .put("ordersSent", pacer.sent())
+                .put("ordersPerSecond", pacer.perSecond())
+                .put("overInS", progress.maxRemainingMs(context.now()) / 1000.0);
+        if (progress.stateReadAt() != null) {
+            node.put("readAfterS", progress.stateReadAt().since(progress.beganAt()) / 1000.0);
         }
         return node;
     }
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -26,69 +26,69 @@
 /** Sends commands straight to workers, and keeps track of those that may be executed late. */
 public final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
-    static final int MAX_ORDERS = 200;
+    static final int MAX_COMMANDS = 200;
     private static final long DIRECT_TIMEOUT_MS = 3000;
     /** Commands to one worker that may be without an answer when a kill is sent all the same. */
-    private static final int MOST_UNANSWERED = 4;
+    private static final int MAX_UNACKNOWLEDGED = 4;
 
     /** What answers to commands tell. */
     public interface Listener {
         /** The worker's report after the commands. */
-        void reported(Machine machine, Heartbeat report);
+        void heartbeatReceived(Machine machine, Heartbeat report);
 
         /** A launch sent with this token may be executed minutes late. */
-        void unanswered(FencingToken baton);
+        void launchUnacknowledged(FencingToken fencingToken);
 
         /** What was sent so far must not be executed any more. */
-        void fence();
+        void fencingRequested();
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final LeaderElection election;
-    private final ClusterState book;
-    private final StateLoader loading;
-    private final ColdStartRecovery starting;
+    private final ClusterState clusterState;
+    private final StateLoader loader;
+    private final ColdStartRecovery coldStart;
     private final CancellationRegistry cancellations;
     private final Listener listener;
 
     public CommandDispatcher(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             LeaderElection election,
-            ClusterState book,
-            StateLoader loading,
-            ColdStartRecovery starting,
+            ClusterState clusterState,
+            StateLoader loader,
+            ColdStartRecovery coldStart,
             CancellationRegistry cancellations,
             Listener listener) {
         this.cancellations = cancellations;
-        this.starting = starting;
-        this.turn = turn;
+        this.coldStart = coldStart;
+        this.context = context;
         this.settings = settings;
         this.election = election;
-        this.book = book;
-        this.loading = loading;
+        this.clusterState = clusterState;
+        this.loader = loader;
         this.listener = listener;
     }
 
-    private boolean reachable(Machine machine) {
+    private boolean isReachable(Machine machine) {
         return machine.up
                 && machine.address != null
-                && machine.lastHeard != null
-                && !machine.returning
-                && !machine.ears.deaf()
-                && turn.now().since(machine.lastHeard) < settings.workers().reportS() * 2500;
+                && machine.lastHeardAt != null
+                && !machine.releasing
+                && !machine.reachability.isUnreachable()
+                && context.now().since(machine.lastHeardAt) < settings.workers().reportS() * 2500;
     }
 
     /** Also a worker that can't report, and answers when it is asked. */
-    private boolean killable(Machine machine) {
-        return reachable(machine)
+    private boolean acceptsKills(Machine machine) {
+        return isReachable(machine)
                 || machine.address != null
-                        && !machine.returning
-                        && !machine.ears.deaf()
-                        && machine.answersAt != MonotonicTime.ZERO
-                        && machine.unanswered == 0
-                        && turn.now().since(machine.answersAt)
+                        && !machine.releasing
+                        && !machine.reachability.isUnreachable()
+                        && machine.probeAnsweredAt != MonotonicTime.ZERO
+                        && machine.unansweredProbes == 0
+                        && context.now().since(machine.probeAnsweredAt)
                                 < settings.workers().reportS() * 2500;
     }
 
@@ -97,60 +97,62 @@
         if (machine.outbox.stream()
                 .noneMatch(o -> o.verb() == WorkerCommand.Verb.KILL && o.task().equals(placement.task))) {
             machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
-            direct(machine);
+            dispatch(machine);
         }
     }
 
     /** Whether a task of the job was launched by a command that has no answer yet. */
-    boolean launchUnanswered(Job job) {
-        return job.record.live.values().stream().anyMatch(this::launchUnanswered);
+    boolean hasUnacknowledgedLaunch(Job job) {
+        return job.record.live.values().stream().anyMatch(this::hasUnacknowledgedLaunch);
     }
 
-    private boolean launchUnanswered(Placement placement) {
-        return placement.sent && !placement.seen && book.host(placement.host).ordersInFlight > 0;
+    private boolean hasUnacknowledgedLaunch(Placement placement) {
+        return placement.launchSent
+                && !placement.reported
+                && clusterState.machine(placement.machine).commandsInFlight > 0;
     }
 
-    FencingToken token() {
-        return election.baton();
+    FencingToken fencingToken() {
+        return election.fencingToken();
     }
 
     /** Asks for a new token at once: a worker that has seen it refuses what was sent before. */
-    void wantToken() {
-        listener.fence();
+    void requestFencing() {
+        listener.fencingRequested();
     }
 
     /** Kills what was launched without an answer so far; unlike other commands these do not wait for that answer. */
-    void killUnanswered(Job job) {
+    void killUnacknowledged(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
-            Machine machine = book.host(placement.host);
-            if (launchUnanswered(placement)
-                    && machine.ordersInFlight <= MOST_UNANSWERED
-                    && killable(machine)
-                    && election.valid()
-                    && starting.mayCommand(machine)) {
+            Machine machine = clusterState.machine(placement.machine);
+            if (hasUnacknowledgedLaunch(placement)
+                    && machine.commandsInFlight <= MAX_UNACKNOWLEDGED
+                    && acceptsKills(machine)
+                    && election.holdsLease()
+                    && coldStart.mayCommand(machine)) {
                 send(machine, List.of(WorkerCommand.kill(placement.task, placement.attempt, 0)), List.of());
             }
         }
     }
 
     /** Sends waiting orders straight to the worker; one call at a time, so that each report is easy to judge. */
-    public void direct(Machine machine) {
-        if (machine.outbox.isEmpty() || machine.ordersInFlight > 0 || !election.valid()) {
+    public void dispatch(Machine machine) {
+        if (machine.outbox.isEmpty() || machine.commandsInFlight > 0 || !election.holdsLease()) {
             return;
         }
-        if (!reachable(machine)) {
-            boolean kills = killable(machine);
+        if (!isReachable(machine)) {
+            boolean kills = acceptsKills(machine);
             machine.outbox.removeIf(o -> !kills
                     || o.verb() != WorkerCommand.Verb.KILL); // launches not sent go with the next reply to its report
         }
         // While the book is not certain, or a cancellation may not be known, nothing is begun; what is to be ended is
         // ended.
-        boolean all = loading.active() && cancellations.mayRenew();
+        boolean all = loader.isActive() && cancellations.mayRenewLeases();
         List<WorkerCommand> orders = new ArrayList<>(machine.outbox.stream()
                 .filter(o -> all || o.verb() == WorkerCommand.Verb.KILL)
-                .limit(MAX_ORDERS)
+                .limit(MAX_COMMANDS)
                 .toList());
-        if (orders.isEmpty() || !starting.mayCommand(machine)) {
+        if (orders.isEmpty() || !coldStart.mayCommand(machine)) {
             return; // they wait for a moment, or go with that reply
         }
         machine.outbox.removeAll(orders);
@@ -163,33 +165,33 @@
             if (placement == null
                     || placement.attempt != command.attempt()
                     || !placement.committed
-                    || placement.sent
-                    || machine.going()
-                    || cancellations.knows(command.task().job())) {
+                    || placement.launchSent
+                    || machine.isLeaving()
+                    || cancellations.isCancelled(command.task().job())) {
                 return true;
             }
             launches.add(placement);
-            placement.sent = true;
-            placement.sentShift = machine.shift;
-            placement.sentCounter = machine.counter;
+            placement.launchSent = true;
+            placement.launchEpoch = machine.epoch;
+            placement.launchSequence = machine.sequence;
             return false;
         });
         if (orders.isEmpty()) {
-            starting.answered();
+            coldStart.callFinished();
             return;
         }
         send(machine, orders, launches);
     }
 
     private void send(Machine machine, List<WorkerCommand> orders, List<Placement> launches) {
-        FencingToken baton = election.baton();
-        long shift = machine.shift;
-        ObjectNode body = Codec.map().put("baton", baton.value()).put("shift", shift);
+        FencingToken fencingToken = election.fencingToken();
+        long epoch = machine.epoch;
+        ObjectNode body = Codec.map().put("baton", fencingToken.value()).put("shift", epoch);
         body.set("orders", WorkerCommand.toNode(orders));
-        machine.ordersInFlight++;
-        long term = book.reign();
-        turn.command(
-                election.validUntil(),
+        machine.commandsInFlight++;
+        long term = clusterState.term();
+        context.callBefore(
+                election.leaseValidUntil(),
                 ServiceCalls.Target.HOST,
                 machine.address,
                 "POST",
@@ -197,28 +199,28 @@
                 body,
                 DIRECT_TIMEOUT_MS,
                 result -> {
-                    if (term != book.reign()) {
+                    if (term != clusterState.term()) {
                         return;
                     }
-                    starting.answered();
-                    if (book.known(machine.id) == machine) {
-                        machine.ordersInFlight--;
-                        ordersDone(machine, result, launches, baton);
+                    coldStart.callFinished();
+                    if (clusterState.findMachine(machine.id) == machine) {
+                        machine.commandsInFlight--;
+                        handleAnswer(machine, result, launches, fencingToken);
                     }
                 });
     }
 
     /** Its address belongs to another machine now, which has been given its launches: they are ended there, and count as on their way here. */
-    private void anotherAnswered(Machine machine, Heartbeat report, List<Placement> launches) {
-        LOG.warn("{}: {} answers at its address", machine.id, report.host());
+    private void handleForeignAnswer(Machine machine, Heartbeat report, List<Placement> launches) {
+        LOG.warn("{}: {} answers at its address", machine.id, report.machine());
         machine.address = null;
-        Machine there = book.known(report.host());
+        Machine there = clusterState.findMachine(report.machine());
         for (Placement p : there == null ? List.<Placement>of() : launches) {
             there.outbox.add(WorkerCommand.kill(p.task, p.attempt, 0));
         }
     }
 
-    private void ordersDone(Machine machine, CallResult result, List<Placement> launches, FencingToken baton) {
+    private void handleAnswer(Machine machine, CallResult result, List<Placement> launches, FencingToken fencingToken) {
         Heartbeat report = null;
         if (result.kind() == CallResult.Kind.ANSWERED && result.body() != null) {
             try {
@@ -227,39 +229,42 @@
                 LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
             }
         }
-        boolean other = report != null && !report.host().equals(machine.id);
+        boolean other = report != null && !report.machine().equals(machine.id);
         if (other) {
-            anotherAnswered(machine, report, launches);
+            handleForeignAnswer(machine, report, launches);
             report = null;
         }
         if (report != null) {
-            machine.answers(turn.now());
+            machine.recordAnswer(context.now());
         } else if (result.kind() != CallResult.Kind.NOT_SENT) {
-            machine.missed(turn.now(), turn.late());
+            machine.recordMissedCall(context.now(), context.isLagging());
         }
-        boolean refused =
-                result.kind() == CallResult.Kind.NOT_SENT || (report != null && result.is(409)) || result.is(400);
+        boolean refused = result.kind() == CallResult.Kind.NOT_SENT
+                || (report != null && result.hasStatus(409))
+                || result.hasStatus(400);
         if (refused) {
-            launches.forEach(p -> p.sent = false);
-        } else if (!(result.is(200) && report != null) && !launches.isEmpty()) {
+            launches.forEach(p -> p.launchSent = false);
+        } else if (!(result.hasStatus(200) && report != null) && !launches.isEmpty()) {
             // The launch may be executed minutes late, until the worker has seen a higher token.
-            LOG.info("{}: launch without an answer, baton {}", machine.id, baton.value());
-            machine.limbo = baton;
-            listener.unanswered(baton);
+            LOG.info("{}: launch without an answer, baton {}", machine.id, fencingToken.value());
+            machine.unacknowledgedToken = fencingToken;
+            listener.launchUnacknowledged(fencingToken);
         }
-        if (report != null && report.host().equals(machine.id) && report.newerThan(machine.shift, machine.counter)) {
-            boolean sameShift = report.shift() == machine.shift;
-            machine.newest(report, turn.now());
-            if (result.is(200)) {
+        if (report != null
+                && report.machine().equals(machine.id)
+                && report.isNewerThan(machine.epoch, machine.sequence)) {
+            boolean sameShift = report.epoch() == machine.epoch;
+            machine.recordNewest(report, context.now());
+            if (result.hasStatus(200)) {
                 for (Placement placement : launches) {
-                    placement.sentShift = report.shift();
-                    placement.sentCounter = report.counter();
+                    placement.launchEpoch = report.epoch();
+                    placement.launchSequence = report.sequence();
                 }
             }
-            if (sameShift && loading.complete()) {
-                listener.reported(machine, report);
+            if (sameShift && loader.isComplete()) {
+                listener.heartbeatReceived(machine, report);
             }
         }
-        direct(machine);
+        dispatch(machine);
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/DisruptionRecorder.java
+++ b/src/main/java/org/beechhoist/controller/worker/DisruptionRecorder.java
@@ -6,5 +6,5 @@
 /** Is told of each task that has to leave its machine though it could go on. */
 public interface DisruptionRecorder {
     /** A task has to leave its machine for this cause. */
-    void happened(Placement placement, Cause cause);
+    void recordDisruption(Placement placement, Cause cause);
 }
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -27,204 +27,206 @@
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
     /** Questions on their way at once: each takes a socket, and those to dead machines hang. */
-    private static final int MOST_ASKED = 60;
+    private static final int MAX_PROBES = 60;
 
-    private static final long ANSWER_MS = 2000;
+    private static final long PROBE_TIMEOUT_MS = 2000;
     /** A report may be late by a quarter, and some for the way. */
-    private static final double LATE = 1.25;
+    private static final double LATE_FACTOR = 1.25;
 
-    private static final long WAY_MS = 1500;
+    private static final long NETWORK_MS = 1500;
     /** Unanswered questions that count as much as a second missed report. */
-    static final int ENOUGH = 2;
+    static final int PROBE_LIMIT = 2;
 
-    private static final int LEAST_IN_ZONE = 5;
+    private static final int MIN_ZONE_MACHINES = 5;
 
     /** What is known of a zone's machines in this turn. */
     private static final class ZoneHealth {
         private int up;
-        private int dark;
+        private int suspect;
 
         /** Most are silent, or don't hear: more likely the network than the machines. */
-        private boolean dark() {
-            return dark >= LEAST_IN_ZONE && dark * 2 > up;
+        private boolean suspect() {
+            return suspect >= MIN_ZONE_MACHINES && suspect * 2 > up;
         }
     }
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
     private final LeaderElection election;
-    private final ClusterState book;
-    private final ColdStartRecovery starting;
-    private final LossRecovery recovery;
+    private final ClusterState clusterState;
+    private final ColdStartRecovery coldStart;
+    private final LossRecovery lossRecovery;
     /** A worker is asked and says less than it has said before. */
-    private final BiConsumer<Machine, Heartbeat> beganAnew;
+    private final BiConsumer<Machine, Heartbeat> onRestart;
 
     private final Map<String, ZoneHealth> zones = new HashMap<>();
-    private boolean blind;
-    private int asked;
+    private boolean mostMachinesSuspect;
+    private int probesInFlight;
 
     public FailureDetector(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             Policy policy,
             LeaderElection election,
-            ClusterState book,
-            ColdStartRecovery starting,
-            LossRecovery recovery,
+            ClusterState clusterState,
+            ColdStartRecovery coldStart,
+            LossRecovery lossRecovery,
             BiConsumer<Machine, Heartbeat> beganAnew) {
-        this.beganAnew = beganAnew;
-        this.turn = turn;
+        this.onRestart = beganAnew;
+        this.context = context;
         this.settings = settings;
         this.policy = policy;
         this.election = election;
-        this.book = book;
-        this.starting = starting;
-        this.recovery = recovery;
+        this.clusterState = clusterState;
+        this.coldStart = coldStart;
+        this.lossRecovery = lossRecovery;
     }
 
     /** A new leadership begins. */
     public void reset() {
-        asked = 0;
+        probesInFlight = 0;
     }
 
     /** Machines that miss two reports; never less than the operator's setting. */
-    public long missedMs() {
+    public long silenceLimitMs() {
         return Math.max(
-                policy.silentMs(), Math.round(2 * LATE * settings.workers().reportS() * 1000) + 3000);
+                policy.silentMs(),
+                Math.round(2 * LATE_FACTOR * settings.workers().reportS() * 1000) + 3000);
     }
 
-    private long lateMs() {
-        return Math.round(LATE * settings.workers().reportS() * 1000) + WAY_MS;
+    private long heartbeatLateMs() {
+        return Math.round(LATE_FACTOR * settings.workers().reportS() * 1000) + NETWORK_MS;
     }
 
     /** Counts the silent ones, and asks those whose report is late. */
-    public void look() {
+    public void check() {
         zones.clear();
         int up = 0;
         int silent = 0;
         List<Machine> early = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            if (!expected(machine) || machine.returning) {
+        for (Machine machine : clusterState.machines()) {
+            if (!isExpected(machine) || machine.releasing) {
                 continue;
             }
-            long quiet = turn.now().since(book.heard(machine));
-            if (!machine.there && !machine.listedUp && machine.placements.isEmpty()) {
-                ask(machine); // nothing but a report tells of it, which may be a copy: it counts for no zone
+            long quiet = context.now().since(clusterState.lastHeardOf(machine));
+            if (!machine.confirmedPresent && !machine.listedRunning && machine.placements.isEmpty()) {
+                probe(machine); // nothing but a report tells of it, which may be a copy: it counts for no zone
                 continue;
             }
             ZoneHealth zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new ZoneHealth());
             up++;
             zone.up++;
-            boolean dark = quiet > lateMs() || machine.ears.deaf();
-            zone.dark += dark ? 1 : 0;
+            boolean dark = quiet > heartbeatLateMs() || machine.reachability.isUnreachable();
+            zone.suspect += dark ? 1 : 0;
             silent += dark ? 1 : 0;
-            if (machine.ears.missed() > 0 && !machine.ears.deaf()) {
-                ask(machine); // one lost message may be the way's fault; a second is not waited for
+            if (machine.reachability.missed() > 0 && !machine.reachability.isUnreachable()) {
+                probe(machine); // one lost message may be the way's fault; a second is not waited for
             }
-            if (quiet > lateMs()) {
-                ask(machine);
-            } else if (starting.asksEarly(machine)) {
+            if (quiet > heartbeatLateMs()) {
+                probe(machine);
+            } else if (coldStart.probesEarly(machine)) {
                 early.add(machine);
-            } else if (machine.lastCheckin != null) {
-                machine.unanswered = 0;
+            } else if (machine.lastHeartbeat != null) {
+                machine.unansweredProbes = 0;
             }
         }
         early.sort(Comparator.comparingInt(
-                recovery::firstUrgency)); // machines whose urgent work would wait for the answer
-        early.forEach(this::ask);
-        blind = silent > 2 && silent * 2 > up;
+                lossRecovery::highestPriority)); // machines whose urgent work would wait for the answer
+        early.forEach(this::probe);
+        mostMachinesSuspect = silent > 2 && silent * 2 > up;
     }
 
     /** Machines that should report: also those that never did to this leadership, but hold tasks or are listed as running. */
-    private static boolean expected(Machine machine) {
-        return machine.up || machine.listedUp || !machine.placements.isEmpty();
+    private static boolean isExpected(Machine machine) {
+        return machine.up || machine.listedRunning || !machine.placements.isEmpty();
     }
 
-    private void ask(Machine machine) {
-        if (machine.asked
-                || asked >= MOST_ASKED
-                || machine.unanswered >= ENOUGH
+    private void probe(Machine machine) {
+        if (machine.probeInFlight
+                || probesInFlight >= MAX_PROBES
+                || machine.unansweredProbes >= PROBE_LIMIT
                 || machine.address == null
-                || !starting.mayAsk(machine)) {
+                || !coldStart.mayProbe(machine)) {
             return;
         }
-        machine.asked = true;
-        asked++;
-        long shift = machine.shift;
-        long counter = machine.counter;
-        long reign = book.reign();
-        turn.command(
-                election.validUntil(),
+        machine.probeInFlight = true;
+        probesInFlight++;
+        long epoch = machine.epoch;
+        long counter = machine.sequence;
+        long term = clusterState.term();
+        context.callBefore(
+                election.leaseValidUntil(),
                 ServiceCalls.Target.HOST,
                 machine.address,
                 "GET",
                 "/show",
                 null,
-                ANSWER_MS,
+                PROBE_TIMEOUT_MS,
                 result -> {
-                    if (reign != book.reign()) {
+                    if (term != clusterState.term()) {
                         return;
                     }
-                    asked--;
-                    starting.answered();
-                    machine.asked = false;
-                    answered(machine, result, shift, counter);
+                    probesInFlight--;
+                    coldStart.callFinished();
+                    machine.probeInFlight = false;
+                    handleProbeAnswer(machine, result, epoch, counter);
                 });
     }
 
-    /** @param shift the newest message known when the question was sent, and {@code counter} */
-    private void answered(Machine machine, CallResult result, long shift, long counter) {
+    /** @param epoch the newest message known when the question was sent, and {@code counter} */
+    private void handleProbeAnswer(Machine machine, CallResult result, long epoch, long counter) {
         Heartbeat heartbeat = null;
         try {
-            heartbeat = result.ok() ? Heartbeat.parse(result.body()) : null;
+            heartbeat = result.isOk() ? Heartbeat.parse(result.body()) : null;
         } catch (MalformedMessageException e) {
             LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
         }
-        if (heartbeat == null || !heartbeat.host().equals(machine.id)) { // another machine may have its address
+        if (heartbeat == null || !heartbeat.machine().equals(machine.id)) { // another machine may have its address
             if (result.kind() != CallResult.Kind.NOT_SENT) {
-                machine.unanswered++;
-                machine.missed(turn.now(), turn.late());
+                machine.unansweredProbes++;
+                machine.recordMissedCall(context.now(), context.isLagging());
             }
             return;
         }
-        machine.unanswered = 0;
-        machine.answersAt = turn.now();
-        machine.answers(turn.now());
-        if (heartbeat.newerThan(machine.shift, machine.counter)) {
-            machine.newest(heartbeat, turn.now());
-        } else if (!heartbeat.newerThan(shift, counter)) {
-            beganAnew.accept(machine, heartbeat);
+        machine.unansweredProbes = 0;
+        machine.probeAnsweredAt = context.now();
+        machine.recordAnswer(context.now());
+        if (heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
+            machine.recordNewest(heartbeat, context.now());
+        } else if (!heartbeat.isNewerThan(epoch, counter)) {
+            onRestart.accept(machine, heartbeat);
         }
     }
 
     /** Whether a machine that does not hear is to be returned for that. */
-    public boolean deaf(Machine machine) {
+    public boolean isUnreachable(Machine machine) {
         ZoneHealth zone = zones.get(String.valueOf(machine.zone));
-        return machine.ears.givenUp(
-                machine.placedAndSeen(false),
-                machine.placedAndSeen(true),
-                blind || zone != null && zone.dark(),
+        return machine.reachability.shouldRelease(
+                machine.countLaunched(false),
+                machine.countLaunched(true),
+                mostMachinesSuspect || zone != null && zone.suspect(),
                 settings.workers().leaseMs(),
-                turn.now());
+                context.now());
     }
 
     /** Whether the machine is to be returned for its silence. */
-    public boolean gone(Machine machine) {
-        long quiet = turn.now().since(book.heard(machine));
+    public boolean isGone(Machine machine) {
+        long quiet = context.now().since(clusterState.lastHeardOf(machine));
         ZoneHealth zone = zones.get(String.valueOf(machine.zone));
-        if (turn.now().before(machine.mayAnswerUntil)) {
+        if (context.now().isBefore(machine.probeGraceUntil)) {
             return false;
         }
-        if (machine.ears.speaksOn()) {
+        if (machine.reachability.isOneWay()) {
             return quiet > settings.workers().leaseMs(); // it goes round all nodes, and is heard here the less for that
         }
-        if (blind || (zone != null && zone.dark())) {
+        if (mostMachinesSuspect || (zone != null && zone.suspect())) {
             return quiet > settings.workers().leaseMs();
         }
-        if (quiet <= Math.min(policy.silentMs(), missedMs()) || turn.now().since(machine.answersAt) < lateMs()) {
+        if (quiet <= Math.min(policy.silentMs(), silenceLimitMs())
+                || context.now().since(machine.probeAnsweredAt) < heartbeatLateMs()) {
             return false;
         }
-        return quiet > missedMs() || machine.unanswered >= ENOUGH;
+        return quiet > silenceLimitMs() || machine.unansweredProbes >= PROBE_LIMIT;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
@@ -14,46 +14,47 @@
 public final class FaultTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FaultTracker.class);
     private static final long FIRST_PAUSE_MS = 2000;
-    private static final long LONGEST_PAUSE_MS = 60_000;
+    private static final long MAX_PAUSE_MS = 60_000;
 
-    private final ControllerContext turn;
-    private final ClusterState book;
+    private final ControllerContext context;
+    private final ClusterState clusterState;
 
-    public FaultTracker(ControllerContext turn, ClusterState book) {
-        this.turn = turn;
-        this.book = book;
+    public FaultTracker(ControllerContext context, ClusterState clusterState) {
+        this.context = context;
+        this.clusterState = clusterState;
     }
 
     /** A task of the job has failed on the machine. */
-    void failed(Machine machine, Job job, Placement placement) {
-        job.failedOn.add(machine.id);
+    void recordFailure(Machine machine, Job job, Placement placement) {
+        job.failedOnMachines.add(machine.id);
         job.record.failures++;
-        job.record.reason = "task " + placement.task.index() + " failed on " + machine.id + "; " + job.record.failures
-                + " failures on " + job.failedOn.size() + " machines so far";
-        LOG.info("{}: {}", job.ref(), job.record.reason);
-        if (toBlame(job)) {
+        job.record.failureReason = "task " + placement.task.index() + " failed on " + machine.id + "; "
+                + job.record.failures + " failures on " + job.failedOnMachines.size() + " machines so far";
+        LOG.info("{}: {}", job.id(), job.record.failureReason);
+        if (isJobAtFault(job)) {
             // It fails everywhere: the job's own mistake. It goes on trying, ever more rarely, until it is cancelled.
-            job.notBefore = turn.now().plusMs(Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(5, job.trials++)));
+            job.notBefore =
+                    context.now().plusMs(Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << Math.min(5, job.failureBackoffs++)));
         }
-        machine.failedJobs.merge(job.ref(), 1, Integer::sum);
-        machine.avoidUntil = turn.now().plusMs(5000);
+        machine.failedJobs.merge(job.id(), 1, Integer::sum);
+        machine.avoidUntil = context.now().plusMs(5000);
     }
 
     /** Whether the job fails everywhere, by all that is known: what is done of it was done on a machine. */
-    private static boolean toBlame(Job job) {
-        return job.record.done.size() == 0 && (job.suspect() || job.failedOn.size() >= 3);
+    private static boolean isJobAtFault(Job job) {
+        return job.record.done.size() == 0 && (job.isSuspect() || job.failedOnMachines.size() >= 3);
     }
 
     /**
      * A host is suspect once tasks of several jobs fail on it that did not fail everywhere else, or several of one job of which
      * others were done. Counted from the last task that was done on it.
      */
-    public boolean faulty(Machine machine) {
+    public boolean isMachineFaulty(Machine machine) {
         int failures = 0;
         for (Map.Entry<JobId, Integer> entry : machine.failedJobs.entrySet()) {
-            Job job = book.job(entry.getKey());
+            Job job = clusterState.job(entry.getKey());
             boolean others = job != null && job.record.done.size() > 0;
-            failures += job != null && toBlame(job) ? 0 : others ? entry.getValue() : 1;
+            failures += job != null && isJobAtFault(job) ? 0 : others ? entry.getValue() : 1;
         }
         return failures >= 2;
     }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -30,124 +30,125 @@
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     /** What a recovered task's placement and image took. */
-    private static final long USUAL_FETCH_MS = 3000;
+    private static final long TYPICAL_FETCH_MS = 3000;
     /** How long a machine whose silence was noticed has to answer, once a report of it has come that may be old. */
-    private static final long ANSWERS_MS = 3000;
+    private static final long PROBE_GRACE_MS = 3000;
 
-    private final ControllerContext turn;
+    private final ControllerContext context;
     private final Settings settings;
     private final LeaderElection election;
-    private final ClusterState book;
-    private final StateLoader loading;
-    private final MachineTypeCatalog types;
+    private final ClusterState clusterState;
+    private final StateLoader loader;
+    private final MachineTypeCatalog machineTypes;
     private final DurationEstimates estimates;
-    private final TaskRemoval departures;
-    private final FaultTracker faults;
+    private final TaskRemoval taskRemoval;
+    private final FaultTracker faultTracker;
     private final MachineReleases releases;
     private final LaunchWithdrawal withdrawal;
     private final CancellationRegistry cancellations;
-    private final CommandDispatcher direct;
+    private final CommandDispatcher dispatcher;
 
     public HeartbeatHandler(
-            ControllerContext turn,
+            ControllerContext context,
             Settings settings,
             LeaderElection election,
-            ClusterState book,
-            StateLoader loading,
-            MachineTypeCatalog types,
+            ClusterState clusterState,
+            StateLoader loader,
+            MachineTypeCatalog machineTypes,
             DurationEstimates estimates,
-            TaskRemoval departures,
-            FaultTracker faults,
+            TaskRemoval taskRemoval,
+            FaultTracker faultTracker,
             MachineReleases releases,
             LaunchWithdrawal withdrawal,
             CancellationRegistry cancellations,
             CommandDispatcher direct) {
         this.cancellations = cancellations;
-        this.direct = direct;
-        this.turn = turn;
+        this.dispatcher = direct;
+        this.context = context;
         this.settings = settings;
         this.election = election;
-        this.book = book;
-        this.loading = loading;
-        this.types = types;
+        this.clusterState = clusterState;
+        this.loader = loader;
+        this.machineTypes = machineTypes;
         this.estimates = estimates;
-        this.departures = departures;
-        this.faults = faults;
+        this.taskRemoval = taskRemoval;
+        this.faultTracker = faultTracker;
         this.releases = releases;
         this.withdrawal = withdrawal;
     }
 
     /** The records were read anew: what the machines last said is held against them. */
-    public void bookLoaded() {
-        for (Machine machine : book.hosts()) {
-            if (machine.lastCheckin != null) {
-                evaluate(machine, machine.lastCheckin, true);
+    public void stateLoaded() {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.lastHeartbeat != null) {
+                reconcile(machine, machine.lastHeartbeat, true);
             }
         }
     }
 
     /** Answers a worker's report. */
-    public void checkin(long request, Heartbeat heartbeat) {
-        if (releases.gone(heartbeat.host())) {
-            turn.answer(request, 503, null); // a late report: the machine has been returned
+    public void handle(long request, Heartbeat heartbeat) {
+        if (releases.isReleased(heartbeat.machine())) {
+            context.answer(request, 503, null); // a late report: the machine has been returned
             return;
         }
-        Machine machine = book.host(heartbeat.host());
-        boolean fresh = machine.lastCheckin == null
-                ? heartbeat.newerThan(machine.shift, machine.counter - 1)
-                : heartbeat.newerThan(machine.shift, machine.counter);
-        HeartbeatValidity standing = HeartbeatValidity.of(
+        Machine machine = clusterState.machine(heartbeat.machine());
+        boolean fresh = machine.lastHeartbeat == null
+                ? heartbeat.isNewerThan(machine.epoch, machine.sequence - 1)
+                : heartbeat.isNewerThan(machine.epoch, machine.sequence);
+        HeartbeatValidity validity = HeartbeatValidity.of(
                 heartbeat,
                 fresh,
-                machine.ghosts,
-                election.firstBaton(),
-                turn.now().since(machine.newestAt));
-        if (!standing.mayRenew()) {
-            turn.answer(
+                machine.previousIncarnationToken,
+                election.firstFencingToken(),
+                context.now().since(machine.newestAt));
+        if (!validity.mayRenewLease()) {
+            context.answer(
                     request, 503, null); // a worker that began anew speaks like this, too, until it is asked (Silence)
             return;
         }
-        boolean hearing = !machine.ears.deaf();
-        if (standing.tells()) {
-            take(machine, heartbeat, standing);
+        boolean hearing = !machine.reachability.isUnreachable();
+        if (validity.isReconciled()) {
+            recordHeartbeat(machine, heartbeat, validity);
         }
         List<WorkerCommand> orders = new ArrayList<>();
-        boolean renews = cancellations.mayRenew();
-        if (loading.complete() && standing.tells()) {
-            orders.addAll(evaluate(machine, heartbeat, true));
+        boolean renews = cancellations.mayRenewLeases();
+        if (loader.isComplete() && validity.isReconciled()) {
+            orders.addAll(reconcile(machine, heartbeat, true));
             if (renews) {
-                launch(machine, heartbeat, orders);
+                addLaunches(machine, heartbeat, orders);
             }
-            if (hearing && machine.ears.deaf()) {
+            if (hearing && machine.reachability.isUnreachable()) {
                 LOG.info(
                         "{} speaks but does not hear: it gets nothing new, {} tasks are on their way to it",
                         machine.id,
-                        machine.placedAndSeen(false));
-                book.replan();
+                        machine.countLaunched(false));
+                clusterState.requestReplan();
             }
-        } else if (standing.tells()) {
-            orders.addAll(kills(heartbeat)); // whatever the book says once it is read
+        } else if (validity.isReconciled()) {
+            orders.addAll(killsOfCancelled(heartbeat)); // whatever the book says once it is read
         }
         if (!renews) {
             LOG.debug("{} is sent away: what is known of cancellations is too old to renew its lease", machine.id);
             killAtOnce(machine, orders);
-            turn.answer(request, 503, null);
+            context.answer(request, 503, null);
             return;
         }
-        machine.answeredNewest = standing.tells();
-        machine.lastAnswered = turn.now();
-        ObjectNode body = Codec.map().put("baton", election.baton().value());
+        machine.newestAnswered = validity.isReconciled();
+        machine.lastAnsweredAt = context.now();
+        ObjectNode body = Codec.map().put("baton", election.fencingToken().value());
         body.set("orders", WorkerCommand.toNode(orders));
-        MonotonicTime until = cancellations.renewUntil();
-        turn.answer(request, 200, body, until.before(election.validUntil()) ? until : election.validUntil());
+        MonotonicTime until = cancellations.leasesRenewableUntil();
+        context.answer(
+                request, 200, body, until.isBefore(election.leaseValidUntil()) ? until : election.leaseValidUntil());
     }
 
     /** Kills of what is there though its job is known to be cancelled; nothing else is known of the book now. */
-    private List<WorkerCommand> kills(Heartbeat heartbeat) {
+    private List<WorkerCommand> killsOfCancelled(Heartbeat heartbeat) {
         List<WorkerCommand> out = new ArrayList<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             if (status.state() != Heartbeat.TaskState.EXITED
-                    && cancellations.knows(status.task().job())) {
+                    && cancellations.isCancelled(status.task().job())) {
                 out.add(WorkerCommand.kill(status.task(), status.attempt(), 0));
             }
         }
@@ -161,16 +162,16 @@
                 .toList();
         machine.outbox.addAll(kills);
         if (!kills.isEmpty()) {
-            direct.direct(machine);
+            dispatcher.dispatch(machine);
         }
     }
 
     /** Nothing newer is known of the machine; whether it is more than a copy is what its standing says. */
-    private void take(Machine machine, Heartbeat heartbeat, HeartbeatValidity standing) {
+    private void recordHeartbeat(Machine machine, Heartbeat heartbeat, HeartbeatValidity validity) {
         if (!machine.up) {
             machine.up = true;
-            book.replan();
-            machine.idleSince = turn.now();
+            clusterState.requestReplan();
+            machine.idleSince = context.now();
             LOG.info(
                     "{} is up: {} in {}{}",
                     machine.id,
@@ -182,83 +183,86 @@
         machine.type = heartbeat.type();
         machine.zone = heartbeat.zone();
         machine.spot = heartbeat.spot();
-        if (machine.lastCheckin == null
-                ? heartbeat.shift() != machine.imagesShift
-                : heartbeat.shift() > machine.shift) {
+        if (machine.lastHeartbeat == null
+                ? heartbeat.epoch() != machine.imagesEpoch
+                : heartbeat.epoch() > machine.epoch) {
             machine.images.clear();
         }
-        boolean lately = machine.lastAnswered != null
-                && turn.now().since(machine.lastAnswered) < settings.workers().leaseMs();
-        if (machine.lastCheckin != null) {
-            boolean newToken = standing.current() && heartbeat.baton().compareTo(machine.lastCheckin.baton()) > 0;
-            machine.ears = machine.ears.after(
+        boolean lately = machine.lastAnsweredAt != null
+                && context.now().since(machine.lastAnsweredAt)
+                        < settings.workers().leaseMs();
+        if (machine.lastHeartbeat != null) {
+            boolean newToken = validity.isCurrent()
+                    && heartbeat.fencingToken().compareTo(machine.lastHeartbeat.fencingToken()) > 0;
+            machine.reachability = machine.reachability.afterHeartbeat(
                     new MachineReachability.MessageContext(
-                            heartbeat.shift() == machine.shift,
-                            machine.answeredNewest,
-                            heartbeat.counter() == machine.counter + 1,
+                            heartbeat.epoch() == machine.epoch,
+                            machine.newestAnswered,
+                            heartbeat.sequence() == machine.sequence + 1,
                             newToken,
-                            machine.callsLost || machine.ordersInFlight > 0 || turn.late(),
+                            machine.callsLost || machine.commandsInFlight > 0 || context.isLagging(),
                             lately),
-                    turn.now());
-        } else if (standing.current()) {
-            machine.ears = machine.ears.proved(turn.now());
+                    context.now());
+        } else if (validity.isCurrent()) {
+            machine.reachability = machine.reachability.proven(context.now());
         }
-        machine.newest(heartbeat, turn.now());
-        machine.lastCheckin = heartbeat;
-        machine.there |= standing.current();
-        if (standing.current() || machine.unanswered == 0) {
-            machine.lastHeard = turn.now();
+        machine.recordNewest(heartbeat, context.now());
+        machine.lastHeartbeat = heartbeat;
+        machine.confirmedPresent |= validity.isCurrent();
+        if (validity.isCurrent() || machine.unansweredProbes == 0) {
+            machine.lastHeardAt = context.now();
         } else {
-            machine.unanswered =
+            machine.unansweredProbes =
                     0; // a copy ends no silence that was noticed; but it may be the machine's first, so it is asked
             // once more
-            machine.mayAnswerUntil = turn.now().plusMs(ANSWERS_MS);
+            machine.probeGraceUntil = context.now().plusMs(PROBE_GRACE_MS);
         }
         // A notice is never withdrawn: an old report tells of it too, though not how much time is left.
-        if (heartbeat.noticeS() != null && (standing.current() || machine.noticeEnds == null)) {
-            if (machine.noticeEnds == null) {
-                LOG.info("{} is taken back in {} s", machine.id, heartbeat.noticeS());
-                book.replan();
+        if (heartbeat.preemptionNoticeS() != null && (validity.isCurrent() || machine.preemptedAt == null)) {
+            if (machine.preemptedAt == null) {
+                LOG.info("{} is taken back in {} s", machine.id, heartbeat.preemptionNoticeS());
+                clusterState.requestReplan();
             }
-            machine.noticeEnds = turn.now().plusMs(Math.round(1000 * heartbeat.noticeS()));
-        } else if (standing.current()) {
-            machine.noticeEnds = null;
+            machine.preemptedAt = context.now().plusMs(Math.round(1000 * heartbeat.preemptionNoticeS()));
+        } else if (validity.isCurrent()) {
+            machine.preemptedAt = null;
         }
     }
 
     /** What is to be launched there goes with the answer; what doesn't hear, or is about to go, gets nothing, and what was never sent there waits again. */
-    private void launch(Machine machine, Heartbeat heartbeat, List<WorkerCommand> orders) {
+    private void addLaunches(Machine machine, Heartbeat heartbeat, List<WorkerCommand> orders) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
-            Job job = book.job(placement.task.job());
+            Job job = clusterState.job(placement.task.job());
             if (job == null) {
                 continue; // its record can't be read: it is left alone
             }
             if (placement.committed
                     && (withdrawal.withdraws(job, placement, machine)
-                            || (machine.going() || machine.ears.deaf() || job.held()) && !placement.sent)) {
-                departures.remove(job, placement);
+                            || (machine.isLeaving() || machine.reachability.isUnreachable() || job.isHeld())
+                                    && !placement.launchSent)) {
+                taskRemoval.remove(job, placement);
                 continue;
             }
-            boolean again = placement.sent
-                    && machine.limbo.compareTo(heartbeat.baton()) >= 0
-                    && find(heartbeat, placement) == null
-                    && machine.ordersInFlight == 0;
+            boolean again = placement.launchSent
+                    && machine.unacknowledgedToken.compareTo(heartbeat.fencingToken()) >= 0
+                    && findStatus(heartbeat, placement) == null
+                    && machine.commandsInFlight == 0;
             if (placement.committed
-                    && (!placement.sent || again)
-                    && orders.size() < CommandDispatcher.MAX_ORDERS
-                    && !machine.returning
-                    && !machine.ears.deaf()
-                    && job.hold == null
-                    && !job.cancelled()) {
+                    && (!placement.launchSent || again)
+                    && orders.size() < CommandDispatcher.MAX_COMMANDS
+                    && !machine.releasing
+                    && !machine.reachability.isUnreachable()
+                    && job.keySetHold == null
+                    && !job.isCancelled()) {
                 orders.add(WorkerCommand.launch(placement.task, placement.attempt));
-                placement.sent = true;
-                placement.sentShift = heartbeat.shift();
-                placement.sentCounter = heartbeat.counter();
+                placement.launchSent = true;
+                placement.launchEpoch = heartbeat.epoch();
+                placement.launchSequence = heartbeat.sequence();
             }
         }
     }
 
-    private static Heartbeat.TaskStatus find(Heartbeat heartbeat, Placement placement) {
+    private static Heartbeat.TaskStatus findStatus(Heartbeat heartbeat, Placement placement) {
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             if (status.task().equals(placement.task) && status.attempt() == placement.attempt) {
                 return status;
@@ -268,10 +272,10 @@
     }
 
     /** What is stored of the task that the machine speaks of. */
-    private Reconciliation.RecordedState stored(Machine machine, Heartbeat.TaskStatus status) {
-        Job job = book.job(status.task().job());
+    private Reconciliation.RecordedState recordedState(Machine machine, Heartbeat.TaskStatus status) {
+        Job job = clusterState.job(status.task().job());
         if (job == null) {
-            return book.unreadable(status.task().job())
+            return clusterState.isUnreadable(status.task().job())
                     ? Reconciliation.RecordedState.UNREADABLE
                     : Reconciliation.RecordedState.NO_JOB;
         }
@@ -284,51 +288,53 @@
         if (placement.attempt > status.attempt()) {
             return Reconciliation.RecordedState.PLACED_LATER;
         }
-        return placement.attempt < status.attempt() || !placement.host.equals(machine.id)
-                ? Reconciliation.RecordedState.PLACED_OTHERWISE
-                : job.cancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
+        return placement.attempt < status.attempt() || !placement.machine.equals(machine.id)
+                ? Reconciliation.RecordedState.PLACED_INCONSISTENT
+                : job.isCancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
     }
 
     /**
      * Takes what a report says of tasks; returns the orders that follow. In the answer to a command, absence counts for placements of earlier
      * leaderships alone: launches of this one may be in flight in the reply to a check-in that the worker has not read yet.
      */
-    public List<WorkerCommand> evaluate(Machine machine, Heartbeat heartbeat, boolean checkin) {
+    public List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, boolean checkin) {
         List<WorkerCommand> orders = new ArrayList<>();
         AbsenceEvidence.PendingCommands inFlight =
-                new AbsenceEvidence.PendingCommands(machine.ordersInFlight > 0, machine.limbo);
+                new AbsenceEvidence.PendingCommands(machine.commandsInFlight > 0, machine.unacknowledgedToken);
         // A launch in limbo finds its exited attempt and does nothing; once forgotten, it would start it once more.
-        boolean over = inFlight.over(heartbeat.baton());
+        boolean over = inFlight.noneCanArriveAt(heartbeat.fencingToken());
         int strangers = 0;
         Set<TaskId> seen = new HashSet<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
-            Job job = book.job(status.task().job());
-            Reconciliation.RecordedState stored = stored(machine, status);
-            Reconciliation.Decision decision = Reconciliation.of(
+            Job job = clusterState.job(status.task().job());
+            Reconciliation.RecordedState stored = recordedState(machine, status);
+            Reconciliation.Decision decision = Reconciliation.decide(
                     stored,
                     Reconciliation.ReportedState.of(status),
                     AbsenceEvidence.NONE,
-                    over && (job == null || job.settled()));
+                    over && (job == null || job.isSettled()));
             if (stored == Reconciliation.RecordedState.PLACED || stored == Reconciliation.RecordedState.CANCELLED) {
                 seen.add(status.task());
                 Placement placement = job.record.live.get(status.task().index());
                 if (status.state() == Heartbeat.TaskState.EXITED) {
-                    exited(machine, job, placement, status, decision);
+                    handleExited(machine, job, placement, status, decision);
                 } else {
-                    present(machine, job, placement, status, decision, orders);
+                    handlePresent(machine, job, placement, status, decision, orders);
                 }
             } else {
-                strangers += stranger(machine, status, decision, orders) ? 1 : 0;
+                strangers += handleUnknownTask(machine, status, decision, orders) ? 1 : 0;
             }
         }
-        machine.strangers = strangers;
-        int doubt = absent(machine, heartbeat, seen, inFlight, checkin);
-        machine.inDoubt = checkin ? doubt : Math.min(machine.inDoubt, doubt);
-        return orders.size() > CommandDispatcher.MAX_ORDERS ? orders.subList(0, CommandDispatcher.MAX_ORDERS) : orders;
+        machine.unknownTasks = strangers;
+        int doubt = removeAbsent(machine, heartbeat, seen, inFlight, checkin);
+        machine.unconfirmedPlacements = checkin ? doubt : Math.min(machine.unconfirmedPlacements, doubt);
+        return orders.size() > CommandDispatcher.MAX_COMMANDS
+                ? orders.subList(0, CommandDispatcher.MAX_COMMANDS)
+                : orders;
     }
 
     /** A task that no record explains, on the machine or ended there; whether it takes room. */
-    private static boolean stranger(
+    private static boolean handleUnknownTask(
             Machine machine,
             Heartbeat.TaskStatus status,
             Reconciliation.Decision decision,
@@ -343,7 +349,7 @@
     }
 
     /** Takes off what the report proves gone; how many of earlier leaderships' placements stay in doubt. */
-    private int absent(
+    private int removeAbsent(
             Machine machine,
             Heartbeat heartbeat,
             Set<TaskId> seen,
@@ -351,69 +357,74 @@
             boolean checkin) {
         int doubt = 0;
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
-            Job job = book.job(placement.task.job());
-            boolean neverLaunched = placement.recovered && placement.sentShift == 0;
+            Job job = clusterState.job(placement.task.job());
+            boolean neverLaunched = placement.recovered && placement.launchEpoch == 0;
             if (job == null || seen.contains(placement.task) || !placement.committed || !checkin && !neverLaunched) {
                 continue;
             }
-            AbsenceEvidence evidence = AbsenceEvidence.ofAbsence(
+            AbsenceEvidence evidence = AbsenceEvidence.of(
                     new AbsenceEvidence.Launch(
-                            placement.sent, placement.provenFrom, placement.sentShift, placement.sentCounter),
+                            placement.launchSent,
+                            placement.evidenceFrom,
+                            placement.launchEpoch,
+                            placement.launchSequence),
                     inFlight,
                     heartbeat);
             Reconciliation.RecordedState stored =
-                    job.cancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
-            if (Reconciliation.of(stored, Reconciliation.ReportedState.ABSENT, evidence, false)
-                    == Reconciliation.Decision.GONE) {
+                    job.isCancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
+            if (Reconciliation.decide(stored, Reconciliation.ReportedState.ABSENT, evidence, false)
+                    == Reconciliation.Decision.REMOVE) {
                 LOG.info("{} try {} is not on {} any more", placement.task, placement.attempt, machine.id);
-                departures.remove(job, placement);
+                taskRemoval.remove(job, placement);
             } else {
                 doubt += placement.recovered ? 1 : 0;
-                if (checkin && neverLaunched && job.cancelled()) {
-                    direct.kill(machine, placement); // its answer proves the task gone, sooner than the next report
+                if (checkin && neverLaunched && job.isCancelled()) {
+                    dispatcher.kill(machine, placement); // its answer proves the task gone, sooner than the next report
                 }
             }
         }
         return doubt;
     }
 
-    private void present(
+    private void handlePresent(
             Machine machine,
             Job job,
             Placement placement,
             Heartbeat.TaskStatus status,
             Reconciliation.Decision decision,
             List<WorkerCommand> orders) {
-        if (!placement.seen) {
-            placement.seen = true;
-            if (placement.sent && !placement.recovered) {
-                machine.ears = machine.ears.proved(turn.now()); // it has carried out a launch
+        if (!placement.reported) {
+            placement.reported = true;
+            if (placement.launchSent && !placement.recovered) {
+                machine.reachability = machine.reachability.proven(context.now()); // it has carried out a launch
             }
         }
-        if (!placement.sent) {
-            placement.sent = true; // an earlier leadership's launch
-            placement.sentShift = machine.shift;
-            placement.sentCounter = machine.counter;
+        if (!placement.launchSent) {
+            placement.launchSent = true; // an earlier leadership's launch
+            placement.launchEpoch = machine.epoch;
+            placement.launchSequence = machine.sequence;
         }
-        if (status.state() != Heartbeat.TaskState.FETCHING && placement.running == null) {
+        if (status.state() != Heartbeat.TaskState.FETCHING && placement.runningSince == null) {
             // Taken for just begun, a take-over's tasks would all seem to end a whole run later, and machines be
             // rented.
-            MonotonicTime begun = placement.since.plusMs(USUAL_FETCH_MS);
-            placement.running = placement.recovered && begun.before(turn.now()) ? begun : turn.now();
-            job.lastProgress = turn.now();
-            MachineType type = types.get(machine.type);
-            machine.cached(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
-            book.replan();
+            MonotonicTime begun = placement.placedAt.plusMs(TYPICAL_FETCH_MS);
+            placement.runningSince = placement.recovered && begun.isBefore(context.now()) ? begun : context.now();
+            job.lastProgress = context.now();
+            MachineType type = machineTypes.get(machine.type);
+            machine.cacheImage(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
+            clusterState.requestReplan();
         }
-        if (decision == Reconciliation.Decision.KILL || job.held()) {
+        if (decision == Reconciliation.Decision.KILL || job.isHeld()) {
             orders.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
-        } else if (placement.killSent && status.state() != Heartbeat.TaskState.SAVING) {
+        } else if (placement.stopRequested && status.state() != Heartbeat.TaskState.SAVING) {
             orders.add(WorkerCommand.kill(
-                    placement.task, placement.attempt, job.spec().saveS())); // the first one may have been lost
+                    placement.task,
+                    placement.attempt,
+                    job.spec().checkpointCostS())); // the first one may have been lost
         }
     }
 
-    private void exited(
+    private void handleExited(
             Machine machine,
             Job job,
             Placement placement,
@@ -425,25 +436,26 @@
                 placement.attempt,
                 machine.id,
                 status.cause() == null ? "" : status.cause());
-        job.lastProgress = turn.now();
-        if (placement.running != null) {
-            book.used(job.spec().team(), job.spec().cpus() * turn.now().since(placement.running));
+        job.lastProgress = context.now();
+        if (placement.runningSince != null) {
+            clusterState.addTeamUsage(
+                    job.spec().team(), job.spec().cpus() * context.now().since(placement.runningSince));
         }
         switch (decision) {
-            case COUNT_DONE -> {
-                if (!job.spec().service()) {
+            case COMPLETE -> {
+                if (!job.spec().isService()) {
                     job.record.done.add(placement.task.index());
                 }
                 machine.failedJobs.clear();
-                if (placement.running != null && !placement.recovered) {
-                    estimates.observed(job.spec(), turn.now().since(placement.running));
+                if (placement.runningSince != null && !placement.recovered) {
+                    estimates.observe(job.spec(), context.now().since(placement.runningSince));
                 }
             }
-            case COUNT_FAILED -> faults.failed(machine, job, placement);
-            case AVOID_MACHINE -> machine.avoidUntil = turn.now().plusMs(3000);
-            case ASK_LATER -> job.notBefore = turn.now().plusMs(3000);
+            case RECORD_FAILURE -> faultTracker.recordFailure(machine, job, placement);
+            case AVOID_MACHINE -> machine.avoidUntil = context.now().plusMs(3000);
+            case RETRY_LATER -> job.notBefore = context.now().plusMs(3000);
             default -> {}
         }
-        departures.remove(job, placement);
+        taskRemoval.remove(job, placement);
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
@@ -9,18 +9,18 @@
  */
 public enum HeartbeatValidity {
     /** It names a token of this leadership: it was made since, and nothing newer of the worker is known. */
-    OURS,
+    CURRENT_TERM,
     /** Nothing newer is known, and it may be of any age: it is the worker's first since this leadership began, or a copy. */
-    FIRST,
+    UNVERIFIED,
     /** It may be of an earlier worker of the name, whose messages would seem newer: it is answered, and says nothing. */
-    GHOST,
+    PREVIOUS_INCARNATION,
     /** A newer message is known, which came just now: the worker may still wait for the answer to this one. */
-    OVERTAKEN,
+    SUPERSEDED,
     /** A newer message is known, and whoever sent this one has stopped waiting: a copy, or a worker that began anew. */
-    COPY;
+    DUPLICATE;
 
     /** How long a worker waits for an answer, and what clocks and the way may add. */
-    private static final long WAITS_MS = 4000 + 1000;
+    private static final long WORKER_WAITS_MS = 4000 + 1000;
 
     /**
      * @param fresh whether it is newer than all that is known of the worker
@@ -30,27 +30,27 @@
      */
     public static HeartbeatValidity of(
             Heartbeat heartbeat, boolean fresh, FencingToken ghosts, FencingToken first, long sinceNewestMs) {
-        if (ghosts.value() > 0 && heartbeat.baton().compareTo(ghosts) <= 0) {
-            return GHOST;
+        if (ghosts.value() > 0 && heartbeat.fencingToken().compareTo(ghosts) <= 0) {
+            return PREVIOUS_INCARNATION;
         }
         if (fresh) {
-            return heartbeat.baton().compareTo(first) >= 0 ? OURS : FIRST;
+            return heartbeat.fencingToken().compareTo(first) >= 0 ? CURRENT_TERM : UNVERIFIED;
         }
-        return sinceNewestMs <= WAITS_MS ? OVERTAKEN : COPY;
+        return sinceNewestMs <= WORKER_WAITS_MS ? SUPERSEDED : DUPLICATE;
     }
 
     /** Whether a 200 to it may renew the worker's lease. */
-    public boolean mayRenew() {
-        return this != COPY;
+    public boolean mayRenewLease() {
+        return this != DUPLICATE;
     }
 
     /** Whether it says anything of the machine as it is now: its notice, that it is there, that its silence is over. */
-    public boolean current() {
-        return this == OURS;
+    public boolean isCurrent() {
+        return this == CURRENT_TERM;
     }
 
     /** Whether it is held against the records. */
-    public boolean tells() {
-        return this == OURS || this == FIRST;
+    public boolean isReconciled() {
+        return this == CURRENT_TERM || this == UNVERIFIED;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/JobHolds.java
+++ b/src/main/java/org/beechhoist/controller/worker/JobHolds.java
@@ -5,5 +5,5 @@
 /** Jobs that are held: nothing of them may run until the hold is lifted. */
 public interface JobHolds {
     /** The wall-clock time by which every task of the held job must be gone. */
-    long goneByMs(Job job);
+    long mustBeGoneByMs(Job job);
 }
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
@@ -31,10 +31,10 @@
 public final class LossRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(LossRecovery.class);
     /** Losses are one fall while they follow one another this closely, and count as one from so many tasks on. */
-    private static final long TOGETHER_MS = 20_000;
+    private static final long SAME_EVENT_MS = 20_000;
 
-    private static final int LEAST_TASKS = 10;
-    private static final int REMEMBERED = 20;
+    private static final int MIN_TASKS = 10;
+    private static final int MAX_REMEMBERED = 20;
 
     /** Losses that came together. */
     private static final class LossEvent {
@@ -42,11 +42,11 @@
         private MonotonicTime last;
         private final Set<MachineId> machines = new HashSet<>();
         private final Set<TaskId> urgent = new HashSet<>();
-        private final Set<TaskId> open = new HashSet<>();
+        private final Set<TaskId> waiting = new HashSet<>();
         private int tasks;
         private int urgentTasks;
-        private MonotonicTime urgentAgain;
-        private MonotonicTime allAgain;
+        private MonotonicTime urgentRecovered;
+        private MonotonicTime allRecovered;
 
         private LossEvent(MonotonicTime began) {
             this.began = began;
@@ -54,47 +54,47 @@
         }
     }
 
-    private final ControllerContext turn;
-    private final ClusterState book;
-    private final Deque<LossEvent> falls = new ArrayDeque<>();
+    private final ControllerContext context;
+    private final ClusterState clusterState;
+    private final Deque<LossEvent> losses = new ArrayDeque<>();
 
-    public LossRecovery(ControllerContext turn, ClusterState book) {
-        this.turn = turn;
-        this.book = book;
+    public LossRecovery(ControllerContext context, ClusterState clusterState) {
+        this.context = context;
+        this.clusterState = clusterState;
     }
 
     public void reset() {
-        falls.clear();
+        losses.clear();
     }
 
-    public static boolean urgent(Job job) {
-        return job.spec().urgency().compareTo(Priority.URGENT) <= 0;
+    public static boolean isUrgent(Job job) {
+        return job.spec().priority().compareTo(Priority.URGENT) <= 0;
     }
 
     // ---- what comes first ----
 
     /** Machines on their way out that the cloud has not been asked to end yet, those first on which something must be gone soon, then those whose tasks wait for it. */
-    public List<Machine> toReturn(boolean withTasks) {
+    public List<Machine> machinesToRelease(boolean withTasks) {
         List<Machine> out = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            if (machine.returning && !machine.returnAsked && withTasks != machine.placements.isEmpty()) {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.releasing && !machine.releaseRequested && withTasks != machine.placements.isEmpty()) {
                 out.add(machine);
             }
         }
         if (withTasks) {
-            out.sort(Comparator.<Machine>comparingLong(h -> h.goneByMs)
-                    .thenComparingInt(this::firstUrgency)
-                    .thenComparing(h -> book.heard(h)));
+            out.sort(Comparator.<Machine>comparingLong(h -> h.mustBeGoneByMs)
+                    .thenComparingInt(this::highestPriority)
+                    .thenComparing(h -> clusterState.lastHeardOf(h)));
         }
         return out;
     }
 
     /** The most urgent work on it; beyond all urgencies where there is none. */
-    int firstUrgency(Machine machine) {
+    int highestPriority(Machine machine) {
         int least = Priority.values().length;
         for (Placement placement : machine.placements.values()) {
-            Job j = book.job(placement.task.job());
-            least = j == null ? least : Math.min(least, j.spec().urgency().ordinal());
+            Job j = clusterState.job(placement.task.job());
+            least = j == null ? least : Math.min(least, j.spec().priority().ordinal());
         }
         return least;
     }
@@ -102,77 +102,78 @@
     // ---- how far it has come ----
 
     /** The task was lost with its machine. */
-    void lost(Job job, Placement placement) {
-        if (job.cancelled() || job.record.done.contains(placement.task.index())) {
+    void recordLost(Job job, Placement placement) {
+        if (job.isCancelled() || job.record.done.contains(placement.task.index())) {
             return;
         }
-        LossEvent loss = falls.peekLast();
-        if (loss == null || turn.now().since(loss.last) > TOGETHER_MS) {
-            if (loss != null && loss.tasks < LEAST_TASKS) {
-                falls.removeLast();
+        LossEvent loss = losses.peekLast();
+        if (loss == null || context.now().since(loss.last) > SAME_EVENT_MS) {
+            if (loss != null && loss.tasks < MIN_TASKS) {
+                losses.removeLast();
             }
-            loss = new LossEvent(turn.now());
-            falls.addLast(loss);
-            if (falls.size() > REMEMBERED) {
-                falls.removeFirst();
+            loss = new LossEvent(context.now());
+            losses.addLast(loss);
+            if (losses.size() > MAX_REMEMBERED) {
+                losses.removeFirst();
             }
         }
-        loss.last = turn.now();
-        loss.machines.add(placement.host);
-        if (loss.open.add(placement.task)) {
+        loss.last = context.now();
+        loss.machines.add(placement.machine);
+        if (loss.waiting.add(placement.task)) {
             loss.tasks++;
-            loss.allAgain = null;
-            if (urgent(job)) {
+            loss.allRecovered = null;
+            if (isUrgent(job)) {
                 loss.urgentTasks++;
                 loss.urgent.add(placement.task);
-                loss.urgentAgain = null;
+                loss.urgentRecovered = null;
             }
         }
     }
 
     /** The task is placed again, and that is committed. */
-    public void placed(Placement placement) {
-        falls.forEach(f -> back(f, placement.task));
+    public void recordPlaced(Placement placement) {
+        losses.forEach(f -> recordRecovered(f, placement.task));
     }
 
     /** Nothing of the job is wanted any more. */
-    public void over(JobId job) {
-        for (LossEvent loss : falls) {
-            for (TaskId t : loss.open.stream().filter(t -> t.job().equals(job)).toList()) {
-                back(loss, t);
+    public void forgetJob(JobId job) {
+        for (LossEvent loss : losses) {
+            for (TaskId t :
+                    loss.waiting.stream().filter(t -> t.job().equals(job)).toList()) {
+                recordRecovered(loss, t);
             }
         }
     }
 
-    private void back(LossEvent loss, TaskId task) {
-        if (!loss.open.remove(task)) {
+    private void recordRecovered(LossEvent loss, TaskId task) {
+        if (!loss.waiting.remove(task)) {
             return;
         }
         if (loss.urgent.remove(task) && loss.urgent.isEmpty()) {
-            loss.urgentAgain = turn.now();
-            tell(loss, loss.urgentTasks + " urgent ones placed again");
+            loss.urgentRecovered = context.now();
+            logRecovered(loss, loss.urgentTasks + " urgent ones placed again");
         }
-        if (loss.open.isEmpty()) {
-            loss.allAgain = turn.now();
-            tell(loss, "all placed again");
+        if (loss.waiting.isEmpty()) {
+            loss.allRecovered = context.now();
+            logRecovered(loss, "all placed again");
         }
     }
 
-    private void tell(LossEvent loss, String what) {
-        if (loss.tasks >= LEAST_TASKS) {
+    private void logRecovered(LossEvent loss, String what) {
+        if (loss.tasks >= MIN_TASKS) {
             LOG.info(
                     "{} tasks lost on {} machines from {} s ago on: {}",
                     loss.tasks,
                     loss.machines.size(),
-                    turn.now().since(loss.began) / 1000,
+                    context.now().since(loss.began) / 1000,
                     what);
         }
     }
 
     /** Machines with work on them that were lost within the last so many ms, by the falls that go on. */
-    public int machinesLost(long withinMs) {
-        return falls.stream()
-                .filter(f -> turn.now().since(f.last) <= withinMs)
+    public int recentlyLostMachines(long withinMs) {
+        return losses.stream()
+                .filter(f -> context.now().since(f.last) <= withinMs)
                 .mapToInt(f -> f.machines.size())
                 .sum();
     }
@@ -181,22 +182,22 @@
     public ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("falls");
-        for (LossEvent loss : falls) {
-            if (loss.tasks < LEAST_TASKS) {
+        for (LossEvent loss : losses) {
+            if (loss.tasks < MIN_TASKS) {
                 continue;
             }
             ObjectNode node = rows.addObject()
-                    .put("agoS", turn.now().since(loss.began) / 1000.0)
+                    .put("agoS", context.now().since(loss.began) / 1000.0)
                     .put("machines", loss.machines.size())
                     .put("tasks", loss.tasks)
                     .put("urgentTasks", loss.urgentTasks)
-                    .put("waiting", loss.open.size())
+                    .put("waiting", loss.waiting.size())
                     .put("urgentWaiting", loss.urgent.size());
-            if (loss.urgentAgain != null) {
-                node.put("urgentAgainAfterS", loss.urgentAgain.since(loss.began) / 1000.0);
+            if (loss.urgentRecovered != null) {
+                node.put("urgentAgainAfterS", loss.urgentRecovered.since(loss.began) / 1000.0);
             }
-            if (loss.allAgain != null) {
-                node.put("allAgainAfterS", loss.allAgain.since(loss.began) / 1000.0);
+            if (loss.allRecovered != null) {
+                node.put("allAgainAfterS", loss.allRecovered.since(loss.began) / 1000.0);
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -9,9 +9,9 @@
     /** What is to be done about a machine that is silent so far. */
     public enum Assessment {
         /** The plan counts on it: it will find this node. */
-        COUNTED_ON,
+        ASSUMED_PRESENT,
         /** The same, and it is asked. */
-        ASKED,
+        PROBED,
         /** The plan does not count on it; it is not given up for that. */
         DOUBTED
     }
@@ -24,10 +24,11 @@
      * @param unanswered questions to it in a row that nobody answered
      * @param answered it has answered a question
      */
-    public record SilentMachine(boolean holdsTasks, boolean listedUp, int unanswered, boolean answered) {}
+    public record SilentMachine(
+            boolean holdsTasks, boolean listedRunning, int unansweredProbes, boolean answeredProbe) {}
 
     /** Workers without a leader try node after node, a second each; what a start asks before is mostly on its way anyway. */
-    static final long FIRST_ASKED_MS = 1000;
+    static final long FIRST_PROBE_MS = 1000;
 
     private MachinePresence() {}
 
@@ -35,16 +36,16 @@
      * @param sinceMs since this leadership began
      * @param allReportedMs by when every living machine should have found this node
      */
-    public static Assessment of(SilentMachine machine, long sinceMs, long allReportedMs) {
-        if (!machine.holdsTasks && !machine.listedUp) {
-            return Assessment.COUNTED_ON; // it boots
+    public static Assessment assess(SilentMachine machine, long sinceMs, long allReportedMs) {
+        if (!machine.holdsTasks && !machine.listedRunning) {
+            return Assessment.ASSUMED_PRESENT; // it boots
         }
-        if (machine.answered) {
-            return Assessment.COUNTED_ON;
+        if (machine.answeredProbe) {
+            return Assessment.ASSUMED_PRESENT;
         }
-        if (machine.unanswered > 0 || sinceMs > allReportedMs) {
+        if (machine.unansweredProbes > 0 || sinceMs > allReportedMs) {
             return Assessment.DOUBTED;
         }
-        return sinceMs < FIRST_ASKED_MS ? Assessment.COUNTED_ON : Assessment.ASKED;
+        return sinceMs < FIRST_PROBE_MS ? Assessment.ASSUMED_PRESENT : Assessment.PROBED;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
@@ -6,8 +6,8 @@
 /** Returns machines to the cloud. */
 public interface MachineReleases {
     /** Whether the machine has been returned, and all that may still come of it is late. */
-    boolean gone(MachineId machine);
+    boolean isReleased(MachineId machine);
 
     /** Has the machine returned to the cloud, with all that is on it. */
-    void giveBack(Machine machine, String cause);
+    void releaseMachine(Machine machine, String cause);
 }
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
@@ -17,31 +17,31 @@
  */
 public final class PreemptionNotices {
     /** What can't save in time is not waited for. */
-    private static final double WAY_S = 1;
+    private static final double NETWORK_S = 1;
 
-    private final ControllerContext turn;
-    private final ClusterState book;
+    private final ControllerContext context;
+    private final ClusterState clusterState;
     private final DurationEstimates estimates;
-    private final TaskEviction stopping;
-    private final CommandDispatcher orders;
+    private final TaskEviction eviction;
+    private final CommandDispatcher dispatcher;
 
     public PreemptionNotices(
-            ControllerContext turn,
-            ClusterState book,
+            ControllerContext context,
+            ClusterState clusterState,
             DurationEstimates estimates,
-            TaskEviction stopping,
-            CommandDispatcher orders) {
-        this.turn = turn;
-        this.book = book;
+            TaskEviction eviction,
+            CommandDispatcher dispatcher) {
+        this.context = context;
+        this.clusterState = clusterState;
         this.estimates = estimates;
-        this.stopping = stopping;
-        this.orders = orders;
+        this.eviction = eviction;
+        this.dispatcher = dispatcher;
     }
 
-    private List<Machine> going() {
+    private List<Machine> machinesUnderNotice() {
         List<Machine> out = new ArrayList<>();
-        for (Machine machine : book.hosts()) {
-            if (machine.noticeEnds != null && !machine.returning && !machine.placements.isEmpty()) {
+        for (Machine machine : clusterState.machines()) {
+            if (machine.preemptedAt != null && !machine.releasing && !machine.placements.isEmpty()) {
                 out.add(machine);
             }
         }
@@ -49,33 +49,33 @@
     }
 
     /** Whether it goes on for now, and will not be over before its machine is taken. */
-    private boolean cutShort(Machine machine, Placement placement, Job job) {
+    private boolean willBeCutShort(Machine machine, Placement placement, Job job) {
         return job != null
-                && placement.sent
-                && !placement.killSent
-                && !job.cancelled()
-                && machine.noticeEnds.before(estimates.endOf(placement, turn.now()));
+                && placement.launchSent
+                && !placement.stopRequested
+                && !job.isCancelled()
+                && machine.preemptedAt.isBefore(estimates.expectedEnd(placement, context.now()));
     }
 
-    public void tick() {
-        for (Machine machine : going()) {
-            long left = machine.noticeEnds.since(turn.now());
+    public void enforce() {
+        for (Machine machine : machinesUnderNotice()) {
+            long left = machine.preemptedAt.since(context.now());
             boolean stopped = false;
             for (Placement placement : new ArrayList<>(machine.placements.values())) {
-                if (cutShort(machine, placement, book.job(placement.task.job()))) {
-                    stopping.stop(placement, Math.max(0, left / 1000.0 - WAY_S), Cause.NOTICE);
+                if (willBeCutShort(machine, placement, clusterState.job(placement.task.job()))) {
+                    eviction.evict(placement, Math.max(0, left / 1000.0 - NETWORK_S), Cause.NOTICE);
                     stopped = true;
                 }
             }
             if (stopped) {
-                orders.direct(machine);
+                dispatcher.dispatch(machine);
             }
         }
     }
 
     /** By when what is on the machine is over, or is stopped. */
-    public MonotonicTime endOf(Machine machine, Placement placement) {
-        MonotonicTime end = estimates.endOf(placement, turn.now());
-        return machine.noticeEnds != null && machine.noticeEnds.before(end) ? machine.noticeEnds : end;
+    public MonotonicTime expectedEnd(Machine machine, Placement placement) {
+        MonotonicTime end = estimates.expectedEnd(placement, context.now());
+        return machine.preemptedAt != null && machine.preemptedAt.isBefore(end) ? machine.preemptedAt : end;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -18,7 +18,7 @@
         /** Placed, here or elsewhere, under a later attempt than the machine names. */
         PLACED_LATER,
         /** Placed under an older attempt than the machine names, or this very attempt elsewhere: no commit of ours says that. */
-        PLACED_OTHERWISE,
+        PLACED_INCONSISTENT,
         /** Done. */
         DONE,
         /** No open record: the job has ended, or nobody ever submitted it. */
@@ -30,13 +30,13 @@
     /** What the machine says. */
     public enum ReportedState {
         /** It has not reported to this leadership. */
-        NOTHING_YET,
+        NO_HEARTBEAT,
         ABSENT,
         FETCHING,
         RUNNING,
         SAVING,
         /** A state that this version has no word for: it is there. */
-        OTHERWISE_THERE,
+        PRESENT_OTHER,
         EXITED_DONE,
         EXITED_STOPPED,
         EXITED_ERROR,
@@ -44,14 +44,14 @@
         REFUSED_BUSY,
         REFUSED_NO_SUCH,
         /** Ended for a cause that this version has no word for. */
-        EXITED_OTHERWISE;
+        EXITED_OTHER;
 
         public static ReportedState of(Heartbeat.TaskStatus status) {
             return switch (status.state()) {
                 case FETCHING -> FETCHING;
                 case RUNNING -> RUNNING;
                 case SAVING -> SAVING;
-                case OTHER -> OTHERWISE_THERE;
+                case OTHER -> PRESENT_OTHER;
                 case EXITED ->
                     switch (status.cause() == null ? "" : status.cause()) {
                         case "done" -> EXITED_DONE;
@@ -60,16 +60,16 @@
                         case "full" -> REFUSED_FULL;
                         case "busy" -> REFUSED_BUSY;
                         case "no_such" -> REFUSED_NO_SUCH;
-                        default -> EXITED_OTHERWISE;
+                        default -> EXITED_OTHER;
                     };
             };
         }
 
-        public boolean there() {
-            return this == FETCHING || this == RUNNING || this == SAVING || this == OTHERWISE_THERE;
+        public boolean isPresent() {
+            return this == FETCHING || this == RUNNING || this == SAVING || this == PRESENT_OTHER;
         }
 
-        public boolean ended() {
+        public boolean hasExited() {
             return ordinal() >= EXITED_DONE.ordinal();
         }
     }
@@ -81,25 +81,25 @@
         /** Nothing is certain: it counts as there, and starts nowhere else. */
         WAIT,
         /** It certainly is not there: the placement is taken off and the task waits again. */
-        GONE,
+        REMOVE,
         /** It is recorded as done; it may be forgotten once that is committed. */
-        COUNT_DONE,
+        COMPLETE,
         /** It failed: job or machine is to blame. */
-        COUNT_FAILED,
+        RECORD_FAILURE,
         /** The machine has no room for it: it is left alone for a while, the task waits again. */
         AVOID_MACHINE,
         /** The job's description is not there yet: the task waits a while. */
-        ASK_LATER,
+        RETRY_LATER,
         /** It ended without having been done: the task waits again. */
-        PLACE_ANEW,
+        RESCHEDULE,
         /** Order: end it at once; it counts as there until it is gone. */
         KILL,
         /** Order: take the ended attempt off the reports. */
         FORGET,
         /** An ended attempt that must stay in the reports for now: a late launch would find it, or the commit is not made. */
-        HOLD,
+        RETAIN,
         /** Nothing is ordered and nothing new placed beside it: only a record that can be read may say what it is. */
-        LEAVE_ALONE
+        IGNORE
     }
 
     private Reconciliation() {}
@@ -108,26 +108,27 @@
      * @param absence what the report proves of a task that is not in it
      * @param mayForget no command sent before can reach the machine any more, and what is known of the job is committed
      */
-    public static Decision of(RecordedState stored, ReportedState said, AbsenceEvidence absence, boolean mayForget) {
+    public static Decision decide(
+            RecordedState stored, ReportedState said, AbsenceEvidence absence, boolean mayForget) {
         if (stored == RecordedState.UNREADABLE) {
-            return Decision.LEAVE_ALONE;
+            return Decision.IGNORE;
         }
         boolean ours = stored == RecordedState.PLACED || stored == RecordedState.CANCELLED;
-        if (said == ReportedState.NOTHING_YET) {
+        if (said == ReportedState.NO_HEARTBEAT) {
             return ours ? Decision.WAIT : Decision.KEEP;
         }
         if (said == ReportedState.ABSENT) {
-            return !ours ? Decision.KEEP : absence == AbsenceEvidence.NONE ? Decision.WAIT : Decision.GONE;
+            return !ours ? Decision.KEEP : absence == AbsenceEvidence.NONE ? Decision.WAIT : Decision.REMOVE;
         }
         if (!ours) {
-            return said.there() ? Decision.KILL : mayForget ? Decision.FORGET : Decision.HOLD;
+            return said.isPresent() ? Decision.KILL : mayForget ? Decision.FORGET : Decision.RETAIN;
         }
         return switch (said) {
-            case EXITED_DONE -> Decision.COUNT_DONE;
-            case EXITED_ERROR -> Decision.COUNT_FAILED;
+            case EXITED_DONE -> Decision.COMPLETE;
+            case EXITED_ERROR -> Decision.RECORD_FAILURE;
             case REFUSED_FULL, REFUSED_BUSY -> Decision.AVOID_MACHINE;
-            case REFUSED_NO_SUCH -> Decision.ASK_LATER;
-            case EXITED_STOPPED, EXITED_OTHERWISE -> Decision.PLACE_ANEW;
+            case REFUSED_NO_SUCH -> Decision.RETRY_LATER;
+            case EXITED_STOPPED, EXITED_OTHER -> Decision.RESCHEDULE;
             default -> stored == RecordedState.CANCELLED ? Decision.KILL : Decision.KEEP;
         };
     }
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -9,15 +9,27 @@
 public final class RecoveryProgress {
     /** What a start waits for. */
     public enum Phase {
-        /** Records, log and snapshot are being read. Nothing may be commanded. */
-        READING,
-        /** Machines are finding this node. Nothing is stopped for another's sake, for room may be about to speak. */
-        LISTENING,
-        /** What is stored is held against what machines say; some placements are still in doubt. */
-        SQUARING,
-        /** Work that waited for proofs is placed again. */
-        OPENING,
-        OVER
+        /** Records, change log and fleet snapshot are being read. Nothing may be commanded. */
+        READING("reading"),
+        /** Machines are finding this node. Nothing is preempted, for machines with room may be about to report. */
+        LISTENING("listening"),
+        /** Heartbeats are reconciled with what is stored; some placements are still unconfirmed. */
+        RECONCILING("squaring"),
+        /** Work that waited for evidence is placed again. */
+        RESUMING("opening"),
+        /** The recovery is over. */
+        COMPLETE("over");
+
+        private final String label;
+
+        Phase(String label) {
+            this.label = label;
+        }
+
+        /** The phase's name in the operators' view. */
+        public String label() {
+            return label;
+        }
     }
 
     /**
@@ -30,32 +42,33 @@
      * @param inDoubt placements of earlier leaderships that no report has spoken of
      * @param waitingOrders commands that the pace holds back
      */
-    public record Facts(boolean read, boolean listed, int expected, int heard, int inDoubt, int waitingOrders) {}
+    public record Facts(
+            boolean stateRead, boolean listed, int expected, int heard, int unconfirmed, int waitingCommands) {}
 
     /** So many of those expected have spoken: the rest are hardly room to wait for. */
-    private static final double MOST = 0.9;
+    private static final double HEARD_SHARE = 0.9;
     /** Listening holds stops back; urgent work must not wait longer for room that never speaks. */
-    private static final long LONGEST_LISTENING_MS = 4000;
+    private static final long MAX_LISTENING_MS = 4000;
 
-    private static final long LONGEST_OPENING_MS = 10_000;
+    private static final long MAX_RESUMING_MS = 10_000;
 
     private final long allReportedMs;
     private final long listeningMs;
     private final long leaseMs;
     private Phase phase = Phase.READING;
-    private final MonotonicTime began;
-    private MonotonicTime phaseBegan;
-    private MonotonicTime read;
+    private final MonotonicTime beganAt;
+    private MonotonicTime phaseBeganAt;
+    private MonotonicTime stateReadAt;
 
     /**
      * @param reportMs how often a worker reports
      * @param leaseMs after which an unheard machine's tasks are certainly gone
      */
     public RecoveryProgress(MonotonicTime now, long reportMs, long leaseMs) {
-        this.began = now;
-        this.phaseBegan = now;
+        this.beganAt = now;
+        this.phaseBeganAt = now;
         this.allReportedMs = allReportedMs(reportMs);
-        this.listeningMs = Math.min(LONGEST_LISTENING_MS, 1000 + 2 * reportMs);
+        this.listeningMs = Math.min(MAX_LISTENING_MS, 1000 + 2 * reportMs);
         this.leaseMs = leaseMs;
     }
 
@@ -68,53 +81,57 @@
         return phase;
     }
 
-    public MonotonicTime began() {
-        return began;
+    public MonotonicTime beganAt() {
+        return beganAt;
     }
 
     /** When all records were known, or null. */
-    public MonotonicTime read() {
-        return read;
+    public MonotonicTime stateReadAt() {
+        return stateReadAt;
     }
 
     /** Takes the next step, if it is time; whether there was one. At most one a call, so that each is seen. */
     public boolean advance(MonotonicTime now, Facts facts) {
-        Phase next = next(now, facts);
+        Phase next = nextPhase(now, facts);
         if (next == phase) {
             return false;
         }
         if (phase == Phase.READING) {
-            read = now;
+            stateReadAt = now;
         }
         phase = next;
-        phaseBegan = now;
+        phaseBeganAt = now;
         return true;
     }
 
-    private Phase next(MonotonicTime now, Facts facts) {
-        long here = now.since(phaseBegan);
+    private Phase nextPhase(MonotonicTime now, Facts facts) {
+        long here = now.since(phaseBeganAt);
         return switch (phase) {
             case READING ->
-                facts.read ? Phase.LISTENING : Phase.READING; // nothing is certain before; no deadline may end this
+                facts.stateRead
+                        ? Phase.LISTENING
+                        : Phase.READING; // nothing is certain before; no deadline may end this
             case LISTENING ->
-                (facts.listed && facts.heard >= MOST * facts.expected) || here >= listeningMs ? Phase.SQUARING : phase;
-            case SQUARING -> facts.inDoubt == 0 || now.since(began) >= leaseMs ? Phase.OPENING : phase;
-            case OPENING -> facts.waitingOrders == 0 || here >= LONGEST_OPENING_MS ? Phase.OVER : phase;
-            case OVER -> Phase.OVER;
+                (facts.listed && facts.heard >= HEARD_SHARE * facts.expected) || here >= listeningMs
+                        ? Phase.RECONCILING
+                        : phase;
+            case RECONCILING -> facts.unconfirmed == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
+            case RESUMING -> facts.waitingCommands == 0 || here >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
+            case COMPLETE -> Phase.COMPLETE;
         };
     }
 
     /** By when the start is over at the latest, if the records are read by now. */
-    public long longestLeftMs(MonotonicTime now) {
+    public long maxRemainingMs(MonotonicTime now) {
         return switch (phase) {
-            case READING, LISTENING, SQUARING -> Math.max(0, leaseMs - now.since(began)) + LONGEST_OPENING_MS;
-            case OPENING -> Math.max(0, LONGEST_OPENING_MS - now.since(phaseBegan));
-            case OVER -> 0;
+            case READING, LISTENING, RECONCILING -> Math.max(0, leaseMs - now.since(beganAt)) + MAX_RESUMING_MS;
+            case RESUMING -> Math.max(0, MAX_RESUMING_MS - now.since(phaseBeganAt));
+            case COMPLETE -> 0;
         };
     }
 
     /** Whether living machines may still be on their way to this node for the first time. */
-    public boolean gathering(MonotonicTime now) {
-        return phase != Phase.OVER && now.since(began) <= allReportedMs;
+    public boolean isGathering(MonotonicTime now) {
+        return phase != Phase.COMPLETE && now.since(beganAt) <= allReportedMs;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -14,48 +14,52 @@
  */
 public final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
-    private final ClusterState book;
-    private final CommandDispatcher orders;
+    private final ClusterState clusterState;
+    private final CommandDispatcher dispatcher;
     private final DisruptionRecorder disruptions;
 
-    public TaskEviction(ClusterState book, CommandDispatcher orders, DisruptionRecorder disruptions) {
-        this.book = book;
-        this.orders = orders;
+    public TaskEviction(ClusterState clusterState, CommandDispatcher dispatcher, DisruptionRecorder disruptions) {
+        this.clusterState = clusterState;
+        this.dispatcher = dispatcher;
         this.disruptions = disruptions;
     }
 
     /** Has a task stopped, with time to save; sent with the host's next orders. */
-    public void stop(Placement placement, Cause cause) {
-        stop(placement, book.job(placement.task.job()).spec().saveS(), cause);
+    public void evict(Placement placement, Cause cause) {
+        evict(placement, clusterState.job(placement.task.job()).spec().checkpointCostS(), cause);
     }
 
     /** The same with so long to save; 0: at once. */
-    public void stop(Placement placement, double graceS, Cause cause) {
-        if (!placement.killSent) {
-            disruptions.happened(placement, cause);
+    public void evict(Placement placement, double graceS, Cause cause) {
+        if (!placement.stopRequested) {
+            disruptions.recordDisruption(placement, cause);
         }
-        placement.killSent = true;
-        book.host(placement.host).outbox.add(WorkerCommand.kill(placement.task, placement.attempt, graceS));
+        placement.stopRequested = true;
+        clusterState
+                .machine(placement.machine)
+                .outbox
+                .add(WorkerCommand.kill(placement.task, placement.attempt, graceS));
     }
 
     /** Has a task stopped at once, for another's sake. */
-    public void makeRoom(Placement placement, Job forJob) {
-        LOG.info("{} try {} on {} makes room for {}", placement.task, placement.attempt, placement.host, forJob.ref());
-        stop(placement, Cause.PREEMPTION);
-        orders.direct(book.host(placement.host));
+    public void preempt(Placement placement, Job forJob) {
+        LOG.info(
+                "{} try {} on {} makes room for {}", placement.task, placement.attempt, placement.machine, forJob.id());
+        evict(placement, Cause.PREEMPTION);
+        dispatcher.dispatch(clusterState.machine(placement.machine));
     }
 
     /** A gang that has lost a task can't go on: the others make room, and all of it starts anew. */
-    void endWithGang(Placement placement) {
-        if (placement.sent && !placement.killSent) {
-            stop(placement, Cause.GANG);
+    void evictWithGang(Placement placement) {
+        if (placement.launchSent && !placement.stopRequested) {
+            evict(placement, Cause.GANG);
         }
     }
 
     /** Its machine is gone, and it with it. */
-    void lostWithMachine(Placement placement) {
-        if (placement.sent && !placement.killSent) {
-            disruptions.happened(placement, Cause.MACHINE);
+    void recordLost(Placement placement) {
+        if (placement.launchSent && !placement.stopRequested) {
+            disruptions.recordDisruption(placement, Cause.MACHINE);
         }
     }
 }
--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -67,7 +67,7 @@
         }
         Set<DayOfWeek> week = EnumSet.noneOf(DayOfWeek.class);
         for (String text : node.has("business")
-                ? Codec.texts(node.get("business"), "business")
+                ? Codec.textList(node.get("business"), "business")
                 : java.util.List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun")) {
             week.add(weekday(text));
         }
--- a/src/main/java/org/beechhoist/cron/Entry.java
+++ b/src/main/java/org/beechhoist/cron/Entry.java
@@ -117,7 +117,7 @@
     /** The job of one occurrence, as a user would submit it. */
     public JobSpec job(Instant at) throws MalformedMessageException {
         Map<String, String> variables = variables(at);
-        ObjectNode node = JobSpec.described(template);
+        ObjectNode node = JobSpec.withDefaults(template);
         template.fields().forEachRemaining(entry -> {
             if (entry.getValue().isTextual()) {
                 node.set(
@@ -129,7 +129,7 @@
             node.put("onceKey", filled(onceKey, variables));
         }
         return JobSpec.parse(node)
-                .from(table + ", line " + line + ", " + at.atZone(zone).toOffsetDateTime());
+                .withOrigin(table + ", line " + line + ", " + at.atZone(zone).toOffsetDateTime());
     }
 
     public ObjectNode toNode() {
@@ -158,7 +158,7 @@
             return new Entry(
                     table,
                     Codec.text(node, "id"),
-                    (int) Codec.count(node, "line", 1, Integer.MAX_VALUE),
+                    (int) Codec.wholeNumber(node, "line", 1, Integer.MAX_VALUE),
                     Expression.parse(node),
                     ZoneId.of(Codec.text(node, "zone")),
                     node.path("calendar").textValue(),
@@ -166,10 +166,10 @@
                     Codec.text(node, "job"),
                     (ObjectNode) node.get("template"),
                     Missed.valueOf(Codec.text(node, "missed").toUpperCase(Locale.ROOT)),
-                    (int) Codec.count(node, "most", 0, MOST_MISSED),
+                    (int) Codec.wholeNumber(node, "most", 0, MOST_MISSED),
                     Overlap.valueOf(Codec.text(node, "overlap").toUpperCase(Locale.ROOT)),
                     node.path("once").textValue(),
-                    Codec.count(node, "since", 0, Long.MAX_VALUE));
+                    Codec.wholeNumber(node, "since", 0, Long.MAX_VALUE));
         } catch (DateTimeException | IllegalArgumentException | ClassCastException e) {
             throw new MalformedMessageException("not a schedule: " + e.getMessage());
         }
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -54,7 +54,7 @@
     }
 
     static Expression parse(JsonNode node) throws MalformedMessageException {
-        int free = (int) Codec.count(node, "free", 0, 7);
+        int free = (int) Codec.wholeNumber(node, "free", 0, 7);
         return new Expression(
                 bits(node, "m"),
                 (int) bits(node, "h"),
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -160,7 +160,7 @@
         while (!effects.isEmpty()) {
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Answer decided) {
-                    Effect.Answer answer = decided.at(loop.now());
+                    Effect.Answer answer = decided.asOf(loop.now());
                     open.remove(answer.request())
                             .answer(
                                     answer.status(),
@@ -201,7 +201,7 @@
                     case CLOUD -> settings.cloud();
                     case HOST -> Addresses.parse(call.address());
                 };
-        if (address == null || call.expired(loop.now())) {
+        if (address == null || call.isExpired(loop.now())) {
             loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), CallResult.NOT_SENT));
             return;
         }
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -57,7 +57,7 @@
         }
         int atOnce = (int) Fields.count(node, "atOnce", USUAL.atOnce, 0, MOST_AT_ONCE);
         double lost = Fields.number(node, "lostCpuSPerHour", USUAL.lostCpuSPerHour, 0, MOST_LOST);
-        Double up = Codec.absent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
+        Double up = Codec.isAbsent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
         return new DisruptionBudget(
                 team,
                 jobClass,
@@ -99,6 +99,6 @@
                 Codec.text(node, "who"),
                 node.path("at").asLong(),
                 Codec.text(node, "why"),
-                Codec.count(node, "number", 1, Long.MAX_VALUE));
+                Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE));
     }
 }
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -181,7 +181,7 @@
         return new Drain(
                 name,
                 replace,
-                Codec.absent(node, "with") ? null : Codec.text(node, "with"),
+                Codec.isAbsent(node, "with") ? null : Codec.text(node, "with"),
                 Selector.parse(node),
                 Pace.parse(node, replace),
                 node.path("by").asLong(),
@@ -190,7 +190,7 @@
                 Rest.parse(node),
                 state,
                 node.path("at").asLong(),
-                Codec.count(node, "number", 1, Long.MAX_VALUE),
+                Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE),
                 history);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -49,7 +49,7 @@
 
     /** Null where it is left out. */
     static String text(JsonNode node, String field) throws MalformedMessageException {
-        return Codec.absent(node, field) ? null : name(field, Codec.text(node, field));
+        return Codec.isAbsent(node, field) ? null : name(field, Codec.text(node, field));
     }
 
     static String name(String field, String text) throws MalformedMessageException {
--- a/src/main/java/org/beechhoist/drain/Rest.java
+++ b/src/main/java/org/beechhoist/drain/Rest.java
@@ -28,8 +28,8 @@
     private static final int DAYS = 90;
 
     public static Rest parse(JsonNode node) throws MalformedMessageException {
-        boolean hours = !Codec.absent(node, "from") || !Codec.absent(node, "to");
-        String calendar = Codec.absent(node, "calendar") ? null : Codec.text(node, "calendar");
+        boolean hours = !Codec.isAbsent(node, "from") || !Codec.isAbsent(node, "to");
+        String calendar = Codec.isAbsent(node, "calendar") ? null : Codec.text(node, "calendar");
         if (!hours && calendar == null) {
             return NEVER;
         }
@@ -41,8 +41,8 @@
                     "clock = " + node.path("clock").asText() + ": a zone such as Asia/Tokyo is expected");
         }
         Set<LocalDate> closed = new TreeSet<>();
-        if (!Codec.absent(node, "closed")) {
-            for (String day : Codec.texts(node.get("closed"), "closed")) {
+        if (!Codec.isAbsent(node, "closed")) {
+            for (String day : Codec.textList(node.get("closed"), "closed")) {
                 try {
                     closed.add(LocalDate.parse(day));
                 } catch (DateTimeParseException e) {
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -44,8 +44,8 @@
 
     public static Selector parse(JsonNode node) throws MalformedMessageException {
         Set<String> names = new TreeSet<>();
-        if (!Codec.absent(node, "machines")) {
-            names.addAll(Codec.texts(node.get("machines"), "machines"));
+        if (!Codec.isAbsent(node, "machines")) {
+            names.addAll(Codec.textList(node.get("machines"), "machines"));
             if (names.isEmpty() || names.size() > MOST_NAMES) {
                 throw new MalformedMessageException(
                         "machines = " + names.size() + " names: 1 to " + MOST_NAMES + " are expected");
@@ -53,7 +53,7 @@
         }
         String type = Fields.text(node, "type");
         String zone = Fields.text(node, "zone");
-        Boolean spot = Codec.absent(node, "spot") ? null : Boolean.valueOf(Fields.flag(node, "spot"));
+        Boolean spot = Codec.isAbsent(node, "spot") ? null : Boolean.valueOf(Fields.flag(node, "spot"));
         long older = Fields.count(node, "olderThanS", 0, 0, LONGEST_S);
         double share = Fields.number(node, "share", 1, LEAST_SHARE, 1);
         boolean all = Fields.flag(node, "all");
--- a/src/main/java/org/beechhoist/elastic/Sure.java
+++ b/src/main/java/org/beechhoist/elastic/Sure.java
@@ -11,12 +11,12 @@
 
     /** @param untilMs when the job should be done; {@link Ending#NEVER}: no hurry */
     public static int width(Width allowed, int unfinished, long lengthMs, long untilMs, long nowMs) {
-        int wanted = allowed.least();
+        int wanted = allowed.min();
         if (untilMs != Ending.NEVER && untilMs - nowMs >= lengthMs && unfinished > 0) {
             // Whole rounds of tasks that still fit; a moment that can't be met any more is not chased with machines.
             long rounds = (untilMs - nowMs) / Math.max(1, lengthMs);
             wanted = (int) Math.max(wanted, (unfinished + rounds - 1) / rounds);
         }
-        return Math.min(wanted, allowed.most());
+        return Math.min(wanted, allowed.max());
     }
 }
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -239,8 +239,8 @@
         List<Version> versions = new ArrayList<>();
         for (JsonNode version : node.get("versions")) {
             versions.add(new Version(
-                    Codec.count(version, "version", 1, Integer.MAX_VALUE),
-                    Codec.texts(version.get("fingerprints"), "fingerprints"),
+                    Codec.wholeNumber(version, "version", 1, Integer.MAX_VALUE),
+                    Codec.textList(version.get("fingerprints"), "fingerprints"),
                     Codec.text(version, "digest"),
                     State.parse(Codec.text(version, "state")),
                     Codec.text(version, "who"),
@@ -251,8 +251,8 @@
         return new KeySet(
                 Codec.text(node, "name"),
                 Codec.text(node, "owner"),
-                Codec.absent(node, "classes") ? List.of() : Codec.texts(node.get("classes"), "classes"),
-                Codec.count(node, "number", 1, Long.MAX_VALUE),
+                Codec.isAbsent(node, "classes") ? List.of() : Codec.textList(node.get("classes"), "classes"),
+                Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE),
                 versions);
     }
 }
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -101,11 +101,11 @@
 
     /** Whether what is bound so may run. Nothing but this very version with this very content, approved or draining, lets it. */
     public Verdict verdict(KeySetBinding pin, long nowMs) {
-        Known known = sets.get(pin.set());
+        Known known = sets.get(pin.keySet());
         if (known == null) {
             return Verdict.held(0, "the state service", "the key set is gone");
         }
-        Mark mark = marks.get(pin.set());
+        Mark mark = marks.get(pin.keySet());
         if (mark != null) {
             return Verdict.held(mark.atMs, mark.node, "mismatch: " + mark.text());
         }
--- a/src/main/java/org/beechhoist/net/HttpClient.java
+++ b/src/main/java/org/beechhoist/net/HttpClient.java
@@ -166,7 +166,7 @@
         }
 
         void write() {
-            if (current.notAfter != null && !loop.now().before(current.notAfter)) {
+            if (current.notAfter != null && !loop.now().isBefore(current.notAfter)) {
                 fail();
                 return;
             }
--- a/src/main/java/org/beechhoist/peer/PeerCodec.java
+++ b/src/main/java/org/beechhoist/peer/PeerCodec.java
@@ -51,16 +51,16 @@
         GenericRecord record = new GenericData.Record(schema);
         record.put("node", state.node());
         record.put("leading", state.leading());
-        record.put("baton", state.baton().value());
-        record.put("storeAnswersMs", state.storeAnswersMs());
+        record.put("baton", state.fencingToken().value());
+        record.put("storeAnswersMs", state.msSinceStoreAnswer());
         record.put("ready", state.ready());
-        record.put("reportsHeard", state.reportsHeard());
-        record.put("writesWanted", state.writesWanted());
-        record.put("requestsWanted", state.requestsWanted());
+        record.put("reportsHeard", state.heartbeatsReceived());
+        record.put("writesWanted", state.writeDemand());
+        record.put("requestsWanted", state.requestDemand());
         record.put("recordForm", RECORD_FORM);
         Schema count = schema.getField("counts").schema().getElementType();
         List<GenericRecord> counts = new ArrayList<>();
-        for (JobCount jobCount : state.counts()) {
+        for (JobCount jobCount : state.jobCounts()) {
             GenericRecord nested = new GenericData.Record(count);
             nested.put("job", jobCount.job().text());
             nested.put("done", jobCount.done());
@@ -70,7 +70,7 @@
         record.put("counts", counts);
         Schema one = schema.getField("cancelled").schema().getElementType();
         List<GenericRecord> cancelled = new ArrayList<>();
-        for (CancelledJob cancelledJob : state.cancelled()) {
+        for (CancelledJob cancelledJob : state.cancelledJobs()) {
             GenericRecord nested = new GenericData.Record(one);
             nested.put("job", cancelledJob.job().text());
             nested.put("wallMs", cancelledJob.wallMs());
@@ -78,7 +78,8 @@
         }
         record.put("cancelled", cancelled);
         record.put(
-                "acknowledged", state.acknowledged().stream().map(JobId::text).toList());
+                "acknowledged",
+                state.acknowledgedCancellations().stream().map(JobId::text).toList());
         ByteArrayOutputStream out = new ByteArrayOutputStream(64);
         out.writeBytes(fingerprint);
         BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
--- a/src/main/java/org/beechhoist/peer/PeerState.java
+++ b/src/main/java/org/beechhoist/peer/PeerState.java
@@ -18,12 +18,12 @@
 public record PeerState(
         String node,
         boolean leading,
-        FencingToken baton,
-        long storeAnswersMs,
+        FencingToken fencingToken,
+        long msSinceStoreAnswer,
         boolean ready,
-        int reportsHeard,
-        double writesWanted,
-        double requestsWanted,
-        List<JobCount> counts,
-        List<CancelledJob> cancelled,
-        List<JobId> acknowledged) {}
+        int heartbeatsReceived,
+        double writeDemand,
+        double requestDemand,
+        List<JobCount> jobCounts,
+        List<CancelledJob> cancelledJobs,
+        List<JobId> acknowledgedCancellations) {}
--- a/src/main/java/org/beechhoist/plan/Plan.java
+++ b/src/main/java/org/beechhoist/plan/Plan.java
@@ -196,7 +196,7 @@
     public void place(Entry entry) {
         int most = Math.min(entry.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
         String only = entry.spec().sameZone() ? chooseZone(entry, most) : null;
-        int placed = entry.spec().gang() ? placeTogether(entry, most, only) : placeEach(entry, most, only);
+        int placed = entry.spec().isGang() ? placeTogether(entry, most, only) : placeEach(entry, most, only);
         if (placed < entry.waiting()) {
             unplaced.merge(entry.job(), entry.waiting() - placed, Integer::sum);
         }
@@ -266,7 +266,7 @@
         Profile limit = team == null ? null : team.within(entry.waiting() * spec.cpus(), entry.waiting() * spec.gpus());
         Profile cap = entry.cap() == null ? null : entry.cap().profile(nowMs);
         gather(entry, only, limit, cap);
-        int perZone = spec.apart() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+        int perZone = spec.antiAffinity() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
         Map<String, Integer> inZone = new HashMap<>(entry.liveByZone());
         int placed = 0;
         while (placed < most && candidateCount > 0) {
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -86,11 +86,11 @@
             throw new MalformedMessageException(
                     "zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
         }
-        int lead = Codec.absent(node, "leadDays") ? 0 : (int) Codec.count(node, "leadDays", 0, MOST_LEAD_DAYS);
+        int lead = Codec.isAbsent(node, "leadDays") ? 0 : (int) Codec.wholeNumber(node, "leadDays", 0, MOST_LEAD_DAYS);
         return new Release(
                 name,
                 text(node, "maker"),
-                Codec.absent(node, "factory") ? "" : text(node, "factory"),
+                Codec.isAbsent(node, "factory") ? "" : text(node, "factory"),
                 ship,
                 zone,
                 lead,
@@ -114,7 +114,7 @@
     }
 
     private static String optional(JsonNode node, String field) throws MalformedMessageException {
-        return Codec.absent(node, field) ? null : text(node, field);
+        return Codec.isAbsent(node, field) ? null : text(node, field);
     }
 
     private static String text(JsonNode node, String field) throws MalformedMessageException {
@@ -234,7 +234,7 @@
                 release.jobClass,
                 release.bundle,
                 node.path("due").asLong(),
-                Codec.count(node, "number", 1, Long.MAX_VALUE),
+                Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE),
                 node.path("removed").asBoolean(),
                 history);
     }
--- a/src/main/java/org/beechhoist/standin/StateService.java
+++ b/src/main/java/org/beechhoist/standin/StateService.java
@@ -263,7 +263,7 @@
             return Reply.error(400, "too many operations");
         }
         for (JsonNode op : then) {
-            if (op.has("put") && Codec.countedBytes(op.get("data")) > valueBytes) {
+            if (op.has("put") && Codec.jsonBytes(op.get("data")) > valueBytes) {
                 return Reply.error(400, "value too large");
             }
             if (op.hasNonNull("hold") && !leases.containsKey(op.get("hold").asLong())) {
--- a/src/main/java/org/beechhoist/standin/Worker.java
+++ b/src/main/java/org/beechhoist/standin/Worker.java
@@ -215,13 +215,13 @@
         task.startedAt = nowMs;
         long run = world.runMs(task.id, name);
         task.fails = run < 0;
-        task.endsAt = task.spec.service() && !task.fails ? Long.MAX_VALUE : nowMs + Math.abs(run);
+        task.endsAt = task.spec.isService() && !task.fails ? Long.MAX_VALUE : nowMs + Math.abs(run);
         world.started(this, task.id, task.attempt);
     }
 
     private void runs(Task task, long nowMs) {
         long ran = Math.min(nowMs, task.endsAt) - task.startedAt;
-        long every = Math.round(1000 * task.spec.checkpointS());
+        long every = Math.round(1000 * task.spec.checkpointEveryS());
         if (every > 0 && ran - task.savedMs >= every) {
             world.saved(task.id, every);
             task.savedMs += every;
@@ -253,11 +253,14 @@
     }
 
     private static long savesFor(Task task) {
-        return Math.round(1000 * task.spec.saveS());
+        return Math.round(1000 * task.spec.checkpointCostS());
     }
 
     private void kill(Task task, long nowMs, double graceS) {
-        if (task.status.equals("running") && task.spec.checkpointS() > 0 && graceS >= task.spec.saveS() && graceS > 0) {
+        if (task.status.equals("running")
+                && task.spec.checkpointEveryS() > 0
+                && graceS >= task.spec.checkpointCostS()
+                && graceS > 0) {
             task.status = "saving";
             task.savingUntil = nowMs + savesFor(task);
         } else if (!task.status.equals("saving") || graceS == 0) {
--- a/src/main/java/org/beechhoist/store/ChangeLogSegment.java
+++ b/src/main/java/org/beechhoist/store/ChangeLogSegment.java
@@ -27,7 +27,7 @@
     public ObjectNode toNode() {
         ObjectNode node = Codec.map().put("seq", number);
         ObjectNode all = node.putObject("jobs");
-        jobs.forEach((ref, d) -> all.set(ref.text(), d.toNode()));
+        jobs.forEach((jobId, d) -> all.set(jobId.text(), d.toNode()));
         return node;
     }
 
@@ -42,53 +42,53 @@
         }
         Map<JobId, TaskChanges> jobs = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> entry : node.get("jobs").properties()) {
-            JobId ref = new JobId(entry.getKey());
-            int count = tasks.applyAsInt(ref);
+            JobId jobId = new JobId(entry.getKey());
+            int count = tasks.applyAsInt(jobId);
             if (count >= 0) {
                 try {
-                    jobs.put(ref, TaskChanges.parse(ref, count, entry.getValue()));
+                    jobs.put(jobId, TaskChanges.parse(jobId, count, entry.getValue()));
                 } catch (MalformedMessageException m) {
-                    unreadable.add(ref);
+                    unreadable.add(jobId);
                 }
             }
         }
-        return new ChangeLogSegment(Codec.count(node, "seq", 1, Long.MAX_VALUE), jobs);
+        return new ChangeLogSegment(Codec.wholeNumber(node, "seq", 1, Long.MAX_VALUE), jobs);
     }
 
     /** Puts deltas into as few segments as hold them, each within a value's limit. */
     public static final class Writer {
-        private final int most;
+        private final int maxBytes;
         private final List<Map<JobId, TaskChanges>> segments = new ArrayList<>();
         private int bytes;
 
         public Writer(int mostBytes) {
-            this.most = mostBytes;
+            this.maxBytes = mostBytes;
         }
 
         /** How many segments there would be with it, too. */
-        public int with(JobId ref, TaskChanges changes) {
-            return walk(ref, changes, (n, part) -> {});
+        public int segmentCountWith(JobId jobId, TaskChanges changes) {
+            return forEachPart(jobId, changes, (n, part) -> {});
         }
 
-        public void add(JobId ref, TaskChanges changes) {
-            walk(ref, changes, (segment, part) -> {
+        public void add(JobId jobId, TaskChanges changes) {
+            forEachPart(jobId, changes, (segment, part) -> {
                 if (segment > segments.size()) {
                     segments.add(new LinkedHashMap<>());
                     bytes = 0;
                 }
-                bytes += part.bytes(ref);
-                segments.get(segment - 1).put(ref, part);
+                bytes += part.maxBytes(jobId);
+                segments.get(segment - 1).put(jobId, part);
             });
         }
 
         /** Hands over each part with the number of segments that it makes; parts of one job never share one. */
-        private int walk(JobId ref, TaskChanges changes, BiConsumer<Integer, TaskChanges> then) {
+        private int forEachPart(JobId jobId, TaskChanges changes, BiConsumer<Integer, TaskChanges> then) {
             int count = segments.size();
             int filled = bytes;
             boolean first = true;
-            for (TaskChanges part : changes.parts(ref, most)) {
-                int size = part.bytes(ref);
-                boolean fits = first && count > 0 && filled + size <= most;
+            for (TaskChanges part : changes.split(jobId, maxBytes)) {
+                int size = part.maxBytes(jobId);
+                boolean fits = first && count > 0 && filled + size <= maxBytes;
                 filled = fits ? filled + size : size;
                 count += fits ? 0 : 1;
                 first = false;
@@ -97,7 +97,7 @@
             return count;
         }
 
-        public int size() {
+        public int segmentCount() {
             return segments.size();
         }
 
--- a/src/main/java/org/beechhoist/store/CommittedTasks.java
+++ b/src/main/java/org/beechhoist/store/CommittedTasks.java
@@ -24,16 +24,16 @@
     }
 
     /** What the record says beyond this. */
-    public TaskChanges until(JobRecord record) {
-        return until(record, false);
+    public TaskChanges changesTo(JobRecord record) {
+        return changesTo(record, false);
     }
 
     /** The same, given that this is the record alone: it stands for all that the log says. */
-    public TaskChanges allUntil(JobRecord record) {
-        return until(record, true);
+    public TaskChanges allChangesTo(JobRecord record) {
+        return changesTo(record, true);
     }
 
-    private TaskChanges until(JobRecord record, boolean begins) {
+    private TaskChanges changesTo(JobRecord record, boolean begins) {
         List<Placement> placed = new ArrayList<>();
         List<Integer> gone = new ArrayList<>();
         for (Map.Entry<Integer, Placement> entry : record.live.entrySet()) {
@@ -52,7 +52,7 @@
 
     /** The state service holds this now, too. */
     public void apply(TaskChanges changes) {
-        changes.gone().forEach(live::remove);
+        changes.removed().forEach(live::remove);
         changes.placed().forEach(p -> live.put(p.task.index(), p.attempt));
         done = done.plus(changes.done());
         changes.done().forEach(live::remove);
--- a/src/main/java/org/beechhoist/store/FleetSnapshot.java
+++ b/src/main/java/org/beechhoist/store/FleetSnapshot.java
@@ -29,7 +29,7 @@
             String type,
             String zone,
             boolean spot,
-            long shift,
+            long epoch,
             long rentedWallMs,
             Map<String, Double> images) {}
 
@@ -39,7 +39,7 @@
     private static final int ROW_BYTES = 44;
 
     private static final int HEAD_BYTES = 160;
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_PARTS = 1024;
     private static final int ROW = 7;
     private static final char SIZE = '#';
 
@@ -51,7 +51,7 @@
     public static int parts(int machines, int bytesEach, int valueBytes) {
         int most = Math.max(1, (valueBytes / 2 - HEAD_BYTES) / bytesEach);
         int count = 1;
-        while (count < MOST_PARTS && count * most < machines) {
+        while (count < MAX_PARTS && count * most < machines) {
             count *= 2;
         }
         return count;
@@ -67,11 +67,11 @@
     }
 
     /** What is in it, whatever the time: a part that has not changed need not be written again. */
-    public long content() {
-        return sum(0);
+    public long contentHash() {
+        return checksum(0);
     }
 
-    private long sum(long wall) {
+    private long checksum(long wall) {
         HashStream64 hash =
                 Hashing.xxh3_64().hashStream().putInt(part).putInt(parts).putLong(wall);
         for (Machine machine : machines) {
@@ -80,7 +80,7 @@
                     .putString(machine.type)
                     .putString(machine.zone)
                     .putBoolean(machine.spot)
-                    .putLong(machine.shift)
+                    .putLong(machine.epoch)
                     .putLong(machine.rentedWallMs / 1000);
             machine.images.forEach((image, gb) -> hash.putString(image).putDouble(gb));
         }
@@ -94,18 +94,18 @@
                 .put("part", part)
                 .put("parts", parts)
                 .put("at", wallMs)
-                .put("sum", Long.toHexString(sum(wallMs)));
+                .put("sum", Long.toHexString(checksum(wallMs)));
         ArrayNode rows = Codec.list();
         for (Machine machine : machines) {
             rows.add(machine.id.text())
                     .add(machine.address)
-                    .add(place(words, machine.type))
-                    .add(place(words, machine.zone))
+                    .add(wordIndex(words, machine.type))
+                    .add(wordIndex(words, machine.zone))
                     .add(machine.spot ? 1 : 0)
-                    .add(machine.rentedWallMs / 1000 + ":" + machine.shift);
+                    .add(machine.rentedWallMs / 1000 + ":" + machine.epoch);
             ArrayNode images = rows.addArray();
             // The same image may have another size in another job's words.
-            machine.images.forEach((image, gb) -> images.add(place(words, image + SIZE + gb)));
+            machine.images.forEach((image, gb) -> images.add(wordIndex(words, image + SIZE + gb)));
         }
         ArrayNode texts = node.putArray("words");
         words.keySet().forEach(texts::add);
@@ -113,7 +113,7 @@
         return node;
     }
 
-    private static int place(Map<String, Integer> words, String text) {
+    private static int wordIndex(Map<String, Integer> words, String text) {
         return words.computeIfAbsent(text, k -> words.size());
     }
 
@@ -152,10 +152,10 @@
         }
         FleetSnapshot snapshot = new FleetSnapshot(
                 node.path("part").asInt(),
-                (int) Codec.count(node, "parts", 1, MOST_PARTS),
+                (int) Codec.wholeNumber(node, "parts", 1, MAX_PARTS),
                 node.path("at").asLong(),
                 machines);
-        if (!Long.toHexString(snapshot.sum(snapshot.wallMs))
+        if (!Long.toHexString(snapshot.checksum(snapshot.wallMs))
                 .equals(node.path("sum").asText())) {
             throw new MalformedMessageException("sum: it is torn");
         }
--- a/src/main/java/org/beechhoist/store/JobRecord.java
+++ b/src/main/java/org/beechhoist/store/JobRecord.java
@@ -21,8 +21,8 @@
  * jobs are at {@code je/<ref>} with their final state alone.
  */
 public final class JobRecord {
-    public static final String OPEN = "jo/";
-    public static final String ENDED = "je/";
+    public static final String OPEN_PREFIX = "jo/";
+    public static final String ENDED_PREFIX = "je/";
     /** Fields of a live task; records of the first version had three, without the time. */
     private static final int STRIDE = 4;
 
@@ -35,47 +35,47 @@
     public TaskSet done = new TaskSet();
     public final TreeMap<Integer, Placement> live = new TreeMap<>();
     /** When the cancellation was accepted, by the time of day; 0: not cancelled. */
-    public long cancelWallMs;
+    public long cancelledAtWallMs;
 
     public int failures;
-    public String reason;
+    public String failureReason;
     /** Null for a job that was never given one: as many of its tasks may be on machines as there are. */
     public WidthRecord width;
     /** The number of the newest log segment whose news of this job are in the record. */
-    public long folded;
+    public long foldedSegment;
 
-    public RecordSizes sizes = RecordSizes.USUAL;
+    public RecordSizes sizes = RecordSizes.DEFAULT;
 
     public JobRecord(JobSpec spec, long submittedWallMs) {
         this.spec = spec;
         this.width = spec.width() == null
                 ? null
-                : new WidthRecord(spec.width(), 0, spec.width().least());
+                : new WidthRecord(spec.width(), 0, spec.width().min());
         this.submittedWallMs = submittedWallMs;
     }
 
-    public static String openKey(JobId ref) {
-        return OPEN + ref.text();
+    public static String openKey(JobId jobId) {
+        return OPEN_PREFIX + jobId.text();
     }
 
-    public static String endedKey(JobId ref) {
-        return ENDED + ref.text();
+    public static String endedKey(JobId jobId) {
+        return ENDED_PREFIX + jobId.text();
     }
 
-    public boolean cancelled() {
-        return cancelWallMs > 0;
+    public boolean isCancelled() {
+        return cancelledAtWallMs > 0;
     }
 
-    public boolean complete() {
-        return !spec.service() && done.size() == spec.tasks();
+    public boolean isComplete() {
+        return !spec.isService() && done.size() == spec.tasks();
     }
 
-    public boolean chunked() {
-        return spec.tasks() > sizes.inline();
+    public boolean isChunked() {
+        return spec.tasks() > sizes.inlineTasks();
     }
 
     public String chunkKey(int task) {
-        return openKey(spec.ref()) + "/" + String.format("%04d", task / sizes.chunk());
+        return openKey(spec.id()) + "/" + String.format("%04d", task / sizes.chunkTasks());
     }
 
     /** The record's own value. */
@@ -86,20 +86,20 @@
                 .put("stride", STRIDE)
                 .put("next", nextAttempt)
                 .put("running", live.size());
-        done.write(node);
-        if (cancelled()) {
-            node.put("cancel", cancelWallMs);
+        done.writeTo(node);
+        if (isCancelled()) {
+            node.put("cancel", cancelledAtWallMs);
         }
-        if (folded > 0) {
-            node.put("folded", folded);
+        if (foldedSegment > 0) {
+            node.put("folded", foldedSegment);
         }
         if (failures > 0) {
-            node.put("failures", failures).put("reason", reason);
+            node.put("failures", failures).put("reason", failureReason);
         }
         if (width != null) {
             node.set("width", width.toNode());
         }
-        if (!chunked()) {
+        if (!isChunked()) {
             ArrayNode list = node.putArray("live");
             live.values().forEach(p -> add(list, p));
         }
@@ -109,7 +109,7 @@
     /** The live tasks' chunks by key; none for a small job. */
     public Map<String, ArrayNode> chunks() {
         Map<String, ArrayNode> out = new HashMap<>();
-        if (chunked()) {
+        if (isChunked()) {
             for (Placement p : live.values()) {
                 add(out.computeIfAbsent(chunkKey(p.task.index()), k -> Codec.list()), p);
             }
@@ -120,17 +120,17 @@
     private static void add(ArrayNode list, Placement placement) {
         list.add(placement.task.index())
                 .add(placement.attempt)
-                .add(placement.host.text())
+                .add(placement.machine.text())
                 .add(placement.placedS);
     }
 
-    public ObjectNode endedNode(String state) {
+    public ObjectNode finalStateNode(String state) {
         ObjectNode n = Codec.map().put("status", state).put("done", done.size());
         return spec.origin() == null ? n : n.put("origin", spec.origin());
     }
 
     /** Whether a value at an open key is a final state that has not been moved to its own key yet. */
-    public static boolean isOver(JsonNode node) {
+    public static boolean isFinalState(JsonNode node) {
         return node != null && node.hasNonNull("status") && !node.has("spec");
     }
 
@@ -140,27 +140,27 @@
         }
         JobRecord record =
                 new JobRecord(JobSpec.parse(node.get("spec")), node.path("at").longValue());
-        record.stride = (int) (Codec.absent(node, "stride") ? 3 : Codec.count(node, "stride", 3, 16));
-        record.nextAttempt = Codec.count(node, "next", 1, Long.MAX_VALUE);
+        record.stride = (int) (Codec.isAbsent(node, "stride") ? 3 : Codec.wholeNumber(node, "stride", 3, 16));
+        record.nextAttempt = Codec.wholeNumber(node, "next", 1, Long.MAX_VALUE);
         record.done = TaskSet.parse(node, record.spec.tasks());
-        record.cancelWallMs = node.path("cancel").longValue();
-        record.folded = node.path("folded").longValue();
+        record.cancelledAtWallMs = node.path("cancel").longValue();
+        record.foldedSegment = node.path("folded").longValue();
         record.failures = node.path("failures").intValue();
-        record.reason = node.path("reason").textValue();
-        record.width = Codec.absent(node, "width") ? null : WidthRecord.parse(node.get("width"));
+        record.failureReason = node.path("reason").textValue();
+        record.width = Codec.isAbsent(node, "width") ? null : WidthRecord.parse(node.get("width"));
         if (node.has("live")) {
-            record.addLive(node.get("live"));
+            record.addLiveTasks(node.get("live"));
         }
         return record;
     }
 
     /** Adds the live tasks of a chunk. */
-    public void addLive(JsonNode list) throws MalformedMessageException {
+    public void addLiveTasks(JsonNode list) throws MalformedMessageException {
         if (!list.isArray() || list.size() % stride != 0) {
             throw new MalformedMessageException("live tasks expected");
         }
         for (int i = 0; i < list.size(); i += stride) {
-            TaskId id = new TaskId(spec.ref(), list.get(i).intValue());
+            TaskId id = new TaskId(spec.id(), list.get(i).intValue());
             Placement placement = new Placement(
                     id,
                     list.get(i + 1).longValue(),
@@ -173,9 +173,9 @@
     /** Up to {@code most} tasks that neither are done nor may be anywhere, lowest first. */
     public List<Integer> waiting(int most) {
         List<Integer> out = new ArrayList<>();
-        int first = done.firstMissing(0);
+        int first = done.nextAbsent(0);
         int end = Math.min(spec.tasks(), first + sizes.window());
-        for (int i = first; i < end && out.size() < most; i = done.firstMissing(i + 1)) {
+        for (int i = first; i < end && out.size() < most; i = done.nextAbsent(i + 1)) {
             if (!live.containsKey(i)) {
                 out.add(i);
             }
--- a/src/main/java/org/beechhoist/store/Placement.java
+++ b/src/main/java/org/beechhoist/store/Placement.java
@@ -12,39 +12,39 @@
 public final class Placement {
     public final TaskId task;
     public final long attempt;
-    public final MachineId host;
+    public final MachineId machine;
 
     /** False while the transaction that records it is on its way: nothing may be launched before. */
     public boolean committed;
     /** A launch has been sent, or an earlier leader may have sent one. */
-    public boolean sent;
+    public boolean launchSent;
     /** Reports older than this token can't speak for it: an earlier leader's launch might follow them. */
-    public FencingToken provenFrom = FencingToken.NONE;
+    public FencingToken evidenceFrom = FencingToken.NONE;
     /** The session the launch was for, and the report that its reply answered. */
-    public long sentShift;
+    public long launchEpoch;
 
-    public long sentCounter;
-    public MonotonicTime since = MonotonicTime.ZERO;
+    public long launchSequence;
+    public MonotonicTime placedAt = MonotonicTime.ZERO;
     /** Seconds from the job's submission to this placement, by the time of day: a later leader's guess of {@link #since}. */
     public int placedS;
     /** Taken from the record: when it began to run is not known, only about when it was placed. */
     public boolean recovered;
     /** When a report first showed it running; null before. */
-    public MonotonicTime running;
+    public MonotonicTime runningSince;
     /** A report has shown it, in whatever state. */
-    public boolean seen;
+    public boolean reported;
 
-    public boolean killSent;
+    public boolean stopRequested;
     /** When its room is expected to be free, for it is to go; 0: it stays. */
-    public long leavesAt;
+    public long expectedGoneAtMs;
     /** Expected length, fetch included, as planned. */
-    public long expectedMs;
+    public long expectedDurationMs;
 
     public long fetchMs;
 
-    public Placement(TaskId task, long attempt, MachineId host) {
+    public Placement(TaskId task, long attempt, MachineId machine) {
         this.task = task;
         this.attempt = attempt;
-        this.host = host;
+        this.machine = machine;
     }
 }
--- a/src/main/java/org/beechhoist/store/RecordSizes.java
+++ b/src/main/java/org/beechhoist/store/RecordSizes.java
@@ -6,7 +6,7 @@
  * only {@code window} numbers behind the first unfinished one. The window bounds the chunks that one transaction may
  * touch; without it a job whose tasks end in odd order could outgrow a transaction and would never be written again.
  */
-public record RecordSizes(int inline, int chunk, int window, int segmentBytes) {
+public record RecordSizes(int inlineTasks, int chunkTasks, int window, int segmentBytes) {
     /** What a live task takes at most, in the form that limits count. */
     static final int TASK_BYTES = 32;
     /** The record without its live tasks: its description, and the finished tasks of a window. */
@@ -22,11 +22,11 @@
     /** A transaction's share for the record, its end and a rewritten fencing token. */
     private static final int OTHER_OPS = 3;
     /** The smallest limits that everything fits without cutting smaller than usual. */
-    public static final int USUAL_VALUE_BYTES = 8 * 1024;
+    public static final int DEFAULT_VALUE_BYTES = 8 * 1024;
 
-    public static final int USUAL_TXN_OPS = 16;
+    public static final int DEFAULT_TXN_OPS = 16;
 
-    public static final RecordSizes USUAL = of(USUAL_VALUE_BYTES, USUAL_TXN_OPS);
+    public static final RecordSizes DEFAULT = of(DEFAULT_VALUE_BYTES, DEFAULT_TXN_OPS);
 
     /** @param valueBytes what the state service takes as one value; {@code txnOps} as changes of one transaction */
     public static RecordSizes of(int valueBytes, int txnOps) {
@@ -39,12 +39,12 @@
 
     /** What these limits keep from being served as usual, for the operator; null where nothing does. */
     public static String tooSmall(int valueBytes, int txnOps) {
-        if (valueBytes >= USUAL_VALUE_BYTES && txnOps >= USUAL_TXN_OPS) {
+        if (valueBytes >= DEFAULT_VALUE_BYTES && txnOps >= DEFAULT_TXN_OPS) {
             return null;
         }
         RecordSizes sizes = of(valueBytes, txnOps);
         return "deployment.state: value_kb = " + valueBytes / 1024 + " and txn_ops = " + txnOps + " are below "
-                + USUAL_VALUE_BYTES / 1024 + " and " + USUAL_TXN_OPS + ": at most " + sizes.window()
+                + DEFAULT_VALUE_BYTES / 1024 + " and " + DEFAULT_TXN_OPS + ": at most " + sizes.window()
                 + " tasks of a job run at once";
     }
 }
--- a/src/main/java/org/beechhoist/store/StoreClient.java
+++ b/src/main/java/org/beechhoist/store/StoreClient.java
@@ -22,42 +22,42 @@
     public record KeyValue(String key, JsonNode value, Revision version, long lease) {}
 
     /** What a read found: {@code item} is null for 404. Where {@code known} is false nothing was learnt. */
-    public record ReadResult(boolean known, KeyValue item) {
+    public record ReadResult(boolean answered, KeyValue item) {
         public static final ReadResult UNKNOWN = new ReadResult(false, null);
     }
 
     /** One page of a listing, or null items where it failed. */
     public record Page(List<KeyValue> items, boolean more, Revision revision) {
-        public boolean ok() {
+        public boolean isOk() {
             return items != null;
         }
     }
 
     /** Changes since a revision. {@code status} 410: too old. A removed key has a null value. */
-    public record WatchResult(int status, List<KeyValue> log, Revision revision) {}
+    public record WatchResult(int status, List<KeyValue> changes, Revision revision) {}
 
     /** How a transaction ended. */
-    public record CommitResult(Outcome result, Revision revision, Set<String> failed) {
+    public record CommitResult(Outcome outcome, Revision revision, Set<String> failedKeys) {
         /** {@code REFUSED}: certainly not executed. {@code UNCERTAIN}: perhaps, perhaps later. */
         public enum Outcome {
-            DONE,
+            COMMITTED,
             CONFLICT,
-            REFUSED,
-            NO_LEASE,
-            UNCERTAIN
+            REJECTED,
+            LEASE_EXPIRED,
+            UNKNOWN
         }
     }
 
     private final ServiceCalls calls;
-    private boolean strangeLogged;
+    private boolean unexpectedLogged;
 
     public StoreClient(ServiceCalls calls) {
         this.calls = calls;
     }
 
-    private void strange(String what, CallResult result) {
-        if (!strangeLogged) {
-            strangeLogged = true;
+    private void logUnexpected(String what, CallResult result) {
+        if (!unexpectedLogged) {
+            unexpectedLogged = true;
             LOG.warn(
                     "state service: strange answer to {}: status {}; further ones are not logged",
                     what,
@@ -69,28 +69,28 @@
         return new KeyValue(
                 Codec.text(node, "path"),
                 node.get("data"),
-                new Revision(Codec.count(node, "lastTouch", 0, Long.MAX_VALUE)),
-                Codec.absent(node, "hold") ? 0 : Codec.count(node, "hold", 0, Long.MAX_VALUE));
+                new Revision(Codec.wholeNumber(node, "lastTouch", 0, Long.MAX_VALUE)),
+                Codec.isAbsent(node, "hold") ? 0 : Codec.wholeNumber(node, "hold", 0, Long.MAX_VALUE));
     }
 
     private static Revision revision(JsonNode node) throws org.beechhoist.wire.MalformedMessageException {
-        return new Revision(Codec.count(node, "ledgerRev", 0, Long.MAX_VALUE));
+        return new Revision(Codec.wholeNumber(node, "ledgerRev", 0, Long.MAX_VALUE));
     }
 
     public void get(String key, Consumer<ReadResult> then) {
         calls.call(ServiceCalls.Target.STATE, null, "GET", "/store/" + key, null, TIMEOUT_MS, result -> {
             ReadResult read = ReadResult.UNKNOWN;
             try {
-                if (result.ok()) {
+                if (result.isOk()) {
                     read = new ReadResult(true, item(result.body()));
-                } else if (result.is(404)
+                } else if (result.hasStatus(404)
                         && result.body() != null
                         && result.body().has("ledgerRev")) {
                     // A 404 without the service's own body could come from something else on the way.
                     read = new ReadResult(true, null);
                 }
             } catch (org.beechhoist.wire.MalformedMessageException e) {
-                strange("a read", result);
+                logUnexpected("a read", result);
             }
             then.accept(read);
         });
@@ -101,7 +101,7 @@
         calls.call(ServiceCalls.Target.STATE, null, "GET", path, null, 5000, result -> {
             Page page = new Page(null, false, Revision.ABSENT);
             try {
-                if (result.ok() && result.body().path("items").isArray()) {
+                if (result.isOk() && result.body().path("items").isArray()) {
                     List<KeyValue> items = new ArrayList<>();
                     for (JsonNode n : result.body().get("items")) {
                         items.add(item(n));
@@ -109,53 +109,53 @@
                     page = new Page(items, Codec.bool(result.body(), "more"), revision(result.body()));
                 }
             } catch (org.beechhoist.wire.MalformedMessageException e) {
-                strange("a listing", result);
+                logUnexpected("a listing", result);
             }
             then.accept(page);
         });
     }
 
-    public void commit(Transaction txn, Consumer<CommitResult> then) {
+    public void commit(Transaction transaction, Consumer<CommitResult> then) {
         calls.call(
                 ServiceCalls.Target.STATE,
                 null,
                 "POST",
                 "/commit",
-                txn.toNode(),
+                transaction.toNode(),
                 TIMEOUT_MS,
                 o -> then.accept(read(o)));
     }
 
     private CommitResult read(CallResult answer) {
-        CommitResult.Outcome result = CommitResult.Outcome.UNCERTAIN;
+        CommitResult.Outcome result = CommitResult.Outcome.UNKNOWN;
         Revision revision = Revision.ABSENT;
         Set<String> failed = new HashSet<>();
         try {
-            if (answer.kind() == CallResult.Kind.NOT_SENT || answer.is(503) || answer.is(429)) {
-                result = CommitResult.Outcome.REFUSED;
-            } else if (answer.ok()) {
+            if (answer.kind() == CallResult.Kind.NOT_SENT || answer.hasStatus(503) || answer.hasStatus(429)) {
+                result = CommitResult.Outcome.REJECTED;
+            } else if (answer.isOk()) {
                 revision = revision(answer.body());
-                result = CommitResult.Outcome.DONE;
-            } else if (answer.is(409) && answer.body() != null) {
-                failed.addAll(Codec.texts(answer.body().get("failed"), "failed"));
+                result = CommitResult.Outcome.COMMITTED;
+            } else if (answer.hasStatus(409) && answer.body() != null) {
+                failed.addAll(Codec.textList(answer.body().get("failed"), "failed"));
                 result = CommitResult.Outcome.CONFLICT;
-            } else if (answer.is(400)) {
+            } else if (answer.hasStatus(400)) {
                 boolean lease = answer.body() != null
                         && "no such lease".equals(answer.body().path("error").asText());
                 if (!lease) {
                     LOG.error("state service refuses a transaction of ours as malformed: {}", answer.body());
                 }
-                result = lease ? CommitResult.Outcome.NO_LEASE : CommitResult.Outcome.REFUSED;
+                result = lease ? CommitResult.Outcome.LEASE_EXPIRED : CommitResult.Outcome.REJECTED;
             }
         } catch (org.beechhoist.wire.MalformedMessageException e) {
-            strange("a transaction", answer);
-            result = CommitResult.Outcome.UNCERTAIN;
+            logUnexpected("a transaction", answer);
+            result = CommitResult.Outcome.UNKNOWN;
         }
         return new CommitResult(result, revision, failed);
     }
 
     /** Hands over the new lease's id, or 0. */
-    public void grant(long ttlMs, Consumer<Long> then) {
+    public void grantLease(long ttlMs, Consumer<Long> then) {
         calls.call(
                 ServiceCalls.Target.STATE,
                 null,
@@ -164,41 +164,41 @@
                 Codec.map().put("ttlMs", ttlMs),
                 TIMEOUT_MS,
                 result -> then.accept(
-                        result.ok() && result.body().path("hold").canConvertToLong()
+                        result.isOk() && result.body().path("hold").canConvertToLong()
                                 ? result.body().get("hold").longValue()
                                 : 0L));
     }
 
-    public void extend(long lease, Consumer<CallResult> then) {
+    public void extendLease(long lease, Consumer<CallResult> then) {
         calls.call(ServiceCalls.Target.STATE, null, "POST", "/leases/" + lease + "/extend", Codec.map(), 1000, then);
     }
 
-    public void revoke(long lease) {
+    public void revokeLease(long lease) {
         calls.call(ServiceCalls.Target.STATE, null, "DELETE", "/leases/" + lease, null, TIMEOUT_MS, o -> {});
     }
 
-    public void changes(String prefix, Revision after, long holdMs, Consumer<WatchResult> then) {
+    public void watch(String prefix, Revision after, long holdMs, Consumer<WatchResult> then) {
         String path = "/changes?prefix=" + prefix + "&after=" + after.value() + "&holdMs=" + holdMs;
         calls.call(ServiceCalls.Target.STATE, null, "GET", path, null, holdMs + 3000, result -> {
             WatchResult out =
                     new WatchResult(result.kind() == CallResult.Kind.ANSWERED ? result.status() : 0, null, after);
             try {
-                if (result.ok() && result.body().path("log").isArray()) {
+                if (result.isOk() && result.body().path("log").isArray()) {
                     List<KeyValue> log = new ArrayList<>();
                     for (JsonNode node : result.body().get("log")) {
                         boolean put = node.hasNonNull("put");
                         log.add(new KeyValue(
                                 Codec.text(node, put ? "put" : "remove"),
                                 put ? node.get("data") : null,
-                                new Revision(Codec.count(node, "lastTouch", 0, Long.MAX_VALUE)),
+                                new Revision(Codec.wholeNumber(node, "lastTouch", 0, Long.MAX_VALUE)),
                                 0));
                     }
                     out = new WatchResult(200, log, revision(result.body()));
-                } else if (result.is(200)) {
+                } else if (result.hasStatus(200)) {
                     out = new WatchResult(0, null, after);
                 }
             } catch (org.beechhoist.wire.MalformedMessageException e) {
-                strange("a watch", result);
+                logUnexpected("a watch", result);
                 out = new WatchResult(0, null, after);
             }
             then.accept(out);
--- a/src/main/java/org/beechhoist/store/TaskChanges.java
+++ b/src/main/java/org/beechhoist/store/TaskChanges.java
@@ -17,46 +17,47 @@
  *
  * @param begins from here on the log says all that differs from the job's record; what older segments say counts no more
  */
-public record TaskChanges(long nextAttempt, List<Placement> placed, List<Integer> gone, TaskSet done, boolean begins) {
+public record TaskChanges(
+        long nextAttempt, List<Placement> placed, List<Integer> removed, TaskSet done, boolean replacesEarlier) {
     private static final int STRIDE = 4;
 
     public boolean isEmpty() {
-        return placed.isEmpty() && gone.isEmpty() && done.size() == 0;
+        return placed.isEmpty() && removed.isEmpty() && done.size() == 0;
     }
 
     /** Bytes at most, in the form that limits count. */
-    int bytes(JobId ref) {
-        int bytes = ref.text().length() + 60 + 8 * gone.size() + done.runBytes();
+    int maxBytes(JobId jobId) {
+        int bytes = jobId.text().length() + 60 + 8 * removed.size() + done.maxBytes();
         for (Placement p : placed) {
-            bytes += p.host.text().length() + RecordSizes.TASK_BYTES - 8;
+            bytes += p.machine.text().length() + RecordSizes.TASK_BYTES - 8;
         }
         return bytes;
     }
 
     /** As many parts as are needed for each to take about that many bytes; one where it does anyway. */
-    List<TaskChanges> parts(JobId ref, int most) {
-        if (bytes(ref) <= most || placed.size() + gone.size() <= 2) {
+    List<TaskChanges> split(JobId jobId, int most) {
+        if (maxBytes(jobId) <= most || placed.size() + removed.size() <= 2) {
             return List.of(this);
         }
         int half = placed.size() / 2;
-        int halfGone = gone.size() / 2;
-        List<TaskChanges> out = new ArrayList<>(
-                new TaskChanges(nextAttempt, placed.subList(0, half), gone.subList(0, halfGone), done, begins)
-                        .parts(ref, most));
+        int halfGone = removed.size() / 2;
+        List<TaskChanges> out = new ArrayList<>(new TaskChanges(
+                        nextAttempt, placed.subList(0, half), removed.subList(0, halfGone), done, replacesEarlier)
+                .split(jobId, most));
         out.addAll(new TaskChanges(
                         nextAttempt,
                         placed.subList(half, placed.size()),
-                        gone.subList(halfGone, gone.size()),
+                        removed.subList(halfGone, removed.size()),
                         new TaskSet(),
                         false)
-                .parts(ref, most));
+                .split(jobId, most));
         return out;
     }
 
     /** Makes the record what it was when this was written, given what it was before. */
     public void apply(JobRecord record) {
         record.nextAttempt = Math.max(record.nextAttempt, nextAttempt);
-        gone.forEach(record.live::remove);
+        removed.forEach(record.live::remove);
         for (Placement p : placed) {
             record.live.put(p.task.index(), p);
         }
@@ -69,18 +70,18 @@
     ObjectNode toNode() {
         ObjectNode node = Codec.map().put("next", nextAttempt);
         ArrayNode live = node.putArray("live");
-        placed.forEach(
-                p -> live.add(p.task.index()).add(p.attempt).add(p.host.text()).add(p.placedS));
+        placed.forEach(p ->
+                live.add(p.task.index()).add(p.attempt).add(p.machine.text()).add(p.placedS));
         ArrayNode left = node.putArray("gone");
-        gone.forEach(left::add);
-        done.write(node);
-        if (begins) {
+        removed.forEach(left::add);
+        done.writeTo(node);
+        if (replacesEarlier) {
             node.put("begins", true);
         }
         return node;
     }
 
-    static TaskChanges parse(JobId ref, int tasks, JsonNode node) throws MalformedMessageException {
+    static TaskChanges parse(JobId jobId, int tasks, JsonNode node) throws MalformedMessageException {
         JsonNode live = node.path("live");
         JsonNode left = node.path("gone");
         if (!live.isArray() || live.size() % STRIDE != 0 || !left.isArray()) {
@@ -93,7 +94,7 @@
                 throw new MalformedMessageException("live: attempt and machine of task " + index + " expected");
             }
             Placement placement = new Placement(
-                    new TaskId(ref, index),
+                    new TaskId(jobId, index),
                     live.get(i + 1).longValue(),
                     new MachineId(live.get(i + 2).textValue()));
             placement.placedS = live.get(i + 3).intValue();
@@ -104,7 +105,7 @@
             gone.add(index(g, tasks));
         }
         return new TaskChanges(
-                Codec.count(node, "next", 1, Long.MAX_VALUE),
+                Codec.wholeNumber(node, "next", 1, Long.MAX_VALUE),
                 placed,
                 gone,
                 TaskSet.parse(node, tasks),
--- a/src/main/java/org/beechhoist/store/TaskSet.java
+++ b/src/main/java/org/beechhoist/store/TaskSet.java
@@ -43,7 +43,7 @@
     }
 
     /** The first number from {@code task} on that is not in the set. */
-    public int firstMissing(int task) {
+    public int nextAbsent(int task) {
         return (int) bits.nextAbsentValue(task);
     }
 
@@ -64,13 +64,13 @@
     }
 
     /** Bytes that its written form takes at most. */
-    int runBytes() {
+    int maxBytes() {
         int[] n = new int[1];
         return runs(bits, MAX_RUNS, (a, b) -> n[0]++) ? 14 * n[0] : 2 * bits.serializedSizeInBytes() + 20;
     }
 
     /** Writes the set as {@code done} and, where that is shorter, {@code doneBits}; and its size as {@code doneCount}. */
-    void write(ObjectNode record) {
+    void writeTo(ObjectNode record) {
         ArrayNode runs = record.putArray("done");
         if (!runs(bits, MAX_RUNS, (a, b) -> runs.add(a).add(b))) {
             runs.removeAll();
@@ -98,7 +98,7 @@
 
     static TaskSet parse(JsonNode record, int tasks) throws MalformedMessageException {
         RoaringBitmap bits = new RoaringBitmap();
-        if (!Codec.absent(record, "doneBits")) {
+        if (!Codec.isAbsent(record, "doneBits")) {
             try {
                 bits.deserialize(ByteBuffer.wrap(Base64.getDecoder().decode(Codec.text(record, "doneBits"))));
             } catch (IOException | IllegalArgumentException | java.nio.BufferUnderflowException e) {
--- a/src/main/java/org/beechhoist/store/TokenBucket.java
+++ b/src/main/java/org/beechhoist/store/TokenBucket.java
@@ -5,27 +5,27 @@
 /** A token bucket that holds a second's worth. What must not wait may overdraw it; others then wait longer. */
 public final class TokenBucket {
     private double rate;
-    private double most;
+    private double capacity;
     private double tokens;
     private MonotonicTime last = MonotonicTime.ZERO;
-    private double wanted;
+    private double demand;
 
     public TokenBucket(double rate) {
         this.rate = rate;
-        this.most = Math.max(1, rate);
+        this.capacity = Math.max(1, rate);
         this.tokens = rate;
     }
 
     /** @param least what may be taken at once after a quiet while, however low the rate */
     public void setRate(double perSecond, double least) {
         rate = perSecond;
-        most = Math.max(least, rate);
-        tokens = Math.min(tokens, most);
+        capacity = Math.max(least, rate);
+        tokens = Math.min(tokens, capacity);
     }
 
     /** What may be taken at once after a quiet while. */
-    public double most() {
-        return most;
+    public double capacity() {
+        return capacity;
     }
 
     public double rate() {
@@ -34,20 +34,20 @@
 
     private void refill(MonotonicTime now) {
         if (last != MonotonicTime.ZERO) {
-            tokens = Math.min(most, tokens + rate * now.since(last) / 1000.0);
+            tokens = Math.min(capacity, tokens + rate * now.since(last) / 1000.0);
         }
         last = now;
     }
 
     /** Somebody would have taken that, and did not try, for it was not there. */
-    public void missed(double amount) {
-        wanted += amount;
+    public void recordMissed(double amount) {
+        demand += amount;
     }
 
     /** What was taken, tried or missed since the last call. */
-    public double takeWanted() {
-        double amount = wanted;
-        wanted = 0;
+    public double drainDemand() {
+        double amount = demand;
+        demand = 0;
         return amount;
     }
 
@@ -59,7 +59,7 @@
 
     public boolean tryTake(MonotonicTime now, double amount) {
         refill(now);
-        wanted += amount;
+        demand += amount;
         if (tokens < amount) {
             return false;
         }
@@ -67,9 +67,9 @@
         return true;
     }
 
-    public void take(MonotonicTime now, double amount) {
+    public void takeOrOverdraw(MonotonicTime now, double amount) {
         refill(now);
-        wanted += amount;
+        demand += amount;
         tokens = Math.max(-rate, tokens - amount);
     }
 }
--- a/src/main/java/org/beechhoist/store/Transaction.java
+++ b/src/main/java/org/beechhoist/store/Transaction.java
@@ -31,7 +31,7 @@
         return this;
     }
 
-    public int ops() {
+    public int operationCount() {
         return then.size();
     }
 
--- a/src/main/java/org/beechhoist/store/WidthRecord.java
+++ b/src/main/java/org/beechhoist/store/WidthRecord.java
@@ -13,7 +13,7 @@
  */
 public record WidthRecord(Width allowed, long number, int target) {
     public WidthRecord {
-        target = Math.max(allowed.least(), Math.min(allowed.most(), target));
+        target = Math.max(allowed.min(), Math.min(allowed.max(), target));
     }
 
     public WidthRecord withTarget(int width) {
@@ -21,8 +21,8 @@
     }
 
     /** Paused by its user: nothing of it may start. */
-    public boolean paused() {
-        return allowed.most() == 0;
+    public boolean isPaused() {
+        return allowed.max() == 0;
     }
 
     public ObjectNode toNode() {
@@ -30,7 +30,7 @@
     }
 
     public static WidthRecord parse(JsonNode node) throws MalformedMessageException {
-        return new WidthRecord(Width.parse(node, "width"), Codec.count(node, "number", 0, Long.MAX_VALUE), (int)
-                Codec.count(node, "target", 0, Integer.MAX_VALUE));
+        return new WidthRecord(Width.parse(node, "width"), Codec.wholeNumber(node, "number", 0, Long.MAX_VALUE), (int)
+                Codec.wholeNumber(node, "target", 0, Integer.MAX_VALUE));
     }
 }
--- a/src/main/java/org/beechhoist/wire/ApiClient.java
+++ b/src/main/java/org/beechhoist/wire/ApiClient.java
@@ -30,16 +30,16 @@
         return call("POST", "/v1/jobs", Codec.encode(spec.toNode()));
     }
 
-    public Answer status(JobId ref) throws IOException {
-        return call("GET", "/v1/jobs/" + ref, null);
+    public Answer status(JobId jobId) throws IOException {
+        return call("GET", "/v1/jobs/" + jobId, null);
     }
 
-    public Answer cancel(JobId ref) throws IOException {
-        return call("POST", "/v1/jobs/" + ref + "/cancel", new byte[0]);
+    public Answer cancel(JobId jobId) throws IOException {
+        return call("POST", "/v1/jobs/" + jobId + "/cancel", new byte[0]);
     }
 
-    public Answer resize(JobId ref, ResizeRequest resize) throws IOException {
-        return call("POST", "/v1/jobs/" + ref + "/width", Codec.encode(resize.toNode()));
+    public Answer resize(JobId jobId, ResizeRequest resize) throws IOException {
+        return call("POST", "/v1/jobs/" + jobId + "/width", Codec.encode(resize.toNode()));
     }
 
     /** An operator's view: {@code plan}, {@code hosts}, {@code teams} or {@code metrics}. */
--- a/src/main/java/org/beechhoist/wire/CallResult.java
+++ b/src/main/java/org/beechhoist/wire/CallResult.java
@@ -21,11 +21,11 @@
         return new CallResult(Kind.ANSWERED, status, body);
     }
 
-    public boolean ok() {
+    public boolean isOk() {
         return kind == Kind.ANSWERED && status == 200 && body != null;
     }
 
-    public boolean is(int expected) {
+    public boolean hasStatus(int expected) {
         return kind == Kind.ANSWERED && status == expected;
     }
 }
--- a/src/main/java/org/beechhoist/wire/Codec.java
+++ b/src/main/java/org/beechhoist/wire/Codec.java
@@ -32,7 +32,7 @@
     }
 
     /** Bytes of a value as the platform's limits count them: in the form of JSON, whatever is sent. */
-    public static int countedBytes(JsonNode value) {
+    public static int jsonBytes(JsonNode value) {
         return value.toString().getBytes(StandardCharsets.UTF_8).length;
     }
 
@@ -58,7 +58,7 @@
         return node;
     }
 
-    public static boolean absent(JsonNode node, String field) {
+    public static boolean isAbsent(JsonNode node, String field) {
         JsonNode v = node.get(field);
         return v == null || v.isNull();
     }
@@ -92,7 +92,8 @@
     }
 
     /** A whole number between the bounds; counts may come as 3 or 3.0. */
-    public static long count(JsonNode node, String field, long least, long most) throws MalformedMessageException {
+    public static long wholeNumber(JsonNode node, String field, long least, long most)
+            throws MalformedMessageException {
         double number = number(node, field, 0);
         JsonNode child = node.get(field);
         if (number != Math.rint(number)) {
@@ -105,7 +106,7 @@
         return value;
     }
 
-    public static List<String> texts(JsonNode value, String field) throws MalformedMessageException {
+    public static List<String> textList(JsonNode value, String field) throws MalformedMessageException {
         if (value == null || !value.isArray()) {
             throw new MalformedMessageException(field + ": list expected");
         }
--- a/src/main/java/org/beechhoist/wire/Heartbeat.java
+++ b/src/main/java/org/beechhoist/wire/Heartbeat.java
@@ -6,18 +6,18 @@
 
 /** A worker's report: the body of {@code POST /checkin} and of the answers of {@code /orders} and {@code /show}. */
 public record Heartbeat(
-        MachineId host,
+        MachineId machine,
         String address,
         String type,
         String zone,
         boolean spot,
-        long shift,
-        long counter,
-        FencingToken baton,
-        Double noticeS,
+        long epoch,
+        long sequence,
+        FencingToken fencingToken,
+        Double preemptionNoticeS,
         List<TaskStatus> tasks) {
     /** A task on the machine. {@code cause} is null until it exited. */
-    public record TaskStatus(TaskId task, long attempt, TaskState state, String cause, boolean stored) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, String cause, boolean checkpointStored) {}
 
     /** What a worker says of a task. */
     public enum TaskState {
@@ -50,29 +50,30 @@
             JsonNode stored = piece.get("stored");
             tasks.add(new TaskStatus(
                     id,
-                    Codec.count(piece, "try", 0, Long.MAX_VALUE),
+                    Codec.wholeNumber(piece, "try", 0, Long.MAX_VALUE),
                     state,
-                    Codec.absent(piece, "cause") ? null : Codec.text(piece, "cause"),
+                    Codec.isAbsent(piece, "cause") ? null : Codec.text(piece, "cause"),
                     stored != null && stored.asBoolean(false)));
         }
-        String host = Codec.text(node, "host");
-        if (host.isEmpty() || host.length() > 200) {
+        String machine = Codec.text(node, "host");
+        if (machine.isEmpty() || machine.length() > 200) {
             throw new MalformedMessageException("host: 1 to 200 characters expected");
         }
         return new Heartbeat(
-                new MachineId(host),
+                new MachineId(machine),
                 Codec.text(node, "address"),
                 Codec.text(node, "hosttype"),
                 Codec.text(node, "yard"),
                 Codec.bool(node, "loaner"),
-                Codec.count(node, "shift", 0, Long.MAX_VALUE),
-                Codec.count(node, "counter", 0, Long.MAX_VALUE),
-                new FencingToken(Codec.absent(node, "baton") ? 0 : Codec.count(node, "baton", 0, Long.MAX_VALUE)),
-                Codec.absent(node, "warningS") ? null : Codec.number(node, "warningS", 0),
+                Codec.wholeNumber(node, "shift", 0, Long.MAX_VALUE),
+                Codec.wholeNumber(node, "counter", 0, Long.MAX_VALUE),
+                new FencingToken(
+                        Codec.isAbsent(node, "baton") ? 0 : Codec.wholeNumber(node, "baton", 0, Long.MAX_VALUE)),
+                Codec.isAbsent(node, "warningS") ? null : Codec.number(node, "warningS", 0),
                 tasks);
     }
 
-    public boolean newerThan(long otherShift, long otherCounter) {
-        return shift > otherShift || (shift == otherShift && counter > otherCounter);
+    public boolean isNewerThan(long otherShift, long otherCounter) {
+        return epoch > otherShift || (epoch == otherShift && sequence > otherCounter);
     }
 }
--- a/src/main/java/org/beechhoist/wire/JobId.java
+++ b/src/main/java/org/beechhoist/wire/JobId.java
@@ -4,7 +4,7 @@
 public record JobId(String text) implements Comparable<JobId> {
     private static final int MAX_DIGITS = 40;
 
-    public static boolean valid(String text) {
+    public static boolean isValid(String text) {
         if (text == null || !text.startsWith("job-") || text.length() < 5 || text.length() > 4 + MAX_DIGITS) {
             return false;
         }
