--- a/src/main/java/org/beechhoist/wire/JobSpec.java
+++ b/src/main/java/org/beechhoist/wire/JobSpec.java
@@ -7,31 +7,31 @@
 
 /** What a user submitted: {@code POST /v1/jobs}. */
 public record JobSpec(
-        JobId ref,
+        JobId id,
         String jobClass,
         String team,
         Shape shape,
-        Priority urgency,
+        Priority priority,
         int tasks,
         double cpus,
         double gpus,
         double memGb,
         String image,
         double imageGb,
-        List<String> hostTypes,
+        List<String> machineTypes,
         String zone,
         boolean sameZone,
-        boolean apart,
+        boolean antiAffinity,
         boolean spot,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointEveryS,
+        double checkpointCostS,
         Double deadlineS,
         Width width,
-        String onceKey,
+        String idempotencyKey,
         String origin,
         String keySet,
-        KeySetBinding pin,
+        KeySetBinding keySetBinding,
         String release) {
     /** What binds a job's tasks together. */
     public enum Shape {
@@ -40,7 +40,7 @@
         /** Tasks that start together or not at all; the platform's newer users submit them. */
         GANG("gang"),
         /** Replicas that run until the job is cancelled. */
-        STANDING("standing");
+        SERVICE("standing");
 
         private final String text;
 
@@ -63,48 +63,49 @@
 
     public static JobSpec parse(JsonNode node) throws MalformedMessageException {
         String ref = Codec.text(node, "ref");
-        if (!JobId.valid(ref)) {
+        if (!JobId.isValid(ref)) {
             throw new MalformedMessageException("ref: job- and digits expected");
         }
         Shape shape = Shape.parse(Codec.text(node, "shape"));
-        if (!Codec.absent(node, "width") && shape != Shape.ARRAY) {
+        if (!Codec.isAbsent(node, "width") && shape != Shape.ARRAY) {
             throw new MalformedMessageException("width: only an array may carry one; "
                     + (shape == Shape.GANG
                             ? "a gang's tasks start together"
                             : "a standing job's replicas are resized once it is accepted"));
         }
-        List<String> types = Codec.absent(node, "hosttypes") ? null : Codec.texts(node.get("hosttypes"), "hosttypes");
+        List<String> types =
+                Codec.isAbsent(node, "hosttypes") ? null : Codec.textList(node.get("hosttypes"), "hosttypes");
         return new JobSpec(
                 new JobId(ref),
                 name(node, "jobclass"),
                 name(node, "owner"),
                 shape,
                 Priority.parse(Codec.text(node, "urgency")),
-                (int) Codec.count(node, "pieces", 1, MAX_TASKS),
+                (int) Codec.wholeNumber(node, "pieces", 1, MAX_TASKS),
                 Codec.number(node, "cores", 0),
                 Codec.number(node, "accelerators", 0),
                 Codec.number(node, "memGb", 0),
                 name(node, "bundle"),
                 Codec.number(node, "pullGb", 0),
                 types,
-                Codec.absent(node, "yard") ? null : name(node, "yard"),
+                Codec.isAbsent(node, "yard") ? null : name(node, "yard"),
                 Codec.bool(node, "samePlace"),
                 Codec.bool(node, "apart"),
                 Codec.bool(node, "loaner"),
                 Codec.number(node, "guessS", 0),
                 Codec.number(node, "snapshotEveryS", 0),
                 Codec.number(node, "snapshotCostS", 0),
-                Codec.absent(node, "dueS") ? null : Codec.number(node, "dueS", 0),
-                Codec.absent(node, "width") ? null : Width.parse(node.get("width"), "width"),
-                Codec.absent(node, "onceKey") ? null : name(node, "onceKey"),
-                Codec.absent(node, "origin") ? null : name(node, "origin"),
-                Codec.absent(node, "keySet") ? null : name(node, "keySet"),
-                Codec.absent(node, "pin") ? null : KeySetBinding.parse(node.get("pin")),
-                Codec.absent(node, "release") ? null : name(node, "release"));
+                Codec.isAbsent(node, "dueS") ? null : Codec.number(node, "dueS", 0),
+                Codec.isAbsent(node, "width") ? null : Width.parse(node.get("width"), "width"),
+                Codec.isAbsent(node, "onceKey") ? null : name(node, "onceKey"),
+                Codec.isAbsent(node, "origin") ? null : name(node, "origin"),
+                Codec.isAbsent(node, "keySet") ? null : name(node, "keySet"),
+                Codec.isAbsent(node, "pin") ? null : KeySetBinding.parse(node.get("pin")),
+                Codec.isAbsent(node, "release") ? null : name(node, "release"));
     }
 
     /** A job as a person describes it: what is left out has a default. */
-    public static ObjectNode described(JsonNode given) {
+    public static ObjectNode withDefaults(JsonNode given) {
         ObjectNode all = Codec.map()
                 .put("jobclass", "any")
                 .put("shape", "array")
@@ -132,36 +133,36 @@
 
     public ObjectNode toNode() {
         ObjectNode node = Codec.map();
-        node.put("ref", ref.text())
+        node.put("ref", id.text())
                 .put("jobclass", jobClass)
                 .put("owner", team)
                 .put("shape", shape.text)
-                .put("urgency", urgency.text())
+                .put("urgency", priority.text())
                 .put("pieces", tasks)
                 .put("cores", cpus)
                 .put("accelerators", gpus)
                 .put("memGb", memGb)
                 .put("bundle", image)
                 .put("pullGb", imageGb);
-        if (hostTypes == null) {
+        if (machineTypes == null) {
             node.putNull("hosttypes");
         } else {
             ArrayNode types = node.putArray("hosttypes");
-            hostTypes.forEach(types::add);
+            machineTypes.forEach(types::add);
         }
         node.put("yard", zone)
                 .put("samePlace", sameZone)
-                .put("apart", apart)
+                .put("apart", antiAffinity)
                 .put("loaner", spot)
                 .put("guessS", estimateS)
-                .put("snapshotEveryS", checkpointS)
-                .put("snapshotCostS", saveS)
+                .put("snapshotEveryS", checkpointEveryS)
+                .put("snapshotCostS", checkpointCostS)
                 .put("dueS", deadlineS);
         if (width != null) {
             node.set("width", width.toNode());
         }
-        if (onceKey != null) {
-            node.put("onceKey", onceKey);
+        if (idempotencyKey != null) {
+            node.put("onceKey", idempotencyKey);
         }
         if (origin != null) {
             node.put("origin", origin);
@@ -169,8 +170,8 @@
         if (keySet != null) {
             node.put("keySet", keySet);
         }
-        if (pin != null) {
-            node.set("pin", pin.toNode());
+        if (keySetBinding != null) {
+            node.set("pin", keySetBinding.toNode());
         }
         if (release != null) {
             node.put("release", release);
@@ -179,29 +180,29 @@
     }
 
     public JobSpec withoutWidth() {
-        return width == null ? this : with(null, onceKey, origin, keySet, pin);
+        return width == null ? this : with(null, idempotencyKey, origin, keySet, keySetBinding);
     }
 
-    public JobSpec withoutOnceKey() {
-        return onceKey == null ? this : with(width, null, origin, keySet, pin);
+    public JobSpec withoutIdempotencyKey() {
+        return idempotencyKey == null ? this : with(width, null, origin, keySet, keySetBinding);
     }
 
     /** Where it comes from: a table, line and hour, or null for a user's own submission. */
-    public JobSpec from(String where) {
-        return with(width, onceKey, where, keySet, pin);
+    public JobSpec withOrigin(String where) {
+        return with(width, idempotencyKey, where, keySet, keySetBinding);
     }
 
     /** Bound to what its key set holds, or to none. */
-    public JobSpec pinned(KeySetBinding to) {
-        return with(width, onceKey, origin, keySet, to);
+    public JobSpec withKeySetBinding(KeySetBinding to) {
+        return with(width, idempotencyKey, origin, keySet, to);
     }
 
     public JobSpec withoutKeySet() {
-        return keySet == null && pin == null ? this : with(width, onceKey, origin, null, null);
+        return keySet == null && keySetBinding == null ? this : with(width, idempotencyKey, origin, null, null);
     }
 
     public JobSpec withoutRelease() {
-        return release == null ? this : with(width, onceKey, origin, keySet, pin, null);
+        return release == null ? this : with(width, idempotencyKey, origin, keySet, keySetBinding, null);
     }
 
     private JobSpec with(Width newWidth, String once, String from, String set, KeySetBinding to) {
@@ -210,25 +211,25 @@
 
     private JobSpec with(Width newWidth, String once, String from, String set, KeySetBinding to, String ships) {
         return new JobSpec(
-                ref,
+                id,
                 jobClass,
                 team,
                 shape,
-                urgency,
+                priority,
                 tasks,
                 cpus,
                 gpus,
                 memGb,
                 image,
                 imageGb,
-                hostTypes,
+                machineTypes,
                 zone,
                 sameZone,
-                apart,
+                antiAffinity,
                 spot,
                 estimateS,
-                checkpointS,
-                saveS,
+                checkpointEveryS,
+                checkpointCostS,
                 deadlineS,
                 newWidth,
                 once,
@@ -238,30 +239,30 @@
                 ships);
     }
 
-    public boolean service() {
-        return shape == Shape.STANDING;
+    public boolean isService() {
+        return shape == Shape.SERVICE;
     }
 
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
-    public boolean allows(MachineType type) {
-        return (hostTypes == null || hostTypes.contains(type.name()))
+    public boolean fitsType(MachineType type) {
+        return (machineTypes == null || machineTypes.contains(type.name()))
                 && cpus <= type.cpus()
                 && gpus <= type.gpus()
                 && memGb <= type.memGb();
     }
 
     /** Whether one of its tasks may run on such a machine, its other tasks left aside. */
-    public boolean mayRunOn(MachineType type, String hostZone, boolean hostSpot) {
-        return allows(type) && (spot || !hostSpot) && (zone == null || zone.equals(hostZone));
+    public boolean mayRunOn(MachineType type, String machineZone, boolean machineSpot) {
+        return fitsType(type) && (spot || !machineSpot) && (zone == null || zone.equals(machineZone));
     }
 
     /** Whether some machine that this job allows is offered where it may run. */
-    public boolean fitsAny(Iterable<MachineType> types) {
+    public boolean fitsAnyType(Iterable<MachineType> types) {
         for (MachineType type : types) {
-            if (allows(type) && (zone == null || type.zones().contains(zone))) {
+            if (fitsType(type) && (zone == null || type.zones().contains(zone))) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/wire/KeySetBinding.java
+++ b/src/main/java/org/beechhoist/wire/KeySetBinding.java
@@ -4,20 +4,20 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** The key set that a job is bound to for ever: its name, its version and the digest of what that version holds. */
-public record KeySetBinding(String set, long version, String digest) {
+public record KeySetBinding(String keySet, long version, String digest) {
     public static KeySetBinding parse(JsonNode node) throws MalformedMessageException {
         return new KeySetBinding(
                 Codec.text(node, "set"),
-                Codec.count(node, "version", 1, Integer.MAX_VALUE),
+                Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE),
                 Codec.text(node, "digest"));
     }
 
     public ObjectNode toNode() {
-        return Codec.map().put("set", set).put("version", version).put("digest", digest);
+        return Codec.map().put("set", keySet).put("version", version).put("digest", digest);
     }
 
     @Override
     public String toString() {
-        return set + " " + version;
+        return keySet + " " + version;
     }
 }
--- a/src/main/java/org/beechhoist/wire/MachineType.java
+++ b/src/main/java/org/beechhoist/wire/MachineType.java
@@ -26,7 +26,7 @@
                 Codec.number(node, "rate", 0),
                 Codec.number(node, "lowPrice", 0),
                 Codec.number(node, "startupS", 0),
-                Codec.texts(node.get("yards"), "yards"));
+                Codec.textList(node.get("yards"), "yards"));
     }
 
     public double priceOf(boolean spot) {
--- a/src/main/java/org/beechhoist/wire/MonotonicTime.java
+++ b/src/main/java/org/beechhoist/wire/MonotonicTime.java
@@ -12,7 +12,7 @@
         return ms - earlier.ms;
     }
 
-    public boolean before(MonotonicTime other) {
+    public boolean isBefore(MonotonicTime other) {
         return ms < other.ms;
     }
 
--- a/src/main/java/org/beechhoist/wire/ResizeRequest.java
+++ b/src/main/java/org/beechhoist/wire/ResizeRequest.java
@@ -11,8 +11,8 @@
 public record ResizeRequest(Width width, Long number) {
     /** Reads {@code {"width":4}} or {@code {"least":2,"most":16,"untilS":3600.0}}, either with {@code "number":17}. */
     public static ResizeRequest parse(JsonNode node) throws MalformedMessageException {
-        Long number = Codec.absent(node, "number") ? null : Codec.count(node, "number", 1, Long.MAX_VALUE);
-        if (Codec.absent(node, "width")) {
+        Long number = Codec.isAbsent(node, "number") ? null : Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE);
+        if (Codec.isAbsent(node, "width")) {
             return new ResizeRequest(Width.parse(node, "width"), number);
         }
         Width width = Width.parse(
--- a/src/main/java/org/beechhoist/wire/TaskId.java
+++ b/src/main/java/org/beechhoist/wire/TaskId.java
@@ -5,7 +5,7 @@
     /** The id in {@code text}, or null where it is not one. */
     public static TaskId parse(String text) {
         int slash = text == null ? -1 : text.indexOf('/');
-        if (slash < 0 || !JobId.valid(text.substring(0, slash))) {
+        if (slash < 0 || !JobId.isValid(text.substring(0, slash))) {
             return null;
         }
         String digits = text.substring(slash + 1);
--- a/src/main/java/org/beechhoist/wire/Width.java
+++ b/src/main/java/org/beechhoist/wire/Width.java
@@ -7,10 +7,10 @@
  * How many of a job's tasks may be on machines at once: never fewer for the sake of others than {@code least}, never
  * more than {@code most}; and until when, in seconds from its submission, it should be done (null: no hurry).
  */
-public record Width(int least, int most, Double untilS) {
+public record Width(int min, int max, Double deadlineS) {
     public Width {
-        if (least < 0 || most < least) {
-            throw new IllegalArgumentException(least + " to " + most);
+        if (min < 0 || max < min) {
+            throw new IllegalArgumentException(min + " to " + max);
         }
     }
 
@@ -24,12 +24,12 @@
         if (least > most) {
             throw new MalformedMessageException(field + ": least = " + least + " is above most = " + most);
         }
-        return new Width(least, most, Codec.absent(node, "untilS") ? null : Codec.number(node, "untilS", 0));
+        return new Width(least, most, Codec.isAbsent(node, "untilS") ? null : Codec.number(node, "untilS", 0));
     }
 
     private static int count(JsonNode node, String name, String field) throws MalformedMessageException {
         try {
-            return (int) Codec.count(node, name, 0, JobSpec.MAX_TASKS);
+            return (int) Codec.wholeNumber(node, name, 0, JobSpec.MAX_TASKS);
         } catch (MalformedMessageException e) {
             throw new MalformedMessageException(field + "." + name + " = " + node.get(name)
                     + ": a whole number from 0 to " + JobSpec.MAX_TASKS + " is expected");
@@ -37,6 +37,6 @@
     }
 
     public ObjectNode toNode() {
-        return Codec.map().put("least", least).put("most", most).put("untilS", untilS);
+        return Codec.map().put("least", min).put("most", max).put("untilS", deadlineS);
     }
 }
--- a/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
+++ b/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
@@ -34,7 +34,7 @@
                         mine.add(wants.get(k));
                     }
                 }
-                double share = RequestShares.of(total, mine);
+                double share = RequestShares.shareOfFirst(total, mine);
                 assertTrue(share > 0 && share <= total + 1e-6, "seed " + seed + ": " + share + " of " + total);
                 if (sum <= total) {
                     assertTrue(
@@ -59,20 +59,22 @@
                 new RequestShares.Demand(true, -1),
                 new RequestShares.Demand(false, -1));
         assertEquals(
-                RequestShares.of(
+                RequestShares.shareOfFirst(
                         40,
                         List.of(all.get(0), new RequestShares.Demand(true, 100), new RequestShares.Demand(false, 100))),
-                RequestShares.of(40, all),
+                RequestShares.shareOfFirst(40, all),
                 1e-6);
     }
 
     @Test
     void whoIsDeaf() {
         List<Integer> turned = List.of(200, 300);
-        assertTrue(WorkerReachability.deaf(1000, 100, turned));
-        assertTrue(WorkerReachability.deaf(1000, 0, List.of()), "nobody is heard of");
-        assertFalse(WorkerReachability.deaf(1000, 100, List.of(0, 3)), "the machines are gone: they turn to nobody");
-        assertFalse(WorkerReachability.deaf(1000, 500, turned));
-        assertFalse(WorkerReachability.deaf(3, 0, turned), "too few to tell");
+        assertTrue(WorkerReachability.isUnreachable(1000, 100, turned));
+        assertTrue(WorkerReachability.isUnreachable(1000, 0, List.of()), "nobody is heard of");
+        assertFalse(
+                WorkerReachability.isUnreachable(1000, 100, List.of(0, 3)),
+                "the machines are gone: they turn to nobody");
+        assertFalse(WorkerReachability.isUnreachable(1000, 500, turned));
+        assertFalse(WorkerReachability.isUnreachable(3, 0, turned), "too few to tell");
     }
 }
--- a/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
@@ -217,7 +217,7 @@
         s.knownCounter[h] = r.counter;
         AbsenceEvidence.PendingCommands inFlight =
                 new AbsenceEvidence.PendingCommands(s.out[h], new FencingToken(s.limbo[h]));
-        boolean mayForget = inFlight.over(new FencingToken(r.token));
+        boolean mayForget = inFlight.noneCanArriveAt(new FencingToken(r.token));
         r.tasks.forEach((attempt, state) -> {
             int task = state.charAt(0) - '0';
             Place p = s.book[task];
@@ -226,29 +226,29 @@
                     : p.attempt > attempt
                             ? RecordedState.PLACED_LATER
                             : p.attempt < attempt || p.host != h
-                                    ? RecordedState.PLACED_OTHERWISE
+                                    ? RecordedState.PLACED_INCONSISTENT
                                     : RecordedState.PLACED;
-            Decision d = Reconciliation.of(stored, said(state), AbsenceEvidence.NONE, mayForget);
+            Decision d = Reconciliation.decide(stored, said(state), AbsenceEvidence.NONE, mayForget);
             switch (d) {
                 case KILL, FORGET -> orders.add(attempt);
-                case COUNT_DONE -> {
+                case COMPLETE -> {
                     s.done[task] = true;
                     s.book[task] = null;
                     s.stored[task] = null;
                 }
-                case COUNT_FAILED, PLACE_ANEW -> s.book[task] = null;
+                case RECORD_FAILURE, RESCHEDULE -> s.book[task] = null;
                 default -> {}
             }
         });
         for (int t = 0; t < TASKS; t++) {
             Place p = s.book[t];
             if (p != null && p.host == h && !r.tasks.containsKey(p.attempt)) {
-                AbsenceEvidence e = AbsenceEvidence.ofAbsence(
+                AbsenceEvidence e = AbsenceEvidence.of(
                         new AbsenceEvidence.Launch(p.sent, new FencingToken(p.provenFrom), p.shift, p.counter),
                         inFlight,
                         real(r));
-                e = defect == Defect.ABSENCE_FROM_ANY_REPORT ? AbsenceEvidence.NEWER_REPORT : e;
-                if (Reconciliation.of(RecordedState.PLACED, ReportedState.ABSENT, e, false) == Decision.GONE) {
+                e = defect == Defect.ABSENCE_FROM_ANY_REPORT ? AbsenceEvidence.NEWER_HEARTBEAT : e;
+                if (Reconciliation.decide(RecordedState.PLACED, ReportedState.ABSENT, e, false) == Decision.REMOVE) {
                     s.book[t] = null;
                 }
             }
--- a/src/test/java/org/beechhoist/controller/worker/ReconciliationTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/ReconciliationTest.java
@@ -24,23 +24,23 @@
     private static Decision expected(
             RecordedState stored, ReportedState said, AbsenceEvidence evidence, boolean mayForget) {
         if (stored == RecordedState.UNREADABLE) {
-            return Decision.LEAVE_ALONE;
+            return Decision.IGNORE;
         }
         if (!OURS.contains(stored)) {
-            return said.there()
+            return said.isPresent()
                     ? Decision.KILL
-                    : !said.ended() ? Decision.KEEP : mayForget ? Decision.FORGET : Decision.HOLD;
+                    : !said.hasExited() ? Decision.KEEP : mayForget ? Decision.FORGET : Decision.RETAIN;
         }
         return switch (said) {
-            case NOTHING_YET -> Decision.WAIT;
-            case ABSENT -> evidence == AbsenceEvidence.NONE ? Decision.WAIT : Decision.GONE;
-            case FETCHING, RUNNING, SAVING, OTHERWISE_THERE ->
+            case NO_HEARTBEAT -> Decision.WAIT;
+            case ABSENT -> evidence == AbsenceEvidence.NONE ? Decision.WAIT : Decision.REMOVE;
+            case FETCHING, RUNNING, SAVING, PRESENT_OTHER ->
                 stored == RecordedState.CANCELLED ? Decision.KILL : Decision.KEEP;
-            case EXITED_DONE -> Decision.COUNT_DONE;
-            case EXITED_ERROR -> Decision.COUNT_FAILED;
+            case EXITED_DONE -> Decision.COMPLETE;
+            case EXITED_ERROR -> Decision.RECORD_FAILURE;
             case REFUSED_FULL, REFUSED_BUSY -> Decision.AVOID_MACHINE;
-            case REFUSED_NO_SUCH -> Decision.ASK_LATER;
-            case EXITED_STOPPED, EXITED_OTHERWISE -> Decision.PLACE_ANEW;
+            case REFUSED_NO_SUCH -> Decision.RETRY_LATER;
+            case EXITED_STOPPED, EXITED_OTHER -> Decision.RESCHEDULE;
         };
     }
 
@@ -51,7 +51,7 @@
             for (ReportedState said : ReportedState.values()) {
                 for (AbsenceEvidence evidence : AbsenceEvidence.values()) {
                     for (boolean mayForget : new boolean[] {false, true}) {
-                        Decision d = Reconciliation.of(stored, said, evidence, mayForget);
+                        Decision d = Reconciliation.decide(stored, said, evidence, mayForget);
                         assertNotNull(d);
                         assertEquals(
                                 expected(stored, said, evidence, mayForget),
@@ -70,16 +70,16 @@
     void noRowTakesATaskOffWithoutEvidence() {
         for (RecordedState stored : RecordedState.values()) {
             for (ReportedState said : ReportedState.values()) {
-                Decision d = Reconciliation.of(stored, said, AbsenceEvidence.NONE, true);
-                boolean takenOff = d == Decision.GONE
-                        || d == Decision.PLACE_ANEW
-                        || d == Decision.COUNT_DONE
-                        || d == Decision.COUNT_FAILED
+                Decision d = Reconciliation.decide(stored, said, AbsenceEvidence.NONE, true);
+                boolean takenOff = d == Decision.REMOVE
+                        || d == Decision.RESCHEDULE
+                        || d == Decision.COMPLETE
+                        || d == Decision.RECORD_FAILURE
                         || d == Decision.AVOID_MACHINE
-                        || d == Decision.ASK_LATER;
-                assertTrue(!takenOff || said.ended(), stored + ", " + said + ": " + d);
-                assertTrue(d != Decision.KILL || said.there(), stored + ", " + said + ": " + d);
-                assertTrue(d != Decision.FORGET || said.ended(), stored + ", " + said + ": " + d);
+                        || d == Decision.RETRY_LATER;
+                assertTrue(!takenOff || said.hasExited(), stored + ", " + said + ": " + d);
+                assertTrue(d != Decision.KILL || said.isPresent(), stored + ", " + said + ": " + d);
+                assertTrue(d != Decision.FORGET || said.hasExited(), stored + ", " + said + ": " + d);
             }
         }
     }
@@ -88,9 +88,9 @@
     void wordsOfTheProtocolAreKnown() {
         assertEquals(ReportedState.EXITED_DONE, said(Heartbeat.TaskState.EXITED, "done"));
         assertEquals(ReportedState.REFUSED_NO_SUCH, said(Heartbeat.TaskState.EXITED, "no_such"));
-        assertEquals(ReportedState.EXITED_OTHERWISE, said(Heartbeat.TaskState.EXITED, "a word of a later version"));
-        assertEquals(ReportedState.EXITED_OTHERWISE, said(Heartbeat.TaskState.EXITED, null));
-        assertEquals(ReportedState.OTHERWISE_THERE, said(Heartbeat.TaskState.OTHER, null));
+        assertEquals(ReportedState.EXITED_OTHER, said(Heartbeat.TaskState.EXITED, "a word of a later version"));
+        assertEquals(ReportedState.EXITED_OTHER, said(Heartbeat.TaskState.EXITED, null));
+        assertEquals(ReportedState.PRESENT_OTHER, said(Heartbeat.TaskState.OTHER, null));
     }
 
     private static ReportedState said(Heartbeat.TaskState state, String cause) {
@@ -108,33 +108,30 @@
         AbsenceEvidence.Launch recovered = new AbsenceEvidence.Launch(true, new FencingToken(9), 0, 0);
         assertEquals(
                 AbsenceEvidence.NONE,
-                AbsenceEvidence.ofAbsence(recovered, none, report(1, 5, 8)),
+                AbsenceEvidence.of(recovered, none, report(1, 5, 8)),
                 "an earlier leader's launch may follow");
-        assertEquals(AbsenceEvidence.NEWER_REPORT, AbsenceEvidence.ofAbsence(recovered, none, report(1, 6, 9)));
+        assertEquals(AbsenceEvidence.NEWER_HEARTBEAT, AbsenceEvidence.of(recovered, none, report(1, 6, 9)));
         AbsenceEvidence.Launch sent = new AbsenceEvidence.Launch(true, FencingToken.NONE, 2, 10);
         assertEquals(
-                AbsenceEvidence.NONE,
-                AbsenceEvidence.ofAbsence(sent, none, report(2, 10, 9)),
-                "it is as old as the launch");
-        assertEquals(AbsenceEvidence.NEWER_REPORT, AbsenceEvidence.ofAbsence(sent, none, report(2, 11, 9)));
+                AbsenceEvidence.NONE, AbsenceEvidence.of(sent, none, report(2, 10, 9)), "it is as old as the launch");
+        assertEquals(AbsenceEvidence.NEWER_HEARTBEAT, AbsenceEvidence.of(sent, none, report(2, 11, 9)));
         assertEquals(
-                AbsenceEvidence.NEW_SESSION,
-                AbsenceEvidence.ofAbsence(
+                AbsenceEvidence.NEW_EPOCH,
+                AbsenceEvidence.of(
                         sent, new AbsenceEvidence.PendingCommands(true, new FencingToken(50)), report(3, 1, 0)));
         assertEquals(
                 AbsenceEvidence.NONE,
-                AbsenceEvidence.ofAbsence(
+                AbsenceEvidence.of(
                         sent, new AbsenceEvidence.PendingCommands(true, FencingToken.NONE), report(2, 11, 9)),
                 "orders are out");
         assertEquals(
                 AbsenceEvidence.NONE,
-                AbsenceEvidence.ofAbsence(
+                AbsenceEvidence.of(
                         sent, new AbsenceEvidence.PendingCommands(false, new FencingToken(9)), report(2, 11, 9)),
                 "one may come late");
         assertEquals(
                 AbsenceEvidence.NONE,
-                AbsenceEvidence.ofAbsence(
-                        new AbsenceEvidence.Launch(false, FencingToken.NONE, 0, 0), none, report(1, 1, 9)),
+                AbsenceEvidence.of(new AbsenceEvidence.Launch(false, FencingToken.NONE, 0, 0), none, report(1, 1, 9)),
                 "not launched");
     }
 }
--- a/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
@@ -22,11 +22,11 @@
                 for (int i = random.nextInt(6); i > 0; i--) {
                     RecoveryPacer.CallKind kind = random.nextInt(20) == 0
                             ? RecoveryPacer.CallKind.URGENT
-                            : random.nextBoolean() ? RecoveryPacer.CallKind.ORDINARY : RecoveryPacer.CallKind.QUESTION;
-                    if (p.take(kind, "zone-" + random.nextInt(3), now)) {
+                            : random.nextBoolean() ? RecoveryPacer.CallKind.ORDINARY : RecoveryPacer.CallKind.PROBE;
+                    if (p.tryAcquire(kind, "zone-" + random.nextInt(3), now)) {
                         sentAt[ms]++;
                         urgent += kind == RecoveryPacer.CallKind.URGENT ? 1 : 0;
-                        p.over();
+                        p.callFinished();
                     }
                 }
             }
@@ -47,15 +47,15 @@
         assertEquals(40, p.perSecond());
         int sent = 0;
         for (int s = 1; s < 100; s++) {
-            sent += p.take(RecoveryPacer.CallKind.URGENT, "z" + s % 5, new MonotonicTime(1000L * s)) ? 1 : 0;
+            sent += p.tryAcquire(RecoveryPacer.CallKind.URGENT, "z" + s % 5, new MonotonicTime(1000L * s)) ? 1 : 0;
         }
         assertEquals(20, sent);
-        assertFalse(p.take(RecoveryPacer.CallKind.ORDINARY, "a", new MonotonicTime(1_000_000)));
-        p.over();
+        assertFalse(p.tryAcquire(RecoveryPacer.CallKind.ORDINARY, "a", new MonotonicTime(1_000_000)));
+        p.callFinished();
         assertFalse(
-                p.take(RecoveryPacer.CallKind.ORDINARY, "a", new MonotonicTime(1_000_000)),
+                p.tryAcquire(RecoveryPacer.CallKind.ORDINARY, "a", new MonotonicTime(1_000_000)),
                 "the last third is for urgent ones");
-        assertTrue(p.take(RecoveryPacer.CallKind.URGENT, "a", new MonotonicTime(1_000_000)));
+        assertTrue(p.tryAcquire(RecoveryPacer.CallKind.URGENT, "a", new MonotonicTime(1_000_000)));
     }
 
     @Test
@@ -69,6 +69,6 @@
         assertTrue(p.advance(new MonotonicTime(504_001), stuck), "listening holds stops back for 4 s at the most");
         assertTrue(p.advance(new MonotonicTime(504_002), stuck), "the lease is long over");
         assertTrue(p.advance(new MonotonicTime(515_000), stuck));
-        assertEquals(RecoveryProgress.Phase.OVER, p.phase());
+        assertEquals(RecoveryProgress.Phase.COMPLETE, p.phase());
     }
 }
--- a/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
+++ b/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
@@ -316,7 +316,7 @@
         double hour = a.lastHour(null, NOW + 3_000_000).cpuS();
         a.shrink();
         assertEquals(hour, a.lastHour(null, NOW + 3_000_000).cpuS(), 1e-6);
-        assertTrue(Codec.countedBytes(a.toNode()) < 8 * 1024, Codec.countedBytes(a.toNode()) + " bytes");
+        assertTrue(Codec.jsonBytes(a.toNode()) < 8 * 1024, Codec.jsonBytes(a.toNode()) + " bytes");
         a.undo(task(1, 0));
         assertEquals(hour - 1, a.lastHour(null, NOW + 3_000_000).cpuS(), 1e-6);
     }
--- a/src/test/java/org/beechhoist/plan/PlanTest.java
+++ b/src/test/java/org/beechhoist/plan/PlanTest.java
@@ -47,7 +47,7 @@
     }
 
     private static Plan.Entry entry(JobSpec s, long length) {
-        return new Plan.Entry(s.ref(), s, s.tasks(), length, Map.of(), 0, 0);
+        return new Plan.Entry(s.id(), s, s.tasks(), length, Map.of(), 0, 0);
     }
 
     private record Made(Plan plan, List<PlanHost> hosts, List<Plan.Entry> entries) {}
@@ -122,9 +122,9 @@
                 assertTrue(!e.spec().sameZone() || zones <= 1, "seed " + seed);
                 for (String z : List.of("a", "b")) {
                     long in = own.stream().filter(r -> r.zone().equals(z)).count();
-                    assertTrue(!e.spec().apart() || in <= (e.spec().tasks() + 1) / 2, "seed " + seed);
+                    assertTrue(!e.spec().antiAffinity() || in <= (e.spec().tasks() + 1) / 2, "seed " + seed);
                 }
-                if (e.spec().gang()) {
+                if (e.spec().isGang()) {
                     assertTrue(
                             own.stream()
                                             .map(Plan.Reservation::startMs)
@@ -225,7 +225,7 @@
         JobSpec s = spec(1, "array", 100_000, 1, 0, false, false);
         plan.place(entry(s, 1000));
         assertTrue(plan.reservations().size() <= Plan.MAX_PER_ENTRY);
-        assertEquals(100_000 - plan.reservations().size(), plan.unplaced(s.ref()));
+        assertEquals(100_000 - plan.reservations().size(), plan.unplaced(s.id()));
     }
 
     private static Plan.Wish wish(int from, int most, long until) {
--- a/src/test/java/org/beechhoist/sim/ColdStartMeasure.java
+++ b/src/test/java/org/beechhoist/sim/ColdStartMeasure.java
@@ -105,7 +105,7 @@
         w.crashAll(i -> 20_000);
         w.runUntil(14_000);
         for (int i = 0; i < 100_000; i++) {
-            var spec = JobSpec.parse(JobSpec.described(Codec.map()
+            var spec = JobSpec.parse(JobSpec.withDefaults(Codec.map()
                     .put("ref", String.format("job-%06d", 100_000 + i))
                     .put("jobclass", "slow")
                     .put("owner", "blue")
@@ -113,7 +113,7 @@
                     .put("memGb", 1.0)
                     .put("bundle", "img-0")
                     .put("guessS", 60)));
-            w.write(JobRecord.openKey(spec.ref()), new JobRecord(spec, w.wall()).toNode());
+            w.write(JobRecord.openKey(spec.id()), new JobRecord(spec, w.wall()).toNode());
         }
         long[] loaded = {-1};
         long from = w.counted.storeRequests;
--- a/src/test/java/org/beechhoist/sim/DrainMeasure.java
+++ b/src/test/java/org/beechhoist/sim/DrainMeasure.java
@@ -33,7 +33,7 @@
         long soon = 0;
         double done = 0;
         for (UserJob j : w.allJobs()) {
-            done += j.spec.service() ? 0 : j.done.size() * j.spec.cpus() * j.spec.estimateS();
+            done += j.spec.isService() ? 0 : j.done.size() * j.spec.cpus() * j.spec.estimateS();
             if (j.spec.jobClass().equals("fast") && j.submittedAt > DrainNight.PUT_MS) {
                 urgent += j.spec.tasks();
                 soon += j.soon;
--- a/src/test/java/org/beechhoist/sim/Drains.java
+++ b/src/test/java/org/beechhoist/sim/Drains.java
@@ -41,7 +41,8 @@
         }
         purposely++;
         away.removeAll(w.running());
-        underFloor += j.spec.service() && away.stream().anyMatch(o -> o.job().equals(t.job()) && !o.equals(t)) ? 1 : 0;
+        underFloor +=
+                j.spec.isService() && away.stream().anyMatch(o -> o.job().equals(t.job()) && !o.equals(t)) ? 1 : 0;
         away.add(t);
         mostAway = Math.max(mostAway, away.size());
         Long before = stoppedAt.put(t, w.now);
@@ -64,8 +65,8 @@
 
     void allServicesUp() {
         for (UserJob j : w.allJobs()) {
-            if (j.spec.service() && !w.cancelled(j)) {
-                assertEquals(j.spec.tasks(), w.onMachines(j.spec.ref().text()), "replicas of " + j.spec.ref());
+            if (j.spec.isService() && !w.cancelled(j)) {
+                assertEquals(j.spec.tasks(), w.onMachines(j.spec.id().text()), "replicas of " + j.spec.id());
             }
         }
     }
--- a/src/test/java/org/beechhoist/sim/FallTest.java
+++ b/src/test/java/org/beechhoist/sim/FallTest.java
@@ -166,7 +166,7 @@
                     String ref = w.allJobs()
                             .get(w.random.nextInt(w.allJobs().size()))
                             .spec
-                            .ref()
+                            .id()
                             .text();
                     w.later(w.random.nextInt(2500), () -> w.cancel(ref));
                 }
--- a/src/test/java/org/beechhoist/sim/Gpus.java
+++ b/src/test/java/org/beechhoist/sim/Gpus.java
@@ -90,7 +90,7 @@
 
     private void stopped(TaskId t) {
         UserJob j = w.userJob(t.job().text());
-        if (j.spec.service() && !w.cancelled(j)) {
+        if (j.spec.isService() && !w.cancelled(j)) {
             away.removeAll(w.running());
             underFloor += away.stream().anyMatch(o -> o.job().equals(t.job()) && !o.equals(t)) ? 1 : 0;
             away.add(t);
@@ -104,7 +104,7 @@
         away.removeAll(running);
         w.starts.forEach((t, n) -> {
             UserJob j = w.userJob(t.job().text());
-            if (!j.spec.service() || w.cancelled(j)) {
+            if (!j.spec.isService() || w.cancelled(j)) {
                 goneAt.remove(t);
                 return;
             }
--- a/src/test/java/org/beechhoist/sim/KeySetRules.java
+++ b/src/test/java/org/beechhoist/sim/KeySetRules.java
@@ -46,7 +46,9 @@
             if (key.startsWith("ks/set/")) {
                 KeySet s = KeySet.parse(op.get("data"));
                 sets.put(s.name(), s);
-            } else if (key.startsWith(JobRecord.OPEN) && key.indexOf('/', 3) < 0 && !JobRecord.isOver(op.get("data"))) {
+            } else if (key.startsWith(JobRecord.OPEN_PREFIX)
+                    && key.indexOf('/', 3) < 0
+                    && !JobRecord.isFinalState(op.get("data"))) {
                 record(JobRecord.parse(op.get("data")));
             } else if (key.startsWith(ChangeLogSegment.PREFIX)) {
                 Set<JobId> unreadable = new HashSet<>();
@@ -65,15 +67,15 @@
     }
 
     private void record(JobRecord r) {
-        KeySetBinding before = pins.get(r.spec.ref());
-        if (!pins.containsKey(r.spec.ref())) {
-            pins.put(r.spec.ref(), r.spec.pin());
-            bound += r.spec.pin() != null ? 1 : 0;
-        } else if (before != null ? !before.equals(r.spec.pin()) : r.spec.pin() != null) {
+        KeySetBinding before = pins.get(r.spec.id());
+        if (!pins.containsKey(r.spec.id())) {
+            pins.put(r.spec.id(), r.spec.keySetBinding());
+            bound += r.spec.keySetBinding() != null ? 1 : 0;
+        } else if (before != null ? !before.equals(r.spec.keySetBinding()) : r.spec.keySetBinding() != null) {
             pinsChanged++;
         }
         for (Placement p : r.live.values()) {
-            place(r.spec.ref(), p.task.index(), p.attempt);
+            place(r.spec.id(), p.task.index(), p.attempt);
         }
     }
 
@@ -88,7 +90,7 @@
         if (pin == null || !placed.add(ref + "/" + task + "#" + attempt)) {
             return;
         }
-        KeySet s = sets.get(pin.set());
+        KeySet s = sets.get(pin.keySet());
         KeySet.Version v = s == null ? null : s.version(pin.version());
         boolean good = v != null
                 && v.digest().equals(pin.digest())
--- a/src/test/java/org/beechhoist/sim/KeySetTest.java
+++ b/src/test/java/org/beechhoist/sim/KeySetTest.java
@@ -335,7 +335,7 @@
     }
 
     private static byte[] body(String ref, String set) {
-        ObjectNode n = org.beechhoist.wire.JobSpec.described(Codec.map()
+        ObjectNode n = org.beechhoist.wire.JobSpec.withDefaults(Codec.map()
                 .put("ref", ref)
                 .put("jobclass", "sign")
                 .put("owner", "blue")
@@ -372,7 +372,7 @@
         w.runUntil(10_000);
         assertEquals(422, status[1], "unknown");
         assertEquals(422, status[2], "not one's own");
-        assertEquals("release", r.pin("job-000002").set(), "its class needs one, and its team has one");
+        assertEquals("release", r.pin("job-000002").keySet(), "its class needs one, and its team has one");
         r.revoke("release", 1, () -> {});
         w.runUntil(12_000);
         w.at(2, "POST", "/v1/jobs", body("job-700003", "release"), a -> status[3] = a.status());
--- a/src/test/java/org/beechhoist/sim/KeySetTrial.java
+++ b/src/test/java/org/beechhoist/sim/KeySetTrial.java
@@ -33,7 +33,7 @@
         x.leaseS = 26;
         World w = new World(seed, new WorldScale(5, 60, 6000, 500, StateService.KEPT_CHANGES, KeySetTest.ON).with(x));
         KeySetRules r = new KeySetRules(w);
-        w.users.mayRefuse = j -> !j.accepted && r.pin(j.spec.ref().text()) == null;
+        w.users.mayRefuse = j -> !j.accepted && r.pin(j.spec.id().text()) == null;
         for (int i = 0; i < SETS; i++) {
             String name = "set-" + i;
             w.later(500 + 150L * i, () -> r.make(name, "blue", "AB:CD:EF:" + name));
@@ -139,20 +139,20 @@
         w.keys("ks/bad/").forEach(k -> bad.put(k.substring("ks/bad/".length()), true));
         TreeSet<String> open = new TreeSet<>();
         for (UserJob j : w.allJobs()) {
-            var pin = r.pin(j.spec.ref().text());
+            var pin = r.pin(j.spec.id().text());
             if (!j.accepted || pin == null || j.told != null) {
                 continue;
             }
-            KeySet s = r.set(pin.set());
+            KeySet s = r.set(pin.keySet());
             KeySet.Version v = s.version(pin.version());
-            boolean may = !bad.containsKey(pin.set())
+            boolean may = !bad.containsKey(pin.keySet())
                     && v != null
                     && s.digestNow(v).equals(pin.digest())
                     && (v.state() == KeySet.State.APPROVED
                             || v.state() == KeySet.State.SUPERSEDED && w.wall() < v.drainUntilMs());
             held += may ? 0 : 1;
             if (may) {
-                open.add(j.spec.ref().text());
+                open.add(j.spec.id().text());
             }
         }
         w.runUntil(w.now + 120_000);
--- a/src/test/java/org/beechhoist/sim/MeetingDay.java
+++ b/src/test/java/org/beechhoist/sim/MeetingDay.java
@@ -57,7 +57,7 @@
                         .put("loaner", true));
                 if (w.random.nextDouble() < cancelled) {
                     UserJob j = w.job(w.nextJob() - 1);
-                    w.later(w.random.nextInt(3000), () -> w.cancel(j.spec.ref().text()));
+                    w.later(w.random.nextInt(3000), () -> w.cancel(j.spec.id().text()));
                 }
             }
         });
--- a/src/test/java/org/beechhoist/sim/Meetings.java
+++ b/src/test/java/org/beechhoist/sim/Meetings.java
@@ -107,19 +107,19 @@
 
     /** What a controller tells the others, as they hear it. */
     PeerState heard(PeerState s) {
-        List<CancelledJob> cancelled = planted == Planted.HINT_IGNORED ? List.of() : s.cancelled();
+        List<CancelledJob> cancelled = planted == Planted.HINT_IGNORED ? List.of() : s.cancelledJobs();
         return new PeerState(
                 s.node(),
                 s.leading(),
-                s.baton(),
-                s.storeAnswersMs(),
+                s.fencingToken(),
+                s.msSinceStoreAnswer(),
                 s.ready(),
-                s.reportsHeard(),
-                s.writesWanted(),
-                s.requestsWanted(),
-                s.counts(),
+                s.heartbeatsReceived(),
+                s.writeDemand(),
+                s.requestDemand(),
+                s.jobCounts(),
                 cancelled,
-                s.acknowledged());
+                s.acknowledgedCancellations());
     }
 
     /** What a worker is told, as it hears it. */
@@ -294,7 +294,7 @@
         List<UserJob> running = new ArrayList<>();
         for (TaskId t : w.running()) {
             UserJob j = w.jobs.get(t.job().text());
-            boolean longToGo = j.spec.service() || w.now - j.startedAt + LONG_TO_GO_MS < 1000 * j.spec.estimateS();
+            boolean longToGo = j.spec.isService() || w.now - j.startedAt + LONG_TO_GO_MS < 1000 * j.spec.estimateS();
             if (j.accepted && !j.asked && j.told == null && longToGo && !running.contains(j)) {
                 running.add(j);
             }
@@ -312,7 +312,7 @@
         longestHangMs = hung.isEmpty() ? longestHangMs : Math.max(longestHangMs, hangMs);
         hung.forEach(h -> w.hang(h, hangMs));
         chosen.forEach(
-                j -> w.later(w.random.nextInt(200), () -> w.cancel(j.spec.ref().text())));
+                j -> w.later(w.random.nextInt(200), () -> w.cancel(j.spec.id().text())));
     }
 
     /** Users call off that many jobs none of whose tasks runs, while machines fetch the images of some; how many they found. */
@@ -326,7 +326,7 @@
                 }
             }
         });
-        chosen.forEach(j -> w.cancel(j.spec.ref().text()));
+        chosen.forEach(j -> w.cancel(j.spec.id().text()));
         return chosen.size();
     }
 
@@ -348,7 +348,7 @@
                 && j.done.size() == j.spec.tasks()
                 && w.random.nextDouble() < cancelledAtEnd) {
             cancelledAtTheEnd++;
-            w.later(w.random.nextInt(30), () -> w.cancel(j.spec.ref().text()));
+            w.later(w.random.nextInt(30), () -> w.cancel(j.spec.id().text()));
         }
     }
 
--- a/src/test/java/org/beechhoist/sim/NightMeasure.java
+++ b/src/test/java/org/beechhoist/sim/NightMeasure.java
@@ -56,7 +56,7 @@
                                     "/v1/jobs/"
                                             + jobs.get(jobs.size() - 1 - w.random.nextInt(Math.min(40, jobs.size())))
                                                     .spec
-                                                    .ref(),
+                                                    .id(),
                                     null,
                                     a -> {});
                         }
--- a/src/test/java/org/beechhoist/sim/NightTest.java
+++ b/src/test/java/org/beechhoist/sim/NightTest.java
@@ -74,9 +74,8 @@
         assertTrue(w.rented() <= rented, w.rented() + " machines, " + rented + " before");
         UserJob broken = w.job(2);
         assertTrue(
-                w.status(broken.spec.ref().text()).path("reason").asText().contains("failed on"),
-                "its status says why");
-        w.cancel(broken.spec.ref().text());
+                w.status(broken.spec.id().text()).path("reason").asText().contains("failed on"), "its status says why");
+        w.cancel(broken.spec.id().text());
         w.runUntil(300_000);
         assertEquals("cancelled", broken.told);
     }
@@ -104,7 +103,7 @@
         w.toll.failed(host, w.now);
         w.giveBack(host);
         assertEquals(1, w.toll.healthyCondemned);
-        w.users.oldAnswerFor = w.job(1).spec.ref().text();
+        w.users.oldAnswerFor = w.job(1).spec.id().text();
         w.pollOnce(w.job(1), a -> {});
         AssertionError seen = assertThrows(AssertionError.class, () -> w.runUntil(70_000));
         assertTrue(seen.getMessage().startsWith("went_back"), seen.getMessage());
--- a/src/test/java/org/beechhoist/sim/NightTrial.java
+++ b/src/test/java/org/beechhoist/sim/NightTrial.java
@@ -136,7 +136,7 @@
         w.runUntil(ARRIVALS_MS + 30_000);
         w.allJobs().stream()
                 .filter(j -> j.spec.jobClass().equals("broken") && j.told == null)
-                .forEach(j -> w.cancel(j.spec.ref().text()));
+                .forEach(j -> w.cancel(j.spec.id().text()));
         for (long end = w.now + 300_000; w.now < end && !w.unfinished().isEmpty(); ) {
             w.runUntil(w.now + 5000);
         }
@@ -144,7 +144,7 @@
         long finished = 0;
         for (UserJob j : w.allJobs()) {
             finished += j.done.size();
-            if (j.spec.urgency().compareTo(Priority.URGENT) <= 0
+            if (j.spec.priority().compareTo(Priority.URGENT) <= 0
                     && !j.spec.jobClass().equals("broken")
                     && j.accepted
                     && !"cancelled".equals(j.told)) {
--- a/src/test/java/org/beechhoist/sim/PackingTest.java
+++ b/src/test/java/org/beechhoist/sim/PackingTest.java
@@ -149,9 +149,9 @@
             for (UserJob j : g.w.allJobs()) {
                 int missing = g.w.cancelled(j)
                         ? 0
-                        : j.spec.tasks() - g.w.onMachines(j.spec.ref().text());
+                        : j.spec.tasks() - g.w.onMachines(j.spec.id().text());
                 assertEquals(
-                        0, missing, step + ", seed " + seed + ": replicas of " + j.spec.ref() + " that are nowhere");
+                        0, missing, step + ", seed " + seed + ": replicas of " + j.spec.id() + " that are nowhere");
             }
         }
     }
@@ -191,12 +191,12 @@
             }
             for (UserJob j : w.allJobs()) {
                 boolean one =
-                        j.spec.ref().text().equals(ref) || j.spec.ref().text().equals(more[0]);
-                if (room && j.spec.service() && !one && !w.cancelled(j)) {
+                        j.spec.id().text().equals(ref) || j.spec.id().text().equals(more[0]);
+                if (room && j.spec.isService() && !one && !w.cancelled(j)) {
                     assertEquals(
                             j.spec.tasks(),
-                            w.onMachines(j.spec.ref().text()),
-                            what + ", seed " + seed + ": " + j.spec.ref());
+                            w.onMachines(j.spec.id().text()),
+                            what + ", seed " + seed + ": " + j.spec.id());
                 }
             }
         }
--- a/src/test/java/org/beechhoist/sim/ReleaseTest.java
+++ b/src/test/java/org/beechhoist/sim/ReleaseTest.java
@@ -290,7 +290,7 @@
                         w.later(115_000, () -> {
                             long end = w.allJobs().stream()
                                     .filter(j -> name.equals(
-                                            s.releaseOf.get(j.spec.ref().text())))
+                                            s.releaseOf.get(j.spec.id().text())))
                                     .mapToLong(j -> j.doneAt)
                                     .max()
                                     .orElse(0);
--- a/src/test/java/org/beechhoist/sim/ReleaseTrial.java
+++ b/src/test/java/org/beechhoist/sim/ReleaseTrial.java
@@ -92,7 +92,7 @@
         for (Map.Entry<String, double[]> f : with.foreseen.entrySet()) {
             double last = 0;
             for (UserJob j : with.w.allJobs()) {
-                if (f.getKey().equals(with.s.releaseOf.get(j.spec.ref().text())) && j.submittedAt < CHECKED_AT_MS) {
+                if (f.getKey().equals(with.s.releaseOf.get(j.spec.id().text())) && j.submittedAt < CHECKED_AT_MS) {
                     last = Math.max(last, j.doneAt / 1000.0);
                 }
             }
--- a/src/test/java/org/beechhoist/sim/Rules.java
+++ b/src/test/java/org/beechhoist/sim/Rules.java
@@ -84,22 +84,22 @@
             if (!j.accepted
                     || j.asked
                     || j.told != null
-                    || j.spec.gang()
+                    || j.spec.isGang()
                     || j.spec.sameZone()
-                    || j.spec.apart()
+                    || j.spec.antiAffinity()
                     || j.spec.jobClass().equals("broken")
                     || j.spec.team().equals("red") && j.spec.cpus() > leftOfRed + 1e-6) {
                 continue;
             }
             boolean room = free.entrySet().stream()
-                    .anyMatch(e -> j.spec.allows(e.getKey().type)
+                    .anyMatch(e -> j.spec.fitsType(e.getKey().type)
                             && (j.spec.spot() || !e.getKey().spot)
                             && (j.spec.zone() == null || j.spec.zone().equals(e.getKey().zone))
                             && e.getValue()[0] >= j.spec.cpus()
                             && e.getValue()[1] >= j.spec.memGb()
                             && e.getValue()[2] >= j.spec.gpus());
             for (int i = 0; room && i < j.spec.tasks(); i++) {
-                TaskId t = new TaskId(j.spec.ref(), i);
+                TaskId t = new TaskId(j.spec.id(), i);
                 if (!held.contains(t) && !j.done.contains(i)) {
                     seen.add(t);
                     long waited = w.now - Math.max(besideRoomSince.computeIfAbsent(t, k -> w.now), w.calmFrom);
--- a/src/test/java/org/beechhoist/sim/Served.java
+++ b/src/test/java/org/beechhoist/sim/Served.java
@@ -24,7 +24,7 @@
         for (UserJob j : w.allJobs()) {
             long limit = j.spec.deadlineS() == null ? usualMs : Math.round(1500 * j.spec.deadlineS());
             if (!j.accepted
-                    || j.spec.service()
+                    || j.spec.isService()
                     || "cancelled".equals(j.told)
                     || !which.test(j)
                     || j.submittedAt + limit > w.now) {
--- a/src/test/java/org/beechhoist/sim/Ships.java
+++ b/src/test/java/org/beechhoist/sim/Ships.java
@@ -123,7 +123,7 @@
                 continue;
             }
             for (UserJob j : w.allJobs()) {
-                String other = releaseOf.get(j.spec.ref().text());
+                String other = releaseOf.get(j.spec.id().text());
                 boolean nearer = other != null
                         && due.containsKey(other)
                         && (mine == null || due.get(other) < due.getOrDefault(mine, Long.MAX_VALUE));
@@ -134,14 +134,13 @@
                 if (!sure || j.acceptedAt < 0 || s.at - j.acceptedAt < KNOWN_MS) {
                     continue;
                 }
-                List<Long> its = of.getOrDefault(j.spec.ref().text(), List.of());
+                List<Long> its = of.getOrDefault(j.spec.id().text(), List.of());
                 long later = its.stream().filter(t -> t > s.at + NEXT_MS).count();
                 long soon = its.stream()
                         .filter(t -> t >= s.at - 200 && t <= s.at + NEXT_MS)
                         .count();
                 n += later > 0 && soon == 0 ? 1 : 0;
-                firstAgainst =
-                        n == 1 && firstAgainst == null ? s + " before " + j.spec.ref() + " " + its : firstAgainst;
+                firstAgainst = n == 1 && firstAgainst == null ? s + " before " + j.spec.id() + " " + its : firstAgainst;
             }
         }
         return n;
@@ -153,7 +152,7 @@
         for (Map.Entry<String, Long> r : due.entrySet()) {
             long last = 0;
             for (UserJob j : w.allJobs()) {
-                if (r.getKey().equals(releaseOf.get(j.spec.ref().text()))) {
+                if (r.getKey().equals(releaseOf.get(j.spec.id().text()))) {
                     last = Math.max(last, j.done.size() == j.spec.tasks() ? j.doneAt : Long.MAX_VALUE);
                 }
             }
@@ -176,13 +175,13 @@
             UserJob best = null;
             long next = Long.MAX_VALUE;
             for (UserJob j : jobs) {
-                String ref = j.spec.ref().text();
+                String ref = j.spec.id().text();
                 if (begun.getOrDefault(ref, 0) == j.spec.tasks()) {
                     continue;
                 }
                 next = Math.min(next, j.submittedAt);
                 if (j.submittedAt <= at
-                        && (best == null || date(ref) < date(best.spec.ref().text()))) {
+                        && (best == null || date(ref) < date(best.spec.id().text()))) {
                     best = j;
                 }
             }
@@ -193,7 +192,7 @@
                 free.add(next);
                 continue;
             }
-            String ref = best.spec.ref().text();
+            String ref = best.spec.id().text();
             begun.merge(ref, 1, Integer::sum);
             long end = at + Math.round(1000 * best.spec.estimateS());
             free.add(end);
--- a/src/test/java/org/beechhoist/sim/SimulatedController.java
+++ b/src/test/java/org/beechhoist/sim/SimulatedController.java
@@ -163,7 +163,7 @@
                         31 * (31 * world.fingerprint + world.now) + values(e).hashCode();
             }
             if (e instanceof Effect.Answer decided) {
-                Effect.Answer a = decided.at(clock());
+                Effect.Answer a = decided.asOf(clock());
                 world.performed.accept(world.now - decidedAt, a);
                 Consumer<Effect.Answer> then = open.remove(a.request());
                 if (then == null) {
@@ -171,7 +171,7 @@
                 }
                 then.accept(a);
             } else if (e instanceof Effect.Call c) {
-                if (c.expired(clock())) {
+                if (c.isExpired(clock())) {
                     int then = life;
                     world.later(0, () -> {
                         if (life == then) {
--- a/src/test/java/org/beechhoist/sim/TwoDoorsTrial.java
+++ b/src/test/java/org/beechhoist/sim/TwoDoorsTrial.java
@@ -106,7 +106,7 @@
 
     private static Map<String, UserJob> byRef(World w) {
         Map<String, UserJob> out = new HashMap<>();
-        w.allJobs().forEach(j -> out.put(j.spec.ref().text(), j));
+        w.allJobs().forEach(j -> out.put(j.spec.id().text(), j));
         return out;
     }
 
@@ -125,7 +125,7 @@
         // The same table, for another hour: the leader has the same to watch, to the millisecond.
         CronSimulationTest.install(direct, "work", table.replace(" 12 * * * ", " 23 * * * "));
         for (Entered e : entered) {
-            direct.later(Math.max(0, e.at - 4), () -> direct.submitAs(e.spec.from(null)));
+            direct.later(Math.max(0, e.at - 4), () -> direct.submitAs(e.spec.withOrigin(null)));
         }
         direct.runUntil(end);
 
@@ -135,18 +135,18 @@
         int order = 0;
         int answers = 0;
         for (Entered e : entered) {
-            UserJob ja = a.get(e.spec.ref().text());
-            UserJob jb = b.get(e.spec.ref().text());
+            UserJob ja = a.get(e.spec.id().text());
+            UserJob jb = b.get(e.spec.id().text());
             answers += "done".equals(ja.told) && "done".equals(jb.told) && ja.done.size() == jb.done.size() ? 0 : 1;
             for (Entered o : entered) {
-                boolean once = e.spec.ref().compareTo(o.spec.ref()) < 0;
+                boolean once = e.spec.id().compareTo(o.spec.id()) < 0;
                 if (once && Math.abs(o.at - e.at) < 900_000) {
-                    long inA = ja.startedAt - a.get(o.spec.ref().text()).startedAt;
-                    long inB = jb.startedAt - b.get(o.spec.ref().text()).startedAt;
+                    long inA = ja.startedAt - a.get(o.spec.id().text()).startedAt;
+                    long inB = jb.startedAt - b.get(o.spec.id().text()).startedAt;
                     boolean before = Math.max(ja.startedAt, jb.startedAt) < FIRST_LOSS_MS
                             && Math.max(
-                                            a.get(o.spec.ref().text()).startedAt,
-                                            b.get(o.spec.ref().text()).startedAt)
+                                            a.get(o.spec.id().text()).startedAt,
+                                            b.get(o.spec.id().text()).startedAt)
                                     < FIRST_LOSS_MS;
                     if (!before) {
                         continue;
@@ -182,13 +182,13 @@
         CronSimulationTest.install(w, "pay", table.toString());
         w.stateTrouble = 0.03;
         Map<String, List<UserJob>> runs = new HashMap<>();
-        w.entered = j ->
-                runs.computeIfAbsent(j.spec.onceKey(), k -> new ArrayList<>()).add(j);
+        w.entered = j -> runs.computeIfAbsent(j.spec.idempotencyKey(), k -> new ArrayList<>())
+                .add(j);
         int number = 900_000;
         for (int minute = 0; minute < 5; minute++) {
             for (int s = 0; s < shops; s++) {
                 String key = "payout-shop" + s + "-2026-06-01-12" + String.format("%02d", minute);
-                ObjectNode n = JobSpec.described(Codec.map()
+                ObjectNode n = JobSpec.withDefaults(Codec.map()
                         .put("ref", "job-" + number++)
                         .put("jobclass", "payout")
                         .put("owner", "blue")
@@ -202,7 +202,7 @@
                 w.later(30_000 + 60_000L * minute - w.now - 500 + random.nextInt(1500), () -> {
                     w.submitAs(spec);
                     runs.computeIfAbsent(key, k -> new ArrayList<>())
-                            .add(w.userJob(spec.ref().text()));
+                            .add(w.userJob(spec.id().text()));
                 });
             }
         }
--- a/src/test/java/org/beechhoist/sim/UnknownOutcomeTest.java
+++ b/src/test/java/org/beechhoist/sim/UnknownOutcomeTest.java
@@ -70,7 +70,7 @@
     void keySets(boolean atOnce) {
         World w = KeySetTest.world(1070, 5, 8);
         KeySetRules rules = new KeySetRules(w);
-        w.users.mayRefuse = j -> !j.accepted && rules.pin(j.spec.ref().text()) == null;
+        w.users.mayRefuse = j -> !j.accepted && rules.pin(j.spec.id().text()) == null;
         w.later(500, () -> rules.make("release", "blue", "AB:CD:EF:01"));
         w.runUntil(6000);
         w.every(3000, () -> {
--- a/src/test/java/org/beechhoist/sim/Users.java
+++ b/src/test/java/org/beechhoist/sim/Users.java
@@ -27,7 +27,7 @@
 
     void submit(JobSpec spec, byte[] body) {
         UserJob j = new UserJob(spec, w.now);
-        w.jobs.put(spec.ref().text(), j);
+        w.jobs.put(spec.id().text(), j);
         post(j, body, 0);
     }
 
@@ -65,7 +65,7 @@
         w.ask("POST", "/v1/jobs", body, a -> {
             if (a != null
                     && a.status() == 200
-                    && !a.body().path("ref").asText().equals(j.spec.ref().text())) {
+                    && !a.body().path("ref").asText().equals(j.spec.id().text())) {
                 j.sameAs = a.body().path("ref").asText(); // its key was taken: that job is its user's from now on
             } else if (a != null && (a.status() == 201 || a.status() == 200)) {
                 if (!j.accepted) {
@@ -81,9 +81,9 @@
                     w.later(20_000 + w.random.nextInt(100_000), () -> post(j, body, 50)); // asked again much later
                 }
             } else if (a != null && a.status() == 422 && mayRefuse.test(j)) {
-                w.jobs.remove(j.spec.ref().text());
+                w.jobs.remove(j.spec.id().text());
             } else if (a != null && (a.status() == 400 || a.status() == 422)) {
-                w.broken("forgotten", j.spec.ref() + " is answered " + a.status());
+                w.broken("forgotten", j.spec.id() + " is answered " + a.status());
             } else if (tries < 40) {
                 w.later(1000, () -> post(j, body, tries + 1));
             }
@@ -107,11 +107,11 @@
 
     void pollAt(int node, UserJob j, Consumer<Effect.Answer> then) {
         long asked = w.now;
-        w.askAt(node, "GET", "/v1/jobs/" + j.spec.ref(), new byte[0], a -> {
+        w.askAt(node, "GET", "/v1/jobs/" + j.spec.id(), new byte[0], a -> {
             if (a != null
                     && a.status() == 200
                     && j.told != null
-                    && j.spec.ref().text().equals(oldAnswerFor)) {
+                    && j.spec.id().text().equals(oldAnswerFor)) {
                 ((ObjectNode) a.body()).put("status", "running");
             }
             answered(j, a, asked);
@@ -133,10 +133,10 @@
         long quiet = w.now - Math.max(j.quietSince, w.calmFrom);
         if (j.accepted && quiet > longestUnansweredMs) {
             longestUnansweredMs = quiet;
-            longestUnanswered = j.spec.ref().text();
+            longestUnanswered = j.spec.id().text();
         }
         if (j.accepted && !j.asked && quiet > patienceMs) {
-            w.broken("forgotten", "no question about " + j.spec.ref() + " was answered for " + quiet + " ms");
+            w.broken("forgotten", "no question about " + j.spec.id() + " was answered for " + quiet + " ms");
         }
     }
 
@@ -193,20 +193,20 @@
                 a.status() == 404 ? Told.ABSENT : a.body().path("status").asText();
         String older = j.history.answered(asked, w.now, status);
         if (older != null) {
-            w.broken(status.equals(Told.ABSENT) ? "forgotten" : "went_back", j.spec.ref() + " " + older);
+            w.broken(status.equals(Told.ABSENT) ? "forgotten" : "went_back", j.spec.id() + " " + older);
         }
         if (status.equals("cancelled")) {
             if (!j.asked) {
-                w.broken("went_back", j.spec.ref() + " is cancelled, nobody asked");
+                w.broken("went_back", j.spec.id() + " is cancelled, nobody asked");
             }
             if (j.cancelToldAt < 0) {
                 j.cancelToldAt = w.now;
-                w.lost.cancelled(j.spec.ref().text());
+                w.lost.cancelled(j.spec.id().text());
             }
             tell(j, status);
         } else if (status.equals("done")) {
             if (j.done.size() < j.spec.tasks()) {
-                w.broken("not_done", j.spec.ref() + " is called done with " + j.done.size() + " of " + j.spec.tasks());
+                w.broken("not_done", j.spec.id() + " is called done with " + j.done.size() + " of " + j.spec.tasks());
             }
             tell(j, status);
         }
@@ -233,7 +233,7 @@
                 long asked = w.now;
                 w.askAt(node, "POST", "/v1/jobs", body, a -> {
                     if (a != null && (a.status() == 400 || a.status() == 422)) {
-                        w.broken("forgotten", j.spec.ref() + " is answered " + a.status());
+                        w.broken("forgotten", j.spec.id() + " is answered " + a.status());
                     }
                     judge(j, a, asked);
                 });
@@ -288,7 +288,7 @@
         if (!over.isEmpty()) {
             UserJob j = over.get(w.random.nextInt(over.size()));
             long asked = w.now;
-            w.ask("POST", "/v1/jobs/" + j.spec.ref() + "/cancel", new byte[0], a -> judge(j, a, asked));
+            w.ask("POST", "/v1/jobs/" + j.spec.id() + "/cancel", new byte[0], a -> judge(j, a, asked));
         }
     }
 
--- a/src/test/java/org/beechhoist/sim/World.java
+++ b/src/test/java/org/beechhoist/sim/World.java
@@ -225,7 +225,7 @@
                 try {
                     UserJob j = new UserJob(JobSpec.parse(spec), now);
                     j.accepted = true;
-                    jobs.put(j.spec.ref().text(), j);
+                    jobs.put(j.spec.id().text(), j);
                     entered.accept(j);
                     later(3, () -> users.poll(j)); // as whoever submits one learns of it
                 } catch (MalformedMessageException e) {
@@ -238,7 +238,7 @@
     /** Descriptions that users have uploaded, of jobs that are submitted by hand. */
     void knowsOf(int first, int n) {
         for (int i = 0; i < n; i++) {
-            ObjectNode spec = JobSpec.described(Codec.map()
+            ObjectNode spec = JobSpec.withDefaults(Codec.map()
                     .put("ref", "job-" + (first + i))
                     .put("jobclass", "payout")
                     .put("owner", "blue")
@@ -667,9 +667,9 @@
                 toll.ended(t, Worker.End.GONE);
                 UserJob j = jobs.get(t.job().text());
                 if (j.cancelToldAt < 0
-                        && !j.spec.service()
+                        && !j.spec.isService()
                         && !j.spec.jobClass().equals("broken")) {
-                    lost.task(t, j.spec.urgency().compareTo(Priority.URGENT) <= 0, now);
+                    lost.task(t, j.spec.priority().compareTo(Priority.URGENT) <= 0, now);
                 }
             }
         }
@@ -816,7 +816,7 @@
         if (s.jobClass().startsWith("exact")) {
             return Math.round(1000 * s.estimateS());
         }
-        if (s.checkpointS() > 0) {
+        if (s.checkpointEveryS() > 0) {
             // What is saved counts, so it must be the same work each time.
             return Math.max(1, runs.computeIfAbsent(task, t -> all) - saved.getOrDefault(task, 0L));
         }
@@ -838,7 +838,7 @@
                 broken("ran_twice", task + " starts on " + on.name + " while it is on " + m.worker.name);
             }
         }
-        boolean place = s.allows(on.type)
+        boolean place = s.fitsType(on.type)
                 && (s.spot() || !on.spot)
                 && (s.zone() == null || s.zone().equals(on.zone));
         j.startedAt = j.startedAt < 0 ? now : j.startedAt;
@@ -854,7 +854,7 @@
                 }
             }
         }
-        place &= !s.apart() || inZone <= (s.tasks() + 1) / 2;
+        place &= !s.antiAffinity() || inZone <= (s.tasks() + 1) / 2;
         // A launch from before the resize may be executed late; a minute later none is left.
         if (together > j.widest && now - j.widestAt > 60_000) {
             broken(
@@ -1279,7 +1279,7 @@
         int[] n = new int[1];
         state.handle(now, "GET", "/store?prefix=" + prefix + "&limit=1000", null, r -> r.body()
                 .path("items")
-                .forEach(i -> n[0] += JobRecord.isOver(i.path("data")) ? 1 : 0));
+                .forEach(i -> n[0] += JobRecord.isFinalState(i.path("data")) ? 1 : 0));
         return n[0];
     }
 
@@ -1321,7 +1321,7 @@
         jobs.forEach((k, j) -> {
             if (j.accepted
                     && j.told == null
-                    && !j.spec.service()
+                    && !j.spec.isService()
                     && !j.spec.jobClass().equals("broken")) {
                 out.add(k);
             }
--- a/src/test/java/org/beechhoist/store/FleetSnapshotTest.java
+++ b/src/test/java/org/beechhoist/store/FleetSnapshotTest.java
@@ -54,8 +54,8 @@
                                 .filter(m -> FleetSnapshot.partOf(m.id(), parts) == part)
                                 .toList());
                 assertTrue(
-                        Codec.countedBytes(s.toNode()) <= 8192,
-                        Codec.countedBytes(s.toNode()) + " bytes of part " + p + " of " + parts);
+                        Codec.jsonBytes(s.toNode()) <= 8192,
+                        Codec.jsonBytes(s.toNode()) + " bytes of part " + p + " of " + parts);
                 read.add(FleetSnapshot.parse(Codec.decodeMap(Codec.encode(s.toNode()))));
             }
             assertEquals(all, new ArrayList<>(FleetSnapshot.merged(read).values()));
--- a/src/test/java/org/beechhoist/store/JobRecordTest.java
+++ b/src/test/java/org/beechhoist/store/JobRecordTest.java
@@ -51,7 +51,7 @@
     private static JobRecord again(JobRecord r) throws MalformedMessageException {
         JobRecord read = JobRecord.parse(Codec.decodeMap(Codec.encode(r.toNode())));
         for (var c : r.chunks().values()) {
-            read.addLive(c);
+            read.addLiveTasks(c);
         }
         return read;
     }
@@ -75,7 +75,7 @@
                 while (missing < tasks && (missing < i || done.contains(missing))) {
                     missing++;
                 }
-                assertEquals(missing, read.done.firstMissing(i), "seed " + seed);
+                assertEquals(missing, read.done.nextAbsent(i), "seed " + seed);
             }
             assertEquals(done.size(), read.done.size());
         }
@@ -110,7 +110,7 @@
             r.done.add(i);
         }
         for (int i : r.waiting(10_000)) {
-            Placement p = new Placement(new TaskId(r.spec.ref(), i), 2_999_999_999L, new MachineId("m-000231"));
+            Placement p = new Placement(new TaskId(r.spec.id(), i), 2_999_999_999L, new MachineId("m-000231"));
             p.placedS = 900_000;
             r.live.put(i, p);
         }
@@ -126,7 +126,7 @@
         assertTrue(all < 60 * 1024, all + " characters in all");
         JobRecord read = JobRecord.parse(Codec.decodeMap(Codec.encode(r.toNode())));
         for (var c : r.chunks().values()) {
-            read.addLive(c);
+            read.addLiveTasks(c);
         }
         assertEquals(r.live.keySet(), read.live.keySet());
     }
@@ -153,7 +153,7 @@
                             r.live.put(
                                     i,
                                     new Placement(
-                                            new TaskId(r.spec.ref(), i),
+                                            new TaskId(r.spec.id(), i),
                                             r.nextAttempt++,
                                             new MachineId("m-" + random.nextInt(1_000_000))));
                         case 1 -> r.live.remove(i);
@@ -164,10 +164,10 @@
                     }
                 }
                 ChangeLogSegment.Writer writer = new ChangeLogSegment.Writer(1000 + random.nextInt(6000));
-                TaskChanges delta = stored.until(r);
-                int said = writer.with(r.spec.ref(), delta);
-                writer.add(r.spec.ref(), delta);
-                assertEquals(said, writer.size(), "seed " + seed);
+                TaskChanges delta = stored.changesTo(r);
+                int said = writer.segmentCountWith(r.spec.id(), delta);
+                writer.add(r.spec.id(), delta);
+                assertEquals(said, writer.segmentCount(), "seed " + seed);
                 for (var jobs : writer.segments()) {
                     ObjectNode node = new ChangeLogSegment(++number, jobs).toNode();
                     ChangeLogSegment read =
@@ -175,7 +175,7 @@
                     read.jobs().values().forEach(d -> d.apply(follower));
                 }
                 stored.apply(delta);
-                assertTrue(stored.until(r).isEmpty(), "seed " + seed);
+                assertTrue(stored.changesTo(r).isEmpty(), "seed " + seed);
                 assertEquals(attempts(r), attempts(follower), "seed " + seed);
                 assertEquals(r.toNode().get("done"), follower.toNode().get("done"), "seed " + seed);
                 assertEquals(r.nextAttempt, follower.nextAttempt, "seed " + seed);
@@ -189,7 +189,7 @@
                 .append(' ')
                 .append(p.attempt)
                 .append(' ')
-                .append(p.host)
+                .append(p.machine)
                 .append('\n'));
         return out.toString();
     }
@@ -211,14 +211,14 @@
                         r.live.put(
                                 i,
                                 new Placement(
-                                        new TaskId(r.spec.ref(), i),
+                                        new TaskId(r.spec.id(), i),
                                         123_456_789L,
                                         new MachineId("m-00" + (100_000 + i))));
                     } else {
                         r.done.add(i);
                     }
                 }
-                writer.add(new JobId("job-" + (100_000 + job)), empty.until(r));
+                writer.add(new JobId("job-" + (100_000 + job)), empty.changesTo(r));
             }
             for (var jobs : writer.segments()) {
                 int length = new ChangeLogSegment(999_999_999L, jobs)
--- a/src/test/java/org/beechhoist/trial/SigningFloor.java
+++ b/src/test/java/org/beechhoist/trial/SigningFloor.java
@@ -63,7 +63,7 @@
 
     @Override
     public long runMs(JobSpec job, TaskId task, String host) {
-        return job.service() ? 1 : 700 + random.nextInt(2000);
+        return job.isService() ? 1 : 700 + random.nextInt(2000);
     }
 
     @Override
