--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -10,6 +10,7 @@
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.leadership.PeerDirectory;
 import org.beechhoist.controller.leadership.WorkerReachability;
@@ -18,6 +19,7 @@
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.controller.state.StateLoader;
@@ -35,7 +37,6 @@
 import org.beechhoist.plan.Plan;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.RecordSizes;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.FencingToken;
@@ -116,19 +117,9 @@
         DurationEstimates estimates = new DurationEstimates();
         this.clusterState = new ClusterState(context, settings);
         ChangeLog changeLog = new ChangeLog();
-        RecordSizes sizes = RecordSizes.of(
-                settings.stateLimits().valueBytes(), settings.stateLimits().txnOps());
+        ControllerServices services = new ControllerServices(context, settings, store, requests, writes, election);
         this.loader = new StateLoader(
-                context,
-                store,
-                election,
-                requests,
-                estimates,
-                clusterState,
-                changeLog,
-                sizes,
-                cancellations,
-                new StateLoader.Listener() {
+                services, clusterState, estimates, changeLog, cancellations, new StateLoader.Listener() {
                     @Override
                     public void stateLoaded() {
                         heartbeats.stateLoaded();
@@ -144,49 +135,36 @@
                         elastic.look(job);
                     }
                 });
+        LeaderState state = new LeaderState(clusterState, loader, machineTypes, estimates, cancellations);
         this.coldStart = new ColdStartRecovery(context, settings, clusterState);
         this.lossRecovery = new LossRecovery(context, clusterState);
-        this.dispatcher = new CommandDispatcher(
-                context,
-                settings,
-                election,
-                clusterState,
-                loader,
-                coldStart,
-                cancellations,
-                new CommandDispatcher.Listener() {
-                    @Override
-                    public void heartbeatReceived(Machine machine, Heartbeat report) {
-                        heartbeats.reconcile(machine, report, false);
-                    }
+        this.dispatcher = new CommandDispatcher(services, state, coldStart, new CommandDispatcher.Listener() {
+            @Override
+            public void heartbeatReceived(Machine machine, Heartbeat report) {
+                heartbeats.reconcile(machine, report, false);
+            }
 
-                    @Override
-                    public void launchUnacknowledged(FencingToken fencingToken) {
-                        if (fencingToken.equals(election.fencingToken())) {
-                            committer.requestTokenRotation();
-                        }
-                    }
+            @Override
+            public void launchUnacknowledged(FencingToken fencingToken) {
+                if (fencingToken.equals(election.fencingToken())) {
+                    committer.requestTokenRotation();
+                }
+            }
 
-                    @Override
-                    public void fencingRequested() {
-                        committer.requestUrgentTokenRotation();
-                    }
-                });
+            @Override
+            public void fencingRequested() {
+                committer.requestUrgentTokenRotation();
+            }
+        });
         DisruptionAccounting disruptions = new DisruptionAccounting(
                 context, settings, store, election, requests, writes, clusterState, drainBook != null);
         TaskEviction eviction = new TaskEviction(clusterState, dispatcher, disruptions);
         this.taskRemoval = new TaskRemoval(clusterState, eviction, lossRecovery);
         this.holds = new KeySetHolds(context, settings, clusterState, dispatcher, taskRemoval, keys);
         this.committer = new TransactionCommitter(
-                context,
-                settings,
-                store,
-                election,
-                requests,
-                writes,
+                services,
                 clusterState,
                 loader,
-                sizes,
                 changeLog,
                 holds,
                 peers::hasHeardAll,
@@ -214,10 +192,8 @@
         FaultTracker faultTracker = new FaultTracker(context, clusterState);
         JobOrdering ordering = new JobOrdering(context, settings, policy, clusterState, estimates);
         this.provisioner = new Provisioner(
-                context,
-                settings,
+                services,
                 policy,
-                election,
                 machineTypes,
                 clusterState,
                 ordering,
@@ -229,30 +205,10 @@
                 this::beganAnew);
         this.elastic = new ElasticWidths(
                 context, policy.elastic(), clusterState, machineTypes, estimates, eviction, taskRemoval);
-        this.heartbeats = new HeartbeatHandler(
-                context,
-                settings,
-                election,
-                clusterState,
-                loader,
-                machineTypes,
-                estimates,
-                taskRemoval,
-                faultTracker,
-                provisioner,
-                elastic,
-                cancellations,
-                dispatcher);
-        this.cancellationEnforcer = new CancellationEnforcer(
-                context,
-                settings,
-                clusterState,
-                dispatcher,
-                taskRemoval,
-                lossRecovery,
-                provisioner,
-                holds,
-                cancellations);
+        this.heartbeats =
+                new HeartbeatHandler(services, state, dispatcher, taskRemoval, faultTracker, provisioner, elastic);
+        this.cancellationEnforcer =
+                new CancellationEnforcer(services, state, dispatcher, taskRemoval, lossRecovery, provisioner, holds);
         this.admission = new Admission(context, settings, machineTypes, clusterState, faultTracker);
         this.releases = new ReleaseController(
                 context, store, election, requests, writes, clusterState, estimates, admission, releaseBook);
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -13,6 +13,7 @@
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.BoundedCollections;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
@@ -74,10 +75,8 @@
     private Predicate<MachineId> kept = h -> false;
 
     Provisioner(
-            ControllerContext context,
-            Settings settings,
+            ControllerServices services,
             Policy policy,
-            LeaderElection election,
             MachineTypeCatalog machineTypes,
             ClusterState clusterState,
             JobOrdering ordering,
@@ -88,16 +87,15 @@
             ColdStartRecovery coldStart,
             BiConsumer<Machine, Heartbeat> beganAnew) {
         this.coldStart = coldStart;
-        this.context = context;
-        this.election = election;
-        this.settings = settings;
+        this.context = services.context();
+        this.election = services.election();
+        this.settings = services.settings();
         this.policy = policy;
         this.machineTypes = machineTypes;
         this.clusterState = clusterState;
         this.faultTracker = faultTracker;
         this.taskRemoval = taskRemoval;
-        this.failureDetector = new FailureDetector(
-                context, settings, policy, election, clusterState, coldStart, lossRecovery, beganAnew);
+        this.failureDetector = new FailureDetector(services, policy, clusterState, coldStart, lossRecovery, beganAnew);
         this.lossRecovery = lossRecovery;
         this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8);
         this.scaleOut =
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -13,6 +13,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.store.ChangeLogSegment;
@@ -76,25 +77,21 @@
     private long watchRound;
 
     public StateLoader(
-            ControllerContext context,
-            StoreClient store,
-            LeaderElection election,
-            TokenBucket requests,
-            DurationEstimates estimates,
+            ControllerServices services,
             ClusterState clusterState,
+            DurationEstimates estimates,
             ChangeLog changeLog,
-            RecordSizes sizes,
             CancellationRegistry cancellations,
             Listener listener) {
-        this.cancellations = cancellations;
-        this.changeLog = changeLog;
-        this.sizes = sizes;
-        this.context = context;
-        this.store = store;
-        this.election = election;
-        this.requests = requests;
-        this.estimates = estimates;
+        this.context = services.context();
+        this.store = services.store();
+        this.election = services.election();
+        this.requests = services.requests();
+        this.sizes = services.recordSizes();
         this.clusterState = clusterState;
+        this.estimates = estimates;
+        this.changeLog = changeLog;
+        this.cancellations = cancellations;
         this.listener = listener;
     }
 
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Placement;
@@ -95,32 +96,25 @@
     private MonotonicTime nextCommit = MonotonicTime.ZERO;
     private MonotonicTime nextRelocation = MonotonicTime.ZERO;
 
-    /** @param logAllowed whether every node that may lead reads the log */
     public TransactionCommitter(
-            ControllerContext context,
-            Settings settings,
-            StoreClient store,
-            LeaderElection election,
-            TokenBucket requests,
-            TokenBucket writes,
+            ControllerServices services,
             ClusterState clusterState,
             StateLoader loader,
-            RecordSizes sizes,
             ChangeLog changeLog,
             CommitGuards guards,
             BooleanSupplier logAllowed,
             Listener listener) {
-        this.guards = guards;
-        this.context = context;
-        this.settings = settings;
-        this.store = store;
-        this.election = election;
-        this.requests = requests;
-        this.writes = writes;
+        this.context = services.context();
+        this.settings = services.settings();
+        this.store = services.store();
+        this.election = services.election();
+        this.requests = services.requests();
+        this.writes = services.writes();
+        this.sizes = services.recordSizes();
         this.clusterState = clusterState;
         this.loader = loader;
-        this.sizes = sizes;
         this.changeLog = changeLog;
+        this.guards = guards;
         this.logAllowed = logAllowed;
         this.listener = listener;
     }
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -3,9 +3,11 @@
 import java.util.ArrayList;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.state.CancellationRegistry;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.FencingToken;
@@ -46,24 +48,22 @@
     private MonotonicTime nextKills = MonotonicTime.ZERO;
 
     public CancellationEnforcer(
-            ControllerContext context,
-            Settings settings,
-            ClusterState clusterState,
+            ControllerServices services,
+            LeaderState state,
             CommandDispatcher dispatcher,
             TaskRemoval taskRemoval,
             LossRecovery lossRecovery,
             MachineReleases releases,
-            JobHolds holds,
-            CancellationRegistry cancellations) {
-        this.context = context;
-        this.settings = settings;
-        this.clusterState = clusterState;
+            JobHolds holds) {
+        this.context = services.context();
+        this.settings = services.settings();
+        this.clusterState = state.clusterState();
+        this.cancellations = state.cancellations();
         this.dispatcher = dispatcher;
         this.taskRemoval = taskRemoval;
         this.lossRecovery = lossRecovery;
         this.releases = releases;
         this.holds = holds;
-        this.cancellations = cancellations;
     }
 
     /** The job's cancellation is committed, whether its record has been read again or not. */
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -5,10 +5,12 @@
 import java.util.List;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.CancellationRegistry;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.StateLoader;
 import org.beechhoist.store.Placement;
@@ -53,21 +55,14 @@
     private final Listener listener;
 
     public CommandDispatcher(
-            ControllerContext context,
-            Settings settings,
-            LeaderElection election,
-            ClusterState clusterState,
-            StateLoader loader,
-            ColdStartRecovery coldStart,
-            CancellationRegistry cancellations,
-            Listener listener) {
-        this.cancellations = cancellations;
+            ControllerServices services, LeaderState state, ColdStartRecovery coldStart, Listener listener) {
+        this.context = services.context();
+        this.settings = services.settings();
+        this.election = services.election();
+        this.clusterState = state.clusterState();
+        this.loader = state.loader();
+        this.cancellations = state.cancellations();
         this.coldStart = coldStart;
-        this.context = context;
-        this.settings = settings;
-        this.election = election;
-        this.clusterState = clusterState;
-        this.loader = loader;
         this.listener = listener;
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -9,6 +9,7 @@
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Machine;
@@ -65,22 +66,20 @@
     private int probesInFlight;
 
     public FailureDetector(
-            ControllerContext context,
-            Settings settings,
+            ControllerServices services,
             Policy policy,
-            LeaderElection election,
             ClusterState clusterState,
             ColdStartRecovery coldStart,
             LossRecovery lossRecovery,
-            BiConsumer<Machine, Heartbeat> beganAnew) {
-        this.onRestart = beganAnew;
-        this.context = context;
-        this.settings = settings;
+            BiConsumer<Machine, Heartbeat> onRestart) {
+        this.context = services.context();
+        this.settings = services.settings();
+        this.election = services.election();
         this.policy = policy;
-        this.election = election;
         this.clusterState = clusterState;
         this.coldStart = coldStart;
         this.lossRecovery = lossRecovery;
+        this.onRestart = onRestart;
     }
 
     /** A new leadership begins. */
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -7,11 +7,13 @@
 import java.util.Set;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.CancellationRegistry;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineReachability;
 import org.beechhoist.controller.state.MachineTypeCatalog;
@@ -49,28 +51,22 @@
     private final CommandDispatcher dispatcher;
 
     public HeartbeatHandler(
-            ControllerContext context,
-            Settings settings,
-            LeaderElection election,
-            ClusterState clusterState,
-            StateLoader loader,
-            MachineTypeCatalog machineTypes,
-            DurationEstimates estimates,
+            ControllerServices services,
+            LeaderState state,
+            CommandDispatcher dispatcher,
             TaskRemoval taskRemoval,
             FaultTracker faultTracker,
             MachineReleases releases,
-            LaunchWithdrawal withdrawal,
-            CancellationRegistry cancellations,
-            CommandDispatcher direct) {
-        this.cancellations = cancellations;
-        this.dispatcher = direct;
-        this.context = context;
-        this.settings = settings;
-        this.election = election;
-        this.clusterState = clusterState;
-        this.loader = loader;
-        this.machineTypes = machineTypes;
-        this.estimates = estimates;
+            LaunchWithdrawal withdrawal) {
+        this.context = services.context();
+        this.settings = services.settings();
+        this.election = services.election();
+        this.clusterState = state.clusterState();
+        this.loader = state.loader();
+        this.machineTypes = state.machineTypes();
+        this.estimates = state.estimates();
+        this.cancellations = state.cancellations();
+        this.dispatcher = dispatcher;
         this.taskRemoval = taskRemoval;
         this.faultTracker = faultTracker;
         this.releases = releases;
--- a/src/main/java/org/beechhoist/peer/PeerCodec.java
+++ b/src/main/java/org/beechhoist/peer/PeerCodec.java
@@ -35,6 +35,7 @@
     private final Schema schema;
     private final byte[] fingerprint = new byte[FINGERPRINT];
 
+    /** Reads the schema {@code peer.avsc} and computes its fingerprint. */
     public PeerCodec() {
         try (InputStream in = PeerCodec.class.getResourceAsStream("/peer.avsc")) {
             schema = new Schema.Parser().parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
@@ -47,6 +48,7 @@
         }
     }
 
+    /** The message as it is sent: the schema's fingerprint, then the Avro record. */
     public byte[] encode(PeerState state) {
         GenericRecord record = new GenericData.Record(schema);
         record.put("node", state.node());
@@ -92,6 +94,11 @@
         return out.toByteArray();
     }
 
+    /**
+     * Reads a message.
+     *
+     * @throws MalformedMessageException if it has another schema, is too large or is no record
+     */
     public PeerState decode(byte[] bytes) throws MalformedMessageException {
         if (bytes.length < FINGERPRINT
                 || bytes.length > MAX_BYTES
--- a/src/main/java/org/beechhoist/store/ChangeLogSegment.java
+++ b/src/main/java/org/beechhoist/store/ChangeLogSegment.java
@@ -20,10 +20,12 @@
 public record ChangeLogSegment(long number, Map<JobId, TaskChanges> jobs) {
     public static final String PREFIX = "log/";
 
+    /** The key under which the segment in this slot is stored. */
     public static String key(int slot) {
         return PREFIX + String.format("%04d", slot);
     }
 
+    /** The segment as it is stored. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map().put("seq", number);
         ObjectNode all = node.putObject("jobs");
@@ -61,6 +63,11 @@
         private final List<Map<JobId, TaskChanges>> segments = new ArrayList<>();
         private int bytes;
 
+        /**
+         * Begins without segments.
+         *
+         * @param mostBytes the size that a segment may have
+         */
         public Writer(int mostBytes) {
             this.maxBytes = mostBytes;
         }
@@ -70,6 +77,7 @@
             return forEachPart(jobId, changes, (n, part) -> {});
         }
 
+        /** Adds the job's changes, which may take several segments. */
         public void add(JobId jobId, TaskChanges changes) {
             forEachPart(jobId, changes, (segment, part) -> {
                 if (segment > segments.size()) {
@@ -97,6 +105,7 @@
             return count;
         }
 
+        /** How many segments the changes added so far take. */
         public int segmentCount() {
             return segments.size();
         }
--- a/src/main/java/org/beechhoist/store/FleetSnapshot.java
+++ b/src/main/java/org/beechhoist/store/FleetSnapshot.java
@@ -43,6 +43,7 @@
     private static final int ROW = 7;
     private static final char SIZE = '#';
 
+    /** The key of a part. */
     public static String key(int part) {
         return PREFIX + String.format("%04d", part);
     }
@@ -57,6 +58,7 @@
         return count;
     }
 
+    /** The part that holds the machine, if the fleet is cut into so many. */
     public static int partOf(MachineId id, int parts) {
         return (int) (Hashing.xxh3_64().hashCharsToLong(id.text()) & (parts - 1));
     }
@@ -87,6 +89,7 @@
         return hash.getAsLong();
     }
 
+    /** The part as it is stored, with a checksum of its content. */
     public ObjectNode toNode() {
         Map<String, Integer> words = new LinkedHashMap<>();
         ObjectNode node = Codec.map()
--- a/src/main/java/org/beechhoist/store/JobRecord.java
+++ b/src/main/java/org/beechhoist/store/JobRecord.java
@@ -46,6 +46,7 @@
 
     public RecordSizes sizes = RecordSizes.DEFAULT;
 
+    /** The record of a job that has just been accepted. */
     public JobRecord(JobSpec spec, long submittedWallMs) {
         this.spec = spec;
         this.width = spec.width() == null
@@ -54,26 +55,32 @@
         this.submittedWallMs = submittedWallMs;
     }
 
+    /** The key of an open job's record. */
     public static String openKey(JobId jobId) {
         return OPEN_PREFIX + jobId.text();
     }
 
+    /** The key of an ended job's final state. */
     public static String endedKey(JobId jobId) {
         return ENDED_PREFIX + jobId.text();
     }
 
+    /** Whether its cancellation was accepted. */
     public boolean isCancelled() {
         return cancelledAtWallMs > 0;
     }
 
+    /** Whether all of its tasks are done. A service never is. */
     public boolean isComplete() {
         return !spec.isService() && done.size() == spec.tasks();
     }
 
+    /** Whether its live tasks are stored apart from the record, in chunks. */
     public boolean isChunked() {
         return spec.tasks() > sizes.inlineTasks();
     }
 
+    /** The key of the chunk that holds this task. */
     public String chunkKey(int task) {
         return openKey(spec.id()) + "/" + String.format("%04d", task / sizes.chunkTasks());
     }
@@ -124,6 +131,11 @@
                 .add(placement.placedS);
     }
 
+    /**
+     * The job's final state as it is stored and answered.
+     *
+     * @param state {@code done} or {@code cancelled}
+     */
     public ObjectNode finalStateNode(String state) {
         ObjectNode n = Codec.map().put("status", state).put("done", done.size());
         return spec.origin() == null ? n : n.put("origin", spec.origin());
@@ -134,6 +146,7 @@
         return node != null && node.hasNonNull("status") && !node.has("spec");
     }
 
+    /** Reads a record's own value; chunks are added with {@link #addLiveTasks}. */
     public static JobRecord parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject() || node.get("spec") == null) {
             throw new MalformedMessageException("not a job record");
@@ -183,6 +196,7 @@
         return out;
     }
 
+    /** How many of its tasks are neither done nor on a machine. */
     public int waitingCount() {
         return spec.tasks() - done.size() - live.size();
     }
--- a/src/main/java/org/beechhoist/store/Placement.java
+++ b/src/main/java/org/beechhoist/store/Placement.java
@@ -42,6 +42,7 @@
 
     public long fetchMs;
 
+    /** A placement that is not committed yet. */
     public Placement(TaskId task, long attempt, MachineId machine) {
         this.task = task;
         this.attempt = attempt;
--- a/src/main/java/org/beechhoist/store/StoreClient.java
+++ b/src/main/java/org/beechhoist/store/StoreClient.java
@@ -8,12 +8,15 @@
 import java.util.function.Consumer;
 import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.Codec;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 import org.beechhoist.wire.ServiceCalls;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service's calls. It counts nothing against budgets: callers do, for they know what may wait. */
+/**
+ * The client of the state service. It takes no tokens for its requests: callers do, for they know which may wait.
+ */
 public final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final long TIMEOUT_MS = 2000;
@@ -28,6 +31,7 @@
 
     /** One page of a listing, or null items where it failed. */
     public record Page(List<KeyValue> items, boolean more, Revision revision) {
+        /** Whether the page could be read. */
         public boolean isOk() {
             return items != null;
         }
@@ -51,6 +55,7 @@
     private final ServiceCalls calls;
     private boolean unexpectedLogged;
 
+    /** A client that makes its calls through {@code calls}. */
     public StoreClient(ServiceCalls calls) {
         this.calls = calls;
     }
@@ -65,7 +70,7 @@
         }
     }
 
-    private static KeyValue item(JsonNode node) throws org.beechhoist.wire.MalformedMessageException {
+    private static KeyValue item(JsonNode node) throws MalformedMessageException {
         return new KeyValue(
                 Codec.text(node, "path"),
                 node.get("data"),
@@ -73,10 +78,11 @@
                 Codec.isAbsent(node, "hold") ? 0 : Codec.wholeNumber(node, "hold", 0, Long.MAX_VALUE));
     }
 
-    private static Revision revision(JsonNode node) throws org.beechhoist.wire.MalformedMessageException {
+    private static Revision revision(JsonNode node) throws MalformedMessageException {
         return new Revision(Codec.wholeNumber(node, "ledgerRev", 0, Long.MAX_VALUE));
     }
 
+    /** Reads one key. */
     public void get(String key, Consumer<ReadResult> then) {
         calls.call(ServiceCalls.Target.STATE, null, "GET", "/store/" + key, null, TIMEOUT_MS, result -> {
             ReadResult read = ReadResult.UNKNOWN;
@@ -89,13 +95,18 @@
                     // A 404 without the service's own body could come from something else on the way.
                     read = new ReadResult(true, null);
                 }
-            } catch (org.beechhoist.wire.MalformedMessageException e) {
+            } catch (MalformedMessageException e) {
                 logUnexpected("a read", result);
             }
             then.accept(read);
         });
     }
 
+    /**
+     * Reads a page of the keys with this prefix, in order.
+     *
+     * @param after the last key of the page before, or null for the first page
+     */
     public void list(String prefix, String after, int limit, Consumer<Page> then) {
         String path = "/store?prefix=" + prefix + (after == null ? "" : "&after=" + after) + "&limit=" + limit;
         calls.call(ServiceCalls.Target.STATE, null, "GET", path, null, 5000, result -> {
@@ -108,13 +119,14 @@
                     }
                     page = new Page(items, Codec.bool(result.body(), "more"), revision(result.body()));
                 }
-            } catch (org.beechhoist.wire.MalformedMessageException e) {
+            } catch (MalformedMessageException e) {
                 logUnexpected("a listing", result);
             }
             then.accept(page);
         });
     }
 
+    /** Sends a transaction: all of its changes are made if each of its guards holds, or none. */
     public void commit(Transaction transaction, Consumer<CommitResult> then) {
         calls.call(
                 ServiceCalls.Target.STATE,
@@ -147,7 +159,7 @@
                 }
                 result = lease ? CommitResult.Outcome.LEASE_EXPIRED : CommitResult.Outcome.REJECTED;
             }
-        } catch (org.beechhoist.wire.MalformedMessageException e) {
+        } catch (MalformedMessageException e) {
             logUnexpected("a transaction", answer);
             result = CommitResult.Outcome.UNKNOWN;
         }
@@ -169,14 +181,21 @@
                                 : 0L));
     }
 
+    /** Extends a lease by its time to live. */
     public void extendLease(long lease, Consumer<CallResult> then) {
         calls.call(ServiceCalls.Target.STATE, null, "POST", "/leases/" + lease + "/extend", Codec.map(), 1000, then);
     }
 
+    /** Ends a lease, and with it the keys it holds. Nobody waits for the answer. */
     public void revokeLease(long lease) {
         calls.call(ServiceCalls.Target.STATE, null, "DELETE", "/leases/" + lease, null, TIMEOUT_MS, o -> {});
     }
 
+    /**
+     * Asks for the changes of keys with this prefix, made after a revision.
+     *
+     * @param holdMs how long the state service may wait for the first change before it answers with none
+     */
     public void watch(String prefix, Revision after, long holdMs, Consumer<WatchResult> then) {
         String path = "/changes?prefix=" + prefix + "&after=" + after.value() + "&holdMs=" + holdMs;
         calls.call(ServiceCalls.Target.STATE, null, "GET", path, null, holdMs + 3000, result -> {
@@ -197,7 +216,7 @@
                 } else if (result.hasStatus(200)) {
                     out = new WatchResult(0, null, after);
                 }
-            } catch (org.beechhoist.wire.MalformedMessageException e) {
+            } catch (MalformedMessageException e) {
                 logUnexpected("a watch", result);
                 out = new WatchResult(0, null, after);
             }
--- a/src/main/java/org/beechhoist/store/TaskChanges.java
+++ b/src/main/java/org/beechhoist/store/TaskChanges.java
@@ -21,6 +21,7 @@
         long nextAttempt, List<Placement> placed, List<Integer> removed, TaskSet done, boolean replacesEarlier) {
     private static final int STRIDE = 4;
 
+    /** Whether nothing changed. */
     public boolean isEmpty() {
         return placed.isEmpty() && removed.isEmpty() && done.size() == 0;
     }
--- a/src/main/java/org/beechhoist/store/TaskSet.java
+++ b/src/main/java/org/beechhoist/store/TaskSet.java
@@ -22,6 +22,7 @@
 
     private final RoaringBitmap bits;
 
+    /** An empty set. */
     public TaskSet() {
         this(new RoaringBitmap());
     }
@@ -30,14 +31,17 @@
         this.bits = bits;
     }
 
+    /** How many tasks are in it. */
     public int size() {
         return bits.getCardinality();
     }
 
+    /** Whether the task is in it. */
     public boolean contains(int task) {
         return bits.contains(task);
     }
 
+    /** Adds the task; returns whether it was not in the set. */
     public boolean add(int task) {
         return bits.checkedAdd(task);
     }
--- a/src/main/java/org/beechhoist/store/TokenBucket.java
+++ b/src/main/java/org/beechhoist/store/TokenBucket.java
@@ -10,6 +10,11 @@
     private MonotonicTime last = MonotonicTime.ZERO;
     private double demand;
 
+    /**
+     * A full bucket.
+     *
+     * @param rate tokens per second
+     */
     public TokenBucket(double rate) {
         this.rate = rate;
         this.capacity = Math.max(1, rate);
@@ -28,6 +33,7 @@
         return capacity;
     }
 
+    /** Tokens per second. */
     public double rate() {
         return rate;
     }
@@ -57,6 +63,7 @@
         return tokens;
     }
 
+    /** Takes so many tokens if they are there; returns whether they were. */
     public boolean tryTake(MonotonicTime now, double amount) {
         refill(now);
         demand += amount;
@@ -67,6 +74,7 @@
         return true;
     }
 
+    /** Takes so many tokens even if they are not there, down to one second's worth below zero. */
     public void takeOrOverdraw(MonotonicTime now, double amount) {
         refill(now);
         demand += amount;
--- a/src/main/java/org/beechhoist/store/WidthRecord.java
+++ b/src/main/java/org/beechhoist/store/WidthRecord.java
@@ -16,6 +16,7 @@
         target = Math.max(allowed.min(), Math.min(allowed.max(), target));
     }
 
+    /** The same with another target, brought within what the user allows. */
     public WidthRecord withTarget(int width) {
         return new WidthRecord(allowed, number, width);
     }
@@ -25,10 +26,12 @@
         return allowed.max() == 0;
     }
 
+    /** The width as it is stored. */
     public ObjectNode toNode() {
         return allowed.toNode().put("number", number).put("target", target);
     }
 
+    /** Reads a stored width. */
     public static WidthRecord parse(JsonNode node) throws MalformedMessageException {
         return new WidthRecord(Width.parse(node, "width"), Codec.wholeNumber(node, "number", 0, Long.MAX_VALUE), (int)
                 Codec.wholeNumber(node, "target", 0, Integer.MAX_VALUE));
--- a/src/main/java/org/beechhoist/wire/ApiClient.java
+++ b/src/main/java/org/beechhoist/wire/ApiClient.java
@@ -22,22 +22,31 @@
             .connectTimeout(Duration.ofSeconds(1))
             .build();
 
+    /**
+     * Talks to these nodes, the first one first.
+     *
+     * @param nodes the public addresses of controllers, of which any may answer
+     */
     public ApiClient(List<InetSocketAddress> nodes) {
         this.nodes = List.copyOf(nodes);
     }
 
+    /** Submits a job. Repeating it is safe: a known job id answers with the job's state. */
     public Answer submit(JobSpec spec) throws IOException {
         return call("POST", "/v1/jobs", Codec.encode(spec.toNode()));
     }
 
+    /** Asks for a job's state. */
     public Answer status(JobId jobId) throws IOException {
         return call("GET", "/v1/jobs/" + jobId, null);
     }
 
+    /** Cancels a job. Repeating it is safe. */
     public Answer cancel(JobId jobId) throws IOException {
         return call("POST", "/v1/jobs/" + jobId + "/cancel", new byte[0]);
     }
 
+    /** Changes how many of a job's tasks may be on machines at once. */
     public Answer resize(JobId jobId, ResizeRequest resize) throws IOException {
         return call("POST", "/v1/jobs/" + jobId + "/width", Codec.encode(resize.toNode()));
     }
--- a/src/main/java/org/beechhoist/wire/Codec.java
+++ b/src/main/java/org/beechhoist/wire/Codec.java
@@ -23,10 +23,12 @@
 
     private Codec() {}
 
+    /** An empty map. */
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** An empty list. */
     public static ArrayNode list() {
         return JsonNodeFactory.instance.arrayNode();
     }
@@ -36,6 +38,7 @@
         return value.toString().getBytes(StandardCharsets.UTF_8).length;
     }
 
+    /** The tree as CBOR. */
     public static byte[] encode(JsonNode node) {
         try {
             return CBOR.writeValueAsBytes(node);
@@ -58,11 +61,17 @@
         return node;
     }
 
+    /** Whether the field is missing or null. */
     public static boolean isAbsent(JsonNode node, String field) {
         JsonNode v = node.get(field);
         return v == null || v.isNull();
     }
 
+    /**
+     * The field's text.
+     *
+     * @throws MalformedMessageException if it is missing or no text
+     */
     public static String text(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || !value.isTextual()) {
@@ -71,6 +80,11 @@
         return value.textValue();
     }
 
+    /**
+     * The field's truth value.
+     *
+     * @throws MalformedMessageException if it is missing or neither true nor false
+     */
     public static boolean bool(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || !value.isBoolean()) {
@@ -106,6 +120,11 @@
         return value;
     }
 
+    /**
+     * The value as a list of texts.
+     *
+     * @param field names it in the exception's message
+     */
     public static List<String> textList(JsonNode value, String field) throws MalformedMessageException {
         if (value == null || !value.isArray()) {
             throw new MalformedMessageException(field + ": list expected");
--- a/src/main/java/org/beechhoist/wire/FencingToken.java
+++ b/src/main/java/org/beechhoist/wire/FencingToken.java
@@ -1,7 +1,11 @@
 package org.beechhoist.wire;
 
-/** The fencing token workers check: the revision of the commit that made somebody leader. */
+/**
+ * The fencing token that workers check: the revision of the commit that made somebody leader. Workers refuse commands
+ * with a token older than the newest they have seen.
+ */
 public record FencingToken(long value) implements Comparable<FencingToken> {
+    /** Older than every token. */
     public static final FencingToken NONE = new FencingToken(0);
 
     @Override
--- a/src/main/java/org/beechhoist/wire/Heartbeat.java
+++ b/src/main/java/org/beechhoist/wire/Heartbeat.java
@@ -1,10 +1,33 @@
 package org.beechhoist.wire;
 
+import static org.beechhoist.wire.ProtocolFields.ATTEMPT;
+import static org.beechhoist.wire.ProtocolFields.CHECKPOINT_STORED;
+import static org.beechhoist.wire.ProtocolFields.EPOCH;
+import static org.beechhoist.wire.ProtocolFields.EXIT_CAUSE;
+import static org.beechhoist.wire.ProtocolFields.FENCING_TOKEN;
+import static org.beechhoist.wire.ProtocolFields.MACHINE;
+import static org.beechhoist.wire.ProtocolFields.MACHINE_TYPE;
+import static org.beechhoist.wire.ProtocolFields.PREEMPTION_NOTICE_S;
+import static org.beechhoist.wire.ProtocolFields.SEQUENCE;
+import static org.beechhoist.wire.ProtocolFields.SPOT;
+import static org.beechhoist.wire.ProtocolFields.TASK;
+import static org.beechhoist.wire.ProtocolFields.TASK_COUNT;
+import static org.beechhoist.wire.ProtocolFields.TASK_STATE;
+import static org.beechhoist.wire.ProtocolFields.ZONE;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report: the body of {@code POST /checkin} and of the answers of {@code /orders} and {@code /show}. */
+/**
+ * A worker's heartbeat with the status of its tasks: the body of {@code POST /checkin}, and of the answers to commands ({@code
+ * /orders}) and probes ({@code /show}).
+ *
+ * @param epoch the worker's incarnation: larger after each of its leases has expired
+ * @param sequence the number of this message within the epoch
+ * @param fencingToken the newest token that the worker has seen
+ * @param preemptionNoticeS how long until the cloud takes the machine back, or null without a notice
+ */
 public record Heartbeat(
         MachineId machine,
         String address,
@@ -21,59 +44,77 @@
 
     /** What a worker says of a task. */
     public enum TaskState {
+        /** Its image is being fetched. */
         FETCHING,
+        /** It runs. */
         RUNNING,
+        /** It was killed and saves its state. */
         SAVING,
+        /** It has ended; {@link TaskStatus#cause} says why. */
         EXITED,
+        /** A state that this version does not know: the task is there. */
         OTHER
     }
 
+    private static final int MAX_MACHINE_ID = 200;
+
+    /** Reads the body of {@code POST /checkin}, or of a worker's answer to commands and probes. */
     public static Heartbeat parse(JsonNode node) throws MalformedMessageException {
         List<TaskStatus> tasks = new ArrayList<>();
-        JsonNode pieces = node.get("pieces");
+        JsonNode pieces = node.get(TASK_COUNT);
         if (pieces == null || !pieces.isArray()) {
             throw new MalformedMessageException("pieces: list expected");
         }
         for (JsonNode piece : pieces) {
-            TaskId id = TaskId.parse(Codec.text(piece, "piece"));
-            if (id == null) {
-                throw new MalformedMessageException("piece: not a task id");
-            }
-            TaskState state =
-                    switch (Codec.text(piece, "status")) {
-                        case "fetching" -> TaskState.FETCHING;
-                        case "running" -> TaskState.RUNNING;
-                        case "saving" -> TaskState.SAVING;
-                        case "exited" -> TaskState.EXITED;
-                        default -> TaskState.OTHER;
-                    };
-            JsonNode stored = piece.get("stored");
-            tasks.add(new TaskStatus(
-                    id,
-                    Codec.wholeNumber(piece, "try", 0, Long.MAX_VALUE),
-                    state,
-                    Codec.isAbsent(piece, "cause") ? null : Codec.text(piece, "cause"),
-                    stored != null && stored.asBoolean(false)));
+            tasks.add(parseTask(piece));
         }
-        String machine = Codec.text(node, "host");
-        if (machine.isEmpty() || machine.length() > 200) {
+        String machine = Codec.text(node, MACHINE);
+        if (machine.isEmpty() || machine.length() > MAX_MACHINE_ID) {
             throw new MalformedMessageException("host: 1 to 200 characters expected");
         }
         return new Heartbeat(
                 new MachineId(machine),
                 Codec.text(node, "address"),
-                Codec.text(node, "hosttype"),
-                Codec.text(node, "yard"),
-                Codec.bool(node, "loaner"),
-                Codec.wholeNumber(node, "shift", 0, Long.MAX_VALUE),
-                Codec.wholeNumber(node, "counter", 0, Long.MAX_VALUE),
+                Codec.text(node, MACHINE_TYPE),
+                Codec.text(node, ZONE),
+                Codec.bool(node, SPOT),
+                Codec.wholeNumber(node, EPOCH, 0, Long.MAX_VALUE),
+                Codec.wholeNumber(node, SEQUENCE, 0, Long.MAX_VALUE),
                 new FencingToken(
-                        Codec.isAbsent(node, "baton") ? 0 : Codec.wholeNumber(node, "baton", 0, Long.MAX_VALUE)),
-                Codec.isAbsent(node, "warningS") ? null : Codec.number(node, "warningS", 0),
+                        Codec.isAbsent(node, FENCING_TOKEN)
+                                ? 0
+                                : Codec.wholeNumber(node, FENCING_TOKEN, 0, Long.MAX_VALUE)),
+                Codec.isAbsent(node, PREEMPTION_NOTICE_S) ? null : Codec.number(node, PREEMPTION_NOTICE_S, 0),
                 tasks);
     }
 
-    public boolean isNewerThan(long otherShift, long otherCounter) {
-        return epoch > otherShift || (epoch == otherShift && sequence > otherCounter);
+    private static TaskStatus parseTask(JsonNode node) throws MalformedMessageException {
+        TaskId id = TaskId.parse(Codec.text(node, TASK));
+        if (id == null) {
+            throw new MalformedMessageException("piece: not a task id");
+        }
+        JsonNode stored = node.get(CHECKPOINT_STORED);
+        TaskState state = parseState(Codec.text(node, TASK_STATE));
+        return new TaskStatus(
+                id,
+                Codec.wholeNumber(node, ATTEMPT, 0, Long.MAX_VALUE),
+                state,
+                Codec.isAbsent(node, EXIT_CAUSE) ? null : Codec.text(node, EXIT_CAUSE),
+                stored != null && stored.asBoolean(false));
+    }
+
+    private static TaskState parseState(String text) {
+        return switch (text) {
+            case "fetching" -> TaskState.FETCHING;
+            case "running" -> TaskState.RUNNING;
+            case "saving" -> TaskState.SAVING;
+            case "exited" -> TaskState.EXITED;
+            default -> TaskState.OTHER;
+        };
+    }
+
+    /** Whether the worker sent it after the message with this epoch and sequence number. */
+    public boolean isNewerThan(long otherEpoch, long otherSequence) {
+        return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
     }
 }
--- a/src/main/java/org/beechhoist/wire/JobId.java
+++ b/src/main/java/org/beechhoist/wire/JobId.java
@@ -4,6 +4,7 @@
 public record JobId(String text) implements Comparable<JobId> {
     private static final int MAX_DIGITS = 40;
 
+    /** Whether the text has the form of a job id: {@code job-} and 1 to 40 digits. */
     public static boolean isValid(String text) {
         if (text == null || !text.startsWith("job-") || text.length() < 5 || text.length() > 4 + MAX_DIGITS) {
             return false;
--- a/src/main/java/org/beechhoist/wire/JobSpec.java
+++ b/src/main/java/org/beechhoist/wire/JobSpec.java
@@ -1,5 +1,32 @@
 package org.beechhoist.wire;
 
+import static org.beechhoist.wire.ProtocolFields.ANTI_AFFINITY;
+import static org.beechhoist.wire.ProtocolFields.CHECKPOINT_COST_S;
+import static org.beechhoist.wire.ProtocolFields.CHECKPOINT_EVERY_S;
+import static org.beechhoist.wire.ProtocolFields.CPUS;
+import static org.beechhoist.wire.ProtocolFields.DEADLINE_S;
+import static org.beechhoist.wire.ProtocolFields.ESTIMATE_S;
+import static org.beechhoist.wire.ProtocolFields.GPUS;
+import static org.beechhoist.wire.ProtocolFields.IDEMPOTENCY_KEY;
+import static org.beechhoist.wire.ProtocolFields.IMAGE;
+import static org.beechhoist.wire.ProtocolFields.IMAGE_GB;
+import static org.beechhoist.wire.ProtocolFields.JOB_CLASS;
+import static org.beechhoist.wire.ProtocolFields.JOB_ID;
+import static org.beechhoist.wire.ProtocolFields.KEY_SET;
+import static org.beechhoist.wire.ProtocolFields.KEY_SET_BINDING;
+import static org.beechhoist.wire.ProtocolFields.MACHINE_TYPES;
+import static org.beechhoist.wire.ProtocolFields.MEMORY_GB;
+import static org.beechhoist.wire.ProtocolFields.ORIGIN;
+import static org.beechhoist.wire.ProtocolFields.PRIORITY;
+import static org.beechhoist.wire.ProtocolFields.RELEASE;
+import static org.beechhoist.wire.ProtocolFields.SAME_ZONE;
+import static org.beechhoist.wire.ProtocolFields.SHAPE;
+import static org.beechhoist.wire.ProtocolFields.SPOT;
+import static org.beechhoist.wire.ProtocolFields.TASK_COUNT;
+import static org.beechhoist.wire.ProtocolFields.TEAM;
+import static org.beechhoist.wire.ProtocolFields.WIDTH;
+import static org.beechhoist.wire.ProtocolFields.ZONE;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -58,71 +85,80 @@
         }
     }
 
+    /** The most tasks that a job may have. */
     public static final int MAX_TASKS = 100_000;
+
     private static final int MAX_NAME = 200;
 
+    /** Reads the body of {@code POST /v1/jobs}, or the description within a stored record. */
     public static JobSpec parse(JsonNode node) throws MalformedMessageException {
-        String ref = Codec.text(node, "ref");
+        String ref = Codec.text(node, JOB_ID);
         if (!JobId.isValid(ref)) {
             throw new MalformedMessageException("ref: job- and digits expected");
         }
-        Shape shape = Shape.parse(Codec.text(node, "shape"));
-        if (!Codec.isAbsent(node, "width") && shape != Shape.ARRAY) {
+        Shape shape = Shape.parse(Codec.text(node, SHAPE));
+        checkWidthAllowed(node, shape);
+        return new JobSpec(
+                new JobId(ref),
+                name(node, JOB_CLASS),
+                name(node, TEAM),
+                shape,
+                Priority.parse(Codec.text(node, PRIORITY)),
+                (int) Codec.wholeNumber(node, TASK_COUNT, 1, MAX_TASKS),
+                Codec.number(node, CPUS, 0),
+                Codec.number(node, GPUS, 0),
+                Codec.number(node, MEMORY_GB, 0),
+                name(node, IMAGE),
+                Codec.number(node, IMAGE_GB, 0),
+                Codec.isAbsent(node, MACHINE_TYPES) ? null : Codec.textList(node.get(MACHINE_TYPES), MACHINE_TYPES),
+                optionalName(node, ZONE),
+                Codec.bool(node, SAME_ZONE),
+                Codec.bool(node, ANTI_AFFINITY),
+                Codec.bool(node, SPOT),
+                Codec.number(node, ESTIMATE_S, 0),
+                Codec.number(node, CHECKPOINT_EVERY_S, 0),
+                Codec.number(node, CHECKPOINT_COST_S, 0),
+                Codec.isAbsent(node, DEADLINE_S) ? null : Codec.number(node, DEADLINE_S, 0),
+                Codec.isAbsent(node, WIDTH) ? null : Width.parse(node.get(WIDTH), WIDTH),
+                optionalName(node, IDEMPOTENCY_KEY),
+                optionalName(node, ORIGIN),
+                optionalName(node, KEY_SET),
+                Codec.isAbsent(node, KEY_SET_BINDING) ? null : KeySetBinding.parse(node.get(KEY_SET_BINDING)),
+                optionalName(node, RELEASE));
+    }
+
+    private static void checkWidthAllowed(JsonNode node, Shape shape) throws MalformedMessageException {
+        if (!Codec.isAbsent(node, WIDTH) && shape != Shape.ARRAY) {
             throw new MalformedMessageException("width: only an array may carry one; "
                     + (shape == Shape.GANG
                             ? "a gang's tasks start together"
                             : "a standing job's replicas are resized once it is accepted"));
         }
-        List<String> types =
-                Codec.isAbsent(node, "hosttypes") ? null : Codec.textList(node.get("hosttypes"), "hosttypes");
-        return new JobSpec(
-                new JobId(ref),
-                name(node, "jobclass"),
-                name(node, "owner"),
-                shape,
-                Priority.parse(Codec.text(node, "urgency")),
-                (int) Codec.wholeNumber(node, "pieces", 1, MAX_TASKS),
-                Codec.number(node, "cores", 0),
-                Codec.number(node, "accelerators", 0),
-                Codec.number(node, "memGb", 0),
-                name(node, "bundle"),
-                Codec.number(node, "pullGb", 0),
-                types,
-                Codec.isAbsent(node, "yard") ? null : name(node, "yard"),
-                Codec.bool(node, "samePlace"),
-                Codec.bool(node, "apart"),
-                Codec.bool(node, "loaner"),
-                Codec.number(node, "guessS", 0),
-                Codec.number(node, "snapshotEveryS", 0),
-                Codec.number(node, "snapshotCostS", 0),
-                Codec.isAbsent(node, "dueS") ? null : Codec.number(node, "dueS", 0),
-                Codec.isAbsent(node, "width") ? null : Width.parse(node.get("width"), "width"),
-                Codec.isAbsent(node, "onceKey") ? null : name(node, "onceKey"),
-                Codec.isAbsent(node, "origin") ? null : name(node, "origin"),
-                Codec.isAbsent(node, "keySet") ? null : name(node, "keySet"),
-                Codec.isAbsent(node, "pin") ? null : KeySetBinding.parse(node.get("pin")),
-                Codec.isAbsent(node, "release") ? null : name(node, "release"));
     }
 
     /** A job as a person describes it: what is left out has a default. */
     public static ObjectNode withDefaults(JsonNode given) {
         ObjectNode all = Codec.map()
-                .put("jobclass", "any")
-                .put("shape", "array")
-                .put("urgency", "normal")
-                .put("pieces", 1)
-                .put("accelerators", 0)
-                .put("pullGb", 0)
-                .put("samePlace", false)
-                .put("apart", false)
-                .put("loaner", true)
-                .put("guessS", 60)
-                .put("snapshotEveryS", 0)
-                .put("snapshotCostS", 0);
+                .put(JOB_CLASS, "any")
+                .put(SHAPE, "array")
+                .put(PRIORITY, "normal")
+                .put(TASK_COUNT, 1)
+                .put(GPUS, 0)
+                .put(IMAGE_GB, 0)
+                .put(SAME_ZONE, false)
+                .put(ANTI_AFFINITY, false)
+                .put(SPOT, true)
+                .put(ESTIMATE_S, 60)
+                .put(CHECKPOINT_EVERY_S, 0)
+                .put(CHECKPOINT_COST_S, 0);
         given.fields().forEachRemaining(e -> all.set(e.getKey(), e.getValue()));
         return all;
     }
 
+    private static String optionalName(JsonNode node, String field) throws MalformedMessageException {
+        return Codec.isAbsent(node, field) ? null : name(node, field);
+    }
+
     private static String name(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
         if (text.length() > MAX_NAME) {
@@ -131,76 +167,89 @@
         return text;
     }
 
+    /** The description in the protocol's field names, as it is sent and stored. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map();
-        node.put("ref", id.text())
-                .put("jobclass", jobClass)
-                .put("owner", team)
-                .put("shape", shape.text)
-                .put("urgency", priority.text())
-                .put("pieces", tasks)
-                .put("cores", cpus)
-                .put("accelerators", gpus)
-                .put("memGb", memGb)
-                .put("bundle", image)
-                .put("pullGb", imageGb);
+        node.put(JOB_ID, id.text())
+                .put(JOB_CLASS, jobClass)
+                .put(TEAM, team)
+                .put(SHAPE, shape.text)
+                .put(PRIORITY, priority.text())
+                .put(TASK_COUNT, tasks)
+                .put(CPUS, cpus)
+                .put(GPUS, gpus)
+                .put(MEMORY_GB, memGb)
+                .put(IMAGE, image)
+                .put(IMAGE_GB, imageGb);
         if (machineTypes == null) {
-            node.putNull("hosttypes");
+            node.putNull(MACHINE_TYPES);
         } else {
-            ArrayNode types = node.putArray("hosttypes");
+            ArrayNode types = node.putArray(MACHINE_TYPES);
             machineTypes.forEach(types::add);
         }
-        node.put("yard", zone)
-                .put("samePlace", sameZone)
-                .put("apart", antiAffinity)
-                .put("loaner", spot)
-                .put("guessS", estimateS)
-                .put("snapshotEveryS", checkpointEveryS)
-                .put("snapshotCostS", checkpointCostS)
-                .put("dueS", deadlineS);
+        node.put(ZONE, zone)
+                .put(SAME_ZONE, sameZone)
+                .put(ANTI_AFFINITY, antiAffinity)
+                .put(SPOT, spot)
+                .put(ESTIMATE_S, estimateS)
+                .put(CHECKPOINT_EVERY_S, checkpointEveryS)
+                .put(CHECKPOINT_COST_S, checkpointCostS)
+                .put(DEADLINE_S, deadlineS);
+        putOptionalFields(node);
+        return node;
+    }
+
+    private void putOptionalFields(ObjectNode node) {
         if (width != null) {
-            node.set("width", width.toNode());
+            node.set(WIDTH, width.toNode());
         }
         if (idempotencyKey != null) {
-            node.put("onceKey", idempotencyKey);
+            node.put(IDEMPOTENCY_KEY, idempotencyKey);
         }
         if (origin != null) {
-            node.put("origin", origin);
+            node.put(ORIGIN, origin);
         }
         if (keySet != null) {
-            node.put("keySet", keySet);
+            node.put(KEY_SET, keySet);
         }
         if (keySetBinding != null) {
-            node.set("pin", keySetBinding.toNode());
+            node.set(KEY_SET_BINDING, keySetBinding.toNode());
         }
         if (release != null) {
-            node.put("release", release);
+            node.put(RELEASE, release);
         }
-        return node;
     }
 
+    /** The same job without a width of its own. */
     public JobSpec withoutWidth() {
         return width == null ? this : with(null, idempotencyKey, origin, keySet, keySetBinding);
     }
 
+    /** The same job without its idempotency key. */
     public JobSpec withoutIdempotencyKey() {
         return idempotencyKey == null ? this : with(width, null, origin, keySet, keySetBinding);
     }
 
-    /** Where it comes from: a table, line and hour, or null for a user's own submission. */
+    /**
+     * The same job, submitted by a schedule.
+     *
+     * @param from the table, line and time that it comes from; null for a user's own submission
+     */
     public JobSpec withOrigin(String where) {
         return with(width, idempotencyKey, where, keySet, keySetBinding);
     }
 
-    /** Bound to what its key set holds, or to none. */
+    /** The same job bound to this version of its key set, or to none. */
     public JobSpec withKeySetBinding(KeySetBinding to) {
         return with(width, idempotencyKey, origin, keySet, to);
     }
 
+    /** The same job without a key set and without a binding to one. */
     public JobSpec withoutKeySet() {
         return keySet == null && keySetBinding == null ? this : with(width, idempotencyKey, origin, null, null);
     }
 
+    /** The same job, counted for no release. */
     public JobSpec withoutRelease() {
         return release == null ? this : with(width, idempotencyKey, origin, keySet, keySetBinding, null);
     }
@@ -239,14 +288,17 @@
                 ships);
     }
 
+    /** Whether its tasks run until they are stopped. */
     public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
+    /** Whether its tasks start together or not at all (gang scheduling). */
     public boolean isGang() {
         return shape == Shape.GANG;
     }
 
+    /** Whether one of its tasks fits on an empty machine of this type, and the type is among those it names. */
     public boolean fitsType(MachineType type) {
         return (machineTypes == null || machineTypes.contains(type.name()))
                 && cpus <= type.cpus()
--- a/src/main/java/org/beechhoist/wire/MachineId.java
+++ b/src/main/java/org/beechhoist/wire/MachineId.java
@@ -1,6 +1,6 @@
 package org.beechhoist.wire;
 
-/** A machine's name, as the cloud gave it. */
+/** A machine's id, as the cloud gave it. */
 public record MachineId(String text) implements Comparable<MachineId> {
     @Override
     public int compareTo(MachineId other) {
--- a/src/main/java/org/beechhoist/wire/MonotonicTime.java
+++ b/src/main/java/org/beechhoist/wire/MonotonicTime.java
@@ -1,17 +1,21 @@
 package org.beechhoist.wire;
 
-/** A moment on this process's steady clock, in milliseconds. Never compared across processes. */
+/** A time on this process's monotonic clock, in milliseconds. Times of two processes can't be compared. */
 public record MonotonicTime(long ms) implements Comparable<MonotonicTime> {
+    /** Before every time of the clock; stands for "never". */
     public static final MonotonicTime ZERO = new MonotonicTime(0);
 
+    /** The time so many milliseconds later. */
     public MonotonicTime plusMs(long delta) {
         return new MonotonicTime(ms + delta);
     }
 
+    /** The milliseconds from the earlier time to this one. */
     public long since(MonotonicTime earlier) {
         return ms - earlier.ms;
     }
 
+    /** Whether this time comes before the other. */
     public boolean isBefore(MonotonicTime other) {
         return ms < other.ms;
     }
--- a/src/main/java/org/beechhoist/wire/Priority.java
+++ b/src/main/java/org/beechhoist/wire/Priority.java
@@ -13,6 +13,7 @@
         this.text = text;
     }
 
+    /** The priority's name in the protocol and in records. */
     public String text() {
         return text;
     }
--- a/src/main/java/org/beechhoist/wire/ResizeRequest.java
+++ b/src/main/java/org/beechhoist/wire/ResizeRequest.java
@@ -20,6 +20,7 @@
         return new ResizeRequest(width, number);
     }
 
+    /** The body of {@code POST /v1/jobs/{id}/width}. */
     public ObjectNode toNode() {
         return width.toNode().put("number", number);
     }
--- a/src/main/java/org/beechhoist/wire/Width.java
+++ b/src/main/java/org/beechhoist/wire/Width.java
@@ -4,8 +4,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * How many of a job's tasks may be on machines at once: never fewer for the sake of others than {@code least}, never
- * more than {@code most}; and until when, in seconds from its submission, it should be done (null: no hurry).
+ * How many of a job's tasks may be on machines at once.
+ *
+ * @param min never fewer than this for the sake of other jobs
+ * @param max never more
+ * @param deadlineS seconds from the job's submission until it should be done, or null
  */
 public record Width(int min, int max, Double deadlineS) {
     public Width {
@@ -36,6 +39,7 @@
         }
     }
 
+    /** The range in the protocol's field names, as it is sent and stored. */
     public ObjectNode toNode() {
         return Codec.map().put("least", min).put("most", max).put("untilS", deadlineS);
     }
