--- a/src/main/java/org/beechhoist/peer/PeerCodec.java
+++ b/src/main/java/org/beechhoist/peer/PeerCodec.java
@@ -14,6 +14,7 @@
 import org.apache.avro.generic.GenericDatumReader;
 import org.apache.avro.generic.GenericDatumWriter;
 import org.apache.avro.generic.GenericRecord;
+import org.apache.avro.io.BinaryDecoder;
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
@@ -22,14 +23,17 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * Avro between controllers: the schema's fingerprint, then the binary record. A message of another schema is refused
- * as malformed: what the nodes tell one another are hints, and they do without.
+ * The messages between controllers as bytes: the fingerprint of the Avro schema, then the binary record. A message of another
+ * schema is refused as malformed; nodes of different versions do without one another's hints.
  */
 public final class PeerCodec {
+    /** Bytes of the schema's fingerprint at the beginning of each message. */
     private static final int FINGERPRINT = 8;
-    /** Told so that nodes of other forms are of another schema: a leader writes no form that some node does not read. */
+
+    private static final int USUAL_BYTES = 64;
+    /** The newest form of records that this version reads; a leader writes no form that some node does not read. */
     private static final int RECORD_FORM = 2;
-    /** A leader tells of some hundred jobs at once. */
+    /** The largest message that is read; a leader tells of some hundred jobs at once. */
     public static final int MAX_BYTES = 64 * 1024;
 
     private final Schema schema;
@@ -60,40 +64,42 @@
         record.put("writesWanted", state.writeDemand());
         record.put("requestsWanted", state.requestDemand());
         record.put("recordForm", RECORD_FORM);
-        Schema count = schema.getField("counts").schema().getElementType();
-        List<GenericRecord> counts = new ArrayList<>();
-        for (JobCount jobCount : state.jobCounts()) {
-            GenericRecord nested = new GenericData.Record(count);
-            nested.put("job", jobCount.job().text());
-            nested.put("done", jobCount.done());
-            nested.put("running", jobCount.running());
-            counts.add(nested);
-        }
-        record.put("counts", counts);
-        Schema one = schema.getField("cancelled").schema().getElementType();
-        List<GenericRecord> cancelled = new ArrayList<>();
-        for (CancelledJob cancelledJob : state.cancelledJobs()) {
-            GenericRecord nested = new GenericData.Record(one);
-            nested.put("job", cancelledJob.job().text());
-            nested.put("wallMs", cancelledJob.wallMs());
-            cancelled.add(nested);
-        }
-        record.put("cancelled", cancelled);
+        record.put("counts", state.jobCounts().stream().map(this::jobCount).toList());
+        record.put(
+                "cancelled",
+                state.cancelledJobs().stream().map(this::cancelledJob).toList());
         record.put(
                 "acknowledged",
                 state.acknowledgedCancellations().stream().map(JobId::text).toList());
-        ByteArrayOutputStream out = new ByteArrayOutputStream(64);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_BYTES);
         out.writeBytes(fingerprint);
         BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
         try {
             new GenericDatumWriter<GenericRecord>(schema).write(record, encoder);
             encoder.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory doesn't fail
+            throw new UncheckedIOException(e); // an output stream in memory does not fail
         }
         return out.toByteArray();
     }
 
+    private GenericRecord jobCount(JobCount count) {
+        GenericRecord record =
+                new GenericData.Record(schema.getField("counts").schema().getElementType());
+        record.put("job", count.job().text());
+        record.put("done", count.done());
+        record.put("running", count.running());
+        return record;
+    }
+
+    private GenericRecord cancelledJob(CancelledJob job) {
+        GenericRecord record =
+                new GenericData.Record(schema.getField("cancelled").schema().getElementType());
+        record.put("job", job.job().text());
+        record.put("wallMs", job.wallMs());
+        return record;
+    }
+
     /**
      * Reads a message.
      *
@@ -106,39 +112,44 @@
             throw new MalformedMessageException("another schema");
         }
         try {
-            GenericRecord record = new GenericDatumReader<GenericRecord>(schema)
-                    .read(
-                            null,
-                            DecoderFactory.get().binaryDecoder(bytes, FINGERPRINT, bytes.length - FINGERPRINT, null));
-            List<JobCount> counts = new ArrayList<>();
-            for (Object element : (List<?>) record.get("counts")) {
-                GenericRecord nested = (GenericRecord) element;
-                counts.add(new JobCount(new JobId(nested.get("job").toString()), (Integer) nested.get("done"), (Integer)
-                        nested.get("running")));
-            }
-            List<CancelledJob> cancelled = new ArrayList<>();
-            for (Object element : (List<?>) record.get("cancelled")) {
-                GenericRecord n = (GenericRecord) element;
-                cancelled.add(new CancelledJob(new JobId(n.get("job").toString()), (Long) n.get("wallMs")));
-            }
-            List<JobId> acknowledged = new ArrayList<>();
-            for (Object o : (List<?>) record.get("acknowledged")) {
-                acknowledged.add(new JobId(o.toString()));
-            }
-            return new PeerState(
-                    record.get("node").toString(),
-                    (Boolean) record.get("leading"),
-                    new FencingToken((Long) record.get("baton")),
-                    (Long) record.get("storeAnswersMs"),
-                    (Boolean) record.get("ready"),
-                    (Integer) record.get("reportsHeard"),
-                    (Double) record.get("writesWanted"),
-                    (Double) record.get("requestsWanted"),
-                    counts,
-                    cancelled,
-                    acknowledged);
+            BinaryDecoder decoder =
+                    DecoderFactory.get().binaryDecoder(bytes, FINGERPRINT, bytes.length - FINGERPRINT, null);
+            return peerState(new GenericDatumReader<GenericRecord>(schema).read(null, decoder));
         } catch (IOException | RuntimeException e) {
             throw new MalformedMessageException("not a record");
         }
     }
+
+    private static PeerState peerState(GenericRecord record) {
+        List<JobCount> counts = new ArrayList<>();
+        for (Object element : (List<?>) record.get("counts")) {
+            GenericRecord count = (GenericRecord) element;
+            counts.add(new JobCount(jobId(count), (Integer) count.get("done"), (Integer) count.get("running")));
+        }
+        List<CancelledJob> cancelled = new ArrayList<>();
+        for (Object element : (List<?>) record.get("cancelled")) {
+            GenericRecord job = (GenericRecord) element;
+            cancelled.add(new CancelledJob(jobId(job), (Long) job.get("wallMs")));
+        }
+        List<JobId> acknowledged = new ArrayList<>();
+        for (Object element : (List<?>) record.get("acknowledged")) {
+            acknowledged.add(new JobId(element.toString()));
+        }
+        return new PeerState(
+                record.get("node").toString(),
+                (Boolean) record.get("leading"),
+                new FencingToken((Long) record.get("baton")),
+                (Long) record.get("storeAnswersMs"),
+                (Boolean) record.get("ready"),
+                (Integer) record.get("reportsHeard"),
+                (Double) record.get("writesWanted"),
+                (Double) record.get("requestsWanted"),
+                counts,
+                cancelled,
+                acknowledged);
+    }
+
+    private static JobId jobId(GenericRecord record) {
+        return new JobId(record.get("job").toString());
+    }
 }
--- a/src/main/java/org/beechhoist/store/CommittedTasks.java
+++ b/src/main/java/org/beechhoist/store/CommittedTasks.java
@@ -16,19 +16,19 @@
         this.done = done;
     }
 
-    /** All that the record says at this moment. */
+    /** The record's tasks as they are now. */
     public static CommittedTasks of(JobRecord record) {
         CommittedTasks committed = new CommittedTasks(record.done.copy());
         record.live.forEach((i, p) -> committed.live.put(i, p.attempt));
         return committed;
     }
 
-    /** What the record says beyond this. */
+    /** The changes that lead from here to the record as it is now. */
     public TaskChanges changesTo(JobRecord record) {
         return changesTo(record, false);
     }
 
-    /** The same, given that this is the record alone: it stands for all that the log says. */
+    /** The same, where this is the stored record alone: the result replaces all that the log says of the job. */
     public TaskChanges allChangesTo(JobRecord record) {
         return changesTo(record, true);
     }
@@ -50,7 +50,7 @@
         return new TaskChanges(record.nextAttempt, placed, gone, record.done.minus(done), begins);
     }
 
-    /** The state service holds this now, too. */
+    /** The state service holds these changes now, too. */
     public void apply(TaskChanges changes) {
         changes.removed().forEach(live::remove);
         changes.placed().forEach(p -> live.put(p.task.index(), p.attempt));
--- a/src/main/java/org/beechhoist/store/FleetSnapshot.java
+++ b/src/main/java/org/beechhoist/store/FleetSnapshot.java
@@ -131,27 +131,8 @@
             throw new MalformedMessageException("hosts: rows of " + ROW + " expected, with their words");
         }
         List<Machine> machines = new ArrayList<>();
-        for (int i = 0; i < rows.size(); i += ROW) {
-            String[] times = rows.get(i + 5).asText().split(":");
-            Map<String, Double> images = new LinkedHashMap<>();
-            try {
-                for (JsonNode place : rows.get(i + 6)) {
-                    String image = word(words, place);
-                    int size = image.lastIndexOf(SIZE);
-                    images.put(image.substring(0, size), Double.parseDouble(image.substring(size + 1)));
-                }
-                machines.add(new Machine(
-                        new MachineId(rows.get(i).asText()),
-                        rows.get(i + 1).asText(),
-                        word(words, rows.get(i + 2)),
-                        word(words, rows.get(i + 3)),
-                        rows.get(i + 4).asInt() == 1,
-                        Long.parseLong(times[1]),
-                        1000 * Long.parseLong(times[0]),
-                        images));
-            } catch (NumberFormatException | IndexOutOfBoundsException e) {
-                throw new MalformedMessageException("hosts: row " + i / ROW + " has no times or sizes");
-            }
+        for (int first = 0; first < rows.size(); first += ROW) {
+            machines.add(parseRow(rows, first, words));
         }
         FleetSnapshot snapshot = new FleetSnapshot(
                 node.path("part").asInt(),
@@ -165,6 +146,29 @@
         return snapshot;
     }
 
+    private static Machine parseRow(JsonNode rows, int first, JsonNode words) throws MalformedMessageException {
+        String[] times = rows.get(first + 5).asText().split(":");
+        Map<String, Double> images = new LinkedHashMap<>();
+        try {
+            for (JsonNode place : rows.get(first + 6)) {
+                String image = word(words, place);
+                int size = image.lastIndexOf(SIZE);
+                images.put(image.substring(0, size), Double.parseDouble(image.substring(size + 1)));
+            }
+            return new Machine(
+                    new MachineId(rows.get(first).asText()),
+                    rows.get(first + 1).asText(),
+                    word(words, rows.get(first + 2)),
+                    word(words, rows.get(first + 3)),
+                    rows.get(first + 4).asInt() == 1,
+                    Long.parseLong(times[1]),
+                    1000 * Long.parseLong(times[0]),
+                    images);
+        } catch (NumberFormatException | IndexOutOfBoundsException e) {
+            throw new MalformedMessageException("hosts: row " + first / ROW + " has no times or sizes");
+        }
+    }
+
     private static String word(JsonNode words, JsonNode place) throws MalformedMessageException {
         if (!place.isInt() || !words.path(place.asInt()).isTextual()) {
             throw new MalformedMessageException("words: place " + place + " of " + words.size());
--- a/src/main/java/org/beechhoist/store/RecordSizes.java
+++ b/src/main/java/org/beechhoist/store/RecordSizes.java
@@ -24,27 +24,29 @@
     /** The smallest limits that everything fits without cutting smaller than usual. */
     public static final int DEFAULT_VALUE_BYTES = 8 * 1024;
 
-    public static final int DEFAULT_TXN_OPS = 16;
+    public static final int DEFAULT_TRANSACTION_OPERATIONS = 16;
 
-    public static final RecordSizes DEFAULT = of(DEFAULT_VALUE_BYTES, DEFAULT_TXN_OPS);
+    public static final RecordSizes DEFAULT = of(DEFAULT_VALUE_BYTES, DEFAULT_TRANSACTION_OPERATIONS);
 
-    /** @param valueBytes what the state service takes as one value; {@code txnOps} as changes of one transaction */
-    public static RecordSizes of(int valueBytes, int txnOps) {
+    /** @param valueBytes what the state service takes as one value; {@code transactionOperations} as changes of one transaction */
+    public static RecordSizes of(int valueBytes, int transactionOperations) {
         int inline = Math.min(MOST_INLINE, Math.max(4, (valueBytes - HEAD_BYTES) / TASK_BYTES));
         int chunk = Math.min(MOST_CHUNK, Math.max(8, valueBytes * 4 / 5 / TASK_BYTES));
         int finished = (int) ((valueBytes - DESCRIPTION_BYTES) / DONE_BYTES);
-        int window = Math.max(8, Math.min(Math.min(MOST_WINDOW, finished), chunk * Math.max(1, txnOps - OTHER_OPS)));
+        int window = Math.max(
+                8, Math.min(Math.min(MOST_WINDOW, finished), chunk * Math.max(1, transactionOperations - OTHER_OPS)));
         return new RecordSizes(inline, chunk, window, valueBytes * 4 / 5);
     }
 
     /** What these limits keep from being served as usual, for the operator; null where nothing does. */
-    public static String tooSmall(int valueBytes, int txnOps) {
-        if (valueBytes >= DEFAULT_VALUE_BYTES && txnOps >= DEFAULT_TXN_OPS) {
+    public static String tooSmall(int valueBytes, int transactionOperations) {
+        if (valueBytes >= DEFAULT_VALUE_BYTES && transactionOperations >= DEFAULT_TRANSACTION_OPERATIONS) {
             return null;
         }
-        RecordSizes sizes = of(valueBytes, txnOps);
-        return "deployment.state: value_kb = " + valueBytes / 1024 + " and txn_ops = " + txnOps + " are below "
-                + DEFAULT_VALUE_BYTES / 1024 + " and " + DEFAULT_TXN_OPS + ": at most " + sizes.window()
+        RecordSizes sizes = of(valueBytes, transactionOperations);
+        return "deployment.state: value_kb = " + valueBytes / 1024 + " and txn_ops = " + transactionOperations
+                + " are below "
+                + DEFAULT_VALUE_BYTES / 1024 + " and " + DEFAULT_TRANSACTION_OPERATIONS + ": at most " + sizes.window()
                 + " tasks of a job run at once";
     }
 }
--- a/src/main/java/org/beechhoist/store/StoreClient.java
+++ b/src/main/java/org/beechhoist/store/StoreClient.java
@@ -1,5 +1,11 @@
 package org.beechhoist.store;
 
+import static org.beechhoist.wire.ProtocolFields.KEY;
+import static org.beechhoist.wire.ProtocolFields.LEASE;
+import static org.beechhoist.wire.ProtocolFields.REVISION;
+import static org.beechhoist.wire.ProtocolFields.VALUE;
+import static org.beechhoist.wire.ProtocolFields.VERSION;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,15 +27,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final long TIMEOUT_MS = 2000;
 
-    /** A key's value. */
+    /** A key with its value, its version, and the lease that holds it (0 for none). */
     public record KeyValue(String key, JsonNode value, Revision version, long lease) {}
 
-    /** What a read found: {@code item} is null for 404. Where {@code known} is false nothing was learnt. */
+    /** The result of a read: {@code item} is null where the key is absent; nothing is known where {@code answered} is false. */
     public record ReadResult(boolean answered, KeyValue item) {
+        /** No usable answer came. */
         public static final ReadResult UNKNOWN = new ReadResult(false, null);
     }
 
-    /** One page of a listing, or null items where it failed. */
+    /** One page of a listing; {@code items} is null where the read failed. */
     public record Page(List<KeyValue> items, boolean more, Revision revision) {
         /** Whether the page could be read. */
         public boolean isOk() {
@@ -37,17 +44,26 @@
         }
     }
 
-    /** Changes since a revision. {@code status} 410: too old. A removed key has a null value. */
+    /**
+     * The changes since a revision, as of {@code revision}. A removed key has a null value.
+     *
+     * @param status the HTTP status, 410 where the revision is too old, or 0 where no usable answer came
+     */
     public record WatchResult(int status, List<KeyValue> changes, Revision revision) {}
 
-    /** How a transaction ended. */
+    /** The result of a transaction; {@code failedKeys} are keys whose guard failed. */
     public record CommitResult(Outcome outcome, Revision revision, Set<String> failedKeys) {
-        /** {@code REFUSED}: certainly not executed. {@code UNCERTAIN}: perhaps, perhaps later. */
+        /** What became of it. */
         public enum Outcome {
+            /** All of it was written. */
             COMMITTED,
+            /** A guard failed; nothing was written. */
             CONFLICT,
+            /** It was certainly not executed. */
             REJECTED,
+            /** A lease that it names has ended; nothing was written. */
             LEASE_EXPIRED,
+            /** It may have been executed, or may still be. */
             UNKNOWN
         }
     }
@@ -64,7 +80,7 @@
         if (!unexpectedLogged) {
             unexpectedLogged = true;
             LOG.warn(
-                    "state service: strange answer to {}: status {}; further ones are not logged",
+                    "unexpected answer of the state service (logged once): request=\"{}\" status={}",
                     what,
                     result.status());
         }
@@ -72,14 +88,14 @@
 
     private static KeyValue item(JsonNode node) throws MalformedMessageException {
         return new KeyValue(
-                Codec.text(node, "path"),
-                node.get("data"),
-                new Revision(Codec.wholeNumber(node, "lastTouch", 0, Long.MAX_VALUE)),
-                Codec.isAbsent(node, "hold") ? 0 : Codec.wholeNumber(node, "hold", 0, Long.MAX_VALUE));
+                Codec.text(node, KEY),
+                node.get(VALUE),
+                new Revision(Codec.wholeNumber(node, VERSION, 0, Long.MAX_VALUE)),
+                Codec.isAbsent(node, LEASE) ? 0 : Codec.wholeNumber(node, LEASE, 0, Long.MAX_VALUE));
     }
 
     private static Revision revision(JsonNode node) throws MalformedMessageException {
-        return new Revision(Codec.wholeNumber(node, "ledgerRev", 0, Long.MAX_VALUE));
+        return new Revision(Codec.wholeNumber(node, REVISION, 0, Long.MAX_VALUE));
     }
 
     /** Reads one key. */
@@ -91,7 +107,7 @@
                     read = new ReadResult(true, item(result.body()));
                 } else if (result.hasStatus(404)
                         && result.body() != null
-                        && result.body().has("ledgerRev")) {
+                        && result.body().has(REVISION)) {
                     // A 404 without the service's own body could come from something else on the way.
                     read = new ReadResult(true, null);
                 }
@@ -155,7 +171,7 @@
                 boolean lease = answer.body() != null
                         && "no such lease".equals(answer.body().path("error").asText());
                 if (!lease) {
-                    LOG.error("state service refuses a transaction of ours as malformed: {}", answer.body());
+                    LOG.error("transaction refused as malformed by the state service: answer={}", answer.body());
                 }
                 result = lease ? CommitResult.Outcome.LEASE_EXPIRED : CommitResult.Outcome.REJECTED;
             }
@@ -166,7 +182,7 @@
         return new CommitResult(result, revision, failed);
     }
 
-    /** Hands over the new lease's id, or 0. */
+    /** Asks for a new lease; {@code then} receives its id, or 0 where none was granted. */
     public void grantLease(long ttlMs, Consumer<Long> then) {
         calls.call(
                 ServiceCalls.Target.STATE,
@@ -176,8 +192,8 @@
                 Codec.map().put("ttlMs", ttlMs),
                 TIMEOUT_MS,
                 result -> then.accept(
-                        result.isOk() && result.body().path("hold").canConvertToLong()
-                                ? result.body().get("hold").longValue()
+                        result.isOk() && result.body().path(LEASE).canConvertToLong()
+                                ? result.body().get(LEASE).longValue()
                                 : 0L));
     }
 
@@ -208,8 +224,8 @@
                         boolean put = node.hasNonNull("put");
                         log.add(new KeyValue(
                                 Codec.text(node, put ? "put" : "remove"),
-                                put ? node.get("data") : null,
-                                new Revision(Codec.wholeNumber(node, "lastTouch", 0, Long.MAX_VALUE)),
+                                put ? node.get(VALUE) : null,
+                                new Revision(Codec.wholeNumber(node, VERSION, 0, Long.MAX_VALUE)),
                                 0));
                     }
                     out = new WatchResult(200, log, revision(result.body()));
--- a/src/main/java/org/beechhoist/store/TokenBucket.java
+++ b/src/main/java/org/beechhoist/store/TokenBucket.java
@@ -2,7 +2,10 @@
 
 import org.beechhoist.wire.MonotonicTime;
 
-/** A token bucket that holds a second's worth. What must not wait may overdraw it; others then wait longer. */
+/**
+ * A rate limit with bursts of up to one second's worth of tokens. What must not wait may overdraw the bucket; what comes later then
+ * waits longer. It also sums up the demand, so that nodes can divide a common limit.
+ */
 public final class TokenBucket {
     private double rate;
     private double capacity;
@@ -21,14 +24,18 @@
         this.tokens = rate;
     }
 
-    /** @param least what may be taken at once after a quiet while, however low the rate */
+    /**
+     * Changes the rate.
+     *
+     * @param least the least capacity, however low the rate
+     */
     public void setRate(double perSecond, double least) {
         rate = perSecond;
         capacity = Math.max(least, rate);
         tokens = Math.min(tokens, capacity);
     }
 
-    /** What may be taken at once after a quiet while. */
+    /** The most tokens that the bucket holds: what can be taken at once after a quiet period. */
     public double capacity() {
         return capacity;
     }
@@ -45,19 +52,19 @@
         last = now;
     }
 
-    /** Somebody would have taken that, and did not try, for it was not there. */
+    /** Counts demand that was not attempted because no tokens were there. */
     public void recordMissed(double amount) {
         demand += amount;
     }
 
-    /** What was taken, tried or missed since the last call. */
+    /** The tokens that were taken, attempted or missed since the last call. */
     public double drainDemand() {
         double amount = demand;
         demand = 0;
         return amount;
     }
 
-    /** How much may be taken now. */
+    /** How many tokens can be taken now. */
     public double available(MonotonicTime now) {
         refill(now);
         return tokens;
--- a/src/main/java/org/beechhoist/store/Transaction.java
+++ b/src/main/java/org/beechhoist/store/Transaction.java
@@ -1,5 +1,10 @@
 package org.beechhoist.store;
 
+import static org.beechhoist.wire.ProtocolFields.KEY;
+import static org.beechhoist.wire.ProtocolFields.LEASE;
+import static org.beechhoist.wire.ProtocolFields.VALUE;
+import static org.beechhoist.wire.ProtocolFields.VERSION;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,19 +18,19 @@
 
     /** Adds a condition: the key's version is this one, or the key is absent for {@link Revision#ABSENT}. */
     public Transaction guard(String key, Revision version) {
-        guards.addObject().put("path", key).put("lastTouch", version.value());
+        guards.addObject().put(KEY, key).put(VERSION, version.value());
         return this;
     }
 
     /** Adds a write. */
     public Transaction put(String key, JsonNode value) {
-        then.addObject().put("put", key).set("data", value);
+        then.addObject().put("put", key).set(VALUE, value);
         return this;
     }
 
     /** Adds a write of a key that goes when the lease ends. */
     public Transaction put(String key, JsonNode value, long lease) {
-        ((ObjectNode) then.addObject().put("put", key).set("data", value)).put("hold", lease);
+        ((ObjectNode) then.addObject().put("put", key).set(VALUE, value)).put(LEASE, lease);
         return this;
     }
 
--- a/src/main/java/org/beechhoist/store/WidthRecord.java
+++ b/src/main/java/org/beechhoist/store/WidthRecord.java
@@ -12,6 +12,7 @@
  * ends the surplus.
  */
 public record WidthRecord(Width allowed, long number, int target) {
+    /** Brings the target within what the user allows. */
     public WidthRecord {
         target = Math.max(allowed.min(), Math.min(allowed.max(), target));
     }
--- a/src/main/java/org/beechhoist/wire/MonotonicTime.java
+++ b/src/main/java/org/beechhoist/wire/MonotonicTime.java
@@ -6,8 +6,8 @@
     public static final MonotonicTime ZERO = new MonotonicTime(0);
 
     /** The time so many milliseconds later. */
-    public MonotonicTime plusMs(long delta) {
-        return new MonotonicTime(ms + delta);
+    public MonotonicTime plusMs(long duration) {
+        return new MonotonicTime(ms + duration);
     }
 
     /** The milliseconds from the earlier time to this one. */
--- a/src/main/java/org/beechhoist/wire/Width.java
+++ b/src/main/java/org/beechhoist/wire/Width.java
@@ -11,6 +11,7 @@
  * @param deadlineS seconds from the job's submission until it should be done, or null
  */
 public record Width(int min, int max, Double deadlineS) {
+    /** Checks that the range is one. */
     public Width {
         if (min < 0 || max < min) {
             throw new IllegalArgumentException(min + " to " + max);
