--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -51,6 +51,11 @@
     private Loop.Deadline wake;
     private long wakeAt = Long.MAX_VALUE;
 
+    /**
+     * Listens on the node's two addresses, the public one and the one for other controllers.
+     *
+     * @throws IOException if an address can't be listened on
+     */
     public Node(Settings settings, Policy policy) throws IOException {
         this.settings = settings;
         this.client = new HttpClient(loop, CBOR, settings.maxSockets() / 10);
--- a/src/main/java/org/beechhoist/elastic/Damping.java
+++ b/src/main/java/org/beechhoist/elastic/Damping.java
@@ -6,17 +6,25 @@
  * anew.
  */
 public record Damping(int times, long untilMs) {
+    /** Nothing had to leave the machine so far. */
     public static final Damping NONE = new Damping(0, 0);
+
     private static final int MOST_DOUBLINGS = 6;
     /** Quiet of so many of the last waits makes it forget. */
     private static final int QUIET = 4;
 
+    /**
+     * A wide job's task had to leave the machine: the next wait is twice as long.
+     *
+     * @param settleMs the first wait
+     */
     public Damping narrowed(long nowMs, long settleMs) {
         long last = settleMs << Math.max(0, Math.min(MOST_DOUBLINGS, times - 1));
         int n = times > 0 && nowMs - untilMs > QUIET * last ? 0 : times;
         return new Damping(n + 1, nowMs + (settleMs << Math.min(MOST_DOUBLINGS, n)));
     }
 
+    /** Whether the machine may be widened onto now. */
     public boolean open(long nowMs) {
         return nowMs >= untilMs;
     }
--- a/src/main/java/org/beechhoist/elastic/Ending.java
+++ b/src/main/java/org/beechhoist/elastic/Ending.java
@@ -43,6 +43,7 @@
     /** Who needs the room: by when, and whether work may be thrown away where nothing else frees it by then. */
     public record Need(long byMs, boolean mayKill) {}
 
+    /** For a task whose end is not in sight. */
     public static final long NEVER = Long.MAX_VALUE;
     /** From the decision to the worker's stop, and from its stop to the report that proves it. */
     private static final long STOP_MS = 500;
@@ -51,6 +52,7 @@
 
     private static final double SPEED_ERROR = 0.1;
 
+    /** How the task is best ended, given who needs its place and when. */
     public static Ending choose(Task task, long nowMs, Need need) {
         if (!task.sent()) {
             return new Ending(Way.WITHDRAW, nowMs, nowMs, 0);
--- a/src/main/java/org/beechhoist/elastic/Surplus.java
+++ b/src/main/java/org/beechhoist/elastic/Surplus.java
@@ -10,12 +10,14 @@
     /** A task and how it would end. */
     public record Choice<T>(T task, Ending ending) {}
 
+    /** Least work lost first, then the earliest moment at which the place is free. */
     public static final Comparator<Choice<?>> LEAST_LOSS = Comparator.comparingDouble(
                     (Choice<?> c) -> c.ending().lostCpuS())
             .thenComparingLong(c -> c.ending().freesAtMs());
 
     private Surplus() {}
 
+    /** The tasks that end, at most {@code surplus} of them, in the order in which they are chosen. */
     public static <T> List<Choice<T>> choose(List<T> live, int surplus, Function<T, Ending> ending) {
         List<Choice<T>> all = new ArrayList<>();
         for (T t : live) {
--- a/src/main/java/org/beechhoist/http/HttpParser.java
+++ b/src/main/java/org/beechhoist/http/HttpParser.java
@@ -40,6 +40,7 @@
         this.maxBody = maxBody;
     }
 
+    /** Adds bytes that were received. */
     public void feed(ByteBuffer in) {
         int available = in.remaining();
         if (len + available > buf.length) {
--- a/src/main/java/org/beechhoist/metrics/Metrics.java
+++ b/src/main/java/org/beechhoist/metrics/Metrics.java
@@ -14,16 +14,19 @@
     private final Map<String, Long> counters = new TreeMap<>();
     private final Map<String, Histogram> latencies = new TreeMap<>();
 
+    /** Adds one to a counter. */
     public void count(String name) {
         counters.merge(name, 1L, Long::sum);
     }
 
+    /** Records a latency in milliseconds. */
     public void latency(String name, long ms) {
         latencies
                 .computeIfAbsent(name, k -> new Histogram(1, LONGEST_MS, DIGITS))
                 .recordValue(Math.max(1, Math.min(LONGEST_MS, ms)));
     }
 
+    /** The counters and the percentiles of the latencies, as the view {@code metrics} shows them. */
     public ObjectNode toNode() {
         ObjectNode out = Codec.map();
         ObjectNode counterNode = out.putObject("counters");
--- a/src/main/java/org/beechhoist/release/Calibration.java
+++ b/src/main/java/org/beechhoist/release/Calibration.java
@@ -11,7 +11,9 @@
  * The plan's word is stretched by the middle of what was seen lately; nothing is said before enough was.
  */
 public final class Calibration {
+    /** How many of the latest ratios are kept. */
     public static final int MOST = 60;
+
     private static final int ENOUGH = 8;
     /** A forecast of less than this is right or wrong by chance. */
     private static final long LEAST_MS = 20_000;
@@ -29,6 +31,7 @@
         }
     }
 
+    /** Adds the ratio of the time that something took to the time that was forecast. */
     public void add(double ratio) {
         ratios.addLast(Math.max(LEAST, Math.min(MOST_TIMES, ratio)));
         if (ratios.size() > MOST) {
@@ -36,6 +39,7 @@
         }
     }
 
+    /** Forgets all ratios. */
     public void clear() {
         ratios.clear();
     }
@@ -45,6 +49,7 @@
         return List.copyOf(ratios);
     }
 
+    /** How many ratios are kept. */
     public int size() {
         return ratios.size();
     }
--- a/src/main/java/org/beechhoist/release/Forecast.java
+++ b/src/main/java/org/beechhoist/release/Forecast.java
@@ -24,6 +24,7 @@
      */
     public record Facts(int jobs, int held, int unplanned, boolean limited, long endMs, long longestMs) {}
 
+    /** The forecast for a release that is due at {@code dueMs}. */
     public static Forecast of(Facts facts, long dueMs, long nowMs) {
         if (facts.jobs == 0) {
             return new Forecast(0, dueMs - nowMs, null);
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -48,6 +48,7 @@
     /** One change: who moved which date when, and why. */
     public record Past(String what, String who, long atMs, String why, String from, String to) {}
 
+    /** Whether the text can be a release's name. */
     public static boolean validName(String name) {
         return name.matches(NAME);
     }
@@ -104,6 +105,11 @@
                 List.of());
     }
 
+    /**
+     * Reads a date and time without a zone.
+     *
+     * @param field names it in the exception's message
+     */
     public static LocalDateTime time(String field, String text) throws MalformedMessageException {
         try {
             return LocalDateTime.parse(text);
@@ -131,6 +137,7 @@
         return change(before, this, due, before == null || before.removed ? "put" : "put again", who, atMs, why);
     }
 
+    /** The release with another ship date, and the change in its history. */
     public Release moved(LocalDateTime to, long due, String who, long atMs, String why) {
         Release next = new Release(
                 name, maker, factory, to, zone, leadDays, calendar, team, jobClass, bundle, due, number, false,
@@ -138,6 +145,7 @@
         return change(this, next, due, "moved", who, atMs, why);
     }
 
+    /** The removed release, and the change in its history. */
     public Release remove(String who, long atMs, String why) {
         Release out = change(this, this, dueMs, "removed", who, atMs, why);
         return new Release(
@@ -179,6 +187,7 @@
                 List.copyOf(kept));
     }
 
+    /** The release as it is stored and answered. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map()
                 .put("name", name)
@@ -205,6 +214,7 @@
         return node;
     }
 
+    /** Reads a stored release. */
     public static Release parse(JsonNode node) throws MalformedMessageException {
         if (node == null) {
             throw new MalformedMessageException("not a release");
--- a/src/main/java/org/beechhoist/release/Releases.java
+++ b/src/main/java/org/beechhoist/release/Releases.java
@@ -15,6 +15,7 @@
     /** Those that jobs need not name, the nearest first. */
     private final List<Release> matching;
 
+    /** Those of the releases that are not removed. */
     public Releases(Collection<Release> all) {
         all.stream().filter(r -> !r.removed()).forEach(r -> byName.put(r.name(), r));
         matching = byName.values().stream()
@@ -23,10 +24,12 @@
                 .toList();
     }
 
+    /** Whether there is none. */
     public boolean isEmpty() {
         return byName.isEmpty();
     }
 
+    /** All of them. */
     public Collection<Release> all() {
         return byName.values();
     }
