--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -266,7 +266,8 @@
                 MonotonicTime since = machine.rentedAt == null ? clusterState.lastHeardOf(machine) : machine.rentedAt;
                 double allowed = type == null ? 120 : Math.max(3 * type.startupS(), type.startupS() + 45);
                 if (context.now().since(since) > 1000 * allowed
-                        && context.now().since(clusterState.lastHeardOf(machine)) > failureDetector.silenceLimitMs()) {
+                        && context.now().since(clusterState.lastHeardOf(machine))
+                                > failureDetector.heartbeatTimeoutMs()) {
                     releaseMachine(machine, "it never came up");
                 }
             } else if (failureDetector.isGone(machine)) {
--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -3,48 +3,53 @@
 import org.beechhoist.wire.FencingToken;
 import org.beechhoist.wire.Heartbeat;
 
-/** What a worker's report proves of a task that is not in it. Silence, and an old report, prove nothing. */
+/**
+ * What a worker's heartbeat proves of a task that it does not name. A machine's silence proves nothing, and neither does an old
+ * heartbeat.
+ */
 public enum AbsenceEvidence {
-    /** A launch may still be on its way, or the report is older than it. */
+    /** Nothing: a launch may still be in flight, or the heartbeat is older than the launch. */
     NONE,
-    /** The report was made after any command in flight could have arrived. */
+    /** The task is gone: the heartbeat was made after any command in flight could have arrived. */
     NEWER_HEARTBEAT,
-    /** The session that the launch was for is over: the worker has ended all that it had, and refuses late commands for it. */
+    /** The task is gone: the epoch that the launch was for is over, so the worker has ended all its tasks and refuses late commands. */
     NEW_EPOCH;
 
     /**
-     * A launch, as far as this leadership knows.
+     * A launch, as far as this term knows.
      *
-     * @param maybeSent by this leadership or an earlier one
-     * @param provenFrom reports that have not seen this token can't speak for it: an earlier leader's launch might follow them
-     * @param shift the session it was for, and {@code counter} the newest message of the worker when it was sent; 0: another
-     *     leadership sent it, if anybody did
+     * @param maybeSent whether this term or an earlier one may have sent it
+     * @param evidenceFrom the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier leader might
+     *     arrive after a heartbeat with a lower one
+     * @param epoch the worker's epoch that it was sent for; 0: another term sent it, if any did
+     * @param sequence the sequence number of the worker's newest message when it was sent
      */
     public record Launch(boolean maybeSent, FencingToken evidenceFrom, long epoch, long sequence) {}
 
     /**
-     * What may still reach a worker.
+     * The commands that may still reach a worker.
      *
-     * @param ordersOut orders sent straight to it have not been answered yet
-     * @param limbo a launch sent with this token or a lower one may be executed minutes late
+     * @param inFlight whether commands that were sent straight to it have no answer yet
+     * @param unacknowledgedToken a launch that was sent with this token or a lower one may be executed minutes late
      */
     public record PendingCommands(boolean inFlight, FencingToken unacknowledgedToken) {
-        /** Whether a worker that has seen the token can get no command any more that was sent before. */
+        /** Whether no command that was sent before can reach a worker any more that has seen the token. */
         public boolean noneCanArriveAt(FencingToken seen) {
             return !inFlight && seen.compareTo(unacknowledgedToken) > 0;
         }
     }
 
-    /** What the worker's own report (never an answer to a command or a question) says of a task that it does not hold. */
-    public static AbsenceEvidence of(Launch launch, PendingCommands inFlight, Heartbeat heartbeat) {
+    /** What the worker's own heartbeat (never its answer to a command or a probe) proves of a task that it does not name. */
+    public static AbsenceEvidence of(Launch launch, PendingCommands pending, Heartbeat heartbeat) {
         if (!launch.maybeSent) {
-            return NONE; // it was not launched yet: there is nothing to be proven
+            return NONE; // it was not launched yet: there is nothing to prove
         }
         if (launch.epoch > 0 && heartbeat.epoch() > launch.epoch) {
             return NEW_EPOCH;
         }
-        boolean seesAll = inFlight.noneCanArriveAt(heartbeat.fencingToken())
+        boolean madeAfterAllCommands = pending.noneCanArriveAt(heartbeat.fencingToken())
                 && heartbeat.fencingToken().compareTo(launch.evidenceFrom) >= 0;
-        return seesAll && heartbeat.isNewerThan(launch.epoch, launch.sequence) ? NEWER_HEARTBEAT : NONE;
+        boolean madeAfterLaunch = heartbeat.isNewerThan(launch.epoch, launch.sequence);
+        return madeAfterAllCommands && madeAfterLaunch ? NEWER_HEARTBEAT : NONE;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
@@ -12,30 +12,31 @@
 
 /**
  * Delays the answer to a committed cancellation for a moment, until the leader acknowledges that no task of the job can start any
- * more. It is an optimization that no rule depends on: the commit alone decides, and after {@link #LONGEST_MS} the user is answered
- * without an acknowledgement. It keeps a launch that is in flight at that moment from being executed just after the answer.
+ * more. It is an optimization that no guarantee depends on: the commit alone decides, and after {@link #MAX_DELAY_MS} the user is
+ * answered without an acknowledgement. It keeps a launch that is in flight at that moment from being executed just after the answer.
  */
 public final class CancellationAcknowledgements {
     /** The longest delay of an answer. */
     static final long MAX_DELAY_MS = 60;
-    /** A leader that could not acknowledge a cancellation for so long after the commit does not do it later: nobody waits any more. */
+    /** How long after the commit a leader may acknowledge a cancellation; later, nobody waits for it any more. */
     private static final long ACKNOWLEDGE_WITHIN_MS = 1000;
-    /** Well under the size limit of a message between nodes. */
+    /** The most acknowledgements in one message to other nodes: well under its size limit. */
     private static final int MAX_IN_MESSAGE = 500;
 
     private final ControllerContext context;
-    /** Answers to users of this node. */
+    /** The delayed answers to users of this node. */
     private final Map<JobId, List<Runnable>> waitingResponses = new HashMap<>();
-    /** Cancellations that this node, leading, has heard of and not acknowledged yet. */
+    /** Cancellations that this node, as the leader, knows of and has not acknowledged yet, and since when it knows of them. */
     private final Map<JobId, MonotonicTime> unacknowledged = new HashMap<>();
     /** Acknowledgements to be sent to the other nodes. */
     private final List<JobId> toSend = new ArrayList<>();
 
+    /** Creates it without any delayed answers. */
     public CancellationAcknowledgements(ControllerContext context) {
         this.context = context;
     }
 
-    /** Answers a user once the leader has acknowledged the cancellation, or after the longest delay. */
+    /** Runs the answer to a user once the leader has acknowledged the cancellation, or after the longest delay. */
     public void await(JobId jobId, Runnable answer) {
         List<Runnable> waiting = waitingResponses.computeIfAbsent(jobId, k -> new ArrayList<>());
         waiting.add(answer);
@@ -51,23 +52,29 @@
         }
     }
 
-    /** The leader has acknowledged it. */
+    /** Releases the answers about the job: the leader has acknowledged its cancellation. */
     public void receive(JobId jobId) {
         release(jobId);
     }
 
-    /** This node leads, and some node is about to confirm a cancellation, or has done so: it is told of each again and again. */
+    /**
+     * Registers a cancellation to be acknowledged by this node, the leader. Some node is about to confirm it, or has done so; the
+     * same cancellation is registered repeatedly.
+     */
     public void register(JobId jobId, long committedWallMs) {
         if (context.wallMs() - committedWallMs < ACKNOWLEDGE_WITHIN_MS) {
             unacknowledged.putIfAbsent(jobId, context.now());
         }
     }
 
-    /** Acknowledges what can be, to users of this node at once; whether there is something to be sent to the others. */
+    /**
+     * Acknowledges each cancellation of whose job no task can start any more; users of this node are answered at once.
+     *
+     * @return whether there are acknowledgements to be sent to the other nodes
+     */
     public boolean acknowledgeReady(Predicate<JobId> noTaskCanStart) {
-        for (Iterator<Map.Entry<JobId, MonotonicTime>> it =
-                        unacknowledged.entrySet().iterator();
-                it.hasNext(); ) {
+        Iterator<Map.Entry<JobId, MonotonicTime>> it = unacknowledged.entrySet().iterator();
+        while (it.hasNext()) {
             Map.Entry<JobId, MonotonicTime> next = it.next();
             if (context.now().since(next.getValue()) > ACKNOWLEDGE_WITHIN_MS) {
                 it.remove();
@@ -80,7 +87,7 @@
         return !toSend.isEmpty();
     }
 
-    /** The acknowledgements that the next message to the other nodes carries. */
+    /** Removes and returns the acknowledgements that the next message to the other nodes carries. */
     public List<JobId> drainForPeers() {
         List<JobId> next = toSend.subList(0, Math.min(MAX_IN_MESSAGE, toSend.size()));
         List<JobId> out = List.copyOf(next);
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -17,23 +17,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sees to it that nothing of a cancelled job goes on: what was never sent is taken back, what may run is killed again and again until
- * there is evidence, and a machine on which neither a kill nor the end of its lease is sure to come in time is returned. It waits
- * for no commit and for no reading of the book, only for the right to command.
+ * Ends everything of a cancelled job: placements that were never sent are removed, tasks that may run are killed repeatedly until
+ * there is evidence that they are gone, and a machine is returned if neither a kill nor the end of its lease is certain to come in
+ * time. It waits for no commit and for no reading of the records, only for holding the lease.
  */
 public final class CancellationEnforcer {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
+    /** The interval between kills of the same task. */
     private static final long KILL_RETRY_MS = 3000;
-    /** A launch is usually answered within some ten milliseconds. */
+    /** How long the answer to a launch is waited for; it usually comes within some ten milliseconds. */
     private static final long LAUNCH_ANSWER_MS = 100;
-    /** A new token is usually committed within this; where the state service does not answer, it is waited for so long. */
+    /** The interval between checks for a new fencing token; it is usually committed within this. */
     private static final long TOKEN_MS = 40;
-
+    /** The interval between kills of launches that have no answer. */
     private static final long KILL_TIMEOUT_MS = 400;
+    /** How long launches without an answer are fenced off after a cancellation. */
     private static final long FENCE_WITHIN_MS = 3000;
-    /** What a return takes, with a request limit and an answer that is lost once. */
+    /** How long the return of a machine takes, with a request limit and an answer that is lost once. */
     private static final long RELEASE_MS = 12_000;
-    /** How much sooner than a lease's end the time must not be over, and how long a worker waits for an answer. */
+    /** The margin by which a lease must end before the deadline; also how long a worker waits for an answer. */
     private static final long SPARE_MS = 4000;
 
     private final ControllerContext context;
@@ -47,6 +49,12 @@
     private final CancellationRegistry cancellations;
     private MonotonicTime nextKills = MonotonicTime.ZERO;
 
+    /**
+     * Creates the enforcer.
+     *
+     * @param releases returns machines whose tasks can't be ended in time
+     * @param holds says by when tasks of held jobs must be gone
+     */
     public CancellationEnforcer(
             ControllerServices services,
             LeaderState state,
@@ -66,7 +74,7 @@
         this.holds = holds;
     }
 
-    /** The job's cancellation is committed, whether its record has been read again or not. */
+    /** Ends the job, whose cancellation is committed, whether its record has been read again or not. */
     public void jobCancelled(JobId jobId) {
         Job job = clusterState.job(jobId);
         if (job == null) {
@@ -75,7 +83,7 @@
         if (!job.isCancelled()) {
             job.cancelHeardAtMs = cancellations.cancelledAtWallMs(jobId);
             LOG.info(
-                    "{} is cancelled, as is heard before its record is read: {} tasks may be running",
+                    "job cancelled: job={} livePlacements={} cause=\"known before the record is read\"",
                     jobId,
                     job.record.live.size());
         }
@@ -95,12 +103,18 @@
         context.schedule(LAUNCH_ANSWER_MS, () -> fenceLaunches(fence));
     }
 
-    /** @param token the one that launches of the job were sent with, or a later one */
+    /**
+     * The fencing of a cancelled job's launches that have no answer.
+     *
+     * @param term the term in which it began; it ends with it
+     * @param token the token that launches of the job were sent with, or a later one
+     * @param until when it is given up
+     */
     private record LaunchFence(JobId job, long term, FencingToken token, MonotonicTime until) {}
 
     /**
-     * A launch that has no answer by now may be executed seconds later, after the user was told. A new token makes the worker refuse it; a
-     * kill that does not wait for the launch's answer brings that token to the worker.
+     * Fences off launches without an answer: they may be executed seconds later, after the user's cancellation was answered. A new
+     * token makes the worker refuse them; a kill that does not wait for the launch's answer brings that token to the worker.
      */
     private void fenceLaunches(LaunchFence fence) {
         Job job = clusterState.job(fence.job);
@@ -111,7 +125,10 @@
             return;
         }
         if (dispatcher.fencingToken().compareTo(fence.token) > 0) {
-            LOG.info("{} is cancelled and a launch of it has no answer: its worker is told a newer token", fence.job);
+            LOG.info(
+                    "launches fenced off: job={} token={} cause=\"job cancelled while a launch has no answer\"",
+                    fence.job,
+                    dispatcher.fencingToken().value());
             dispatcher.killUnacknowledged(job);
             context.schedule(KILL_TIMEOUT_MS, () -> fenceLaunches(fence));
         } else {
@@ -120,6 +137,7 @@
         }
     }
 
+    /** Kills all tasks of the job that were launched. */
     private void killAll(Job job) {
         for (Placement placement : job.record.live.values()) {
             if (placement.launchSent) {
@@ -128,15 +146,15 @@
         }
     }
 
-    /** While this node may command, whether or not it knows all records now. */
+    /** Enforces all cancellations and holds; called periodically while this node holds the lease, whether or not all records are read. */
     public void enforce() {
-        boolean again = !context.now().isBefore(nextKills);
-        if (again) {
+        boolean killsDue = !context.now().isBefore(nextKills);
+        if (killsDue) {
             nextKills = context.now().plusMs(KILL_RETRY_MS);
         }
         for (Job job : clusterState.jobs()) {
             if (job.isCancelled()) {
-                if (again) {
+                if (killsDue) {
                     killAll(job);
                 }
                 releaseUnreachable(
@@ -149,19 +167,24 @@
         }
     }
 
-    /** A task on a machine that can't be reached: the machine is returned while there is time. */
-    private void releaseUnreachable(Job job, long deadlineWallMs, String is) {
-        long left = deadlineWallMs - context.wallMs();
-        if (left >= RELEASE_MS) {
+    /** Returns machines on which the job's tasks are not certain to end before the deadline, while there is time for that. */
+    private void releaseUnreachable(Job job, long deadlineWallMs, String jobState) {
+        long leftMs = deadlineWallMs - context.wallMs();
+        if (leftMs >= RELEASE_MS) {
             return;
         }
         for (Placement placement : job.record.live.values()) {
             Machine machine = clusterState.machine(placement.machine);
-            boolean lapsesInTime = clusterState.leaseExpiry(machine).since(context.now()) < left - SPARE_MS
+            boolean leaseEndsInTime = clusterState.leaseExpiry(machine).since(context.now()) < leftMs - SPARE_MS
                     && context.now().since(clusterState.lastHeardOf(machine)) > SPARE_MS;
-            if (!lapsesInTime && !machine.releasing) {
-                LOG.info("{} is {} but still on {}: returning the machine", placement.task, is, machine.id);
-                releases.releaseMachine(machine, "a " + is + " task can't be reached");
+            if (!leaseEndsInTime && !machine.releasing) {
+                LOG.info(
+                        "machine released: machine={} task={} attempt={} cause=\"task of a {} job can't be reached\"",
+                        machine.id,
+                        placement.task,
+                        placement.attempt,
+                        jobState);
+                releases.releaseMachine(machine, "a " + jobState + " task can't be reached");
             }
             machine.mustBeGoneByMs = Math.min(machine.mustBeGoneByMs, deadlineWallMs);
         }
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The start of a leadership: how far it has come, which machines that have not spoken are counted on, and how fast they
- * may be asked and commanded. What each report means is decided as at any other time. See docs/design/start.md.
+ * The recovery at the beginning of a term: its progress, which machines that have not reported yet are counted on, and how fast
+ * machines may be probed and commanded. What each heartbeat proves is decided as at any other time. See docs/design/start.md.
  */
 public final class ColdStartRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(ColdStartRecovery.class);
@@ -22,54 +22,57 @@
     private final ControllerContext context;
     private final Settings settings;
     private final ClusterState clusterState;
-    private final long reportMs;
+    private final long heartbeatIntervalMs;
     private RecoveryProgress progress;
     private RecoveryPacer pacer;
-    private boolean markListed;
-    /** What was counted last, for whoever asks. */
+    private boolean machinesListed;
+    /** What was counted last, for the operators' view. */
     private RecoveryProgress.Facts facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
 
+    /** Creates it at the beginning of a term. */
     public ColdStartRecovery(ControllerContext context, Settings settings, ClusterState clusterState) {
         this.context = context;
         this.settings = settings;
         this.clusterState = clusterState;
-        this.reportMs = Math.round(1000 * settings.workers().reportS());
+        this.heartbeatIntervalMs = Math.round(1000 * settings.workers().reportS());
         begin();
     }
 
-    /** A new leadership begins. */
+    /** Starts anew: a new term begins. */
     public void begin() {
-        progress =
-                new RecoveryProgress(context.now(), reportMs, settings.workers().leaseMs());
+        progress = new RecoveryProgress(
+                context.now(), heartbeatIntervalMs, settings.workers().leaseMs());
         pacer = new RecoveryPacer(settings.maxSockets());
-        markListed = false;
+        machinesListed = false;
         facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
     }
 
-    /** The cloud has told of all its machines. */
+    /** Records that the cloud has listed all its machines. */
     public void markListed() {
-        markListed = true;
+        machinesListed = true;
     }
 
+    /** Whether the recovery is over. */
     boolean isComplete() {
         return progress.phase() == RecoveryProgress.Phase.COMPLETE;
     }
 
-    /** Whether work may be stopped for another's sake: not before most of the machines that have room could say so. */
+    /** Whether tasks may be preempted: not before most of the machines with free capacity could have reported it. */
     public boolean mayStop() {
         return progress.phase().compareTo(RecoveryProgress.Phase.LISTENING) > 0;
     }
 
-    /** Looks how far it has come, all records being known; every phase leaves a line. */
+    /** Updates the progress once all records are read; the end of each phase is logged. */
     public void advance() {
         if (isComplete()) {
             return;
         }
-        facts = count();
+        facts = countFacts();
         RecoveryProgress.Phase before = progress.phase();
         while (progress.advance(context.now(), facts)) {
             LOG.info(
-                    "start: {} is over after {} s, {} of {} machines heard, {} placements in doubt, {} orders waiting",
+                    "recovery phase ended: phase={} sinceTermBeganS={} machinesHeard={} machinesExpected={}"
+                            + " unconfirmedPlacements={} commandsWaiting={}",
                     before.label(),
                     context.now().since(progress.beganAt()) / 1000.0,
                     facts.heard(),
@@ -81,26 +84,26 @@
         }
     }
 
-    private RecoveryProgress.Facts count() {
+    private RecoveryProgress.Facts countFacts() {
         int expected = 0;
         int heard = 0;
-        int doubt = 0;
-        int waiting = 0;
+        int unconfirmed = 0;
+        int waitingCommands = 0;
         for (Machine machine : clusterState.machines()) {
-            boolean spoke = machine.lastHeartbeat != null;
-            if (spoke
+            boolean hasReported = machine.lastHeartbeat != null;
+            if (hasReported
                     || (machine.listedRunning || !machine.placements.isEmpty())
                             && presence(machine) != MachinePresence.Assessment.DOUBTED) {
                 expected++;
-                heard += spoke ? 1 : 0;
+                heard += hasReported ? 1 : 0;
             }
-            doubt += spoke ? machine.unconfirmedPlacements : machine.placements.size();
-            waiting += machine.outbox.size();
+            unconfirmed += hasReported ? machine.unconfirmedPlacements : machine.placements.size();
+            waitingCommands += machine.outbox.size();
         }
-        return new RecoveryProgress.Facts(true, markListed, expected, heard, doubt, waiting);
+        return new RecoveryProgress.Facts(true, machinesListed, expected, heard, unconfirmed, waitingCommands);
     }
 
-    // ---- machines that have not spoken ----
+    // ---- machines that have not reported yet ----
 
     private MachinePresence.Assessment presence(Machine machine) {
         return MachinePresence.assess(
@@ -110,15 +113,15 @@
                         machine.unansweredProbes,
                         machine.probeAnsweredAt != MonotonicTime.ZERO),
                 context.now().since(progress.beganAt()),
-                RecoveryProgress.allReportedMs(reportMs));
+                RecoveryProgress.allReportedMs(heartbeatIntervalMs));
     }
 
-    /** Whether the plan should not count on the machine: it has not spoken, and should have, or does not answer. */
+    /** Whether the plan should not count on the machine: it should have reported but has not, or it does not answer probes. */
     public boolean isDoubted(Machine machine) {
         return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
     }
 
-    /** Whether the machine is to be asked though its report is not late yet. */
+    /** Whether the machine is to be probed though its heartbeat is not late yet. */
     boolean probesEarly(Machine machine) {
         return machine.lastHeartbeat == null
                 && progress.isGathering(context.now())
@@ -127,17 +130,20 @@
 
     // ---- what may be sent ----
 
-    /** Whether a question may be sent to the machine now. */
+    /** Whether a probe may be sent to the machine now; the call then counts until {@link #callFinished}. */
     boolean mayProbe(Machine machine) {
         return isComplete() || pacer.tryAcquire(RecoveryPacer.CallKind.PROBE, machine.zone, context.now());
     }
 
-    /** Whether the orders that wait for the machine may be sent straight to it now; they go with the answer to its report otherwise. */
+    /**
+     * Whether the commands that wait for the machine may be sent straight to it now; otherwise they go with the answer to its next
+     * heartbeat. The call then counts until {@link #callFinished}.
+     */
     boolean mayCommand(Machine machine) {
         return isComplete() || pacer.tryAcquire(callKind(machine), machine.zone, context.now());
     }
 
-    /** A question or command has been answered, or given up. */
+    /** A probe or command has been answered, or given up. */
     void callFinished() {
         pacer.callFinished();
     }
@@ -152,7 +158,7 @@
         return RecoveryPacer.CallKind.ORDINARY;
     }
 
-    /** For operators: see docs/operations/start.md. */
+    /** The operators' view of the recovery: see docs/operations/start.md. */
     public ObjectNode view() {
         ObjectNode node = Codec.map()
                 .put("phase", progress.phase().label())
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -25,23 +25,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands straight to workers, and keeps track of those that may be executed late. */
+/**
+ * Sends commands straight to workers, instead of with the answer to a heartbeat, and keeps track of launches without an
+ * acknowledgement, which may be executed late.
+ */
 public final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
+    /** The most commands in one message to a worker. */
     static final int MAX_COMMANDS = 200;
+
+    /** How long an answer to commands is waited for. */
     private static final long DIRECT_TIMEOUT_MS = 3000;
-    /** Commands to one worker that may be without an answer when a kill is sent all the same. */
+    /** How many calls to one worker may be without an answer when a kill is sent all the same. */
     private static final int MAX_UNACKNOWLEDGED = 4;
 
-    /** What answers to commands tell. */
+    /** Receives what follows from the answers to commands. */
     public interface Listener {
-        /** The worker's report after the commands. */
-        void heartbeatReceived(Machine machine, Heartbeat report);
+        /** A worker has answered commands with a heartbeat, made after it received them. */
+        void heartbeatReceived(Machine machine, Heartbeat heartbeat);
 
-        /** A launch sent with this token may be executed minutes late. */
+        /** A launch that was sent with this token has no answer: it may be executed minutes late. */
         void launchUnacknowledged(FencingToken fencingToken);
 
-        /** What was sent so far must not be executed any more. */
+        /** A new fencing token is needed, so that workers refuse all that was sent so far. */
         void fencingRequested();
     }
 
@@ -54,6 +60,12 @@
     private final CancellationRegistry cancellations;
     private final Listener listener;
 
+    /**
+     * Creates the dispatcher.
+     *
+     * @param coldStart limits how fast machines are called when a term begins
+     * @param listener receives what follows from the answers
+     */
     public CommandDispatcher(
             ControllerServices services, LeaderState state, ColdStartRecovery coldStart, Listener listener) {
         this.context = services.context();
@@ -66,6 +78,7 @@
         this.listener = listener;
     }
 
+    /** Whether the machine has been heard lately, and messages reach it. */
     private boolean isReachable(Machine machine) {
         return machine.up
                 && machine.address != null
@@ -75,7 +88,7 @@
                 && context.now().since(machine.lastHeardAt) < settings.workers().reportS() * 2500;
     }
 
-    /** Also a worker that can't report, and answers when it is asked. */
+    /** Whether kills may be sent to the machine: also to a worker whose heartbeats don't arrive, but that answers probes. */
     private boolean acceptsKills(Machine machine) {
         return isReachable(machine)
                 || machine.address != null
@@ -87,10 +100,10 @@
                                 < settings.workers().reportS() * 2500;
     }
 
-    /** Kills the task where it may be, unless that is waiting to be sent already. */
+    /** Kills a task on the machine where it may be, unless a kill of it waits to be sent already. */
     void kill(Machine machine, Placement placement) {
         if (machine.outbox.stream()
-                .noneMatch(o -> o.verb() == WorkerCommand.Verb.KILL && o.task().equals(placement.task))) {
+                .noneMatch(c -> c.verb() == WorkerCommand.Verb.KILL && c.task().equals(placement.task))) {
             machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
             dispatch(machine);
         }
@@ -107,16 +120,17 @@
                 && clusterState.machine(placement.machine).commandsInFlight > 0;
     }
 
+    /** The fencing token that commands are sent with now. */
     FencingToken fencingToken() {
         return election.fencingToken();
     }
 
-    /** Asks for a new token at once: a worker that has seen it refuses what was sent before. */
+    /** Asks for a new fencing token at once: a worker that has seen it refuses what was sent before. */
     void requestFencing() {
         listener.fencingRequested();
     }
 
-    /** Kills what was launched without an answer so far; unlike other commands these do not wait for that answer. */
+    /** Kills the job's tasks whose launch has no answer yet; unlike other commands these kills do not wait for that answer. */
     void killUnacknowledged(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             Machine machine = clusterState.machine(placement.machine);
@@ -130,59 +144,70 @@
         }
     }
 
-    /** Sends waiting orders straight to the worker; one call at a time, so that each report is easy to judge. */
+    /** Sends the commands that wait for the machine; one call at a time, so that it is clear what each answer refers to. */
     public void dispatch(Machine machine) {
         if (machine.outbox.isEmpty() || machine.commandsInFlight > 0 || !election.holdsLease()) {
             return;
         }
         if (!isReachable(machine)) {
-            boolean kills = acceptsKills(machine);
-            machine.outbox.removeIf(o -> !kills
-                    || o.verb() != WorkerCommand.Verb.KILL); // launches not sent go with the next reply to its report
+            dropUndeliverable(machine);
         }
-        // While the book is not certain, or a cancellation may not be known, nothing is begun; what is to be ended is
-        // ended.
-        boolean all = loader.isActive() && cancellations.mayRenewLeases();
-        List<WorkerCommand> orders = new ArrayList<>(machine.outbox.stream()
-                .filter(o -> all || o.verb() == WorkerCommand.Verb.KILL)
-                .limit(MAX_COMMANDS)
-                .toList());
-        if (orders.isEmpty() || !coldStart.mayCommand(machine)) {
-            return; // they wait for a moment, or go with that reply
+        List<WorkerCommand> commands = sendableCommands(machine);
+        if (commands.isEmpty() || !coldStart.mayCommand(machine)) {
+            return; // they wait for a moment, or go with the answer to the next heartbeat
         }
-        machine.outbox.removeAll(orders);
+        machine.outbox.removeAll(commands);
         List<Placement> launches = new ArrayList<>();
-        orders.removeIf(command -> {
-            if (command.verb() != WorkerCommand.Verb.LAUNCH) {
-                return false;
-            }
-            Placement placement = machine.placements.get(command.task());
-            if (placement == null
-                    || placement.attempt != command.attempt()
-                    || !placement.committed
-                    || placement.launchSent
-                    || machine.isLeaving()
-                    || cancellations.isCancelled(command.task().job())) {
-                return true;
-            }
-            launches.add(placement);
-            placement.launchSent = true;
-            placement.launchEpoch = machine.epoch;
-            placement.launchSequence = machine.sequence;
-            return false;
-        });
-        if (orders.isEmpty()) {
+        commands.removeIf(
+                command -> command.verb() == WorkerCommand.Verb.LAUNCH && !prepareLaunch(machine, command, launches));
+        if (commands.isEmpty()) {
             coldStart.callFinished();
             return;
         }
-        send(machine, orders, launches);
+        send(machine, commands, launches);
+    }
+
+    /** Drops what can't be sent to an unreachable machine; launches go with the answer to its next heartbeat. */
+    private void dropUndeliverable(Machine machine) {
+        boolean acceptsKills = acceptsKills(machine);
+        machine.outbox.removeIf(c -> !acceptsKills || c.verb() != WorkerCommand.Verb.KILL);
     }
 
-    private void send(Machine machine, List<WorkerCommand> orders, List<Placement> launches) {
+    /**
+     * The waiting commands that may be sent now. While the records are not certain, or a cancellation may not be known, nothing
+     * is launched; what is to be ended is ended.
+     */
+    private List<WorkerCommand> sendableCommands(Machine machine) {
+        boolean mayLaunch = loader.isActive() && cancellations.mayRenewLeases();
+        return new ArrayList<>(machine.outbox.stream()
+                .filter(c -> mayLaunch || c.verb() == WorkerCommand.Verb.KILL)
+                .limit(MAX_COMMANDS)
+                .toList());
+    }
+
+    /** Marks the placement of a launch command as sent and adds it to the launches; false if it must not be launched any more. */
+    private boolean prepareLaunch(Machine machine, WorkerCommand command, List<Placement> launches) {
+        Placement placement = machine.placements.get(command.task());
+        if (placement == null
+                || placement.attempt != command.attempt()
+                || !placement.committed
+                || placement.launchSent
+                || machine.isLeaving()
+                || cancellations.isCancelled(command.task().job())) {
+            return false;
+        }
+        launches.add(placement);
+        placement.launchSent = true;
+        placement.launchEpoch = machine.epoch;
+        placement.launchSequence = machine.sequence;
+        return true;
+    }
+
+    private void send(Machine machine, List<WorkerCommand> commands, List<Placement> launches) {
         FencingToken fencingToken = election.fencingToken();
         long epoch = machine.epoch;
         ObjectNode body = Codec.map().put("baton", fencingToken.value()).put("shift", epoch);
-        body.set("orders", WorkerCommand.toNode(orders));
+        body.set("orders", WorkerCommand.toNode(commands));
         machine.commandsInFlight++;
         long term = clusterState.term();
         context.callBefore(
@@ -205,61 +230,82 @@
                 });
     }
 
-    /** Its address belongs to another machine now, which has been given its launches: they are ended there, and count as on their way here. */
-    private void handleForeignAnswer(Machine machine, Heartbeat report, List<Placement> launches) {
-        LOG.warn("{}: {} answers at its address", machine.id, report.machine());
+    /**
+     * Another machine has answered: the address belongs to it now, and it has been given the launches. They are killed there, and
+     * count as sent to the machine that they were meant for.
+     */
+    private void handleForeignAnswer(Machine machine, Heartbeat heartbeat, List<Placement> launches) {
+        LOG.warn(
+                "answer of another machine: machine={} answeredBy={} cause=\"address reused\"",
+                machine.id,
+                heartbeat.machine());
         machine.address = null;
-        Machine there = clusterState.findMachine(report.machine());
-        for (Placement p : there == null ? List.<Placement>of() : launches) {
-            there.outbox.add(WorkerCommand.kill(p.task, p.attempt, 0));
+        Machine answering = clusterState.findMachine(heartbeat.machine());
+        if (answering == null) {
+            return;
+        }
+        for (Placement placement : launches) {
+            answering.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
         }
     }
 
     private void handleAnswer(Machine machine, CallResult result, List<Placement> launches, FencingToken fencingToken) {
-        Heartbeat report = null;
-        if (result.kind() == CallResult.Kind.ANSWERED && result.body() != null) {
-            try {
-                report = Heartbeat.parse(result.body());
-            } catch (MalformedMessageException e) {
-                LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
-            }
-        }
-        boolean other = report != null && !report.machine().equals(machine.id);
-        if (other) {
-            handleForeignAnswer(machine, report, launches);
-            report = null;
+        Heartbeat heartbeat = parseHeartbeat(machine, result);
+        if (heartbeat != null && !heartbeat.machine().equals(machine.id)) {
+            handleForeignAnswer(machine, heartbeat, launches);
+            heartbeat = null;
         }
-        if (report != null) {
+        if (heartbeat != null) {
             machine.recordAnswer(context.now());
         } else if (result.kind() != CallResult.Kind.NOT_SENT) {
             machine.recordMissedCall(context.now(), context.isLagging());
         }
+        settleLaunches(machine, result, heartbeat != null, launches, fencingToken);
+        if (heartbeat != null && heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
+            recordHeartbeat(machine, heartbeat, result.hasStatus(200) ? launches : List.of());
+        }
+        dispatch(machine);
+    }
+
+    /** The heartbeat in the answer; null if there is no answer, or it holds none. */
+    private static Heartbeat parseHeartbeat(Machine machine, CallResult result) {
+        if (result.kind() != CallResult.Kind.ANSWERED || result.body() == null) {
+            return null;
+        }
+        try {
+            return Heartbeat.parse(result.body());
+        } catch (MalformedMessageException e) {
+            LOG.debug("malformed heartbeat: machine={} cause=\"{}\"", machine.id, e.getMessage());
+            return null;
+        }
+    }
+
+    /** Records whether the launches certainly were not carried out, or may be carried out late. */
+    private void settleLaunches(
+            Machine machine, CallResult result, boolean answered, List<Placement> launches, FencingToken fencingToken) {
         boolean refused = result.kind() == CallResult.Kind.NOT_SENT
-                || (report != null && result.hasStatus(409))
+                || (answered && result.hasStatus(409))
                 || result.hasStatus(400);
         if (refused) {
-            launches.forEach(p -> p.launchSent = false);
-        } else if (!(result.hasStatus(200) && report != null) && !launches.isEmpty()) {
+            launches.forEach(placement -> placement.launchSent = false);
+        } else if (!(result.hasStatus(200) && answered) && !launches.isEmpty()) {
             // The launch may be executed minutes late, until the worker has seen a higher token.
-            LOG.info("{}: launch without an answer, baton {}", machine.id, fencingToken.value());
+            LOG.info("launch unacknowledged: machine={} token={}", machine.id, fencingToken.value());
             machine.unacknowledgedToken = fencingToken;
             listener.launchUnacknowledged(fencingToken);
         }
-        if (report != null
-                && report.machine().equals(machine.id)
-                && report.isNewerThan(machine.epoch, machine.sequence)) {
-            boolean sameShift = report.epoch() == machine.epoch;
-            machine.recordNewest(report, context.now());
-            if (result.hasStatus(200)) {
-                for (Placement placement : launches) {
-                    placement.launchEpoch = report.epoch();
-                    placement.launchSequence = report.sequence();
-                }
-            }
-            if (sameShift && loader.isComplete()) {
-                listener.heartbeatReceived(machine, report);
-            }
+    }
+
+    /** Records a heartbeat newer than all that is known of the worker, made after it received the launches. */
+    private void recordHeartbeat(Machine machine, Heartbeat heartbeat, List<Placement> launches) {
+        boolean sameEpoch = heartbeat.epoch() == machine.epoch;
+        machine.recordNewest(heartbeat, context.now());
+        for (Placement placement : launches) {
+            placement.launchEpoch = heartbeat.epoch();
+            placement.launchSequence = heartbeat.sequence();
+        }
+        if (sameEpoch && loader.isComplete()) {
+            listener.heartbeatReceived(machine, heartbeat);
         }
-        dispatch(machine);
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/DisruptionRecorder.java
+++ b/src/main/java/org/beechhoist/controller/worker/DisruptionRecorder.java
@@ -3,8 +3,8 @@
 import org.beechhoist.drain.Cause;
 import org.beechhoist.store.Placement;
 
-/** Is told of each task that has to leave its machine though it could go on. */
+/** Records each task that has to leave its machine though it could continue. */
 public interface DisruptionRecorder {
-    /** A task has to leave its machine for this cause. */
+    /** Records that a task has to leave its machine for this cause. */
     void recordDisruption(Placement placement, Cause cause);
 }
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -21,33 +21,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether a machine that is not heard is to be given up. Silence proves nothing about its tasks, it only decides when the
- * cloud is asked to end it. A report that is late is asked for: a machine that answers is left alone, one that does not
- * is given up sooner than one that nobody asked.
+ * Decides whether a silent machine is given up. Silence proves nothing about its tasks; it only decides when the cloud is asked to
+ * end the machine. A machine whose heartbeat is late is probed: one that answers is kept, one that does not is given up sooner than
+ * one that was not probed.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** Questions on their way at once: each takes a socket, and those to dead machines hang. */
+    /** The most probes in flight: each takes a socket, and those to dead machines hang. */
     private static final int MAX_PROBES = 60;
 
+    /** How long the answer to a probe is waited for. */
     private static final long PROBE_TIMEOUT_MS = 2000;
-    /** A report may be late by a quarter, and some for the way. */
+    /** A heartbeat may come after so many intervals, and {@link #NETWORK_MS} later for the network. */
     private static final double LATE_FACTOR = 1.25;
-
+    /** What the network may add to a heartbeat's delay. */
     private static final long NETWORK_MS = 1500;
-    /** Unanswered questions that count as much as a second missed report. */
+    /** So many unanswered probes count as much as a second missed heartbeat; no more are sent. */
     static final int PROBE_LIMIT = 2;
-
+    /** A zone is suspect only if at least so many of its machines are. */
     private static final int MIN_ZONE_MACHINES = 5;
 
-    /** What is known of a zone's machines in this turn. */
+    /** What the current check has counted of a zone's machines. */
     private static final class ZoneHealth {
-        private int up;
-        private int suspect;
+        private int expectedMachines;
+        private int suspectMachines;
 
-        /** Most are silent, or don't hear: more likely the network than the machines. */
-        private boolean suspect() {
-            return suspect >= MIN_ZONE_MACHINES && suspect * 2 > up;
+        /** Whether most are silent or unreachable: more likely the fault of the network than of the machines. */
+        private boolean isSuspect() {
+            return suspectMachines >= MIN_ZONE_MACHINES && suspectMachines * 2 > expectedMachines;
         }
     }
 
@@ -58,13 +59,18 @@
     private final ClusterState clusterState;
     private final ColdStartRecovery coldStart;
     private final LossRecovery lossRecovery;
-    /** A worker is asked and says less than it has said before. */
+    /** Called when a worker answers a probe with an older message than was known of it: it has begun anew. */
     private final BiConsumer<Machine, Heartbeat> onRestart;
 
     private final Map<String, ZoneHealth> zones = new HashMap<>();
     private boolean mostMachinesSuspect;
     private int probesInFlight;
 
+    /**
+     * Creates the detector.
+     *
+     * @param onRestart called when a worker answers a probe with an older message than was known of it: it has begun anew
+     */
     public FailureDetector(
             ControllerServices services,
             Policy policy,
@@ -82,65 +88,76 @@
         this.onRestart = onRestart;
     }
 
-    /** A new leadership begins. */
+    /** Starts anew: a new term begins. */
     public void reset() {
         probesInFlight = 0;
     }
 
-    /** Machines that miss two reports; never less than the operator's setting. */
-    public long silenceLimitMs() {
+    /** After how long a machine is given up: once it has missed two heartbeats, but never sooner than the operators' setting. */
+    public long heartbeatTimeoutMs() {
         return Math.max(
                 policy.silentMs(),
                 Math.round(2 * LATE_FACTOR * settings.workers().reportS() * 1000) + 3000);
     }
 
+    /** After how long a heartbeat is late. */
     private long heartbeatLateMs() {
         return Math.round(LATE_FACTOR * settings.workers().reportS() * 1000) + NETWORK_MS;
     }
 
-    /** Counts the silent ones, and asks those whose report is late. */
+    /** Counts the suspect machines of each zone, and probes those whose heartbeat is late. */
     public void check() {
         zones.clear();
-        int up = 0;
-        int silent = 0;
-        List<Machine> early = new ArrayList<>();
+        int expected = 0;
+        int suspect = 0;
+        List<Machine> probedEarly = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             if (!isExpected(machine) || machine.releasing) {
                 continue;
             }
-            long quiet = context.now().since(clusterState.lastHeardOf(machine));
+            long silentMs = context.now().since(clusterState.lastHeardOf(machine));
             if (!machine.confirmedPresent && !machine.listedRunning && machine.placements.isEmpty()) {
-                probe(machine); // nothing but a report tells of it, which may be a copy: it counts for no zone
+                probe(machine); // only a heartbeat names it, which may be a copy: it counts for no zone
                 continue;
             }
-            ZoneHealth zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new ZoneHealth());
-            up++;
-            zone.up++;
-            boolean dark = quiet > heartbeatLateMs() || machine.reachability.isUnreachable();
-            zone.suspect += dark ? 1 : 0;
-            silent += dark ? 1 : 0;
-            if (machine.reachability.missed() > 0 && !machine.reachability.isUnreachable()) {
-                probe(machine); // one lost message may be the way's fault; a second is not waited for
-            }
-            if (quiet > heartbeatLateMs()) {
-                probe(machine);
-            } else if (coldStart.probesEarly(machine)) {
-                early.add(machine);
-            } else if (machine.lastHeartbeat != null) {
-                machine.unansweredProbes = 0;
-            }
+            expected++;
+            suspect += countInZone(machine, silentMs) ? 1 : 0;
+            probeIfNeeded(machine, silentMs, probedEarly);
         }
-        early.sort(Comparator.comparingInt(
-                lossRecovery::highestPriority)); // machines whose urgent work would wait for the answer
-        early.forEach(this::probe);
-        mostMachinesSuspect = silent > 2 && silent * 2 > up;
+        // First come machines whose urgent work would wait for the answer.
+        probedEarly.sort(Comparator.comparingInt(lossRecovery::highestPriority));
+        probedEarly.forEach(this::probe);
+        mostMachinesSuspect = suspect > 2 && suspect * 2 > expected;
     }
 
-    /** Machines that should report: also those that never did to this leadership, but hold tasks or are listed as running. */
+    /** Counts the machine in its zone; returns whether it is suspect. */
+    private boolean countInZone(Machine machine, long silentMs) {
+        ZoneHealth zone = zones.computeIfAbsent(String.valueOf(machine.zone), k -> new ZoneHealth());
+        zone.expectedMachines++;
+        boolean isSuspect = silentMs > heartbeatLateMs() || machine.reachability.isUnreachable();
+        zone.suspectMachines += isSuspect ? 1 : 0;
+        return isSuspect;
+    }
+
+    private void probeIfNeeded(Machine machine, long silentMs, List<Machine> probedEarly) {
+        if (machine.reachability.missed() > 0 && !machine.reachability.isUnreachable()) {
+            probe(machine); // one lost message may be the network's fault; a second one is not waited for
+        }
+        if (silentMs > heartbeatLateMs()) {
+            probe(machine);
+        } else if (coldStart.probesEarly(machine)) {
+            probedEarly.add(machine);
+        } else if (machine.lastHeartbeat != null) {
+            machine.unansweredProbes = 0;
+        }
+    }
+
+    /** Whether the machine should report: also one that has not reported in this term, but holds tasks or is listed as running. */
     private static boolean isExpected(Machine machine) {
         return machine.up || machine.listedRunning || !machine.placements.isEmpty();
     }
 
+    /** Asks the machine for a heartbeat, unless too many probes are in flight or unanswered. */
     private void probe(Machine machine) {
         if (machine.probeInFlight
                 || probesInFlight >= MAX_PROBES
@@ -152,7 +169,7 @@
         machine.probeInFlight = true;
         probesInFlight++;
         long epoch = machine.epoch;
-        long counter = machine.sequence;
+        long sequence = machine.sequence;
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
@@ -169,17 +186,22 @@
                     probesInFlight--;
                     coldStart.callFinished();
                     machine.probeInFlight = false;
-                    handleProbeAnswer(machine, result, epoch, counter);
+                    handleProbeAnswer(machine, result, epoch, sequence);
                 });
     }
 
-    /** @param epoch the newest message known when the question was sent, and {@code counter} */
-    private void handleProbeAnswer(Machine machine, CallResult result, long epoch, long counter) {
+    /**
+     * Handles the answer to a probe.
+     *
+     * @param epoch the epoch of the machine's newest message that was known when the probe was sent
+     * @param sequence the sequence number of that message
+     */
+    private void handleProbeAnswer(Machine machine, CallResult result, long epoch, long sequence) {
         Heartbeat heartbeat = null;
         try {
             heartbeat = result.isOk() ? Heartbeat.parse(result.body()) : null;
         } catch (MalformedMessageException e) {
-            LOG.debug("{}: strange report: {}", machine.id, e.getMessage());
+            LOG.debug("malformed heartbeat: machine={} cause=\"{}\"", machine.id, e.getMessage());
         }
         if (heartbeat == null || !heartbeat.machine().equals(machine.id)) { // another machine may have its address
             if (result.kind() != CallResult.Kind.NOT_SENT) {
@@ -193,39 +215,43 @@
         machine.recordAnswer(context.now());
         if (heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
             machine.recordNewest(heartbeat, context.now());
-        } else if (!heartbeat.isNewerThan(epoch, counter)) {
+        } else if (!heartbeat.isNewerThan(epoch, sequence)) {
             onRestart.accept(machine, heartbeat);
         }
     }
 
-    /** Whether a machine that does not hear is to be returned for that. */
+    /** Whether the machine is to be returned because messages don't reach it. */
     public boolean isUnreachable(Machine machine) {
-        ZoneHealth zone = zones.get(String.valueOf(machine.zone));
         return machine.reachability.shouldRelease(
                 machine.countLaunched(false),
                 machine.countLaunched(true),
-                mostMachinesSuspect || zone != null && zone.suspect(),
+                isNetworkSuspect(machine),
                 settings.workers().leaseMs(),
                 context.now());
     }
 
-    /** Whether the machine is to be returned for its silence. */
-    public boolean isGone(Machine machine) {
-        long quiet = context.now().since(clusterState.lastHeardOf(machine));
+    /** Whether a fault of the network, in all or in the machine's zone, is more likely than one of the machine. */
+    private boolean isNetworkSuspect(Machine machine) {
         ZoneHealth zone = zones.get(String.valueOf(machine.zone));
+        return mostMachinesSuspect || zone != null && zone.isSuspect();
+    }
+
+    /** Whether the machine is to be returned because it is silent. */
+    public boolean isGone(Machine machine) {
+        long silentMs = context.now().since(clusterState.lastHeardOf(machine));
         if (context.now().isBefore(machine.probeGraceUntil)) {
             return false;
         }
         if (machine.reachability.isOneWay()) {
-            return quiet > settings.workers().leaseMs(); // it goes round all nodes, and is heard here the less for that
+            return silentMs > settings.workers().leaseMs(); // it tries all nodes in turn, and is heard here less often
         }
-        if (mostMachinesSuspect || (zone != null && zone.suspect())) {
-            return quiet > settings.workers().leaseMs();
+        if (isNetworkSuspect(machine)) {
+            return silentMs > settings.workers().leaseMs();
         }
-        if (quiet <= Math.min(policy.silentMs(), silenceLimitMs())
+        if (silentMs <= Math.min(policy.silentMs(), heartbeatTimeoutMs())
                 || context.now().since(machine.probeAnsweredAt) < heartbeatLateMs()) {
             return false;
         }
-        return quiet > silenceLimitMs() || machine.unansweredProbes >= PROBE_LIMIT;
+        return silentMs > heartbeatTimeoutMs() || machine.unansweredProbes >= PROBE_LIMIT;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
@@ -24,19 +24,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * When much is lost at once: what comes first, and how far it has come. The order: machines whose tasks can't start
- * anew before the cloud confirms that they are gone, the most urgent work first; then new machines; then the list; then
- * machines that only cost money. What it knows of a fall is this leadership's knowledge; it decides nothing alone.
+ * The recovery from losing many machines at once: what comes first, and its progress. The order of calls to the cloud: the release
+ * of machines whose tasks can't start anew before the cloud confirms that they are gone, the most urgent work first; then new
+ * machines; then the list of machines; then the release of machines that only cost money. What is known of a loss is known for this
+ * term alone, and decides nothing by itself.
  */
 public final class LossRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(LossRecovery.class);
-    /** Losses are one fall while they follow one another this closely, and count as one from so many tasks on. */
+    /** Losses belong to one event while they follow one another this closely. */
     private static final long SAME_EVENT_MS = 20_000;
-
+    /** An event of fewer lost tasks is neither logged nor shown. */
     private static final int MIN_TASKS = 10;
+    /** The most events that are remembered. */
     private static final int MAX_REMEMBERED = 20;
 
-    /** Losses that came together. */
+    /** Losses of machines that came together, and the tasks on them that are not placed again yet. */
     private static final class LossEvent {
         private final MonotonicTime began;
         private MonotonicTime last;
@@ -58,22 +60,30 @@
     private final ClusterState clusterState;
     private final Deque<LossEvent> losses = new ArrayDeque<>();
 
+    /** Creates it without any losses. */
     public LossRecovery(ControllerContext context, ClusterState clusterState) {
         this.context = context;
         this.clusterState = clusterState;
     }
 
+    /** Forgets all losses: a new term begins. */
     public void reset() {
         losses.clear();
     }
 
+    /** Whether the job has the priority urgent or a higher one. */
     public static boolean isUrgent(Job job) {
         return job.spec().priority().compareTo(Priority.URGENT) <= 0;
     }
 
     // ---- what comes first ----
 
-    /** Machines on their way out that the cloud has not been asked to end yet, those first on which something must be gone soon, then those whose tasks wait for it. */
+    /**
+     * The machines to be released that the cloud has not been asked to end yet.
+     *
+     * @param withTasks true: those that hold tasks, first those on which something must be gone soonest, then those with the most
+     *     urgent work, then those that have been silent longest; false: those without tasks
+     */
     public List<Machine> machinesToRelease(boolean withTasks) {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
@@ -82,41 +92,31 @@
             }
         }
         if (withTasks) {
-            out.sort(Comparator.<Machine>comparingLong(h -> h.mustBeGoneByMs)
+            out.sort(Comparator.<Machine>comparingLong(machine -> machine.mustBeGoneByMs)
                     .thenComparingInt(this::highestPriority)
-                    .thenComparing(h -> clusterState.lastHeardOf(h)));
+                    .thenComparing(machine -> clusterState.lastHeardOf(machine)));
         }
         return out;
     }
 
-    /** The most urgent work on it; beyond all urgencies where there is none. */
+    /** The ordinal of the highest priority of the tasks on the machine; beyond all priorities if there are none. */
     int highestPriority(Machine machine) {
         int least = Priority.values().length;
         for (Placement placement : machine.placements.values()) {
-            Job j = clusterState.job(placement.task.job());
-            least = j == null ? least : Math.min(least, j.spec().priority().ordinal());
+            Job job = clusterState.job(placement.task.job());
+            least = job == null ? least : Math.min(least, job.spec().priority().ordinal());
         }
         return least;
     }
 
-    // ---- how far it has come ----
+    // ---- progress ----
 
-    /** The task was lost with its machine. */
+    /** Records that the task was lost with its machine. */
     void recordLost(Job job, Placement placement) {
         if (job.isCancelled() || job.record.done.contains(placement.task.index())) {
             return;
         }
-        LossEvent loss = losses.peekLast();
-        if (loss == null || context.now().since(loss.last) > SAME_EVENT_MS) {
-            if (loss != null && loss.tasks < MIN_TASKS) {
-                losses.removeLast();
-            }
-            loss = new LossEvent(context.now());
-            losses.addLast(loss);
-            if (losses.size() > MAX_REMEMBERED) {
-                losses.removeFirst();
-            }
-        }
+        LossEvent loss = currentEvent();
         loss.last = context.now();
         loss.machines.add(placement.machine);
         if (loss.waiting.add(placement.task)) {
@@ -130,18 +130,33 @@
         }
     }
 
-    /** The task is placed again, and that is committed. */
+    /** The event that a loss belongs to now; a new one if the last loss was too long ago. */
+    private LossEvent currentEvent() {
+        LossEvent loss = losses.peekLast();
+        if (loss == null || context.now().since(loss.last) > SAME_EVENT_MS) {
+            if (loss != null && loss.tasks < MIN_TASKS) {
+                losses.removeLast();
+            }
+            loss = new LossEvent(context.now());
+            losses.addLast(loss);
+            if (losses.size() > MAX_REMEMBERED) {
+                losses.removeFirst();
+            }
+        }
+        return loss;
+    }
+
+    /** Records that the task is placed again, which is committed. */
     public void recordPlaced(Placement placement) {
-        losses.forEach(f -> recordRecovered(f, placement.task));
+        losses.forEach(loss -> recordRecovered(loss, placement.task));
     }
 
-    /** Nothing of the job is wanted any more. */
+    /** Stops waiting for tasks of the job: it is cancelled. */
     public void forgetJob(JobId job) {
         for (LossEvent loss : losses) {
-            for (TaskId t :
-                    loss.waiting.stream().filter(t -> t.job().equals(job)).toList()) {
-                recordRecovered(loss, t);
-            }
+            List<TaskId> tasksOfJob =
+                    loss.waiting.stream().filter(task -> task.job().equals(job)).toList();
+            tasksOfJob.forEach(task -> recordRecovered(loss, task));
         }
     }
 
@@ -151,34 +166,35 @@
         }
         if (loss.urgent.remove(task) && loss.urgent.isEmpty()) {
             loss.urgentRecovered = context.now();
-            logRecovered(loss, loss.urgentTasks + " urgent ones placed again");
+            logRecovered(loss, "urgent tasks");
         }
         if (loss.waiting.isEmpty()) {
             loss.allRecovered = context.now();
-            logRecovered(loss, "all placed again");
+            logRecovered(loss, "all tasks");
         }
     }
 
-    private void logRecovered(LossEvent loss, String what) {
+    private void logRecovered(LossEvent loss, String recovered) {
         if (loss.tasks >= MIN_TASKS) {
             LOG.info(
-                    "{} tasks lost on {} machines from {} s ago on: {}",
+                    "lost tasks placed again: recovered=\"{}\" tasks={} urgentTasks={} machines={} sinceLossS={}",
+                    recovered,
                     loss.tasks,
+                    loss.urgentTasks,
                     loss.machines.size(),
-                    context.now().since(loss.began) / 1000,
-                    what);
+                    context.now().since(loss.began) / 1000);
         }
     }
 
-    /** Machines with work on them that were lost within the last so many ms, by the falls that go on. */
+    /** The number of machines with tasks lost in the events whose last loss was within the last so many ms. */
     public int recentlyLostMachines(long withinMs) {
         return losses.stream()
-                .filter(f -> context.now().since(f.last) <= withinMs)
-                .mapToInt(f -> f.machines.size())
+                .filter(loss -> context.now().since(loss.last) <= withinMs)
+                .mapToInt(loss -> loss.machines.size())
                 .sum();
     }
 
-    /** The falls of this leadership, the newest last. */
+    /** The operators' view of this term's loss events, the newest last. */
     public ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("falls");
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -1,44 +1,49 @@
 package org.beechhoist.controller.worker;
 
 /**
- * Whether a machine that has not spoken to this leadership is there. The cloud's list lags: right after a start it names
- * machines that the last leader has returned, and a plan that counted on them once kept work waiting for 50 machines that
- * were gone, and then stopped 62 tasks for it.
+ * Assesses whether a machine is there that has not reported in this term. The cloud's list lags: at the beginning of a term it names
+ * machines that the last leader has returned. A plan that counted on them once kept work waiting for 50 machines that were gone, and
+ * then preempted 62 tasks for it.
  */
 public final class MachinePresence {
-    /** What is to be done about a machine that is silent so far. */
+    /** What is done about a machine that has been silent so far. */
     public enum Assessment {
-        /** The plan counts on it: it will find this node. */
+        /** The plan counts on it: it is expected to find this node. */
         ASSUMED_PRESENT,
-        /** The same, and it is asked. */
+        /** The plan counts on it, and it is probed. */
         PROBED,
-        /** The plan does not count on it; it is not given up for that. */
+        /** The plan does not count on it; that alone does not make it given up. */
         DOUBTED
     }
 
     /**
-     * What is known of one that has not reported to this leadership.
+     * What is known of a machine that has not reported in this term.
      *
-     * @param holdsTasks by the records
-     * @param listedUp the cloud's list has it as running
-     * @param unanswered questions to it in a row that nobody answered
-     * @param answered it has answered a question
+     * @param holdsTasks whether tasks are placed on it by the records
+     * @param listedRunning whether the cloud lists it as running
+     * @param unansweredProbes how many probes of it in a row have had no answer
+     * @param answeredProbe whether it has answered a probe
      */
     public record SilentMachine(
             boolean holdsTasks, boolean listedRunning, int unansweredProbes, boolean answeredProbe) {}
 
-    /** Workers without a leader try node after node, a second each; what a start asks before is mostly on its way anyway. */
+    /**
+     * How long after a term began the first probes are sent. Workers without a leader try node after node, for a second each; most
+     * of those that were probed sooner would be about to report anyway.
+     */
     static final long FIRST_PROBE_MS = 1000;
 
     private MachinePresence() {}
 
     /**
-     * @param sinceMs since this leadership began
-     * @param allReportedMs by when every living machine should have found this node
+     * Assesses a machine.
+     *
+     * @param sinceMs how long ago this term began
+     * @param allReportedMs by when, after the term began, every living machine should have found this node
      */
     public static Assessment assess(SilentMachine machine, long sinceMs, long allReportedMs) {
         if (!machine.holdsTasks && !machine.listedRunning) {
-            return Assessment.ASSUMED_PRESENT; // it boots
+            return Assessment.ASSUMED_PRESENT; // it is booting
         }
         if (machine.answeredProbe) {
             return Assessment.ASSUMED_PRESENT;
--- a/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
@@ -5,9 +5,9 @@
 
 /** Returns machines to the cloud. */
 public interface MachineReleases {
-    /** Whether the machine has been returned, and all that may still come of it is late. */
+    /** Whether the machine has been returned, so that any message that still comes from it is late. */
     boolean isReleased(MachineId machine);
 
-    /** Has the machine returned to the cloud, with all that is on it. */
+    /** Returns the machine to the cloud, with all its tasks; the cause is for the log. */
     void releaseMachine(Machine machine, String cause);
 }
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
@@ -12,11 +12,12 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Tasks on machines that the cloud is about to take: what will be over in time goes on, the rest is stopped at once, so that it begins
- * elsewhere. (Tried: let it go on to the last moment where there is no room elsewhere; docs/design/drains.md.)
+ * Handles tasks on machines with a preemption notice: a task that is expected to end in time continues, any other is evicted at once,
+ * so that it begins elsewhere. (Tried: let it continue to the last moment where there is no capacity elsewhere;
+ * docs/design/drains.md.)
  */
 public final class PreemptionNotices {
-    /** What can't save in time is not waited for. */
+    /** Subtracted from the time left: a checkpoint that can't be saved before the machine is taken is not waited for. */
     private static final double NETWORK_S = 1;
 
     private final ControllerContext context;
@@ -25,6 +26,7 @@
     private final TaskEviction eviction;
     private final CommandDispatcher dispatcher;
 
+    /** Creates the handler of preemption notices. */
     public PreemptionNotices(
             ControllerContext context,
             ClusterState clusterState,
@@ -38,6 +40,7 @@
         this.dispatcher = dispatcher;
     }
 
+    /** The machines with a preemption notice that hold tasks. */
     private List<Machine> machinesUnderNotice() {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
@@ -48,7 +51,7 @@
         return out;
     }
 
-    /** Whether it goes on for now, and will not be over before its machine is taken. */
+    /** Whether the task is running on, and is not expected to end before its machine is taken. */
     private boolean willBeCutShort(Machine machine, Placement placement, Job job) {
         return job != null
                 && placement.launchSent
@@ -57,23 +60,24 @@
                 && machine.preemptedAt.isBefore(estimates.expectedEnd(placement, context.now()));
     }
 
+    /** Evicts the tasks that are not expected to end before their machine is taken. */
     public void enforce() {
         for (Machine machine : machinesUnderNotice()) {
-            long left = machine.preemptedAt.since(context.now());
-            boolean stopped = false;
+            long leftMs = machine.preemptedAt.since(context.now());
+            boolean evicted = false;
             for (Placement placement : new ArrayList<>(machine.placements.values())) {
                 if (willBeCutShort(machine, placement, clusterState.job(placement.task.job()))) {
-                    eviction.evict(placement, Math.max(0, left / 1000.0 - NETWORK_S), Cause.NOTICE);
-                    stopped = true;
+                    eviction.evict(placement, Math.max(0, leftMs / 1000.0 - NETWORK_S), Cause.NOTICE);
+                    evicted = true;
                 }
             }
-            if (stopped) {
+            if (evicted) {
                 dispatcher.dispatch(machine);
             }
         }
     }
 
-    /** By when what is on the machine is over, or is stopped. */
+    /** By when the task on the machine is expected to end, or to be evicted. */
     public MonotonicTime expectedEnd(Machine machine, Placement placement) {
         MonotonicTime end = estimates.expectedEnd(placement, context.now());
         return machine.preemptedAt != null && machine.preemptedAt.isBefore(end) ? machine.preemptedAt : end;
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -6,33 +6,41 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * How fast a start may turn to machines: so many commands and questions a second in all and in each zone, and so many on
- * their way at once. A part is kept for urgent work. What is held back goes with the answer to the machine's next report,
- * or a moment later; nothing is lost by it. Calls of cloud and state service have budgets of their own, which hold in a
- * start as at any other time.
+ * Limits how fast machines are called during a cold-start recovery: so many commands and probes a second in all and in each zone, and
+ * so many in flight at once. A part is reserved for urgent work. A command that is held back goes with the answer to the machine's
+ * next heartbeat, or a moment later; nothing is lost by it. Calls to the cloud and the state service have limits of their own, which
+ * apply during a recovery as at any other time.
  */
 public final class RecoveryPacer {
-    /** What is paced. */
+    /** The kinds of calls. */
     public enum CallKind {
         /** Commands that launch or end urgent work, or end what must not run. */
         URGENT,
+        /** Any other commands. */
         ORDINARY,
-        /** A silent machine is asked for its report. */
+        /** A question to a silent machine for its heartbeat. */
         PROBE
     }
 
-    /** Of each second's part, what only urgent commands may take. */
+    /** The share of each limit that only urgent commands may use. */
     private static final double URGENT_RESERVE = 1 / 3.0;
-    /** A zone may have this much of it: a zone that comes back must not keep the others waiting. */
+    /** The share of the limit that one zone may use: a zone that comes back must not keep the others waiting. */
     private static final double ZONE_SHARE = 0.6;
-    /** Sockets that a start may fill with what it begins itself; the rest is for workers, users and nodes. */
+    /** The share of the sockets that paced calls may use; the rest is for workers, users and other nodes. */
     private static final double SOCKETS_SHARE = 1 / 8.0;
-    /** A call to a living machine takes milliseconds: at an eighth of the sockets a second 4,000 machines waited half a minute. */
+    /**
+     * Calls a second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the sockets as calls a
+     * second, 4,000 machines waited half a minute.
+     */
     private static final double CALLS_PER_SOCKET = 2;
-    /** So much of it may be sent at once, and as much comes back in a second: no second, wherever it begins, sees more than all. */
+    /**
+     * The share of {@link #perSecond} that may be sent at once, and that is refilled in a second: no second, wherever it begins, has
+     * more calls than the limit.
+     */
     private static final double BURST_SHARE = 0.5;
-
+    /** The least number of concurrent calls allowed, however few sockets there are. */
     private static final double MIN_CONCURRENT = 20;
+    /** The greatest number of concurrent calls allowed. */
     private static final double MAX_CONCURRENT = 300;
 
     private final double maxConcurrent;
@@ -43,7 +51,11 @@
     private int deferred;
     private int sent;
 
-    /** @param sockets that this node may have open; 0: no limit */
+    /**
+     * Creates a pacer at the beginning of a term.
+     *
+     * @param sockets how many this node may have open; 0: no limit
+     */
     public RecoveryPacer(int sockets) {
         this.maxConcurrent = sockets <= 0
                 ? MAX_CONCURRENT
@@ -52,20 +64,20 @@
         this.overall = new TokenBucket(perSecond * BURST_SHARE);
     }
 
-    /** Commands and questions a second, at most; half as many may be on their way at once. */
+    /** The most commands and probes a second; half as many may be in flight at once. */
     public double perSecond() {
         return perSecond;
     }
 
-    /** Whether one may be sent now; it is on its way then, until {@link #over}. */
+    /** Whether a call may be sent now; if so, it counts as in flight until {@link #callFinished}. */
     public boolean tryAcquire(CallKind kind, String zone, MonotonicTime now) {
         TokenBucket bucket =
                 zones.computeIfAbsent(String.valueOf(zone), k -> new TokenBucket(perSecond * BURST_SHARE * ZONE_SHARE));
-        double left = kind == CallKind.URGENT ? 0 : URGENT_RESERVE;
-        boolean may = overall.available(now) >= 1 + left * overall.capacity()
-                && bucket.available(now) >= 1 + left * bucket.capacity()
-                && inFlight < maxConcurrent * (1 - left);
-        if (!may) {
+        double reserve = kind == CallKind.URGENT ? 0 : URGENT_RESERVE;
+        boolean allowed = overall.available(now) >= 1 + reserve * overall.capacity()
+                && bucket.available(now) >= 1 + reserve * bucket.capacity()
+                && inFlight < maxConcurrent * (1 - reserve);
+        if (!allowed) {
             deferred++;
             return false;
         }
@@ -76,20 +88,22 @@
         return true;
     }
 
-    /** It was answered, or given up. */
+    /** A call was answered, or given up. */
     public void callFinished() {
         inFlight = Math.max(0, inFlight - 1);
     }
 
+    /** How many calls are in flight. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** How often something had to wait, and what was sent, since the start began. */
+    /** How often a call was held back since the recovery began. */
     public int deferred() {
         return deferred;
     }
 
+    /** How many calls were sent since the recovery began. */
     public int sent() {
         return sent;
     }
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -3,15 +3,15 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * How far a start has come. The phases tell what is being waited for; no machine waits for another: one that is squared
- * works while others are unheard. Each phase ends by its condition or at its deadline.
+ * The progress of a cold-start recovery. A phase says what is being waited for; no machine waits for another: one that is reconciled
+ * works while others have not reported yet. Each phase ends by its condition or at its deadline.
  */
 public final class RecoveryProgress {
-    /** What a start waits for. */
+    /** What the recovery waits for. */
     public enum Phase {
         /** Records, change log and fleet snapshot are being read. Nothing may be commanded. */
         READING("reading"),
-        /** Machines are finding this node. Nothing is preempted, for machines with room may be about to report. */
+        /** Machines are finding this node. Nothing is preempted, for machines with free capacity may be about to report. */
         LISTENING("listening"),
         /** Heartbeats are reconciled with what is stored; some placements are still unconfirmed. */
         RECONCILING("squaring"),
@@ -35,21 +35,21 @@
     /**
      * What is known at one moment.
      *
-     * @param read whether all open records are known
-     * @param expected machines that must be there, by the records and the cloud's list, and {@code heard} those of them that have
-     *     spoken
-     * @param listed whether the cloud has told of its machines
-     * @param inDoubt placements of earlier leaderships that no report has spoken of
-     * @param waitingOrders commands that the pace holds back
+     * @param stateRead whether all open records are read
+     * @param listed whether the cloud has listed its machines
+     * @param expected the machines that must be there by the records and the cloud's list
+     * @param heard how many of those expected have reported
+     * @param unconfirmed placements of earlier terms that no heartbeat has confirmed or refuted
+     * @param waitingCommands commands that the pacer holds back
      */
     public record Facts(
             boolean stateRead, boolean listed, int expected, int heard, int unconfirmed, int waitingCommands) {}
 
-    /** So many of those expected have spoken: the rest are hardly room to wait for. */
+    /** The share of the expected machines that is waited for: the rest has hardly any capacity worth waiting for. */
     private static final double HEARD_SHARE = 0.9;
-    /** Listening holds stops back; urgent work must not wait longer for room that never speaks. */
+    /** The longest listening: it holds preemptions back, and urgent work must not wait longer for machines that never report. */
     private static final long MAX_LISTENING_MS = 4000;
-
+    /** The longest time that work is placed again at the pacer's speed. */
     private static final long MAX_RESUMING_MS = 10_000;
 
     private final long allReportedMs;
@@ -61,36 +61,40 @@
     private MonotonicTime stateReadAt;
 
     /**
-     * @param reportMs how often a worker reports
-     * @param leaseMs after which an unheard machine's tasks are certainly gone
+     * Creates the progress of a recovery that begins now.
+     *
+     * @param heartbeatIntervalMs how often a worker sends a heartbeat
+     * @param leaseMs after which the tasks of a machine that is not heard are certainly gone
      */
-    public RecoveryProgress(MonotonicTime now, long reportMs, long leaseMs) {
+    public RecoveryProgress(MonotonicTime now, long heartbeatIntervalMs, long leaseMs) {
         this.beganAt = now;
         this.phaseBeganAt = now;
-        this.allReportedMs = allReportedMs(reportMs);
-        this.listeningMs = Math.min(MAX_LISTENING_MS, 1000 + 2 * reportMs);
+        this.allReportedMs = allReportedMs(heartbeatIntervalMs);
+        this.listeningMs = Math.min(MAX_LISTENING_MS, 1000 + 2 * heartbeatIntervalMs);
         this.leaseMs = leaseMs;
     }
 
-    /** By when every living machine should have found a new leader: a report may be a quarter late and be turned away once. */
-    public static long allReportedMs(long reportMs) {
-        return reportMs * 5 / 4 + 2000;
+    /** By when every living machine should have found a new leader: a heartbeat may be a quarter late and be refused once. */
+    public static long allReportedMs(long heartbeatIntervalMs) {
+        return heartbeatIntervalMs * 5 / 4 + 2000;
     }
 
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
 
+    /** When the recovery began. */
     public MonotonicTime beganAt() {
         return beganAt;
     }
 
-    /** When all records were known, or null. */
+    /** When all records were read; null: not yet. */
     public MonotonicTime stateReadAt() {
         return stateReadAt;
     }
 
-    /** Takes the next step, if it is time; whether there was one. At most one a call, so that each is seen. */
+    /** Enters the next phase if the current one is over; returns whether it was. At most one phase a call, so that each is seen. */
     public boolean advance(MonotonicTime now, Facts facts) {
         Phase next = nextPhase(now, facts);
         if (next == phase) {
@@ -105,23 +109,22 @@
     }
 
     private Phase nextPhase(MonotonicTime now, Facts facts) {
-        long here = now.since(phaseBeganAt);
+        long inPhaseMs = now.since(phaseBeganAt);
         return switch (phase) {
-            case READING ->
-                facts.stateRead
-                        ? Phase.LISTENING
-                        : Phase.READING; // nothing is certain before; no deadline may end this
-            case LISTENING ->
-                (facts.listed && facts.heard >= HEARD_SHARE * facts.expected) || here >= listeningMs
-                        ? Phase.RECONCILING
-                        : phase;
+            // Nothing is certain before all records are read: no deadline may end this phase.
+            case READING -> facts.stateRead ? Phase.LISTENING : phase;
+            case LISTENING -> hasHeardEnough(facts) || inPhaseMs >= listeningMs ? Phase.RECONCILING : phase;
             case RECONCILING -> facts.unconfirmed == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
-            case RESUMING -> facts.waitingCommands == 0 || here >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
+            case RESUMING -> facts.waitingCommands == 0 || inPhaseMs >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
             case COMPLETE -> Phase.COMPLETE;
         };
     }
 
-    /** By when the start is over at the latest, if the records are read by now. */
+    private static boolean hasHeardEnough(Facts facts) {
+        return facts.listed && facts.heard >= HEARD_SHARE * facts.expected;
+    }
+
+    /** In how many ms the recovery is over at the latest, if the records are read by now. */
     public long maxRemainingMs(MonotonicTime now) {
         return switch (phase) {
             case READING, LISTENING, RECONCILING -> Math.max(0, leaseMs - now.since(beganAt)) + MAX_RESUMING_MS;
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has tasks stopped that could go on: whoever wants that for a reason of its own comes here and says why. What is stopped on purpose
- * was allowed by its team's budget, and charged, before ({@link DisruptionRecorder}); the rest is charged as it happens.
+ * Evicts tasks that could continue, for a cause that the caller names. A deliberate eviction was allowed by the team's disruption
+ * budget, and counted against it, before; any other is counted as it happens ({@link DisruptionRecorder}).
  */
 public final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
@@ -18,18 +18,23 @@
     private final CommandDispatcher dispatcher;
     private final DisruptionRecorder disruptions;
 
+    /** Creates it; each disruption is reported to the recorder. */
     public TaskEviction(ClusterState clusterState, CommandDispatcher dispatcher, DisruptionRecorder disruptions) {
         this.clusterState = clusterState;
         this.dispatcher = dispatcher;
         this.disruptions = disruptions;
     }
 
-    /** Has a task stopped, with time to save; sent with the host's next orders. */
+    /** Evicts a task, with time to save its checkpoint; the command is sent with the machine's next ones. */
     public void evict(Placement placement, Cause cause) {
         evict(placement, clusterState.job(placement.task.job()).spec().checkpointCostS(), cause);
     }
 
-    /** The same with so long to save; 0: at once. */
+    /**
+     * Evicts a task; the command is sent with the machine's next ones.
+     *
+     * @param graceS how long it may save its checkpoint; 0: it ends at once
+     */
     public void evict(Placement placement, double graceS, Cause cause) {
         if (!placement.stopRequested) {
             disruptions.recordDisruption(placement, cause);
@@ -41,22 +46,26 @@
                 .add(WorkerCommand.kill(placement.task, placement.attempt, graceS));
     }
 
-    /** Has a task stopped at once, for another's sake. */
+    /** Evicts a task, with time to save its checkpoint, in favour of another job; the command is sent at once. */
     public void preempt(Placement placement, Job forJob) {
         LOG.info(
-                "{} try {} on {} makes room for {}", placement.task, placement.attempt, placement.machine, forJob.id());
+                "task preempted: task={} attempt={} machine={} cause=\"capacity needed\" forJob={}",
+                placement.task,
+                placement.attempt,
+                placement.machine,
+                forJob.id());
         evict(placement, Cause.PREEMPTION);
         dispatcher.dispatch(clusterState.machine(placement.machine));
     }
 
-    /** A gang that has lost a task can't go on: the others make room, and all of it starts anew. */
+    /** Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and starts anew as a whole. */
     void evictWithGang(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
             evict(placement, Cause.GANG);
         }
     }
 
-    /** Its machine is gone, and it with it. */
+    /** Records that a task is lost with its machine. */
     void recordLost(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
             disruptions.recordDisruption(placement, Cause.MACHINE);
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -10,37 +10,38 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes tasks off machines in the book, once it is certain that they are not there or were never sent. */
+/** Removes tasks from machines in the cluster state, once it is certain that they are not there or were never sent; launches placements. */
 public final class TaskRemoval {
     private static final Logger LOG = LoggerFactory.getLogger(TaskRemoval.class);
     private final ClusterState clusterState;
     private final TaskEviction eviction;
     private final LossRecovery lossRecovery;
 
+    /** Creates it. */
     public TaskRemoval(ClusterState clusterState, TaskEviction eviction, LossRecovery lossRecovery) {
         this.lossRecovery = lossRecovery;
         this.clusterState = clusterState;
         this.eviction = eviction;
     }
 
-    /** Sends a committed placement on its way, unless its job was cancelled meanwhile or its machine is about to go. */
+    /** Launches a committed placement, or removes it if its job was cancelled or held meanwhile or its machine is about to go. */
     public void launch(Placement placement) {
         Job job = clusterState.job(placement.task.job());
         if (job == null || job.record.live.get(placement.task.index()) != placement) {
             return;
         }
-        if (job.isCancelled()
-                || job.isHeld()
+        boolean mustNotRun = job.isCancelled() || job.isHeld();
+        if (mustNotRun
                 || !placement.launchSent
                         && clusterState.machine(placement.machine).isLeaving()) {
             remove(job, placement);
             return;
         }
-        LOG.info("{} try {} goes to {}", placement.task, placement.attempt, placement.machine);
+        LOG.info("task launched: task={} attempt={} machine={}", placement.task, placement.attempt, placement.machine);
         clusterState.machine(placement.machine).outbox.add(WorkerCommand.launch(placement.task, placement.attempt));
     }
 
-    /** The task is certainly not there. */
+    /** Removes a placement whose task is certainly not on the machine; the task waits again unless it is done. */
     public void remove(Job job, Placement placement) {
         job.endings.remove(placement);
         if (job.record.live.remove(placement.task.index(), placement) && !placement.committed) {
@@ -54,7 +55,7 @@
         clusterState.requestReplan();
     }
 
-    /** The cloud has confirmed that the machine and all on it are gone. */
+    /** Removes a machine with all its tasks: the cloud has confirmed that it is gone. */
     public void machineGone(MachineId id) {
         Machine machine = clusterState.removeMachine(id);
         if (machine != null) {
@@ -62,12 +63,22 @@
         }
     }
 
-    public void removeAll(Machine machine, String why) {
+    /**
+     * Removes all tasks from a machine, which are certainly gone with it.
+     *
+     * @param cause for the log
+     */
+    public void removeAll(Machine machine, String cause) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = clusterState.job(placement.task.job());
             machine.placements.remove(placement.task);
             if (job != null && job.record.live.get(placement.task.index()) == placement) {
-                LOG.info("{} try {} left {}: {}", placement.task, placement.attempt, machine.id, why);
+                LOG.info(
+                        "task removed: task={} attempt={} machine={} cause=\"{}\"",
+                        placement.task,
+                        placement.attempt,
+                        machine.id,
+                        cause);
                 job.record.live.remove(placement.task.index());
                 lossRecovery.recordLost(job, placement);
                 eviction.recordLost(placement);
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -0,0 +1,289 @@
+package org.beechhoist.controller.worker;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.store.Placement;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MachineType;
+import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.TaskId;
+import org.beechhoist.wire.WorkerCommand;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reconciles the task statuses of a heartbeat with the cluster state: looks up what is recorded of each task, has
+ * {@link Reconciliation} decide, and carries the decision out.
+ */
+final class TaskStatusReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
+    /** How long the placement of a recovered task and the fetching of its image are taken to have lasted. */
+    private static final long TYPICAL_FETCH_MS = 3000;
+    /** How long nothing is placed on a machine that had no room for a task. */
+    private static final long AVOID_MACHINE_MS = 3000;
+    /** How long a job waits after a worker refused a task of it because it found no such job. */
+    private static final long RETRY_LATER_MS = 3000;
+
+    private final ControllerContext context;
+    private final ClusterState clusterState;
+    private final MachineTypeCatalog machineTypes;
+    private final DurationEstimates estimates;
+    private final CommandDispatcher dispatcher;
+    private final TaskRemoval taskRemoval;
+    private final FaultTracker faultTracker;
+
+    TaskStatusReconciler(
+            ControllerContext context,
+            LeaderState state,
+            CommandDispatcher dispatcher,
+            TaskRemoval taskRemoval,
+            FaultTracker faultTracker) {
+        this.context = context;
+        this.clusterState = state.clusterState();
+        this.machineTypes = state.machineTypes();
+        this.estimates = state.estimates();
+        this.dispatcher = dispatcher;
+        this.taskRemoval = taskRemoval;
+        this.faultTracker = faultTracker;
+    }
+
+    /**
+     * Takes over what a heartbeat says of its tasks; returns the commands that follow. In the answer to a command, absence counts
+     * for placements of earlier terms alone: launches of this term may be in flight in the answer to a heartbeat, which the worker
+     * has not read yet.
+     *
+     * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
+     */
+    List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, boolean unsolicited) {
+        List<WorkerCommand> commands = new ArrayList<>();
+        AbsenceEvidence.PendingCommands pending =
+                new AbsenceEvidence.PendingCommands(machine.commandsInFlight > 0, machine.unacknowledgedToken);
+        // An unacknowledged launch finds its exited attempt and does nothing; once forgotten, it would start it once
+        // more.
+        boolean noLateLaunch = pending.noneCanArriveAt(heartbeat.fencingToken());
+        int unknownTasks = 0;
+        Set<TaskId> reported = new HashSet<>();
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+            Job job = clusterState.job(status.task().job());
+            Reconciliation.RecordedState recorded = recordedState(machine, status);
+            Reconciliation.Decision decision = Reconciliation.decide(
+                    recorded,
+                    Reconciliation.ReportedState.of(status),
+                    AbsenceEvidence.NONE,
+                    noLateLaunch && (job == null || job.isSettled()));
+            if (isPlacedHere(recorded)) {
+                reported.add(status.task());
+                handlePlaced(machine, job, status, decision, commands);
+            } else {
+                unknownTasks += handleUnknownTask(machine, status, decision, commands) ? 1 : 0;
+            }
+        }
+        machine.unknownTasks = unknownTasks;
+        int unconfirmed = removeAbsent(machine, heartbeat, reported, pending, unsolicited);
+        machine.unconfirmedPlacements =
+                unsolicited ? unconfirmed : Math.min(machine.unconfirmedPlacements, unconfirmed);
+        return commands.size() > CommandDispatcher.MAX_COMMANDS
+                ? commands.subList(0, CommandDispatcher.MAX_COMMANDS)
+                : commands;
+    }
+
+    private static boolean isPlacedHere(Reconciliation.RecordedState recorded) {
+        return recorded == Reconciliation.RecordedState.PLACED || recorded == Reconciliation.RecordedState.CANCELLED;
+    }
+
+    /** What is recorded of the task whose status the machine reports. */
+    private Reconciliation.RecordedState recordedState(Machine machine, Heartbeat.TaskStatus status) {
+        Job job = clusterState.job(status.task().job());
+        if (job == null) {
+            return clusterState.isUnreadable(status.task().job())
+                    ? Reconciliation.RecordedState.UNREADABLE
+                    : Reconciliation.RecordedState.NO_JOB;
+        }
+        Placement placement = job.record.live.get(status.task().index());
+        if (placement == null) {
+            return job.record.done.contains(status.task().index())
+                    ? Reconciliation.RecordedState.DONE
+                    : Reconciliation.RecordedState.NOTHING;
+        }
+        if (placement.attempt > status.attempt()) {
+            return Reconciliation.RecordedState.PLACED_LATER;
+        }
+        if (placement.attempt < status.attempt() || !placement.machine.equals(machine.id)) {
+            return Reconciliation.RecordedState.PLACED_INCONSISTENT;
+        }
+        return job.isCancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
+    }
+
+    /** Handles a task that no record places on the machine, running or exited; returns whether it takes capacity. */
+    private static boolean handleUnknownTask(
+            Machine machine,
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision,
+            List<WorkerCommand> commands) {
+        if (decision == Reconciliation.Decision.KILL) {
+            LOG.info(
+                    "unknown task killed: task={} attempt={} machine={} cause=\"explained by no record\"",
+                    status.task(),
+                    status.attempt(),
+                    machine.id);
+            commands.add(WorkerCommand.kill(status.task(), status.attempt(), 0));
+        } else if (decision == Reconciliation.Decision.FORGET) {
+            commands.add(WorkerCommand.forget(status.task(), status.attempt()));
+        }
+        return status.state() != Heartbeat.TaskState.EXITED;
+    }
+
+    // ---- tasks that the heartbeat does not name ----
+
+    /**
+     * Removes the placements that the heartbeat proves gone.
+     *
+     * @return how many placements of earlier terms stay unconfirmed
+     */
+    private int removeAbsent(
+            Machine machine,
+            Heartbeat heartbeat,
+            Set<TaskId> reported,
+            AbsenceEvidence.PendingCommands pending,
+            boolean unsolicited) {
+        int unconfirmed = 0;
+        for (Placement placement : new ArrayList<>(machine.placements.values())) {
+            Job job = clusterState.job(placement.task.job());
+            boolean neverLaunched = placement.recovered && placement.launchEpoch == 0;
+            if (job == null
+                    || reported.contains(placement.task)
+                    || !placement.committed
+                    || !unsolicited && !neverLaunched) {
+                continue;
+            }
+            if (isProvenGone(job, placement, pending, heartbeat)) {
+                LOG.info(
+                        "task removed: task={} attempt={} machine={} cause=\"not in heartbeat\"",
+                        placement.task,
+                        placement.attempt,
+                        machine.id);
+                taskRemoval.remove(job, placement);
+            } else {
+                unconfirmed += placement.recovered ? 1 : 0;
+                if (unsolicited && neverLaunched && job.isCancelled()) {
+                    // The answer to the kill proves the task gone, sooner than the next heartbeat.
+                    dispatcher.kill(machine, placement);
+                }
+            }
+        }
+        return unconfirmed;
+    }
+
+    private static boolean isProvenGone(
+            Job job, Placement placement, AbsenceEvidence.PendingCommands pending, Heartbeat heartbeat) {
+        AbsenceEvidence evidence = AbsenceEvidence.of(
+                new AbsenceEvidence.Launch(
+                        placement.launchSent, placement.evidenceFrom, placement.launchEpoch, placement.launchSequence),
+                pending,
+                heartbeat);
+        Reconciliation.RecordedState recorded =
+                job.isCancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
+        return Reconciliation.decide(recorded, Reconciliation.ReportedState.ABSENT, evidence, false)
+                == Reconciliation.Decision.REMOVE;
+    }
+
+    // ---- tasks that are placed on the machine ----
+
+    private void handlePlaced(
+            Machine machine,
+            Job job,
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision,
+            List<WorkerCommand> commands) {
+        Placement placement = job.record.live.get(status.task().index());
+        if (status.state() == Heartbeat.TaskState.EXITED) {
+            handleExited(machine, job, placement, status, decision);
+            return;
+        }
+        recordPresent(machine, placement);
+        if (status.state() != Heartbeat.TaskState.FETCHING && placement.runningSince == null) {
+            recordRunning(machine, job, placement);
+        }
+        if (decision == Reconciliation.Decision.KILL || job.isHeld()) {
+            commands.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
+        } else if (placement.stopRequested && status.state() != Heartbeat.TaskState.SAVING) {
+            // The first command may have been lost.
+            commands.add(WorkerCommand.kill(
+                    placement.task, placement.attempt, job.spec().checkpointCostS()));
+        }
+    }
+
+    private void recordPresent(Machine machine, Placement placement) {
+        if (!placement.reported) {
+            placement.reported = true;
+            if (placement.launchSent && !placement.recovered) {
+                // The worker has carried out a launch.
+                machine.reachability = machine.reachability.proven(context.now());
+            }
+        }
+        if (!placement.launchSent) {
+            placement.launchSent = true; // by an earlier term
+            placement.launchEpoch = machine.epoch;
+            placement.launchSequence = machine.sequence;
+        }
+    }
+
+    /**
+     * Records that the task runs. If a recovered task counted as just begun, all tasks would seem to end a whole run later after a
+     * failover, and machines would be rented for it.
+     */
+    private void recordRunning(Machine machine, Job job, Placement placement) {
+        MonotonicTime fetched = placement.placedAt.plusMs(TYPICAL_FETCH_MS);
+        placement.runningSince = placement.recovered && fetched.isBefore(context.now()) ? fetched : context.now();
+        job.lastProgress = context.now();
+        MachineType type = machineTypes.get(machine.type);
+        machine.cacheImage(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
+        clusterState.requestReplan();
+    }
+
+    private void handleExited(
+            Machine machine,
+            Job job,
+            Placement placement,
+            Heartbeat.TaskStatus status,
+            Reconciliation.Decision decision) {
+        LOG.info(
+                "task exited: task={} attempt={} machine={} cause={}",
+                placement.task,
+                placement.attempt,
+                machine.id,
+                status.cause() == null ? "" : status.cause());
+        job.lastProgress = context.now();
+        if (placement.runningSince != null) {
+            clusterState.addTeamUsage(
+                    job.spec().team(), job.spec().cpus() * context.now().since(placement.runningSince));
+        }
+        switch (decision) {
+            case COMPLETE -> recordDone(machine, job, placement);
+            case RECORD_FAILURE -> faultTracker.recordFailure(machine, job, placement);
+            case AVOID_MACHINE -> machine.avoidUntil = context.now().plusMs(AVOID_MACHINE_MS);
+            case RETRY_LATER -> job.notBefore = context.now().plusMs(RETRY_LATER_MS);
+            default -> {}
+        }
+        taskRemoval.remove(job, placement);
+    }
+
+    private void recordDone(Machine machine, Job job, Placement placement) {
+        if (!job.spec().isService()) {
+            job.record.done.add(placement.task.index());
+        }
+        machine.failedJobs.clear();
+        if (placement.runningSince != null && !placement.recovered) {
+            estimates.observe(job.spec(), context.now().since(placement.runningSince));
+        }
+    }
+}
