--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -4,23 +4,26 @@
 import org.beechhoist.wire.Heartbeat;
 
 /**
- * What a worker's heartbeat proves of a task that it does not name. A machine's silence proves nothing, and neither does an old
- * heartbeat.
+ * What a worker's heartbeat proves of a task that it does not name. A machine's silence proves nothing, and neither
+ * does an old heartbeat.
  */
 public enum AbsenceEvidence {
     /** Nothing: a launch may still be in flight, or the heartbeat is older than the launch. */
     NONE,
     /** The task is gone: the heartbeat was made after any command in flight could have arrived. */
     NEWER_HEARTBEAT,
-    /** The task is gone: the epoch that the launch was for is over, so the worker has ended all its tasks and refuses late commands. */
+    /**
+     * The task is gone: the epoch that the launch was for is over, so the worker has ended all its tasks and refuses
+     * late commands.
+     */
     NEW_EPOCH;
 
     /**
      * A launch, as far as this term knows.
      *
      * @param maybeSent whether this term or an earlier one may have sent it
-     * @param evidenceFrom the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier leader might
-     *     arrive after a heartbeat with a lower one
+     * @param evidenceFrom the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier
+     *     leader might arrive after a heartbeat with a lower one
      * @param epoch the worker's epoch that it was sent for; 0: another term sent it, if any did
      * @param sequence the sequence number of the worker's newest message when it was sent
      */
@@ -39,7 +42,10 @@
         }
     }
 
-    /** What the worker's own heartbeat (never its answer to a command or a probe) proves of a task that it does not name. */
+    /**
+     * What the worker's own heartbeat (never its answer to a command or a probe) proves of a task that it does not
+     * name.
+     */
     public static AbsenceEvidence of(Launch launch, PendingCommands pending, Heartbeat heartbeat) {
         if (!launch.maybeSent) {
             return NONE; // it was not launched yet: there is nothing to prove
--- a/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
@@ -11,9 +11,10 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Delays the answer to a committed cancellation for a moment, until the leader acknowledges that no task of the job can start any
- * more. It is an optimization that no guarantee depends on: the commit alone decides, and after {@link #MAX_DELAY_MS} the user is
- * answered without an acknowledgement. It keeps a launch that is in flight at that moment from being executed just after the answer.
+ * Delays the answer to a committed cancellation for a moment, until the leader acknowledges that no task of the job can
+ * start any more. It is an optimization that no guarantee depends on: the commit alone decides, and after
+ * {@link #MAX_DELAY_MS} the user is answered without an acknowledgement. It keeps a launch that is in flight at that
+ * moment from being executed just after the answer.
  */
 public final class CancellationAcknowledgements {
     /** The longest delay of an answer. */
@@ -26,7 +27,10 @@
     private final ControllerContext context;
     /** The delayed answers to users of this node. */
     private final Map<JobId, List<Runnable>> waitingResponses = new HashMap<>();
-    /** Cancellations that this node, as the leader, knows of and has not acknowledged yet, and since when it knows of them. */
+    /**
+     * Cancellations that this node, as the leader, knows of and has not acknowledged yet, and since when it knows of
+     * them.
+     */
     private final Map<JobId, MonotonicTime> unacknowledged = new HashMap<>();
     /** Acknowledgements to be sent to the other nodes. */
     private final List<JobId> toSend = new ArrayList<>();
@@ -58,8 +62,8 @@
     }
 
     /**
-     * Registers a cancellation to be acknowledged by this node, the leader. Some node is about to confirm it, or has done so; the
-     * same cancellation is registered repeatedly.
+     * Registers a cancellation to be acknowledged by this node, the leader. Some node is about to confirm it, or has
+     * done so; the same cancellation is registered repeatedly.
      */
     public void register(JobId jobId, long committedWallMs) {
         if (context.wallMs() - committedWallMs < ACKNOWLEDGE_WITHIN_MS) {
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -17,9 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends everything of a cancelled job: placements that were never sent are removed, tasks that may run are killed repeatedly until
- * there is evidence that they are gone, and a machine is returned if neither a kill nor the end of its lease is certain to come in
- * time. It waits for no commit and for no reading of the records, only for holding the lease.
+ * Ends everything of a cancelled job: placements that were never sent are removed, tasks that may run are killed
+ * repeatedly until there is evidence that they are gone, and a machine is returned if neither a kill nor the end of its
+ * lease is certain to come in time. It waits for no commit and for no reading of the records, only for holding the
+ * lease.
  */
 public final class CancellationEnforcer {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
@@ -27,7 +28,10 @@
     private static final long KILL_RETRY_MS = 3000;
     /** How long the answer to a launch is waited for; it usually comes within some ten milliseconds. */
     private static final long LAUNCH_ANSWER_MS = 100;
-    /** The interval between checks for a new fencing token; it is usually committed within this. */
+    /**
+     * The interval between requests for a new fencing token, which is usually committed within this if the state
+     * service answers.
+     */
     private static final long TOKEN_MS = 40;
     /** The interval between kills of launches that have no answer. */
     private static final long KILL_TIMEOUT_MS = 400;
@@ -113,8 +117,9 @@
     private record LaunchFence(JobId job, long term, FencingToken token, MonotonicTime until) {}
 
     /**
-     * Fences off launches without an answer: they may be executed seconds later, after the user's cancellation was answered. A new
-     * token makes the worker refuse them; a kill that does not wait for the launch's answer brings that token to the worker.
+     * Fences off launches without an answer: they may be executed seconds later, after the user's cancellation was
+     * answered. A new token makes the worker refuse them; a kill that does not wait for the launch's answer brings that
+     * token to the worker.
      */
     private void fenceLaunches(LaunchFence fence) {
         Job job = clusterState.job(fence.job);
@@ -146,7 +151,10 @@
         }
     }
 
-    /** Enforces all cancellations and holds; called periodically while this node holds the lease, whether or not all records are read. */
+    /**
+     * Enforces all cancellations and holds; called periodically while this node holds the lease, whether or not all
+     * records are read.
+     */
     public void enforce() {
         boolean killsDue = !context.now().isBefore(nextKills);
         if (killsDue) {
@@ -167,7 +175,10 @@
         }
     }
 
-    /** Returns machines on which the job's tasks are not certain to end before the deadline, while there is time for that. */
+    /**
+     * Returns machines on which the job's tasks are not certain to end before the deadline, while there is time for
+     * that.
+     */
     private void releaseUnreachable(Job job, long deadlineWallMs, String jobState) {
         long leftMs = deadlineWallMs - context.wallMs();
         if (leftMs >= RELEASE_MS) {
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery at the beginning of a term: its progress, which machines that have not reported yet are counted on, and how fast
- * machines may be probed and commanded. What each heartbeat proves is decided as at any other time. See docs/design/start.md.
+ * The recovery at the beginning of a term: its progress, which machines that have not reported yet are counted on, and
+ * how fast machines may be probed and commanded. What each heartbeat proves is decided as at any other time. See
+ * docs/design/start.md.
  */
 public final class ColdStartRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(ColdStartRecovery.class);
@@ -116,7 +117,10 @@
                 RecoveryProgress.allReportedMs(heartbeatIntervalMs));
     }
 
-    /** Whether the plan should not count on the machine: it should have reported but has not, or it does not answer probes. */
+    /**
+     * Whether the plan should not count on the machine: it should have reported but has not, or it does not answer
+     * probes.
+     */
     public boolean isDoubted(Machine machine) {
         return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
     }
@@ -136,8 +140,8 @@
     }
 
     /**
-     * Whether the commands that wait for the machine may be sent straight to it now; otherwise they go with the answer to its next
-     * heartbeat. The call then counts until {@link #callFinished}.
+     * Whether the commands that wait for the machine may be sent straight to it now; otherwise they go with the answer
+     * to its next heartbeat. The call then counts until {@link #callFinished}.
      */
     boolean mayCommand(Machine machine) {
         return isComplete() || pacer.tryAcquire(callKind(machine), machine.zone, context.now());
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -34,6 +34,8 @@
     /** The most commands in one message to a worker. */
     static final int MAX_COMMANDS = 200;
 
+    /** For so many heartbeat intervals after it was heard, or has answered a probe, a machine may be sent commands. */
+    private static final double REACHABLE_INTERVALS = 2.5;
     /** How long an answer to commands is waited for. */
     private static final long DIRECT_TIMEOUT_MS = 3000;
     /** How many calls to one worker may be without an answer when a kill is sent all the same. */
@@ -85,10 +87,13 @@
                 && machine.lastHeardAt != null
                 && !machine.releasing
                 && !machine.reachability.isUnreachable()
-                && context.now().since(machine.lastHeardAt) < settings.workers().reportS() * 2500;
+                && context.now().since(machine.lastHeardAt) < reachableMs();
     }
 
-    /** Whether kills may be sent to the machine: also to a worker whose heartbeats don't arrive, but that answers probes. */
+    /**
+     * Whether kills may be sent to the machine: also to a worker whose heartbeats don't arrive, but that answers
+     * probes.
+     */
     private boolean acceptsKills(Machine machine) {
         return isReachable(machine)
                 || machine.address != null
@@ -96,8 +101,11 @@
                         && !machine.reachability.isUnreachable()
                         && machine.probeAnsweredAt != MonotonicTime.ZERO
                         && machine.unansweredProbes == 0
-                        && context.now().since(machine.probeAnsweredAt)
-                                < settings.workers().reportS() * 2500;
+                        && context.now().since(machine.probeAnsweredAt) < reachableMs();
+    }
+
+    private double reachableMs() {
+        return settings.workers().reportS() * (1000 * REACHABLE_INTERVALS);
     }
 
     /** Kills a task on the machine where it may be, unless a kill of it waits to be sent already. */
@@ -130,7 +138,10 @@
         listener.fencingRequested();
     }
 
-    /** Kills the job's tasks whose launch has no answer yet; unlike other commands these kills do not wait for that answer. */
+    /**
+     * Kills the job's tasks whose launch has no answer yet; unlike other commands these kills do not wait for that
+     * answer.
+     */
     void killUnacknowledged(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             Machine machine = clusterState.machine(placement.machine);
@@ -144,7 +155,9 @@
         }
     }
 
-    /** Sends the commands that wait for the machine; one call at a time, so that it is clear what each answer refers to. */
+    /**
+     * Sends the commands that wait for the machine; one call at a time, so that it is clear what each answer refers to.
+     */
     public void dispatch(Machine machine) {
         if (machine.outbox.isEmpty() || machine.commandsInFlight > 0 || !election.holdsLease()) {
             return;
@@ -174,8 +187,8 @@
     }
 
     /**
-     * The waiting commands that may be sent now. While the records are not certain, or a cancellation may not be known, nothing
-     * is launched; what is to be ended is ended.
+     * The waiting commands that may be sent now. While the records are not certain, or a cancellation may not be known,
+     * nothing is launched; what is to be ended is ended.
      */
     private List<WorkerCommand> sendableCommands(Machine machine) {
         boolean mayLaunch = loader.isActive() && cancellations.mayRenewLeases();
@@ -185,7 +198,10 @@
                 .toList());
     }
 
-    /** Marks the placement of a launch command as sent and adds it to the launches; false if it must not be launched any more. */
+    /**
+     * Marks the placement of a launch command as sent and adds it to the launches; false if it must not be launched any
+     * more.
+     */
     private boolean prepareLaunch(Machine machine, WorkerCommand command, List<Placement> launches) {
         Placement placement = machine.placements.get(command.task());
         if (placement == null
@@ -231,8 +247,8 @@
     }
 
     /**
-     * Another machine has answered: the address belongs to it now, and it has been given the launches. They are killed there, and
-     * count as sent to the machine that they were meant for.
+     * Another machine has answered: the address belongs to it now, and it has been given the launches. They are killed
+     * there, and count as sent to the machine that they were meant for.
      */
     private void handleForeignAnswer(Machine machine, Heartbeat heartbeat, List<Placement> launches) {
         LOG.warn(
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a silent machine is given up. Silence proves nothing about its tasks; it only decides when the cloud is asked to
- * end the machine. A machine whose heartbeat is late is probed: one that answers is kept, one that does not is given up sooner than
- * one that was not probed.
+ * Decides whether a silent machine is given up. Silence proves nothing about its tasks; it only decides when the cloud
+ * is asked to end the machine. A machine whose heartbeat is late is probed: one that answers is kept, one that does not
+ * is given up sooner than one that was not probed.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
@@ -59,7 +59,7 @@
     private final ClusterState clusterState;
     private final ColdStartRecovery coldStart;
     private final LossRecovery lossRecovery;
-    /** Called when a worker answers a probe with an older message than was known of it: it has begun anew. */
+    /** Called when a worker answers a probe with no newer message than was known before: it has begun anew. */
     private final BiConsumer<Machine, Heartbeat> onRestart;
 
     private final Map<String, ZoneHealth> zones = new HashMap<>();
@@ -69,7 +69,8 @@
     /**
      * Creates the detector.
      *
-     * @param onRestart called when a worker answers a probe with an older message than was known of it: it has begun anew
+     * @param onRestart called when a worker answers a probe with no newer message than was known before: it has begun
+     *     anew
      */
     public FailureDetector(
             ControllerServices services,
@@ -93,7 +94,10 @@
         probesInFlight = 0;
     }
 
-    /** After how long a machine is given up: once it has missed two heartbeats, but never sooner than the operators' setting. */
+    /**
+     * After how long a machine is given up: once it has missed two heartbeats, but never sooner than the operators'
+     * setting.
+     */
     public long heartbeatTimeoutMs() {
         return Math.max(
                 policy.silentMs(),
@@ -152,7 +156,10 @@
         }
     }
 
-    /** Whether the machine should report: also one that has not reported in this term, but holds tasks or is listed as running. */
+    /**
+     * Whether the machine should report: also one that has not reported in this term, but holds tasks or is listed as
+     * running.
+     */
     private static boolean isExpected(Machine machine) {
         return machine.up || machine.listedRunning || !machine.placements.isEmpty();
     }
--- a/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Whether the machine is faulty: tasks of several jobs have failed on it that did not fail everywhere else, or several tasks of
-     * one job of which others were done. Failures count since the last task that was done on it.
+     * Whether the machine is faulty: tasks of several jobs have failed on it that did not fail everywhere else, or
+     * several tasks of one job of which others were done. Failures count since the last task that was done on it.
      */
     public boolean isMachineFaulty(Machine machine) {
         int failures = 0;
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -23,12 +23,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles workers' heartbeats: decides what each may change, records what it says of its machine, has the statuses of its tasks
- * reconciled with the records ({@link TaskStatusReconciler}), and answers it with the commands that follow.
+ * Handles workers' heartbeats: decides what each may change, records what it says of its machine, has the statuses of
+ * its tasks reconciled with the records ({@link TaskStatusReconciler}), and answers it with the commands that follow.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
-    /** How long a machine whose silence was noticed has to answer a probe once a heartbeat of it has come that may be old. */
+    /**
+     * How long a machine whose silence was noticed has to answer a probe once a heartbeat of it has come that may be
+     * old.
+     */
     private static final long PROBE_GRACE_MS = 3000;
 
     private final ControllerContext context;
@@ -269,8 +272,8 @@
     // ---- launches that go with the answer ----
 
     /**
-     * Adds the launches of committed placements to the commands. An unreachable machine, and one that is about to go, gets none:
-     * placements that were never sent to it are removed, so that their tasks wait again.
+     * Adds the launches of committed placements to the commands. An unreachable machine, and one that is about to go,
+     * gets none: placements that were never sent to it are removed, so that their tasks wait again.
      */
     private void addLaunches(Machine machine, Heartbeat heartbeat, List<WorkerCommand> commands) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
@@ -301,15 +304,18 @@
 
     private static boolean isToBeLaunched(Machine machine, Heartbeat heartbeat, Job job, Placement placement) {
         return placement.committed
-                && (!placement.launchSent || isLaunchLost(machine, heartbeat, placement))
+                && (!placement.launchSent || isLaunchUnconfirmed(machine, heartbeat, placement))
                 && !machine.releasing
                 && !machine.reachability.isUnreachable()
                 && job.keySetHold == null
                 && !job.isCancelled();
     }
 
-    /** Whether a launch that was sent without an answer has not reached the worker, so that it is sent again. */
-    private static boolean isLaunchLost(Machine machine, Heartbeat heartbeat, Placement placement) {
+    /**
+     * Whether the placement's launch is sent again: the heartbeat does not name the task, and the worker has not seen a
+     * higher token than an unacknowledged launch, which may or may not be executed.
+     */
+    private static boolean isLaunchUnconfirmed(Machine machine, Heartbeat heartbeat, Placement placement) {
         return placement.launchSent
                 && machine.unacknowledgedToken.compareTo(heartbeat.fencingToken()) >= 0
                 && findStatus(heartbeat, placement) == null
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
@@ -24,10 +24,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery from losing many machines at once: what comes first, and its progress. The order of calls to the cloud: the release
- * of machines whose tasks can't start anew before the cloud confirms that they are gone, the most urgent work first; then new
- * machines; then the list of machines; then the release of machines that only cost money. What is known of a loss is known for this
- * term alone, and decides nothing by itself.
+ * The recovery from losing many machines at once: what comes first, and its progress. The order of calls to the cloud:
+ * the release of machines whose tasks can't start anew before the cloud confirms that they are gone, the most urgent
+ * work first; then new machines; then the list of machines; then the release of machines that only cost money. What is
+ * known of a loss is known for this term alone, and decides nothing by itself.
  */
 public final class LossRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(LossRecovery.class);
@@ -81,8 +81,8 @@
     /**
      * The machines to be released that the cloud has not been asked to end yet.
      *
-     * @param withTasks true: those that hold tasks, first those on which something must be gone soonest, then those with the most
-     *     urgent work, then those that have been silent longest; false: those without tasks
+     * @param withTasks true: those that hold tasks, first those on which something must be gone soonest, then those
+     *     with the most urgent work, then those that have been silent longest; false: those without tasks
      */
     public List<Machine> machinesToRelease(boolean withTasks) {
         List<Machine> out = new ArrayList<>();
@@ -177,7 +177,7 @@
     private void logRecovered(LossEvent loss, String recovered) {
         if (loss.tasks >= MIN_TASKS) {
             LOG.info(
-                    "lost tasks placed again: recovered=\"{}\" tasks={} urgentTasks={} machines={} sinceLossS={}",
+                    "lost tasks recovered: which=\"{}\" tasks={} urgentTasks={} machines={} sinceLossS={}",
                     recovered,
                     loss.tasks,
                     loss.urgentTasks,
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -1,9 +1,9 @@
 package org.beechhoist.controller.worker;
 
 /**
- * Assesses whether a machine is there that has not reported in this term. The cloud's list lags: at the beginning of a term it names
- * machines that the last leader has returned. A plan that counted on them once kept work waiting for 50 machines that were gone, and
- * then preempted 62 tasks for it.
+ * Assesses whether a machine is there that has not reported in this term. The cloud's list lags: at the beginning of a
+ * term it names machines that the last leader has returned. A plan that counted on them once kept work waiting for 50
+ * machines that were gone, and then preempted 62 tasks for it.
  */
 public final class MachinePresence {
     /** What is done about a machine that has been silent so far. */
@@ -28,8 +28,8 @@
             boolean holdsTasks, boolean listedRunning, int unansweredProbes, boolean answeredProbe) {}
 
     /**
-     * How long after a term began the first probes are sent. Workers without a leader try node after node, for a second each; most
-     * of those that were probed sooner would be about to report anyway.
+     * How long after a term began the first probes are sent. Workers without a leader try node after node, for a second
+     * each; most of those that were probed sooner would be about to report anyway.
      */
     static final long FIRST_PROBE_MS = 1000;
 
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
@@ -12,12 +12,14 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Handles tasks on machines with a preemption notice: a task that is expected to end in time continues, any other is evicted at once,
- * so that it begins elsewhere. (Tried: let it continue to the last moment where there is no capacity elsewhere;
- * docs/design/drains.md.)
+ * Handles tasks on machines with a preemption notice: a task that is expected to end in time continues, any other is
+ * evicted at once, so that it begins elsewhere. (Tried: let it continue to the last moment where there is no capacity
+ * elsewhere; docs/design/drains.md.)
  */
 public final class PreemptionNotices {
-    /** Subtracted from the time left: a checkpoint that can't be saved before the machine is taken is not waited for. */
+    /**
+     * Subtracted from the time left: a checkpoint that can't be saved before the machine is taken is not waited for.
+     */
     private static final double NETWORK_S = 1;
 
     private final ControllerContext context;
@@ -51,7 +53,9 @@
         return out;
     }
 
-    /** Whether the task is running on, and is not expected to end before its machine is taken. */
+    /**
+     * Whether the task was launched and is not being stopped, but is not expected to end before its machine is taken.
+     */
     private boolean willBeCutShort(Machine machine, Placement placement, Job job) {
         return job != null
                 && placement.launchSent
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -4,8 +4,8 @@
 
 /**
  * Reconciles what is recorded of a task with what a machine reports of it: one decision for every pair. The table is in
- * docs/design/start.md, with the proof of each row; a test goes through all pairs. It applies to every heartbeat, not only during
- * the cold-start recovery.
+ * docs/design/start.md, with the proof of each row; a test goes through all pairs. It applies to every heartbeat, not
+ * only during the cold-start recovery.
  */
 public final class Reconciliation {
     /** What the records and the change log say of a task and this machine. */
@@ -18,7 +18,10 @@
         CANCELLED,
         /** The task is placed, here or elsewhere, with a later attempt than the machine names. */
         PLACED_LATER,
-        /** The task is placed with an older attempt than the machine names, or with this very attempt elsewhere: no commit allows that. */
+        /**
+         * The task is placed with an older attempt than the machine names, or with this very attempt elsewhere: no
+         * commit allows that.
+         */
         PLACED_INCONSISTENT,
         /** The task is done. */
         DONE,
@@ -103,7 +106,10 @@
         KILL,
         /** Command: drop the exited attempt from the heartbeats. */
         FORGET,
-        /** The exited attempt must stay in the heartbeats for now: a late launch must find it, or the commit is not made yet. */
+        /**
+         * The exited attempt must stay in the heartbeats for now: a late launch must find it, or the commit is not made
+         * yet.
+         */
         RETAIN,
         /** No command is sent, and nothing new is placed beside the task: only a readable record can say what it is. */
         IGNORE
@@ -115,7 +121,8 @@
      * Decides about one task.
      *
      * @param absence what the heartbeat proves of a task that it does not name
-     * @param mayForget whether no command sent before can reach the machine any more, and what is known of the job is committed
+     * @param mayForget whether no command sent before can reach the machine any more, and what is known of the job is
+     *     committed
      */
     public static Decision decide(
             RecordedState recorded, ReportedState reported, AbsenceEvidence absence, boolean mayForget) {
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -6,10 +6,10 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Limits how fast machines are called during a cold-start recovery: so many commands and probes a second in all and in each zone, and
- * so many in flight at once. A part is reserved for urgent work. A command that is held back goes with the answer to the machine's
- * next heartbeat, or a moment later; nothing is lost by it. Calls to the cloud and the state service have limits of their own, which
- * apply during a recovery as at any other time.
+ * Limits how fast machines are called during a cold-start recovery: so many commands and probes a second in all and in
+ * each zone, and so many in flight at once. A part is reserved for urgent work. A command that is held back goes with
+ * the answer to the machine's next heartbeat, or a moment later; nothing is lost by it. Calls to the cloud and the
+ * state service have limits of their own, which apply during a recovery as at any other time.
  */
 public final class RecoveryPacer {
     /** The kinds of calls. */
@@ -29,13 +29,13 @@
     /** The share of the sockets that paced calls may use; the rest is for workers, users and other nodes. */
     private static final double SOCKETS_SHARE = 1 / 8.0;
     /**
-     * Calls a second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the sockets as calls a
-     * second, 4,000 machines waited half a minute.
+     * Calls a second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the
+     * sockets as calls a second, 4,000 machines waited half a minute.
      */
     private static final double CALLS_PER_SOCKET = 2;
     /**
-     * The share of {@link #perSecond} that may be sent at once, and that is refilled in a second: no second, wherever it begins, has
-     * more calls than the limit.
+     * The share of {@link #perSecond} that may be sent at once, and that is refilled in a second: no second, wherever
+     * it begins, has more calls than the limit.
      */
     private static final double BURST_SHARE = 0.5;
     /** The least number of concurrent calls allowed, however few sockets there are. */
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -3,15 +3,17 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * The progress of a cold-start recovery. A phase says what is being waited for; no machine waits for another: one that is reconciled
- * works while others have not reported yet. Each phase ends by its condition or at its deadline.
+ * The progress of a cold-start recovery. A phase says what is being waited for; no machine waits for another: one that
+ * is reconciled works while others have not reported yet. Each phase ends by its condition or at its deadline.
  */
 public final class RecoveryProgress {
     /** What the recovery waits for. */
     public enum Phase {
         /** Records, change log and fleet snapshot are being read. Nothing may be commanded. */
         READING("reading"),
-        /** Machines are finding this node. Nothing is preempted, for machines with free capacity may be about to report. */
+        /**
+         * Machines are finding this node. Nothing is preempted, for machines with free capacity may be about to report.
+         */
         LISTENING("listening"),
         /** Heartbeats are reconciled with what is stored; some placements are still unconfirmed. */
         RECONCILING("squaring"),
@@ -47,9 +49,12 @@
 
     /** The share of the expected machines that is waited for: the rest has hardly any capacity worth waiting for. */
     private static final double HEARD_SHARE = 0.9;
-    /** The longest listening: it holds preemptions back, and urgent work must not wait longer for machines that never report. */
+    /**
+     * The longest listening: it holds preemptions back, and urgent work must not wait longer for machines that never
+     * report.
+     */
     private static final long MAX_LISTENING_MS = 4000;
-    /** The longest time that work is placed again at the pacer's speed. */
+    /** The longest resuming, in which the pacer still holds commands back. */
     private static final long MAX_RESUMING_MS = 10_000;
 
     private final long allReportedMs;
@@ -74,7 +79,10 @@
         this.leaseMs = leaseMs;
     }
 
-    /** By when every living machine should have found a new leader: a heartbeat may be a quarter late and be refused once. */
+    /**
+     * By when every living machine should have found a new leader: a heartbeat may be a quarter late and be refused
+     * once.
+     */
     public static long allReportedMs(long heartbeatIntervalMs) {
         return heartbeatIntervalMs * 5 / 4 + 2000;
     }
@@ -94,7 +102,10 @@
         return stateReadAt;
     }
 
-    /** Enters the next phase if the current one is over; returns whether it was. At most one phase a call, so that each is seen. */
+    /**
+     * Enters the next phase if the current one is over; returns whether it was. At most one phase a call, so that each
+     * is seen.
+     */
     public boolean advance(MonotonicTime now, Facts facts) {
         Phase next = nextPhase(now, facts);
         if (next == phase) {
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Evicts tasks that could continue, for a cause that the caller names. A deliberate eviction was allowed by the team's disruption
- * budget, and counted against it, before; any other is counted as it happens ({@link DisruptionRecorder}).
+ * Evicts tasks that could continue, for a cause that the caller names. A deliberate eviction was allowed by the team's
+ * disruption budget, and counted against it, before; any other is counted as it happens ({@link DisruptionRecorder}).
  */
 public final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
@@ -58,7 +58,10 @@
         dispatcher.dispatch(clusterState.machine(placement.machine));
     }
 
-    /** Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and starts anew as a whole. */
+    /**
+     * Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and starts anew
+     * as a whole.
+     */
     void evictWithGang(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
             evict(placement, Cause.GANG);
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -10,21 +10,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Removes tasks from machines in the cluster state, once it is certain that they are not there or were never sent; launches placements. */
+/**
+ * Removes tasks from machines in the cluster state, once it is certain that they are not there or were never sent;
+ * launches placements.
+ */
 public final class TaskRemoval {
     private static final Logger LOG = LoggerFactory.getLogger(TaskRemoval.class);
     private final ClusterState clusterState;
     private final TaskEviction eviction;
     private final LossRecovery lossRecovery;
 
-    /** Creates it. */
+    /** Creates it; losses with machines are reported to the loss recovery, tasks of broken gangs are evicted. */
     public TaskRemoval(ClusterState clusterState, TaskEviction eviction, LossRecovery lossRecovery) {
         this.lossRecovery = lossRecovery;
         this.clusterState = clusterState;
         this.eviction = eviction;
     }
 
-    /** Launches a committed placement, or removes it if its job was cancelled or held meanwhile or its machine is about to go. */
+    /**
+     * Launches a committed placement, or removes it if its job was cancelled or held meanwhile or its machine is about
+     * to go.
+     */
     public void launch(Placement placement) {
         Job job = clusterState.job(placement.task.job());
         if (job == null || job.record.live.get(placement.task.index()) != placement) {
@@ -37,7 +43,7 @@
             remove(job, placement);
             return;
         }
-        LOG.info("task launched: task={} attempt={} machine={}", placement.task, placement.attempt, placement.machine);
+        LOG.info("launch queued: task={} attempt={} machine={}", placement.task, placement.attempt, placement.machine);
         clusterState.machine(placement.machine).outbox.add(WorkerCommand.launch(placement.task, placement.attempt));
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Takes over what a heartbeat says of its tasks; returns the commands that follow. In the answer to a command, absence counts
-     * for placements of earlier terms alone: launches of this term may be in flight in the answer to a heartbeat, which the worker
-     * has not read yet.
+     * Takes over what a heartbeat says of its tasks; returns the commands that follow. In the answer to a command,
+     * absence counts for placements of earlier terms alone: launches of this term may be in flight in the answer to a
+     * heartbeat, which the worker has not read yet.
      *
      * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
      */
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Records that the task runs. If a recovered task counted as just begun, all tasks would seem to end a whole run later after a
-     * failover, and machines would be rented for it.
+     * Records that the task runs. If a recovered task counted as just begun, all tasks would seem to end a whole run
+     * later after a failover, and machines would be rented for it.
      */
     private void recordRunning(Machine machine, Job job, Placement placement) {
         MonotonicTime fetched = placement.placedAt.plusMs(TYPICAL_FETCH_MS);
