--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/DrainModule.java
@@ -0,0 +1,45 @@
+package org.beechhoist.controller;
+
+import java.util.Optional;
+import java.util.function.Supplier;
+import org.beechhoist.controller.context.ApiResponder;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+
+/** Drains on one node: their registry and their API. */
+final class DrainModule implements FeatureApi {
+    private final DrainRegistry registry;
+    private final DrainApi api;
+    private final Supplier<Optional<Leader>> activeLeader;
+
+    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    DrainModule(StateServiceAccess access, MachineTypeCatalog machineTypes, Supplier<Optional<Leader>> activeLeader) {
+        this.activeLeader = activeLeader;
+        this.registry = new DrainRegistry(access.context(), access.store(), access.requests(), () -> activeLeader
+                .get()
+                .ifPresent(leader -> leader.clusterState().requestReplan()));
+        this.api = new DrainApi(
+                access.context(),
+                access.settings(),
+                access.store(),
+                access.requests(),
+                access.writes(),
+                machineTypes,
+                registry);
+    }
+
+    /** The drains and disruption budgets that are stored. */
+    DrainRegistry registry() {
+        return registry;
+    }
+
+    @Override
+    public boolean handles(String path) {
+        return DrainApi.mine(path);
+    }
+
+    @Override
+    public void handle(ApiRequest request, ApiResponder responder) {
+        DrainController controller = activeLeader.get().map(Leader::drains).orElse(null);
+        api.request(request.method(), request.path(), request.body(), controller, responder);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -0,0 +1,44 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
+import java.util.function.Supplier;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.wire.JobId;
+
+/** Adds to a job's stored state what this node knows beyond it: counts, plan, key set and drain. */
+final class JobStatusDetails {
+    private final ControllerContext context;
+    private final FeatureModules features;
+    private final JobProgress progress;
+    private final Supplier<Optional<Leader>> activeLeader;
+
+    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    JobStatusDetails(
+            ControllerContext context,
+            FeatureModules features,
+            JobProgress progress,
+            Supplier<Optional<Leader>> activeLeader) {
+        this.context = context;
+        this.features = features;
+        this.progress = progress;
+        this.activeLeader = activeLeader;
+    }
+
+    /** Adds what is known of the job to its state. */
+    void addTo(JobId jobId, ObjectNode state) {
+        features.keySets().ifPresent(module -> module.registry().tell(state));
+        Leader leader = activeLeader.get().orElse(null);
+        Job job = leader == null ? null : leader.clusterState().job(jobId);
+        if (job == null) {
+            OperatorViews.counted(progress.of(jobId, context.now()), state);
+            return;
+        }
+        OperatorViews.counted(JobProgress.count(job), state);
+        OperatorViews.promised(leader, jobId, state, context.now().ms());
+        if (features.drains().isPresent()) {
+            state.put("drained", DrainViews.told(job, leader.clusterState()));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -0,0 +1,43 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.SplittableRandom;
+import org.beechhoist.config.Policy;
+import org.beechhoist.controller.leadership.ControllerServices;
+import org.beechhoist.controller.state.Job;
+
+/** Composition root of the leader: constructs its components, in this order, and connects them. It decides nothing. */
+final class LeaderComponents {
+    final ControllerServices services;
+    final NodeComponents node;
+    final WorkerComponents workers;
+    final SchedulingComponents scheduling;
+    final LeaderFeatures features;
+    final LeaderReachabilityCheck reachabilityCheck;
+    final StalledJobReporter stalledJobs;
+
+    LeaderComponents(
+            ControllerServices services,
+            Policy policy,
+            SplittableRandom random,
+            NodeComponents node,
+            FeatureModules modules) {
+        this.services = services;
+        this.node = node;
+        workers = new WorkerComponents(services, policy, node, modules, this::jobEnded);
+        scheduling = new SchedulingComponents(workers, policy, random, node.machineTypes(), modules);
+        features = new LeaderFeatures(workers, scheduling, policy, node, modules);
+        reachabilityCheck = new LeaderReachabilityCheck(
+                services.context(), services.settings(), workers.clusterState, services.election(), node.peers());
+        stalledJobs =
+                new StalledJobReporter(services.context(), workers.clusterState, workers.elastic, scheduling.planner);
+    }
+
+    /** Passes a committed end of a job on to all that keep something of it. */
+    private void jobEnded(Job job, JsonNode finalState) {
+        node.users().ended(job.id(), finalState);
+        workers.lossRecovery.forgetJob(job.id());
+        features.serviceShare.ifPresent(share -> share.ended(job));
+        scheduling.releases.ended(job);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -0,0 +1,146 @@
+package org.beechhoist.controller;
+
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.beechhoist.config.Policy;
+import org.beechhoist.controller.leadership.ControllerServices;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.floor.Share;
+
+/**
+ * Wires the leader's features that a policy may switch off, and drains, which reads them. Nothing of a feature that is off is
+ * loaded or stored.
+ *
+ * <p>The fields are assigned in the order in which the components are constructed.
+ */
+final class LeaderFeatures {
+    final Optional<CronController> schedules;
+    final Optional<FleetSnapshots> fleetSnapshots;
+    final Optional<MinimumServiceShare> serviceShare;
+    final DrainController drains;
+    final Optional<LoadShedding> loadShedding;
+
+    private final ControllerServices services;
+    private final MachineTypeCatalog machineTypes;
+    private final WorkerComponents workers;
+    private final SchedulingComponents scheduling;
+
+    LeaderFeatures(
+            WorkerComponents workers,
+            SchedulingComponents scheduling,
+            Policy policy,
+            NodeComponents node,
+            FeatureModules features) {
+        this.services = workers.services;
+        this.machineTypes = node.machineTypes();
+        this.workers = workers;
+        this.scheduling = scheduling;
+        schedules = policy.cron().on() ? Optional.of(createSchedules(node)) : Optional.empty();
+        fleetSnapshots = policy.fleetNotes() ? Optional.of(createFleetSnapshots()) : Optional.empty();
+        serviceShare = policy.servedFloor() ? Optional.of(createServiceShare()) : Optional.empty();
+        drains = createDrains(features.drainRegistryOrNull());
+        loadShedding = policy.triage() ? Optional.of(createLoadShedding()) : Optional.empty();
+    }
+
+    private CronController createSchedules(NodeComponents node) {
+        return new CronController(
+                services.context(),
+                services.settings(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                workers.clusterState,
+                workers.loader,
+                node.users(),
+                node.idempotencyKeys());
+    }
+
+    private FleetSnapshots createFleetSnapshots() {
+        return new FleetSnapshots(
+                services.context(),
+                services.settings(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                workers.clusterState);
+    }
+
+    private MinimumServiceShare createServiceShare() {
+        return new MinimumServiceShare(
+                services.context(),
+                services.settings(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                workers.clusterState,
+                workers.estimates,
+                workers.jobOrdering,
+                this::cpusOf);
+    }
+
+    private DrainController createDrains(DrainRegistry registry) {
+        return new DrainController(
+                services.context(),
+                services.settings(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                workers.clusterState,
+                machineTypes,
+                scheduling.admission,
+                workers.eviction,
+                workers.dispatcher,
+                workers.provisioner,
+                workers.elastic,
+                scheduling.migrations,
+                workers.disruptions,
+                createRollingReplacement(),
+                registry);
+    }
+
+    private RollingReplacement createRollingReplacement() {
+        return new RollingReplacement(
+                services.context(),
+                workers.clusterState,
+                workers.provisioner,
+                workers.faultTracker,
+                workers.jobOrdering,
+                workers.lossRecovery,
+                this::serviceShares);
+    }
+
+    private LoadShedding createLoadShedding() {
+        return new LoadShedding(
+                services.context(),
+                services.settings(),
+                machineTypes,
+                workers.clusterState,
+                workers.estimates,
+                workers.jobOrdering,
+                scheduling.admission,
+                workers.provisioner.renting(),
+                this::serviceShares,
+                this::serviceGroups);
+    }
+
+    private double cpusOf(Machine machine) {
+        return machineTypes.get(machine.type) == null
+                ? 0
+                : machineTypes.get(machine.type).cpus();
+    }
+
+    private Map<String, Share> serviceShares() {
+        return serviceShare.map(MinimumServiceShare::shares).orElse(Map.of());
+    }
+
+    private Set<String> serviceGroups(Job job) {
+        return serviceShare.map(share -> share.groups(job)).orElseGet(() -> MinimumServiceShare.groups(job.spec()));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
@@ -0,0 +1,102 @@
+package org.beechhoist.controller;
+
+import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.LeaderElection;
+import org.beechhoist.controller.leadership.PeerDirectory;
+import org.beechhoist.controller.leadership.WorkerReachability;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Machine;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Hands the leadership over when workers no longer reach this node, or no longer receive what it says. */
+final class LeaderReachabilityCheck {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderReachabilityCheck.class);
+    /** How long a leader that steps down leaves the leadership to other nodes. */
+    private static final long STEP_DOWN_MS = 30_000;
+    /** How long after a term's first reporting window the check still waits for heartbeats. */
+    private static final long FIRST_HEARTBEATS_MS = 4000;
+
+    private final ControllerContext context;
+    private final Settings settings;
+    private final ClusterState clusterState;
+    private final LeaderElection election;
+    private final PeerDirectory peers;
+
+    LeaderReachabilityCheck(
+            ControllerContext context,
+            Settings settings,
+            ClusterState clusterState,
+            LeaderElection election,
+            PeerDirectory peers) {
+        this.context = context;
+        this.settings = settings;
+        this.clusterState = clusterState;
+        this.election = election;
+        this.peers = peers;
+    }
+
+    /** Gives the leadership up if workers do not reach this node or do not hear it; returns whether it did. */
+    boolean stepDownIfUnreachable() {
+        long window = WorkerReachability.reportingWindowMs(
+                Math.round(1000 * settings.workers().reportS()));
+        if (context.now().since(clusterState.termBeganAt()) < window + FIRST_HEARTBEATS_MS) {
+            return false;
+        }
+        MachineCounts counts = countMachines(window);
+        if (WorkerReachability.isUnheard(counts.expected(), counts.oneWay())) {
+            LOG.warn(
+                    "leadership handed over: oneWay={} machines={} cause=\"machines send heartbeats and do not receive calls\"",
+                    counts.oneWay(),
+                    counts.expected());
+            election.stepDown("what this node says does not reach workers", STEP_DOWN_MS);
+            return true;
+        }
+        if (!WorkerReachability.isUnreachable(
+                counts.expected(), counts.heard(), peers.heartbeatsAtPeers(context.now()))) {
+            return false;
+        }
+        LOG.warn(
+                "leadership handed over: heard={} machines={} cause=\"heartbeats do not reach this node\"",
+                counts.heard(),
+                counts.expected());
+        election.stepDown("workers can't reach this node", STEP_DOWN_MS);
+        return true;
+    }
+
+    private MachineCounts countMachines(long windowMs) {
+        int expected = 0;
+        int heard = 0;
+        int oneWay = 0;
+        for (Machine machine : clusterState.machines()) {
+            if (!isExpectedToReport(machine)) {
+                continue;
+            }
+            expected++;
+            if (machine.lastHeardAt != null && context.now().since(machine.lastHeardAt) < windowMs) {
+                heard++;
+            }
+            if (machine.reachability.isOneWay()) {
+                oneWay++;
+            }
+        }
+        return new MachineCounts(expected, heard, oneWay);
+    }
+
+    private static boolean isExpectedToReport(Machine machine) {
+        return machine.isKnown()
+                && machine.confirmedPresent
+                && !machine.releasing
+                && (machine.up || machine.listedRunning);
+    }
+
+    /**
+     * How many machines are heard.
+     *
+     * @param expected machines that should send heartbeats
+     * @param heard those of them that did so within the reporting window
+     * @param oneWay those of them that send heartbeats while messages to them are lost
+     */
+    private record MachineCounts(int expected, int heard, int oneWay) {}
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -0,0 +1,86 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
+import org.beechhoist.controller.leadership.PeerDirectory;
+import org.beechhoist.controller.leadership.WorkerReachability;
+import org.beechhoist.wire.Codec;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.MalformedMessageException;
+
+/** Handles the requests that only the leader answers: heartbeats and operators' views. Other nodes redirect them. */
+final class LeaderRequests {
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_LEADER = 421;
+
+    private final ControllerServices services;
+    private final ControllerContext context;
+    private final Leader leader;
+    private final PeerDirectory peers;
+    private final WorkerReachability workerReachability;
+
+    LeaderRequests(
+            ControllerServices services, Leader leader, PeerDirectory peers, WorkerReachability workerReachability) {
+        this.services = services;
+        this.context = services.context();
+        this.leader = leader;
+        this.peers = peers;
+        this.workerReachability = workerReachability;
+    }
+
+    /** Answers an operators' view; the one of the term's beginning also before all open jobs are known. */
+    void view(long id, String path) {
+        boolean available =
+                path.equals(RequestRouter.START_VIEW) ? services.election().holdsLease() : leader.active();
+        if (!available) {
+            redirect(id);
+            return;
+        }
+        context.answer(id, OK, viewOf(path));
+    }
+
+    private ObjectNode viewOf(String path) {
+        long nowMs = context.now().ms();
+        return switch (path) {
+            case RequestRouter.PLAN_VIEW -> OperatorViews.plan(leader, nowMs);
+            case RequestRouter.HOSTS_VIEW -> OperatorViews.hosts(leader, nowMs);
+            case RequestRouter.FALLS_VIEW -> leader.lossRecovery().view();
+            case RequestRouter.START_VIEW -> leader.coldStart().view();
+            case RequestRouter.SERVED_VIEW ->
+                leader.serviceShare().map(MinimumServiceShare::view).orElseGet(Codec::map);
+            default -> OperatorViews.teams(leader, services.settings());
+        };
+    }
+
+    /** Handles a worker's heartbeat; where this node does not lead, it counts as one that reached it. */
+    void heartbeat(long id, byte[] body) {
+        Heartbeat heartbeat;
+        try {
+            heartbeat = Heartbeat.parse(Codec.decodeMap(body));
+        } catch (MalformedMessageException e) {
+            context.answer(id, BAD_REQUEST, Codec.map().put("error", e.getMessage()));
+            return;
+        }
+        workerReachability.recordHeartbeat(context.now());
+        if (services.election().holdsLease()) {
+            leader.handleHeartbeat(id, heartbeat);
+            return;
+        }
+        redirect(id);
+    }
+
+    /** Answers with the leader's address, as far as it is known. */
+    private void redirect(long id) {
+        ObjectNode answer = Codec.map();
+        String address = peers.leader(context.now());
+        if (address == null) {
+            address = services.election().otherLeader();
+        }
+        if (address != null) {
+            answer.put("foreman", address);
+        }
+        context.answer(id, NOT_LEADER, answer);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/NodeReadiness.java
@@ -0,0 +1,61 @@
+package org.beechhoist.controller;
+
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.PeerDirectory;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+
+/** Whether this node can serve users: from the state service's answers and the peers' messages. */
+final class NodeReadiness {
+    /** The election's watch and lease make the state service answer more often than this. */
+    private static final long STORE_SILENT_MS = 6000;
+    /** Nothing heard of the state service in {@link #UNANSWERED_CALLS} calls, nor of the peers, who send once a second. */
+    private static final long CUT_OFF_MS = 3000;
+
+    private static final int UNANSWERED_CALLS = 2;
+
+    private final ControllerContext context;
+    private final StateServiceMonitor stateService;
+    private final MachineTypeCatalog machineTypes;
+    private final PeerDirectory peers;
+
+    NodeReadiness(
+            ControllerContext context,
+            StateServiceMonitor stateService,
+            MachineTypeCatalog machineTypes,
+            PeerDirectory peers) {
+        this.context = context;
+        this.stateService = stateService;
+        this.machineTypes = machineTypes;
+        this.peers = peers;
+    }
+
+    /** Whether the node has loaded what it needs to judge submissions. */
+    boolean isLoaded() {
+        return machineTypes.isLoaded() && stateService.everServed();
+    }
+
+    /** For how long the state service has not served this node. */
+    long unservedMs() {
+        return stateService.unservedMs();
+    }
+
+    /**
+     * Whether the node can judge and store submissions. A node that alone is refused by the state service is not ready, so that
+     * users go to those that are served; in an outage that all nodes share, leaving would help nobody and cost a growing pause.
+     */
+    boolean isReady() {
+        boolean refusedAlone = stateService.unservedMs() > STORE_SILENT_MS && peers.isServedElsewhere(context.now());
+        return isLoaded() && !refusedAlone && !isCutOff();
+    }
+
+    /**
+     * Whether neither the state service nor any peer reaches this node any more. An outage is answered, by 503, and peers are heard
+     * in it; a filter between nodes leaves the state service. Users are answered so at once, workers are sent on.
+     */
+    boolean isCutOff() {
+        long quietMs = stateService.unansweredMs();
+        boolean silent =
+                quietMs > STORE_SILENT_MS || stateService.unansweredCalls() >= UNANSWERED_CALLS && quietMs > CUT_OFF_MS;
+        return stateService.everServed() && silent && peers.allSilentFor(context.now(), CUT_OFF_MS);
+    }
+}
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -18,11 +18,12 @@
 
     private OperatorViews() {}
 
+    /** The open jobs with their planned starts, and counts of the search and of features. */
     static ObjectNode plan(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
         Plan plan = leader.planner().current();
-        for (Job job : leader.book().jobs()) {
+        for (Job job : leader.clusterState().jobs()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
@@ -48,17 +49,16 @@
         }
         leader.elastic().counts().forEach((name, count) -> out.withObject("/elastic")
                 .put(name, count));
-        if (leader.schedules() != null) {
-            out.set("cron", leader.schedules().counts());
-        }
+        leader.schedules().ifPresent(schedules -> out.set("cron", schedules.counts()));
         return out.put("searchMoves", leader.planner().searchSteps())
                 .put("searchKept", leader.planner().searchKept());
     }
 
+    /** The machines with their states. */
     static ObjectNode hosts(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
-        for (Machine machine : leader.book().machines()) {
+        for (Machine machine : leader.clusterState().machines()) {
             if (rows.size() == MAX_ROWS) {
                 break;
             }
@@ -67,22 +67,27 @@
                     .put("type", machine.type)
                     .put("zone", machine.zone)
                     .put("spot", machine.spot)
-                    .put(
-                            "state",
-                            machine.releasing
-                                    ? "returning"
-                                    : !machine.up
-                                            ? "booting"
-                                            : leader.admission().usable(machine) ? "usable" : "avoided")
+                    .put("state", machineState(leader, machine))
                     .put("tasks", machine.placements.size())
                     .put("heardS", machine.lastHeardAt == null ? null : (nowMs - machine.lastHeardAt.ms()) / 1000.0);
         }
         return out;
     }
 
+    private static String machineState(Leader leader, Machine machine) {
+        if (machine.releasing) {
+            return "returning";
+        }
+        if (!machine.up) {
+            return "booting";
+        }
+        return leader.admission().usable(machine) ? "usable" : "avoided";
+    }
+
+    /** What each team with a quota uses and waits for. */
     static ObjectNode teams(Leader leader, Settings settings) {
         Map<String, double[]> sums = new HashMap<>();
-        for (Job job : leader.book().jobs()) {
+        for (Job job : leader.clusterState().jobs()) {
             double[] shares = sums.computeIfAbsent(job.spec().team(), k -> new double[2]);
             shares[0] += job.record.live.size() * job.spec().cpus();
             shares[1] += job.isCancelled()
@@ -117,7 +122,7 @@
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
     static void promised(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().current();
-        Job job = leader.book().job(jobId);
+        Job job = leader.clusterState().job(jobId);
         if (plan == null || job == null) {
             return;
         }
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/PlacementLauncher.java
@@ -0,0 +1,50 @@
+package org.beechhoist.controller;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.TaskRemoval;
+import org.beechhoist.store.Placement;
+
+/** Launches tasks once the transaction with their placements is committed. */
+final class PlacementLauncher {
+    private final ClusterState clusterState;
+    private final ElasticWidths elastic;
+    private final TaskRemoval taskRemoval;
+    private final LossRecovery lossRecovery;
+    private final CommandDispatcher dispatcher;
+
+    PlacementLauncher(
+            ClusterState clusterState,
+            ElasticWidths elastic,
+            TaskRemoval taskRemoval,
+            LossRecovery lossRecovery,
+            CommandDispatcher dispatcher) {
+        this.clusterState = clusterState;
+        this.elastic = elastic;
+        this.taskRemoval = taskRemoval;
+        this.lossRecovery = lossRecovery;
+        this.dispatcher = dispatcher;
+    }
+
+    /** Launches the placed tasks, except those that the job's width no longer covers: these are withdrawn. */
+    void launch(List<Placement> placed) {
+        placed.forEach(lossRecovery::recordPlaced);
+        Set<Machine> commanded = new LinkedHashSet<>();
+        for (Placement placement : placed) {
+            Job job = clusterState.job(placement.task.job());
+            if (elastic.withdraws(job, placement, clusterState.machine(placement.machine))) {
+                taskRemoval.remove(job, placement);
+            } else {
+                taskRemoval.launch(placement);
+            }
+            commanded.add(clusterState.machine(placement.machine));
+        }
+        commanded.forEach(dispatcher::dispatch);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -0,0 +1,136 @@
+package org.beechhoist.controller;
+
+import java.util.SplittableRandom;
+import org.beechhoist.config.Policy;
+import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
+import org.beechhoist.controller.state.MachineTypeCatalog;
+import org.beechhoist.controller.worker.PreemptionNotices;
+
+/**
+ * Wires what decides where and when tasks run: admission, releases, the plan, migration, width reduction and preemption.
+ *
+ * <p>The fields are assigned in the order in which the components are constructed.
+ */
+final class SchedulingComponents {
+    final Admission admission;
+    final ReleaseController releases;
+    final Dispatch dispatch;
+    final MigrationController migrations;
+    final PreemptionNotices preemptionNotices;
+    final Planner planner;
+    final WidthReduction widthReduction;
+    final Preemption preemption;
+
+    private final ControllerServices services;
+    private final Policy policy;
+    private final FeatureModules features;
+    private final MachineTypeCatalog machineTypes;
+    private final WorkerComponents workers;
+
+    SchedulingComponents(
+            WorkerComponents workers,
+            Policy policy,
+            SplittableRandom random,
+            MachineTypeCatalog machineTypes,
+            FeatureModules features) {
+        this.services = workers.services;
+        this.policy = policy;
+        this.features = features;
+        this.machineTypes = machineTypes;
+        this.workers = workers;
+        ControllerContext context = services.context();
+        Settings settings = services.settings();
+        admission = new Admission(context, settings, machineTypes, workers.clusterState, workers.faultTracker);
+        releases = createReleases();
+        workers.jobOrdering.releases(releases);
+        dispatch = new Dispatch(
+                context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
+        migrations = createMigrations();
+        connectMigrations();
+        preemptionNotices = new PreemptionNotices(
+                context, workers.clusterState, workers.estimates, workers.eviction, workers.dispatcher);
+        planner = createPlanner(random);
+        widthReduction = createWidthReduction();
+        preemption = createPreemption();
+    }
+
+    private ReleaseController createReleases() {
+        return new ReleaseController(
+                services.context(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                workers.clusterState,
+                workers.estimates,
+                admission,
+                features.releaseRegistryOrNull());
+    }
+
+    private MigrationController createMigrations() {
+        return new MigrationController(
+                services.context(),
+                policy,
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                machineTypes,
+                workers.clusterState,
+                admission,
+                workers.eviction,
+                workers.dispatcher,
+                dispatch,
+                workers.disruptions,
+                features::disruptionBudgets);
+    }
+
+    private void connectMigrations() {
+        workers.disruptions.moving(migrations::moves);
+        workers.provisioner.kept(machine -> !migrations.keptOn(machine).isEmpty());
+        admission.keeps(migrations);
+    }
+
+    private Planner createPlanner(SplittableRandom random) {
+        return new Planner(
+                services.context(),
+                services.settings(),
+                policy,
+                random,
+                machineTypes,
+                workers.clusterState,
+                workers.estimates,
+                workers.jobOrdering,
+                admission,
+                workers.provisioner,
+                workers.elastic,
+                workers.coldStart,
+                migrations,
+                preemptionNotices);
+    }
+
+    private WidthReduction createWidthReduction() {
+        return new WidthReduction(
+                services.context(),
+                policy,
+                machineTypes,
+                workers.clusterState,
+                workers.jobOrdering,
+                admission,
+                workers.provisioner.renting(),
+                workers.elastic);
+    }
+
+    private Preemption createPreemption() {
+        return new Preemption(
+                services.context(),
+                policy,
+                machineTypes,
+                workers.clusterState,
+                workers.jobOrdering,
+                admission,
+                workers.eviction);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -0,0 +1,61 @@
+package org.beechhoist.controller;
+
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.plan.Plan;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Logs jobs that make no progress, with the cause as far as it is known. */
+final class StalledJobReporter {
+    private static final Logger LOG = LoggerFactory.getLogger(StalledJobReporter.class);
+    /** How long a job may go without progress before it is logged, and then until it is logged again. */
+    private static final long STALLED_MS = 120_000;
+
+    private final ControllerContext context;
+    private final ClusterState clusterState;
+    private final ElasticWidths elastic;
+    private final Planner planner;
+
+    StalledJobReporter(ControllerContext context, ClusterState clusterState, ElasticWidths elastic, Planner planner) {
+        this.context = context;
+        this.clusterState = clusterState;
+        this.elastic = elastic;
+        this.planner = planner;
+    }
+
+    /** Logs each job without progress; a service whose guaranteed replicas all run needs none. */
+    void report() {
+        for (Job job : clusterState.jobs()) {
+            boolean serves = job.spec().isService() && elastic.sure(job) == 0;
+            if (!serves && context.now().since(job.lastProgress) > STALLED_MS) {
+                job.lastProgress = context.now();
+                LOG.warn(
+                        "job stalled: job={} waiting={} placed={} cause=\"{}\"",
+                        job.id(),
+                        job.record.waitingCount(),
+                        job.record.live.size(),
+                        cause(job));
+            }
+        }
+    }
+
+    private String cause(Job job) {
+        if (job.keySetHold != null) {
+            return "held: " + job.keySetHold.why();
+        }
+        if (ElasticWidths.held(job) != null) {
+            return ElasticWidths.held(job);
+        }
+        if (job.record.failureReason != null) {
+            return job.record.failureReason;
+        }
+        Plan plan = planner.current();
+        Long start = plan == null ? null : plan.plannedStart(job.id());
+        if (start == null) {
+            return "no place in the plan";
+        }
+        return "planned in " + (start - context.now().ms()) / 1000 + " s";
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
@@ -0,0 +1,63 @@
+package org.beechhoist.controller;
+
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.store.StoreClient;
+import org.beechhoist.wire.CallResult;
+import org.beechhoist.wire.MonotonicTime;
+
+/** Records when the state service answered this node, and how. */
+final class StateServiceMonitor {
+    private static final int SERVER_ERROR = 500;
+
+    private final ControllerContext context;
+    private boolean everServed;
+    private MonotonicTime lastServed = MonotonicTime.ZERO;
+    private MonotonicTime lastAnswered = MonotonicTime.ZERO;
+    private int unansweredCalls;
+
+    StateServiceMonitor(ControllerContext context) {
+        this.context = context;
+    }
+
+    /** Returns a client of the state service whose calls are recorded here. */
+    StoreClient client() {
+        return new StoreClient((target, address, method, path, body, timeoutMs, then) ->
+                context.call(target, address, method, path, body, timeoutMs, result -> {
+                    record(result);
+                    then.accept(result);
+                }));
+    }
+
+    private void record(CallResult result) {
+        if (result.kind() != CallResult.Kind.ANSWERED) {
+            unansweredCalls++;
+            return;
+        }
+        unansweredCalls = 0;
+        lastAnswered = context.now();
+        if (result.status() < SERVER_ERROR) {
+            everServed = true;
+            lastServed = context.now();
+        }
+    }
+
+    /** Whether the state service has ever answered other than by a server error. */
+    boolean everServed() {
+        return everServed;
+    }
+
+    /** For how long it has not answered other than by a server error. */
+    long unservedMs() {
+        return context.now().since(lastServed);
+    }
+
+    /** For how long it has not answered at all. */
+    long unansweredMs() {
+        return context.now().since(lastAnswered);
+    }
+
+    /** How many calls in a row had no answer of any kind. */
+    int unansweredCalls() {
+        return unansweredCalls;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -0,0 +1,215 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.function.BiConsumer;
+import org.beechhoist.config.Policy;
+import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.ControllerServices;
+import org.beechhoist.controller.state.ChangeLog;
+import org.beechhoist.controller.state.ClusterState;
+import org.beechhoist.controller.state.DurationEstimates;
+import org.beechhoist.controller.state.Job;
+import org.beechhoist.controller.state.LeaderState;
+import org.beechhoist.controller.state.Machine;
+import org.beechhoist.controller.state.StateLoader;
+import org.beechhoist.controller.state.TransactionCommitter;
+import org.beechhoist.controller.worker.CancellationEnforcer;
+import org.beechhoist.controller.worker.ColdStartRecovery;
+import org.beechhoist.controller.worker.CommandDispatcher;
+import org.beechhoist.controller.worker.FaultTracker;
+import org.beechhoist.controller.worker.HeartbeatHandler;
+import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.TaskEviction;
+import org.beechhoist.controller.worker.TaskRemoval;
+import org.beechhoist.store.Placement;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.Heartbeat;
+import org.beechhoist.wire.JobId;
+
+/**
+ * Wires the leader's cluster state, the transactions that store it, and what is done with machines and their workers.
+ *
+ * <p>The fields are assigned in the order in which the components are constructed. Components that need a later one are given a
+ * listener, which reads the field when it is called.
+ */
+final class WorkerComponents {
+    final ControllerServices services;
+    final DurationEstimates estimates;
+    final ClusterState clusterState;
+    final StateLoader loader;
+    final LeaderState state;
+    final ColdStartRecovery coldStart;
+    final LossRecovery lossRecovery;
+    final CommandDispatcher dispatcher;
+    final DisruptionAccounting disruptions;
+    final TaskEviction eviction;
+    final TaskRemoval taskRemoval;
+    final KeySetHolds keySetHolds;
+    final TransactionCommitter committer;
+    final FaultTracker faultTracker;
+    final JobOrdering jobOrdering;
+    final Provisioner provisioner;
+    final ElasticWidths elastic;
+    final PlacementLauncher launcher;
+    final HeartbeatHandler heartbeats;
+    final CancellationEnforcer cancellationEnforcer;
+
+    private final Policy policy;
+    private final NodeComponents node;
+    private final BiConsumer<Job, JsonNode> jobEnded;
+    private final ChangeLog changeLog;
+
+    /** @param jobEnded is called with a job and its final state when its end is committed */
+    WorkerComponents(
+            ControllerServices services,
+            Policy policy,
+            NodeComponents node,
+            FeatureModules features,
+            BiConsumer<Job, JsonNode> jobEnded) {
+        this.services = services;
+        this.policy = policy;
+        this.node = node;
+        this.jobEnded = jobEnded;
+        ControllerContext context = services.context();
+        Settings settings = services.settings();
+        estimates = new DurationEstimates();
+        clusterState = new ClusterState(context, settings);
+        changeLog = new ChangeLog();
+        loader = createLoader();
+        state = new LeaderState(clusterState, loader, node.machineTypes(), estimates, node.cancellations());
+        coldStart = new ColdStartRecovery(context, settings, clusterState);
+        lossRecovery = new LossRecovery(context, clusterState);
+        dispatcher = new CommandDispatcher(services, state, coldStart, new CommandOutcomes());
+        disruptions = createDisruptions(features.drains().isPresent());
+        eviction = new TaskEviction(clusterState, dispatcher, disruptions);
+        taskRemoval = new TaskRemoval(clusterState, eviction, lossRecovery);
+        keySetHolds = new KeySetHolds(
+                context, settings, clusterState, dispatcher, taskRemoval, features.keySetRegistryOrNull());
+        committer = createCommitter();
+        faultTracker = new FaultTracker(context, clusterState);
+        jobOrdering = new JobOrdering(context, settings, policy, clusterState, estimates);
+        provisioner = createProvisioner();
+        elastic = createElasticWidths();
+        launcher = new PlacementLauncher(clusterState, elastic, taskRemoval, lossRecovery, dispatcher);
+        heartbeats = new HeartbeatHandler(services, state, dispatcher, taskRemoval, faultTracker, provisioner, elastic);
+        cancellationEnforcer = createCancellationEnforcer();
+    }
+
+    private StateLoader createLoader() {
+        return new StateLoader(services, clusterState, estimates, changeLog, node.cancellations(), new LoadedState());
+    }
+
+    private DisruptionAccounting createDisruptions(boolean withDrains) {
+        return new DisruptionAccounting(
+                services.context(),
+                services.settings(),
+                services.store(),
+                services.election(),
+                services.requests(),
+                services.writes(),
+                clusterState,
+                withDrains);
+    }
+
+    private TransactionCommitter createCommitter() {
+        return new TransactionCommitter(
+                services,
+                clusterState,
+                loader,
+                changeLog,
+                keySetHolds,
+                node.peers()::hasHeardAll,
+                new CommittedChanges());
+    }
+
+    private Provisioner createProvisioner() {
+        WorkerRestartHandler restarts =
+                new WorkerRestartHandler(services.context(), services.election(), clusterState, committer);
+        return new Provisioner(
+                services,
+                policy,
+                node.machineTypes(),
+                clusterState,
+                jobOrdering,
+                estimates,
+                faultTracker,
+                taskRemoval,
+                lossRecovery,
+                coldStart,
+                restarts::workerRestarted);
+    }
+
+    private ElasticWidths createElasticWidths() {
+        return new ElasticWidths(
+                services.context(),
+                policy.elastic(),
+                clusterState,
+                node.machineTypes(),
+                estimates,
+                eviction,
+                taskRemoval);
+    }
+
+    private CancellationEnforcer createCancellationEnforcer() {
+        return new CancellationEnforcer(
+                services, state, dispatcher, taskRemoval, lossRecovery, provisioner, keySetHolds);
+    }
+
+    /** Passes on what the state loader reads. */
+    private final class LoadedState implements StateLoader.Listener {
+        @Override
+        public void stateLoaded() {
+            heartbeats.stateLoaded();
+        }
+
+        @Override
+        public void jobCancelled(JobId jobId) {
+            cancellationEnforcer.jobCancelled(jobId);
+        }
+
+        @Override
+        public void jobResized(Job job) {
+            elastic.look(job);
+        }
+    }
+
+    /** Passes on what workers answer to commands and probes. */
+    private final class CommandOutcomes implements CommandDispatcher.Listener {
+        @Override
+        public void heartbeatReceived(Machine machine, Heartbeat heartbeat) {
+            heartbeats.reconcile(machine, heartbeat, false);
+        }
+
+        @Override
+        public void launchUnacknowledged(FencingToken fencingToken) {
+            if (fencingToken.equals(services.election().fencingToken())) {
+                committer.requestTokenRotation();
+            }
+        }
+
+        @Override
+        public void fencingRequested() {
+            committer.requestUrgentTokenRotation();
+        }
+    }
+
+    /** Passes on what the transaction committer has stored. */
+    private final class CommittedChanges implements TransactionCommitter.Listener {
+        @Override
+        public void placementsCommitted(List<Placement> placed) {
+            launcher.launch(placed);
+        }
+
+        @Override
+        public void jobWritten(Job job) {
+            elastic.look(job);
+        }
+
+        @Override
+        public void jobEnded(Job job, JsonNode finalState) {
+            jobEnded.accept(job, finalState);
+        }
+    }
+}
