--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -70,7 +70,7 @@
         features.schedules.ifPresent(CronController::begin);
     }
 
-    /** Ends the term: this node has lost the lead. */
+    /** Ends the term: this node has lost the leadership. */
     void end() {
         features.schedules.ifPresent(CronController::end);
         workers.loader.stop();
--- a/src/main/java/org/beechhoist/controller/LeaderRequests.java
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -54,7 +54,7 @@
         };
     }
 
-    /** Handles a worker's heartbeat; where this node does not lead, it counts as one that reached it. */
+    /** Handles a worker's heartbeat. It counts as one that reached this node, whether the node leads or not. */
     void heartbeat(long id, byte[] body) {
         Heartbeat heartbeat;
         try {
@@ -71,7 +71,7 @@
         redirect(id);
     }
 
-    /** Answers with the leader's address, as far as it is known. */
+    /** Answers that this node does not lead, with the address of the leader as far as it is known. */
     private void redirect(long id) {
         ObjectNode answer = Codec.map();
         String address = peers.leader(context.now());
