--- a/src/main/java/org/beechhoist/controller/context/ApiResponder.java
+++ b/src/main/java/org/beechhoist/controller/context/ApiResponder.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Where the response to a request goes. It is called once, now or later. */
+/** Receives the response to an API request. It is called exactly once, at once or in a later input. */
 public interface ApiResponder {
     /** Responds with this HTTP status and body. */
     void respond(int status, JsonNode body);
--- a/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
+++ b/src/main/java/org/beechhoist/controller/context/BoundedCollections.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Memories of a bounded size, which forget what is oldest. */
+/** Maps and sets of a bounded size, which drop their oldest entry when they grow beyond it. */
 public final class BoundedCollections {
     private BoundedCollections() {}
 
-    /** Keeps the entries that were used last. */
+    /** Returns a map that keeps the {@code most} entries that were read or written last. */
     public static <K, V> Map<K, V> leastRecentlyUsedMap(int most) {
         return new LinkedHashMap<>(16, 0.75f, true) {
             @Override
@@ -19,7 +19,7 @@
         };
     }
 
-    /** Keeps what was added last. */
+    /** Returns a set that keeps the {@code most} elements that were added last. */
     public static <K> Set<K> insertionOrderedSet(int most) {
         return Collections.newSetFromMap(new LinkedHashMap<>() {
             @Override
--- a/src/main/java/org/beechhoist/controller/context/Effect.java
+++ b/src/main/java/org/beechhoist/controller/context/Effect.java
@@ -7,27 +7,28 @@
 import org.beechhoist.wire.ServiceCalls;
 
 /**
- * What the core wants done after an input. Commands carry the time until which the leader's lease vouches for them: a
- * process may stand still between a decision and the system call that carries it out, and whoever carries it out looks
- * at the clock once more.
+ * What the core wants done after an input. Commands carry the time until which the leader's lease is certain to be valid: a
+ * process may be suspended between a decision and the system call that carries it out, so whoever carries it out checks the
+ * clock once more.
  */
 public sealed interface Effect {
-    /** Answer a request; from {@code until} on (null: no bound) with 421 instead. */
+    /** Answer a request; from {@code until} on (null: no bound) the answer is status 421 instead. */
     record Answer(long request, int status, JsonNode body, int retryAfterS, MonotonicTime until) implements Effect {
+        /** Creates an answer that is valid without a time bound. */
         public Answer(long request, int status, JsonNode body, int retryAfterS) {
             this(request, status, body, retryAfterS, null);
         }
 
-        /** What is to be answered at that moment. */
+        /** Returns the answer to send at time {@code now}: this one, or status 421 once it has expired. */
         public Answer asOf(MonotonicTime now) {
             return until == null || now.isBefore(until) ? this : new Answer(request, 421, Codec.map(), 0);
         }
     }
 
-    /** Tell the other controllers; nobody waits for an answer. */
+    /** Send this node's state to the other controllers; no answer is awaited. */
     record PublishToPeers(PeerState state) implements Effect {}
 
-    /** Call another service and report the outcome under {@code id}; from {@code until} on it is not sent any more. */
+    /** Call another service and report the result under {@code id}; from {@code until} on (null: no bound) it is not sent. */
     record Call(
             long id,
             ServiceCalls.Target target,
@@ -38,6 +39,7 @@
             long timeoutMs,
             MonotonicTime until)
             implements Effect {
+        /** Whether the call may no longer be sent. */
         public boolean isExpired(MonotonicTime now) {
             return until != null && !now.isBefore(until);
         }
--- a/src/main/java/org/beechhoist/controller/context/Pacer.java
+++ b/src/main/java/org/beechhoist/controller/context/Pacer.java
@@ -2,19 +2,23 @@
 
 import org.beechhoist.wire.MonotonicTime;
 
-/** Something that is done at once after a quiet while, and then no more often than every so long: what comes in between shares one. */
+/**
+ * Limits how often an action is run: at once after a quiet interval, and then at most once per interval. Requests that
+ * arrive in between share the next run.
+ */
 public final class Pacer {
     private final ControllerContext context;
     private final long intervalMs;
     private MonotonicTime next = MonotonicTime.ZERO;
     private boolean scheduled;
 
+    /** Creates a pacer that allows a run at once, and then one every {@code everyMs} milliseconds. */
     public Pacer(ControllerContext context, long everyMs) {
         this.context = context;
         this.intervalMs = everyMs;
     }
 
-    /** Whether it is too soon; {@code again} is called when it is not any more. */
+    /** Whether the next run is not due yet; {@code again} is called when it is, once for all postponed requests. */
     public boolean postponeIfTooSoon(Runnable again) {
         if (!context.now().isBefore(next)) {
             return false;
@@ -29,7 +33,7 @@
         return true;
     }
 
-    /** It is done now. */
+    /** Notes that the action runs now: the interval begins anew. */
     public void markDone() {
         next = context.now().plusMs(intervalMs);
     }
--- a/src/main/java/org/beechhoist/controller/leadership/ControllerServices.java
+++ b/src/main/java/org/beechhoist/controller/leadership/ControllerServices.java
@@ -7,10 +7,14 @@
 import org.beechhoist.store.TokenBucket;
 
 /**
- * What most parts of a controller need, handed to them together.
+ * The services that most parts of a controller need, passed to them as one object.
  *
+ * @param context the current input: time, effects, calls and timers
+ * @param settings the node's settings
+ * @param store the client of the state service
  * @param requests tokens for requests to the state service
  * @param writes tokens for the changes that its transactions make
+ * @param election whether this node leads, and with which fencing token
  */
 public record ControllerServices(
         ControllerContext context,
@@ -19,7 +23,7 @@
         TokenBucket requests,
         TokenBucket writes,
         LeaderElection election) {
-    /** How records are cut up to fit the state service's limits. */
+    /** Returns how records are split to fit the state service's limits. */
     public RecordSizes recordSizes() {
         return RecordSizes.of(
                 settings.stateLimits().valueBytes(), settings.stateLimits().txnOps());
--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -16,28 +16,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads: a key held by a lease. The fencing token is the revision of the commit that wrote the key, and every commit of
- * a leader is guarded by it. A leader trusts its lease only as long as the last extension it sent can vouch for.
+ * The leader election: a key that is held by a lease says who leads. The fencing token is the revision of the commit that
+ * wrote the key, and every commit of a leader is guarded by it. A leader trusts its lease only for as long as is certain from
+ * the time at which it sent the last successful extension.
  */
 public final class LeaderElection {
+    /** The key of the state service whose holder leads. */
     public static final String KEY = "lead";
+
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     /** Covers the drift of two clocks, 0.05% each, and rounding. */
     private static final double DRIFT = 0.0015;
 
     private static final long MARGIN_MS = 300;
-    /** A node that ends again and again would take its own key back each time, and lead for moments: others come first then. */
+    /**
+     * A node that crashes again and again would take its own key back each time and lead for moments only: after some terms
+     * that were shorter than this, others campaign first.
+     */
     private static final long SHORT_TERM_MS = 20_000;
 
     private static final int MAX_SHORT_TERMS = 2;
     private static final long MAX_PAUSE_MS = 8000;
-    /** A watch is answered every 4 s: what the state service told longer ago is a memory. */
+    /** A watch is answered every 4 s at least: a leader that the state service named longer ago is out of date. */
     private static final long LEADER_KNOWN_MS = 6000;
 
-    /** What a change of leadership means to the rest. */
+    /** Is notified of changes of this node's leadership. */
     public interface Listener {
+        /** This node has become leader, with its first fencing token. */
         void won(FencingToken fencingToken);
 
+        /** This node leads no longer. */
         void lost();
     }
 
@@ -53,17 +61,27 @@
     private FencingToken fencingToken = FencingToken.NONE;
     private FencingToken firstFencingToken = FencingToken.NONE;
     private MonotonicTime leaseValidUntil = MonotonicTime.ZERO;
-    /** When the state service last told whose the key is. */
+    /** When the state service last answered who holds the key. */
     private MonotonicTime leaderKnownAt = MonotonicTime.ZERO;
-    /** After giving the lead up: others come first. */
+    /** This node does not campaign before, so that others can win first. */
     private MonotonicTime campaignFrom = MonotonicTime.ZERO;
 
+    /** Changes with each new reading of the key and with each win: answers to calls of earlier rounds are ignored. */
     private long round;
-    /** How many short terms in a row this node has had, its earlier lives included, and when the present one began. */
+
+    /** How many short terms in a row this node has had, those of earlier processes of the same name included. */
     private int shortTerms;
 
+    /** The time of day at which the present term began. */
     private long wonWallMs;
 
+    /**
+     * Creates the election; {@link #start} begins it.
+     *
+     * @param requests tokens for requests to the state service
+     * @param node this node's name
+     * @param ttlMs how long the lease of the key lasts without an extension
+     */
     public LeaderElection(
             ControllerContext context,
             StoreClient store,
@@ -79,57 +97,59 @@
         this.listener = listener;
     }
 
-    /** True while this node may command workers. */
+    /** Whether this node leads and its lease is certain to be valid now: it may command workers. */
     public boolean holdsLease() {
         return isLeading && context.now().isBefore(leaseValidUntil);
     }
 
-    /** Until when this node may command workers, by what is known now. */
+    /** Until when this node may command workers, as far as is known now. */
     public MonotonicTime leaseValidUntil() {
         return leaseValidUntil;
     }
 
-    /** True while the leadership is not known to be lost, though perhaps suspended. */
+    /** Whether the leadership is not known to be lost; the lease may have run out all the same. */
     boolean isLeading() {
         return isLeading;
     }
 
+    /** The newest fencing token of this term. */
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The first token of this leadership: whoever has seen it has spoken since. */
+    /** The first fencing token of this term: a worker that has seen it has exchanged messages with this node since. */
     public FencingToken firstFencingToken() {
         return firstFencingToken;
     }
 
-    /** The other node that leads, or null: none does, or who did so is only remembered. */
+    /** The other node that leads, or null where none does or the state service has not confirmed it lately. */
     public String otherLeader() {
         return isLeading || context.now().since(leaderKnownAt) > LEADER_KNOWN_MS ? null : leader;
     }
 
-    /** Guards a leader's transaction: late ones die when the key changes hands or is written anew. */
+    /** Returns a new transaction that fails once the key has another holder or has been rewritten. */
     public Transaction guardedTransaction() {
         return new Transaction().guard(KEY, new Revision(fencingToken.value()));
     }
 
-    /** Adds a rewrite of the key, so that the commit's revision becomes the new fencing token. */
+    /** Adds a rewrite of the key to the transaction, so that the commit's revision becomes the new fencing token. */
     public void addTokenRotation(Transaction transaction) {
         transaction.put(KEY, keyValue(), lease);
     }
 
+    /** Takes the revision at which the key was rewritten as the fencing token. */
     public void adoptToken(Revision revision) {
         fencingToken = new FencingToken(revision.value());
     }
 
-    /** What a leader finds when it reads its key. */
+    /** What a leader finds when it reads the key: held by its lease, not held any more, or no answer. */
     public enum KeyOwnership {
         HELD,
         LOST,
         UNKNOWN
     }
 
-    /** Reads whether the key is still held by this leadership's lease; its newest revision is the fencing token then. */
+    /** Reads whether the key is still held by this term's lease; if so, its newest revision becomes the fencing token. */
     public void readKeyOwnership(Consumer<KeyOwnership> then) {
         requests.takeOrOverdraw(context.now(), 1);
         long held = lease;
@@ -145,6 +165,7 @@
         });
     }
 
+    /** Begins to read and watch the key; the node campaigns as soon as nobody holds it. */
     public void start() {
         readKey(++round);
     }
@@ -159,8 +180,9 @@
 
     private void readKey(long expectedRound) {
         requests.takeOrOverdraw(context.now(), 1);
-        // A listing, for it tells the store's revision too: the key's own may be older than any change the store still
-        // keeps, and a watch from there would be answered 410 at once, for ever.
+        // A listing, for it returns the store's revision too: the key's own may be older than any change the store
+        // still
+        // keeps, and a watch from there would be answered with 410 at once, every time.
         store.list(KEY, null, 10, page -> {
             if (expectedRound != round || isLeading) {
                 return;
@@ -183,7 +205,7 @@
                 store.revokeLease(item.lease());
                 readKeyLater(700, expectedRound);
             } else if (node.equals(leader)) {
-                // An earlier life of this process held it; that process is dead, so its key may be replaced.
+                // An earlier process of this node held it; that process is dead, so its key may be replaced.
                 leader = null;
                 campaign(expectedRound, item.version());
             } else {
@@ -196,7 +218,10 @@
         return Codec.map().put("node", node).put("at", wonWallMs).put("short", shortTerms);
     }
 
-    /** This node's earlier life held the key: was that one short term too many? It stands again after a pause that grows. */
+    /**
+     * Whether this node, whose earlier process held the key, has had too many short terms in a row. It campaigns again after a
+     * pause that doubles each time.
+     */
     private boolean restartsRepeatedly(StoreClient.KeyValue own) {
         boolean brief = context.wallMs() - own.value().path("at").longValue() < SHORT_TERM_MS;
         shortTerms = brief ? own.value().path("short").intValue() + 1 : 0;
@@ -204,7 +229,7 @@
             return false;
         }
         long pause = Math.min(MAX_PAUSE_MS, 1000L << Math.min(10, shortTerms - MAX_SHORT_TERMS - 1));
-        LOG.warn("{} short reigns of this node in a row: others come first for {} s", shortTerms, pause / 1000.0);
+        LOG.warn("campaign postponed: node={} shortTerms={} pauseS={}", node, shortTerms, pause / 1000.0);
         campaignFrom = context.now().plusMs(pause);
         return true;
     }
@@ -225,7 +250,7 @@
                 last = i.key().equals(KEY) ? i : last;
             }
             if (last == null) {
-                // Nothing for a while; read the key instead of trusting the watch for ever.
+                // No change for a while: read the key instead of trusting the watch without end.
                 readKeyLater(0, expectedRound);
             } else if (last.value() == null) {
                 leader = null;
@@ -258,7 +283,7 @@
                 if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                     becomeLeader(hold, commit.revision(), sent);
                 } else {
-                    // Ending the lease also ends a transaction that may still be on its way.
+                    // Revoking the lease also defeats a transaction that may still be on its way.
                     store.revokeLease(hold);
                     readKeyLater(commit.outcome() == CommitResult.Outcome.CONFLICT ? 20 : 500, expectedRound);
                 }
@@ -273,7 +298,7 @@
         firstFencingToken = fencingToken;
         leaseValidUntil = MonotonicTime.ZERO;
         extendValidity(sent);
-        LOG.info("leader from now on, baton {}", fencingToken.value());
+        LOG.info("leadership won: node={} token={}", node, fencingToken.value());
         long expectedRound = ++round;
         context.schedule(ttlMs / 5, () -> extendLease(expectedRound));
         listener.won(fencingToken);
@@ -303,7 +328,8 @@
             } else if (result.hasStatus(404)) {
                 loseLeadership("the lease ended");
             } else if (result.kind() == CallResult.Kind.UNKNOWN && !holdsLease()) {
-                // Its requests may arrive all the same, and would keep the key from all others for as long as they do.
+                // The extensions may arrive all the same, and would keep all others from the key for as long as they
+                // do.
                 loseLeadership("the state service has not answered for a lease");
             } else {
                 context.schedule(300, () -> extendLease(expectedRound));
@@ -311,18 +337,18 @@
         });
     }
 
-    /** Gives the lead up for another node to take; this one stands again after a while. */
+    /** Gives the leadership up for another node to win; this one campaigns again after {@code forMs} milliseconds. */
     public void stepDown(String cause, long forMs) {
         campaignFrom = context.now().plusMs(forMs);
         loseLeadership(cause);
     }
 
-    /** Called when the key turned out not to be this leader's any more. */
+    /** Ends this node's leadership, if it leads: the key or its lease is lost, or another node is to lead. */
     public void loseLeadership(String cause) {
         if (!isLeading) {
             return;
         }
-        LOG.info("no longer leader, baton {}: {}", fencingToken.value(), cause);
+        LOG.info("leadership lost: node={} token={} cause={}", node, fencingToken.value(), cause);
         isLeading = false;
         leader = null;
         store.revokeLease(lease);
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -10,8 +10,8 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * What the other controllers last said of themselves. These are hints: they make a redirect quicker and tell an
- * outage that all nodes share from one that this node has alone. No right to command follows from them.
+ * What the other controllers last reported about themselves. These are hints: they make a redirect quicker and distinguish an
+ * outage that all nodes share from one that affects this node alone. They give no right to command workers.
  */
 public final class PeerDirectory {
     private static final long FRESH_MS = 5000;
@@ -22,10 +22,12 @@
     private final Set<String> seeds;
     private final Map<String, LastMessage> lastMessages = new HashMap<>();
 
+    /** Creates a directory of the other controllers' names {@code seeds}, of which nothing has been heard yet. */
     public PeerDirectory(Set<String> seeds) {
         this.seeds = seeds;
     }
 
+    /** Records a message of another controller; one of an unknown name is ignored. */
     public void lastMessages(PeerState state, MonotonicTime now) {
         if (seeds.contains(state.node())) {
             lastMessages.put(state.node(), new LastMessage(state, now));
@@ -36,12 +38,16 @@
         return now.since(message.at) < FRESH_MS;
     }
 
-    /** Whether every other node has been heard since this one began: they are of a version that speaks as this one does. */
+    /** Whether every other node has sent a message since this one started: all run a version that sends these messages. */
     public boolean hasHeardAll() {
         return lastMessages.size() == seeds.size();
     }
 
-    /** What each of the others wants of the state service's changes, or of all requests; not known where nothing was heard lately. */
+    /**
+     * What each of the others demands of one of the state service's limits; unknown where nothing was heard of it lately.
+     *
+     * @param of which demand: that for changes, or that for all requests
+     */
     public List<RequestShares.Demand> demands(MonotonicTime now, ToDoubleFunction<PeerState> of) {
         List<RequestShares.Demand> out = new ArrayList<>();
         for (String node : seeds) {
@@ -53,7 +59,7 @@
         return out;
     }
 
-    /** How many workers' reports have lately reached each of the others that is heard of. */
+    /** How many heartbeats have lately reached each of the other nodes that have been heard of lately. */
     public List<Integer> heartbeatsAtPeers(MonotonicTime now) {
         List<Integer> out = new ArrayList<>();
         for (LastMessage message : lastMessages.values()) {
@@ -64,7 +70,7 @@
         return out;
     }
 
-    /** Who says that it leads, or null; of two the one with the newer fencing token. */
+    /** The node that reports to lead, or null; of several the one with the newest fencing token. */
     public String leader(MonotonicTime now) {
         PeerState best = null;
         for (LastMessage message : lastMessages.values()) {
@@ -77,12 +83,12 @@
         return best == null ? null : best.node();
     }
 
-    /** Whether there are others, and none has been heard for so long. */
+    /** Whether there are other nodes and none has been heard of for {@code forMs} milliseconds. */
     public boolean allSilentFor(MonotonicTime now, long forMs) {
-        return !seeds.isEmpty() && lastMessages.values().stream().allMatch(h -> now.since(h.at) > forMs);
+        return !seeds.isEmpty() && lastMessages.values().stream().allMatch(m -> now.since(m.at) > forMs);
     }
 
-    /** Whether the state service serves some other node that users can turn to. */
+    /** Whether the state service answers some other node that is ready to serve users. */
     public boolean isServedElsewhere(MonotonicTime now) {
         for (LastMessage message : lastMessages.values()) {
             if (isFresh(message, now)
