--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -3,28 +3,21 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.store.ChangeLogSegment;
-import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Placement;
-import org.beechhoist.store.RecordSizes;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
-import org.beechhoist.store.WidthRecord;
-import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.MonotonicTime;
@@ -33,10 +26,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the open records into the book, all of them after winning or when in doubt, then the changes as they come. */
+/**
+ * Reads the open records into the cluster state: all of them when a term begins or the state is in doubt, then their changes as
+ * they are watched.
+ */
 public final class StateLoader {
     private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
-    /** The oldest placement taken at its word. */
+    /** A placement that is recorded as older is taken to be of this age. */
     private static final long MAX_PLACEMENT_AGE_MS = 24L * 3600 * 1000;
 
     private static final long LOG_RETRY_MS = 5000;
@@ -47,15 +43,15 @@
         ACTIVE
     }
 
-    /** What others do when the records say so. */
+    /** Is notified of what the records hold. */
     public interface Listener {
-        /** All open records are known, as of a revision after the last win or doubt. */
+        /** All open records are known, as of a revision after the term began or the state came into doubt. */
         void stateLoaded();
 
-        /** A job's cancellation is committed, on whatever node; its record is taken up before or after that. */
+        /** A job's cancellation is committed, by any node; the change of its record is applied before or after this call. */
         void jobCancelled(JobId jobId);
 
-        /** Its user allows a job another width. */
+        /** The user of a job has allowed another width. */
         void jobResized(Job job);
     }
 
@@ -66,16 +62,27 @@
     private final DurationEstimates estimates;
     private final ClusterState clusterState;
     private final ChangeLog changeLog;
-    private final RecordSizes sizes;
     private final CancellationRegistry cancellations;
     private final Listener listener;
+    private final JobRecordReader reader;
+    private final ChangeLogReplay logReplay;
+    private final WatchedChangeApplier changeApplier;
     private final Set<StoreClient.KeyValue> misplacedFinalStates = new LinkedHashSet<>();
     private Phase phase = Phase.IDLE;
-    /** Changes whenever the book is read anew, and with leadership. */
+    /** Changes whenever the state is read anew or becomes invalid, and when a term ends. */
     private long loadEpoch;
-    /** Changes with each reading that is followed by a watch of its own, and with leadership: an earlier watch ends. */
+    /** Changes with each completed reading, which begins a watch of its own, and when a term ends: an earlier watch stops. */
     private long watchRound;
 
+    /**
+     * Creates the loader, which reads nothing until {@link #reload}.
+     *
+     * @param services the services of the controller
+     * @param clusterState the state that is loaded
+     * @param estimates how long tasks are expected to run
+     * @param changeLog the segments of the change log that are in use
+     * @param cancellations committed cancellations
+     */
     public StateLoader(
             ControllerServices services,
             ClusterState clusterState,
@@ -87,15 +94,17 @@
         this.store = services.store();
         this.election = services.election();
         this.requests = services.requests();
-        this.sizes = services.recordSizes();
         this.clusterState = clusterState;
         this.estimates = estimates;
         this.changeLog = changeLog;
         this.cancellations = cancellations;
         this.listener = listener;
+        this.reader = new JobRecordReader(context, services.recordSizes(), cancellations);
+        this.logReplay = new ChangeLogReplay(clusterState, changeLog);
+        this.changeApplier = new WatchedChangeApplier(clusterState, reader, cancellations, listener);
     }
 
-    /** Final states that stand where open records do, to be moved to their own keys. */
+    /** Final states that are stored under the keys of open records, to be moved to keys of their own. */
     Collection<StoreClient.KeyValue> misplacedFinalStates() {
         return misplacedFinalStates;
     }
@@ -104,32 +113,34 @@
         misplacedFinalStates.add(item);
     }
 
+    /** Changes whenever the state is read anew or becomes invalid: results of calls of an earlier epoch are ignored. */
     long loadEpoch() {
         return loadEpoch;
     }
 
-    /** Whether the book holds all open records. */
+    /** Whether the cluster state holds all open records. */
     public boolean isComplete() {
         return phase == Phase.ACTIVE;
     }
 
-    /** Whether commands may be given: the book holds all open records and this node still leads. */
+    /** Whether commands may be sent: the cluster state holds all open records and this node still holds the lease. */
     public boolean isActive() {
         return isComplete() && election.holdsLease();
     }
 
-    /** Reads the book, all of it; what an earlier reading still brings is left alone. */
+    /** Reads all open records anew; pages of an earlier reading that still arrive are ignored. */
     public void reload() {
         loadEpoch++;
         load();
     }
 
-    /** The book is not to be trusted until it is read again. */
+    /** Marks the cluster state as in doubt until it is read again. */
     void invalidate() {
         loadEpoch++;
         phase = Phase.LOADING;
     }
 
+    /** Stops reading and watching, for the term has ended. */
     public void stop() {
         loadEpoch++;
         watchRound++;
@@ -139,22 +150,19 @@
     private void load() {
         phase = Phase.LOADING;
         List<StoreClient.KeyValue> records = new ArrayList<>();
-        List<StoreClient.KeyValue> segments = new ArrayList<>();
         MonotonicTime asked = context.now();
-        // Records before the log: a job that enters in between has nothing in the log yet.
-        loadPage(
-                loadEpoch,
-                JobRecord.OPEN_PREFIX,
-                null,
-                records,
-                null,
-                start -> loadPage(
-                        loadEpoch,
-                        ChangeLogSegment.PREFIX,
-                        null,
-                        segments,
-                        start,
-                        ignored -> finishLoad(records, segments, start, asked)));
+        // Records before the log: a job that is added in between has nothing in the log yet.
+        loadPrefix(JobRecord.OPEN_PREFIX, records, null, start -> loadSegments(records, start, asked));
+    }
+
+    private void loadSegments(List<StoreClient.KeyValue> records, Revision start, MonotonicTime asked) {
+        List<StoreClient.KeyValue> segments = new ArrayList<>();
+        loadPrefix(ChangeLogSegment.PREFIX, segments, start, ignored -> finishLoad(records, segments, start, asked));
+    }
+
+    /** Reads all of a prefix into {@code items}; {@code first} is the revision from which changes are watched, if known. */
+    private void loadPrefix(String prefix, List<StoreClient.KeyValue> items, Revision first, Consumer<Revision> then) {
+        loadPage(loadEpoch, prefix, null, items, first, then);
     }
 
     private void loadPage(
@@ -197,69 +205,21 @@
             List<StoreClient.KeyValue> segments,
             Revision start,
             MonotonicTime asked) {
-        Map<TaskId, Placement> before = new HashMap<>();
-        for (Machine machine : clusterState.machines()) {
-            before.putAll(machine.placements);
-            machine.placements.clear();
-        }
+        Map<TaskId, Placement> before = takeAllPlacements();
         Map<JobId, Job> old = clusterState.takeAllJobs();
         misplacedFinalStates.clear();
-        for (StoreClient.KeyValue item : items) {
-            try {
-                addRecord(item, old);
-            } catch (MalformedMessageException e) {
-                LOG.error(
-                        "record {} can't be read, the job and its tasks are left alone: {}",
-                        item.key(),
-                        e.getMessage());
-                clusterState.ignoreUnreadable(jobIdOf(item.key()));
-            }
-        }
-        if (!applyLog(segments)) {
+        items.forEach(item -> addReadableRecord(item, old));
+        if (!logReplay.replay(segments)) {
             retryLater(LOG_RETRY_MS);
             return;
         }
         for (Job job : clusterState.jobs()) {
-            Job known = old.get(job.id());
-            for (Map.Entry<Integer, Placement> live : job.record.live.entrySet()) {
-                Placement placement = live.getValue();
-                Placement kept = before.get(placement.task);
-                if (kept != null
-                        && kept.attempt == placement.attempt
-                        && kept.machine.equals(placement.machine)
-                        && kept.committed) {
-                    live.setValue(kept);
-                    placement = kept;
-                } else {
-                    // Some leader, perhaps this one, may have launched it: only a worker that has seen this
-                    // leadership's newest token can prove that it isn't there.
-                    placement.committed = true;
-                    placement.launchSent = true;
-                    placement.evidenceFrom = election.fencingToken();
-                    placement.recovered = true;
-                    long ago = context.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
-                    placement.placedAt = context.now().plusMs(-Math.max(0, Math.min(ago, MAX_PLACEMENT_AGE_MS)));
-                    placement.expectedDurationMs = estimates.expectedMs(job.spec());
-                }
-                clusterState.machine(placement.machine).placements.put(placement.task, placement);
-                Ending leaves = known == null ? null : known.endings.get(placement);
-                if (leaves != null) {
-                    job.endings.put(placement, leaves);
-                }
-            }
-            if (known == null && !job.record.live.isEmpty()) {
-                job.lastProgress =
-                        context.now(); // when it last moved is not in the records; each take-over called all jobs
-                // stalled
-            }
-            if (job.record.isCancelled() || job.record.isComplete()) {
-                clusterState.markDirty(job);
-            }
+            restoreJob(job, old.get(job.id()), before);
         }
         phase = Phase.ACTIVE;
         clusterState.requestReplan();
         LOG.info(
-                "book loaded: {} open jobs, {} log segments, at revision {}",
+                "state loaded: openJobs={} logSegments={} revision={}",
                 clusterState.jobs().size(),
                 changeLog.segmentCount(),
                 start.value());
@@ -268,68 +228,78 @@
         listener.stateLoaded();
     }
 
-    /** Brings the records up to what the log says; false where a segment can't be read, and nothing is certain. */
-    private boolean applyLog(List<StoreClient.KeyValue> items) {
-        changeLog.reset();
-        clusterState.jobs().forEach(j -> j.recordedTasks = CommittedTasks.of(j.record));
-        Map<ChangeLogSegment, Integer> segments = new TreeMap<>(Comparator.comparingLong(ChangeLogSegment::number));
-        Set<JobId> unreadable = new HashSet<>();
-        for (StoreClient.KeyValue item : items) {
-            try {
-                segments.put(
-                        ChangeLogSegment.parse(
-                                item.value(),
-                                r -> clusterState.job(r) == null
-                                        ? -1
-                                        : clusterState.job(r).spec().tasks(),
-                                unreadable),
-                        Integer.parseInt(item.key().substring(ChangeLogSegment.PREFIX.length())));
-            } catch (MalformedMessageException | NumberFormatException e) {
-                LOG.error("log segment {} can't be read, so nothing is started: {}", item.key(), e.getMessage());
-                return false;
-            }
+    /** Removes all placements from the machines and returns them. */
+    private Map<TaskId, Placement> takeAllPlacements() {
+        Map<TaskId, Placement> out = new HashMap<>();
+        for (Machine machine : clusterState.machines()) {
+            out.putAll(machine.placements);
+            machine.placements.clear();
         }
-        for (JobId jobId : unreadable) {
-            LOG.error("what the log says of {} can't be read, the job and its tasks are left alone", jobId);
-            clusterState.ignoreUnreadable(jobId);
+        return out;
+    }
+
+    private void addReadableRecord(StoreClient.KeyValue item, Map<JobId, Job> old) {
+        try {
+            addRecord(item, old);
+        } catch (MalformedMessageException e) {
+            LOG.error("record unreadable, job and its tasks ignored: key={} cause={}", item.key(), e.getMessage());
+            clusterState.ignoreUnreadable(JobRecordReader.jobIdOf(item.key()));
         }
-        Map<JobId, Long> from = new HashMap<>();
-        segments.forEach((segment, slot) -> segment.jobs().forEach((jobId, delta) -> {
-            if (delta.replacesEarlier()) {
-                from.put(jobId, segment.number());
+    }
+
+    /**
+     * Restores what is not in the records of a job that was just read.
+     *
+     * @param known the job as it was before, or null
+     * @param before all placements as they were before
+     */
+    private void restoreJob(Job job, Job known, Map<TaskId, Placement> before) {
+        for (Map.Entry<Integer, Placement> live : job.record.live.entrySet()) {
+            Placement placement = live.getValue();
+            Placement kept = before.get(placement.task);
+            if (isCommittedAs(kept, placement)) {
+                live.setValue(kept);
+                placement = kept;
+            } else {
+                markRecovered(job, placement);
             }
-        }));
-        segments.forEach((segment, slot) -> {
-            changeLog.noteNumber(segment.number());
-            Set<JobId> holds = new HashSet<>();
-            segment.jobs().forEach((jobId, delta) -> {
-                Job job = clusterState.job(jobId);
-                if (job != null
-                        && segment.number() > job.record.foldedSegment
-                        && segment.number() >= from.getOrDefault(jobId, 0L)) {
-                    delta.apply(job.record);
-                    holds.add(jobId);
-                }
-            });
-            changeLog.recordSegment(segment.number(), slot, holds);
-        });
-        for (Job job : clusterState.jobs()) {
-            changeLog.noteNumber(job.record.foldedSegment);
-            job.committedTasks = CommittedTasks.of(job.record);
+            clusterState.machine(placement.machine).placements.put(placement.task, placement);
+            Ending ending = known == null ? null : known.endings.get(placement);
+            if (ending != null) {
+                job.endings.put(placement, ending);
+            }
+        }
+        if (known == null && !job.record.live.isEmpty()) {
+            // The records do not hold the last progress; without this, each new leader took all jobs for stalled.
+            job.lastProgress = context.now();
         }
-        return true;
+        if (job.record.isCancelled() || job.record.isComplete()) {
+            clusterState.markDirty(job);
+        }
+    }
+
+    /** Whether the placement that was known is the one that was read, and known to be committed. */
+    private static boolean isCommittedAs(Placement known, Placement read) {
+        return known != null && known.attempt == read.attempt && known.machine.equals(read.machine) && known.committed;
     }
 
-    private static JobId jobIdOf(String key) {
-        int slash = key.indexOf('/', JobRecord.OPEN_PREFIX.length());
-        return new JobId(key.substring(JobRecord.OPEN_PREFIX.length(), slash < 0 ? key.length() : slash));
+    /**
+     * Prepares a placement that is known from the records alone. Some leader, perhaps this one, may have launched it: only a
+     * worker that has seen this term's newest fencing token can prove that the task is not there.
+     */
+    private void markRecovered(Job job, Placement placement) {
+        placement.committed = true;
+        placement.launchSent = true;
+        placement.evidenceFrom = election.fencingToken();
+        placement.recovered = true;
+        long ago = context.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
+        placement.placedAt = context.now().plusMs(-Math.max(0, Math.min(ago, MAX_PLACEMENT_AGE_MS)));
+        placement.expectedDurationMs = estimates.expectedMs(job.spec());
     }
 
     private void addRecord(StoreClient.KeyValue item, Map<JobId, Job> old) throws MalformedMessageException {
-        String rest = item.key().substring(JobRecord.OPEN_PREFIX.length());
-        int slash = rest.indexOf('/');
-        if (slash >= 0) {
-            Job job = clusterState.job(new JobId(rest.substring(0, slash)));
+        if (JobRecordReader.isChunkKey(item.key())) {
+            Job job = clusterState.job(JobRecordReader.jobIdOf(item.key()));
             if (job != null) {
                 job.record.addLiveTasks(item.value());
                 job.chunks.put(item.key(), (ArrayNode) item.value());
@@ -340,8 +310,7 @@
             misplacedFinalStates.add(item);
             return;
         }
-        JobRecord record = parseRecord(item);
-        Job job = newJob(record, item.version());
+        Job job = reader.newJob(reader.parseRecord(item), item.version());
         Job known = old.get(job.id());
         if (known != null) {
             job.notBefore = known.notBefore;
@@ -351,26 +320,9 @@
         clusterState.addJob(job);
     }
 
-    private Job newJob(JobRecord record, Revision version) {
-        Job job =
-                new Job(record, version, context.now().plusMs(Math.min(0, record.submittedWallMs - context.wallMs())));
-        if (record.isCancelled()) {
-            cancellations.record(job.id(), record.cancelledAtWallMs);
-        } else {
-            job.cancelHeardAtMs = cancellations.cancelledAtWallMs(job.id());
-        }
-        return job;
-    }
-
-    private JobRecord parseRecord(StoreClient.KeyValue item) throws MalformedMessageException {
-        JobRecord record = JobRecord.parse(item.value());
-        record.sizes = sizes;
-        return record;
-    }
-
     /**
-     * Follows the changes of open records. It goes on while the book is not to be trusted, for cancellations alone: a commit without
-     * an answer may take long to settle, and nothing of what is cancelled may wait for that.
+     * Watches the changes of open records. While the cluster state is in doubt the watch continues for cancellations alone: a
+     * commit without an answer may take long to resolve, and no cancellation may wait for that.
      */
     private void watch(long expectedWatch, Revision after) {
         requests.takeOrOverdraw(context.now(), 1);
@@ -383,20 +335,21 @@
                 reload();
             }
             if (changes.status() != 200) {
-                retryLater(expectedWatch, 300, after);
+                watchLater(expectedWatch, 300, after);
                 return;
             }
-            changes.changes().forEach(this::noteCancellation);
+            changes.changes().forEach(changeApplier::recordCancellation);
             if (phase == Phase.ACTIVE) {
-                changes.changes().forEach(this::applyChange);
+                changes.changes().forEach(changeApplier::apply);
             }
             cancellations.markCompleteAsOf(asked);
-            // Own commits come back here too; a short pause keeps a busy day from spending the request limit on it.
-            retryLater(expectedWatch, changes.changes().isEmpty() ? 0 : 40, changes.revision());
+            // This leader's own commits are watched too; a short pause keeps a busy day from spending the request limit
+            // on them.
+            watchLater(expectedWatch, changes.changes().isEmpty() ? 0 : 40, changes.revision());
         });
     }
 
-    private void retryLater(long expectedWatch, long ms, Revision after) {
+    private void watchLater(long expectedWatch, long ms, Revision after) {
         context.schedule(ms, () -> {
             if (expectedWatch == watchRound) {
                 watch(expectedWatch, after);
@@ -404,88 +357,8 @@
         });
     }
 
-    /** A change says that a job is cancelled: that counts at once, whatever is on its way of the job. */
-    private void noteCancellation(StoreClient.KeyValue item) {
-        long at = item.value() == null || JobRecord.isFinalState(item.value())
-                ? 0
-                : item.value().path("cancel").longValue();
-        if (at > 0 && item.key().indexOf('/', JobRecord.OPEN_PREFIX.length()) < 0) {
-            JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
-            if (cancellations.record(jobId, at)) {
-                listener.jobCancelled(jobId);
-            }
-        }
-    }
-
-    /** The job's commit is over: what came of its record meanwhile counts now, if it is not our own. */
+    /** Applies the change of the job's record that arrived while a commit of the job was in flight, if there is one. */
     void applyPendingChange(Job job) {
-        StoreClient.KeyValue item = job.pendingChange;
-        job.pendingChange = null;
-        if (item != null && clusterState.job(job.id()) == job) {
-            applyChange(item);
-        }
-    }
-
-    private void applyChange(StoreClient.KeyValue item) {
-        if (item.value() == null
-                || JobRecord.isFinalState(item.value())
-                || item.key().indexOf('/', JobRecord.OPEN_PREFIX.length()) >= 0) {
-            return;
-        }
-        JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
-        Job job = clusterState.job(jobId);
-        if (job == null ? clusterState.hasEnded(jobId) : item.version().compareTo(job.version) <= 0) {
-            return; // our own
-        }
-        if (job != null && job.inFlight) {
-            // Either our own, or our commit will conflict, or it was made just before this. In the last case nothing
-            // else
-            // would tell. Only the record waits: what is cancelled is pursued already.
-            job.pendingChange = item;
-            return;
-        }
-        try {
-            if (job == null) {
-                JobRecord record = parseRecord(item);
-                if (record.live.isEmpty() && record.done.size() == 0) { // else it is our own ended job's echo
-                    job = newJob(record, item.version());
-                    clusterState.addJob(job);
-                    LOG.info(
-                            "{} enters: {} {} x {}",
-                            job.id(),
-                            job.spec().jobClass(),
-                            job.spec().tasks(),
-                            job.spec().cpus());
-                    if (record.isCancelled()) {
-                        clusterState.markDirty(job);
-                    }
-                }
-            } else {
-                // Other nodes change nothing but the cancellation and what width the user allows.
-                job.version = item.version();
-                WidthRecord width = Codec.isAbsent(item.value(), "width")
-                        ? null
-                        : WidthRecord.parse(item.value().get("width"));
-                if (width != null && (job.record.width == null || width.number() > job.record.width.number())) {
-                    job.record.width = width.withTarget(job.record.width == null ? width.target() : job.width());
-                    job.committedWidth = width.target();
-                    LOG.info(
-                            "{} may be {} to {} wide from now on",
-                            job.id(),
-                            width.allowed().min(),
-                            width.allowed().max());
-                    listener.jobResized(job);
-                }
-                long cancel = item.value().path("cancel").longValue();
-                if (cancel > 0 && !job.record.isCancelled()) {
-                    job.record.cancelledAtWallMs = cancel;
-                    LOG.info("{} is cancelled, {} tasks may be running", job.id(), job.record.live.size());
-                    clusterState.markDirty(job);
-                }
-            }
-            clusterState.requestReplan();
-        } catch (MalformedMessageException e) {
-            LOG.error("record {} can't be read: {}", item.key(), e.getMessage());
-        }
+        changeApplier.applyPending(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -1,8 +1,6 @@
 package org.beechhoist.controller.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -19,48 +17,43 @@
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.MonotonicTime;
+import org.beechhoist.wire.Revision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes what the book holds and the state service does not, one transaction at a time, the most urgent first. */
+/**
+ * Writes what the cluster state holds and the state service does not, one transaction at a time, jobs of the highest priority
+ * first.
+ */
 public final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
-    private static final int DEFERRED_RANK = 10;
-    /** Finished tasks are gathered this long before their job is written for them alone. */
-    private static final long DEFER_MS = 2000;
-    /** The share of a second's writes that is kept for launches and ends of jobs. */
+    /** The share of a second's changes that is kept for launches and ends of jobs. */
     private static final double RESERVED_WRITES = 0.4;
-    /** Writes that are left to this node's own users: a leader that spends all would refuse every submission. */
+    /** Changes that are left to this node's own users: a leader that spent all would refuse every submission. */
     private static final double USERS_WRITES = 4;
 
     private static final long ROTATE_EVERY_MS = 2000;
     private static final long ROTATE_SOON_MS = 300;
-    private static final long STARVED_MS = 1000;
-    /** On a state service with few writes, the users' part of them is a share. */
+    /** Where the state service allows few changes, its users get this share of them instead. */
     private static final double USERS_SHARE = 0.15;
-    /** Writes are to spare where this much of a full budget is left. */
+    /** There are changes to spare where this share of the full budget is left. */
     private static final double PLENTIFUL = 0.8;
-    /** Segments of the log that a full second's writes are thought to be at most; the rest is for records and ends. */
+    /** How many segments of the log are written with a second's changes; the others are for records and ends of jobs. */
     private static final double LOG_SHARE = 4;
-    /** With less of a full budget, and so many jobs that have ended at once, a job ends with one change instead of two. */
+    /** With less of the full budget, and this many jobs that have ended at once, a job ends with one change instead of two. */
     private static final double SCARCE = 0.5;
 
     private static final int MANY_ENDED_JOBS = 5;
     private static final int MAX_RELOCATED = 6;
-    /** They are moved only while hardly anything else is written, and seldom: commits wait for one another. */
+    /** Final states are moved seldom, and only while hardly anything else is written: commits wait for one another. */
     private static final double IDLE = 0.95;
 
     private static final long RELOCATE_EVERY_MS = 1000;
-    private static final long MAX_PACE_MS = 400;
-    private static final long FOLD_EVERY_MS = 1000;
-    /** A job that is younger will have ended before long, and is never written for the log's sake. */
-    private static final long FOLD_AGE_MS = 60_000;
+    private static final long MAX_COMMIT_DELAY_MS = 400;
+    /** The pause after a transaction that the state service rejected. */
+    private static final long REJECTED_DELAY_MS = 200;
 
-    private static final int MAX_FOLDED_RECORDS = 2;
-    private static final int MAX_CONSOLIDATED_JOBS = 100;
-    private static final int MAX_CONSOLIDATED_SEGMENTS = 2;
-
-    /** What may follow only once it is written. */
+    /** Is notified of what has been committed, for what may follow only then. */
     public interface Listener {
         /** These placements are committed: their launches may be sent. */
         void placementsCommitted(List<Placement> placed);
@@ -83,19 +76,26 @@
     private final RecordSizes sizes;
     private final ChangeLog changeLog;
     private final CommitGuards guards;
-    private final BooleanSupplier logAllowed;
     private final Listener listener;
-    private MonotonicTime nextFold = MonotonicTime.ZERO;
+    private final PendingWriteSelector selector;
+    private final UnknownCommitResolver unknownCommits;
     private boolean commitInFlight;
     private boolean rotationRequested;
-    /** Whether changes run short: what can be done later is. */
-    private boolean writesScarce;
-
     private MonotonicTime lastRotation = MonotonicTime.ZERO;
     private boolean rotationUrgent;
     private MonotonicTime nextCommit = MonotonicTime.ZERO;
     private MonotonicTime nextRelocation = MonotonicTime.ZERO;
 
+    /**
+     * Creates the committer.
+     *
+     * @param services the services of the controller
+     * @param clusterState the state that is written
+     * @param loader reads the state again where a result is in doubt
+     * @param changeLog the segments of the change log that are in use
+     * @param guards conditions for new placements
+     * @param logAllowed whether changes may be written to the change log
+     */
     public TransactionCommitter(
             ControllerServices services,
             ClusterState clusterState,
@@ -115,59 +115,47 @@
         this.loader = loader;
         this.changeLog = changeLog;
         this.guards = guards;
-        this.logAllowed = logAllowed;
         this.listener = listener;
+        this.selector = new PendingWriteSelector(context, clusterState, changeLog, guards, logAllowed);
+        this.unknownCommits = new UnknownCommitResolver(services, loader);
     }
 
+    /** Forgets the transaction in flight and requested rotations, for a term begins or ends. */
     public void reset() {
         commitInFlight = false;
         rotationRequested = false;
         rotationUrgent = false;
     }
 
-    /** A command may be executed late as long as no worker has seen a newer token: one is to be made. */
+    /** Requests a new fencing token: a command may be executed late as long as its worker has seen no newer one. */
     public void requestTokenRotation() {
         rotationRequested = true;
     }
 
-    /** The same, and sooner: a cancelled job's launch may be executed late. Workers report a newer token at most twice a lease. */
+    /**
+     * Requests a new fencing token soon, for the launch of a cancelled job may be executed late. Workers report a newer token at
+     * most twice a lease.
+     */
     public void requestUrgentTokenRotation() {
         rotationRequested = true;
         rotationUrgent = true;
     }
 
-    /** Writes what changed, one transaction at a time. */
+    /** Writes what has changed, if no transaction is in flight and the limits allow another. */
     public void commitPending() {
         if (!loader.isActive() || commitInFlight || context.now().isBefore(nextCommit)) {
             return;
         }
-        // Each new fencing token makes every worker report once more, so that many lost orders share one.
-        boolean rotating = rotationRequested
-                && context.now().since(lastRotation) >= (rotationUrgent ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
-        boolean foldDue = changeLog.segmentCount() > 0 && !context.now().isBefore(nextFold);
+        boolean rotating = isRotationDue();
+        boolean foldDue = selector.isFoldDue();
         if (clusterState.dirtyJobs().isEmpty() && !rotating && !foldDue && !isRelocationDue()) {
             return;
         }
-        double budget = writes.available(context.now()) - Math.min(USERS_WRITES, USERS_SHARE * writes.capacity());
+        double budget = writes.available(context.now()) - userReserve();
         if (budget < 1) {
             return;
         }
-        writesScarce = budget < SCARCE * writes.capacity()
-                && clusterState.dirtyJobs().stream()
-                                .filter(TransactionCommitter::isEnding)
-                                .limit(MANY_ENDED_JOBS)
-                                .count()
-                        == MANY_ENDED_JOBS;
-        Transaction transaction = election.guardedTransaction();
-        if (rotating) {
-            election.addTokenRotation(transaction);
-        }
-        WriteBatch batch =
-                new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
-        collectDueWrites(batch, budget > RESERVED_WRITES * writes.rate());
-        if (foldDue) {
-            foldLog(batch, budget > PLENTIFUL * writes.capacity());
-        }
+        WriteBatch batch = collectBatch(budget, rotating, foldDue);
         if (batch.isEmpty()) {
             relocateFinalStates(budget);
             return;
@@ -178,15 +166,50 @@
             lastRotation = context.now();
         }
         List<Placement> placed = batch.newPlacements();
-        batch.seal();
+        Transaction transaction = batch.seal();
         if (batch.segmentCount() > 0 && budget < PLENTIFUL * writes.capacity()) {
-            // What comes next shares a segment with what comes a moment later.
-            nextCommit = context.now().plusMs(Math.min(MAX_PACE_MS, Math.round(1000 * LOG_SHARE / writes.rate())));
+            // The changes of the next moments share a segment.
+            long delayMs = Math.min(MAX_COMMIT_DELAY_MS, Math.round(1000 * LOG_SHARE / writes.rate()));
+            nextCommit = context.now().plusMs(delayMs);
         }
         send(transaction, c -> completeCommit(c, rotating, batch, placed));
     }
 
-    /** Sends the one transaction that is on its way at a time; its outcome is handed over if it is still the book's matter. */
+    /** Each new fencing token makes every worker send one more heartbeat, so many lost commands share one rotation. */
+    private boolean isRotationDue() {
+        return rotationRequested
+                && context.now().since(lastRotation) >= (rotationUrgent ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
+    }
+
+    /** The changes that are left to users of this node. */
+    private double userReserve() {
+        return Math.min(USERS_WRITES, USERS_SHARE * writes.capacity());
+    }
+
+    private WriteBatch collectBatch(double budget, boolean rotating, boolean foldDue) {
+        boolean scarce = budget < SCARCE * writes.capacity() && haveManyJobsEnded();
+        Transaction transaction = election.guardedTransaction();
+        if (rotating) {
+            election.addTokenRotation(transaction);
+        }
+        WriteBatch batch =
+                new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
+        selector.addDueWrites(batch, budget > RESERVED_WRITES * writes.rate(), scarce);
+        if (foldDue) {
+            selector.foldLog(batch, budget > PLENTIFUL * writes.capacity());
+        }
+        return batch;
+    }
+
+    private boolean haveManyJobsEnded() {
+        long ended = clusterState.dirtyJobs().stream()
+                .filter(PendingWriteSelector::isEnding)
+                .limit(MANY_ENDED_JOBS)
+                .count();
+        return ended == MANY_ENDED_JOBS;
+    }
+
+    /** Sends a transaction; {@code then} gets its result unless the state was read anew or the term ended meanwhile. */
     private void send(Transaction transaction, Consumer<CommitResult> then) {
         commitInFlight = true;
         requests.takeOrOverdraw(context.now(), 1);
@@ -201,9 +224,10 @@
             if (expectedEpoch == loader.loadEpoch()) {
                 then.accept(commit);
             } else {
-                // The book was read anew meanwhile, perhaps without this commit: make sure of its fate. Left alone,
-                // it would be taken for one that never ends, and nothing would be written any more.
-                settleUnknownCommit();
+                // The state was read anew meanwhile, perhaps without this commit, so its result must be made certain.
+                // Without
+                // this, the commit would be taken for one that never ends, and nothing would be written any more.
+                unknownCommits.resolve();
             }
         });
     }
@@ -213,14 +237,13 @@
     }
 
     /**
-     * Final states that stand where open records do go to their own keys, so that the next leader need not read them. Of a job
-     * there is one key at any moment: both changes are one transaction, guarded by the version of the one that goes.
+     * Moves final states that are stored under the keys of open records to keys of their own, so that the next leader need not
+     * read them. A job has one of the two keys at any moment: both changes are one transaction, guarded by the version of the
+     * key that is deleted.
      */
     private void relocateFinalStates(double budget) {
         int most = Math.min(MAX_RELOCATED, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
-        if (most < 1
-                || !isRelocationDue()
-                || budget < IDLE * writes.capacity() - Math.min(USERS_WRITES, USERS_SHARE * writes.capacity())) {
+        if (most < 1 || !isRelocationDue() || budget < IDLE * writes.capacity() - userReserve()) {
             return;
         }
         nextRelocation = context.now().plusMs(RELOCATE_EVERY_MS);
@@ -234,261 +257,117 @@
                     .delete(item.key())
                     .put(JobRecord.endedKey(jobId), item.value());
         }
-        send(transaction, commit -> {
-            switch (commit.outcome()) {
-                case COMMITTED -> loader.misplacedFinalStates().removeAll(moved);
-                case CONFLICT -> {
-                    if (commit.failedKeys().contains(LeaderElection.KEY)) {
-                        election.loseLeadership("the key was rewritten");
-                    } else {
-                        loader.reload();
-                    }
-                }
-                case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
-                case UNKNOWN -> settleUnknownCommit();
-                case REJECTED -> nextCommit = context.now().plusMs(200);
-                default -> throw new IllegalStateException("commit ended with " + commit.outcome());
-            }
-        });
-    }
-
-    private record DueWrite(Job job, int rank) {}
-
-    /** Takes in what is due, the most urgent first, and of the rest what costs no more. */
-    private void collectDueWrites(WriteBatch batch, boolean spare) {
-        List<DueWrite> due = new ArrayList<>();
-        List<Job> rest = new ArrayList<>();
-        for (Job job : new ArrayList<>(clusterState.dirtyJobs())) {
-            if (job.isRecordOutdated()) {
-                continue; // its record says that it is cancelled, and has not been read: that comes by itself
-            }
-            if (!isEnding(job) && !guards.mayWrite(job)) {
-                continue; // its key set has changed: what is placed of it is written, or not, once that is known
-            }
-            int rank = writeRank(job);
-            // A finished task frees its machine without this: the worker's report proves it, to a later leader too.
-            if (rank == DEFERRED_RANK && !(spare && context.now().since(job.dirtySince) >= DEFER_MS)) {
-                rest.add(job);
-            } else if (writeMode(job) == WriteBatch.WriteMode.LOG
-                    && job.committedTasks.changesTo(job.record).isEmpty()) {
-                clusterState.markInFlight(job); // it was touched, and is as the state service holds it
-                job.inFlight = false;
-            } else {
-                due.add(new DueWrite(job, rank));
-            }
-        }
-        due.sort(Comparator.comparingInt(DueWrite::rank).thenComparing(d -> d.job.dirtySince));
-        for (DueWrite next : due) {
-            if (!addToBatch(batch, next.job)
-                    && next.rank < DEFERRED_RANK
-                    && context.now().since(next.job.dirtySince) > STARVED_MS) {
-                break; // let the budget fill up for it instead of spending it on smaller ones for ever
-            }
-        }
-        for (Job job : batch.segmentCount() == 0 ? List.<Job>of() : rest) {
-            if (writeMode(job) == WriteBatch.WriteMode.LOG && batch.costsNothing(job)) {
-                addToBatch(batch, job);
-            }
-        }
-    }
-
-    private boolean addToBatch(WriteBatch batch, Job job) {
-        boolean taken = (isEnding(job) || guards.mayWrite(job)) && batch.add(job, writeMode(job));
-        if (taken) {
-            clusterState.markInFlight(job);
-        }
-        return taken;
+        send(transaction, commit -> completeRelocation(commit, moved));
     }
 
-    private WriteBatch.WriteMode writeMode(Job job) {
-        return isEnding(job)
-                ? writesScarce && logAllowed.getAsBoolean()
-                        ? WriteBatch.WriteMode.FINAL_STATE_IN_PLACE
-                        : WriteBatch.WriteMode.FINAL_STATE
-                : !logAllowed.getAsBoolean()
-                                || job.width() != job.committedWidth
-                                || job.record.failures != job.committedFailures
-                        ? WriteBatch.WriteMode.RECORD
-                        : WriteBatch.WriteMode.LOG;
-    }
-
-    /**
-     * Keeps the log short. Where it is long, what the oldest segments say of jobs that are still open is gathered in new
-     * ones, a segment or two each time; where writes are to spare, a job that has been open for long has its record written.
-     */
-    private void foldLog(WriteBatch batch, boolean plenty) {
-        nextFold = context.now().plusMs(FOLD_EVERY_MS);
-        boolean gather = changeLog.isCrowded() && logAllowed.getAsBoolean();
-        if (!gather && !plenty) {
-            return;
-        }
-        int before = batch.segmentCount();
-        int records = 0;
-        for (JobId jobId : changeLog.oldestJobs(gather ? MAX_CONSOLIDATED_JOBS : MAX_FOLDED_RECORDS)) {
-            Job job = clusterState.job(jobId);
-            if (job == null
-                    || job.inFlight
-                    || job.isRecordOutdated()
-                    || isEnding(job)
-                    || !guards.mayWrite(job)
-                    || (!gather && context.now().since(job.submittedAt) < FOLD_AGE_MS)) {
-                continue;
-            }
-            if (batch.segmentCount() - before > MAX_CONSOLIDATED_SEGMENTS
-                    || records == MAX_FOLDED_RECORDS
-                    || !batch.add(job, gather ? WriteBatch.WriteMode.CONSOLIDATE : WriteBatch.WriteMode.RECORD)) {
-                return;
+    private void completeRelocation(CommitResult commit, List<StoreClient.KeyValue> moved) {
+        switch (commit.outcome()) {
+            case COMMITTED -> loader.misplacedFinalStates().removeAll(moved);
+            case CONFLICT -> {
+                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                    election.loseLeadership("the key was rewritten");
+                } else {
+                    loader.reload();
+                }
             }
-            clusterState.markInFlight(job);
-            records += gather ? 0 : 1;
-        }
-    }
-
-    private static boolean isEnding(Job job) {
-        return job.record.live.isEmpty() && (job.record.isCancelled() || job.record.isComplete());
-    }
-
-    /**
-     * More urgent jobs first; of one urgency those that have ended, for their users wait, then launches. Ended tasks come last. With
-     * all ends first, thousands of tiny jobs' ends kept urgent launches waiting for seconds.
-     */
-    private static int writeRank(Job job) {
-        if (isEnding(job)) {
-            return 2 * job.spec().priority().ordinal();
+            case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
+            case UNKNOWN -> unknownCommits.resolve();
+            case REJECTED -> nextCommit = context.now().plusMs(REJECTED_DELAY_MS);
+            default -> throw new IllegalStateException("commit ended with " + commit.outcome());
         }
-        return job.uncommittedPlacements > 0 || job.width() < job.committedWidth
-                ? 1 + 2 * job.spec().priority().ordinal()
-                : DEFERRED_RANK;
     }
 
-    /** Jobs that wait to be written, for whoever shares out the state service's limits. */
+    /** The number of jobs that are to be written, from which this node's demand for changes follows. */
     public int pendingWrites() {
         return loader.isActive() ? clusterState.dirtyJobs().size() : 0;
     }
 
     private void completeCommit(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
-        batch.writes().forEach(p -> p.job.inFlight = false);
+        batch.writes().forEach(w -> w.job.inFlight = false);
         applyOutcome(commit, rotating, batch, placed);
         if (loader.isComplete()) {
-            batch.writes().forEach(p -> loader.applyPendingChange(p.job));
+            batch.writes().forEach(w -> loader.applyPendingChange(w.job));
         }
     }
 
     private void applyOutcome(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
         switch (commit.outcome()) {
-            case COMMITTED -> {
-                if (rotating) {
-                    election.adoptToken(commit.revision());
-                    LOG.info("baton rewritten: {}", election.fencingToken().value());
-                }
-                batch.applyCommitted();
-                for (WriteBatch.JobWrite part : batch.writes()) {
-                    if (part.mode == WriteBatch.WriteMode.RECORD) {
-                        part.job.version = commit.revision();
-                    } else if (part.mode.isFinal()) {
-                        JsonNode state = part.job.record.finalStateNode(part.job.finalState());
-                        if (part.mode == WriteBatch.WriteMode.FINAL_STATE_IN_PLACE) {
-                            loader.addMisplacedFinalState(new StoreClient.KeyValue(
-                                    JobRecord.openKey(part.job.id()), state, commit.revision(), 0));
-                        }
-                        clusterState.markEnded(part.job);
-                        listener.jobEnded(part.job, state);
-                        LOG.info("{} ended: {}", part.job.id(), part.job.finalState());
-                    }
-                    if (!part.mode.isFinal() && isEnding(part.job)) {
-                        clusterState.markDirty(
-                                part.job); // gathered for the log's sake; written off as clean, it once never ended
-                    }
-                }
-                for (Placement placement : placed) {
-                    placement.committed = true;
-                    Job job = clusterState.job(placement.task.job());
-                    if (job != null && job.record.live.get(placement.task.index()) == placement) {
-                        job.uncommittedPlacements--;
-                    }
-                }
-                listener.placementsCommitted(placed);
-                batch.writes().forEach(p -> listener.jobWritten(p.job));
-            }
-            case CONFLICT -> {
-                if (commit.failedKeys().contains(LeaderElection.KEY)) {
-                    election.loseLeadership("the key was rewritten");
-                } else if (guards.overtaken(commit.failedKeys())) {
-                    restorePending(batch, rotating);
-                } else {
-                    // A cancellation came first, most likely: read the book again and go on from there.
-                    LOG.info("commit overtaken on {}", commit.failedKeys());
-                    loader.reload();
-                }
-            }
+            case COMMITTED -> applyCommitted(commit, rotating, batch, placed);
+            case CONFLICT -> resolveConflict(commit, rotating, batch);
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             case UNKNOWN -> {
-                LOG.info("a commit's fate is unknown; rewriting the baton");
-                settleUnknownCommit();
+                LOG.info(
+                        "commit result unknown, rewriting the leader's key: token={} jobs={}",
+                        election.fencingToken().value(),
+                        batch.writes().size());
+                unknownCommits.resolve();
             }
             case REJECTED -> {
                 restorePending(batch, rotating);
-                nextCommit = context.now().plusMs(200);
+                nextCommit = context.now().plusMs(REJECTED_DELAY_MS);
             }
             default -> throw new IllegalStateException("commit ended with " + commit.outcome());
         }
     }
 
-    private void restorePending(WriteBatch batch, boolean rotating) {
-        batch.discard();
-        rotationRequested |= rotating;
-        batch.writes().forEach(p -> clusterState.markDirty(p.job));
+    private void applyCommitted(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+        if (rotating) {
+            election.adoptToken(commit.revision());
+            LOG.info("token rotated: token={}", election.fencingToken().value());
+        }
+        batch.applyCommitted();
+        for (WriteBatch.JobWrite write : batch.writes()) {
+            applyCommittedWrite(write, commit.revision());
+        }
+        for (Placement placement : placed) {
+            placement.committed = true;
+            Job job = clusterState.job(placement.task.job());
+            if (job != null && job.record.live.get(placement.task.index()) == placement) {
+                job.uncommittedPlacements--;
+            }
+        }
+        listener.placementsCommitted(placed);
+        batch.writes().forEach(w -> listener.jobWritten(w.job));
     }
 
-    /**
-     * After a transaction without an answer: rewriting the key under its guard makes sure that it was applied before
-     * or never will be; then the book is read again.
-     */
-    private void settleUnknownCommit() {
-        loader.invalidate();
-        long expectedEpoch = loader.loadEpoch();
-        Transaction transaction = election.guardedTransaction();
-        election.addTokenRotation(transaction);
-        requests.takeOrOverdraw(context.now(), 1);
-        writes.takeOrOverdraw(context.now(), 1);
-        store.commit(transaction, commit -> {
-            if (expectedEpoch != loader.loadEpoch()) {
-                return;
-            }
-            switch (commit.outcome()) {
-                case COMMITTED -> {
-                    election.adoptToken(commit.revision());
-                    loader.reload();
-                }
-                case CONFLICT -> resolveRewrittenKey(expectedEpoch);
-                case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
-                default -> retryLater(expectedEpoch, this::settleUnknownCommit);
+    private void applyCommittedWrite(WriteBatch.JobWrite write, Revision revision) {
+        Job job = write.job;
+        if (write.mode.isFinal()) {
+            JsonNode state = job.record.finalStateNode(job.finalState());
+            if (write.mode == WriteBatch.WriteMode.FINAL_STATE_IN_PLACE) {
+                loader.addMisplacedFinalState(
+                        new StoreClient.KeyValue(JobRecord.openKey(job.id()), state, revision, 0));
             }
-        });
+            clusterState.markEnded(job);
+            listener.jobEnded(job, state);
+            LOG.info("job ended: job={} state={} revision={}", job.id(), job.finalState(), revision.value());
+            return;
+        }
+        if (write.mode == WriteBatch.WriteMode.RECORD) {
+            job.version = revision;
+        }
+        if (PendingWriteSelector.isEnding(job)) {
+            // It was written only to shorten the log and has ended meanwhile; left as clean, it would never end.
+            clusterState.markDirty(job);
+        }
     }
 
-    private void retryLater(long expectedEpoch, Runnable then) {
-        context.schedule(300, () -> {
-            if (expectedEpoch == loader.loadEpoch()) {
-                then.run();
-            }
-        });
+    private void resolveConflict(CommitResult commit, boolean rotating, WriteBatch batch) {
+        if (commit.failedKeys().contains(LeaderElection.KEY)) {
+            election.loseLeadership("the key was rewritten");
+        } else if (guards.overtaken(commit.failedKeys())) {
+            restorePending(batch, rotating);
+        } else {
+            // Most likely a cancellation was committed first: read the state again and continue from there.
+            LOG.info("commit conflict: keys={}", commit.failedKeys());
+            loader.reload();
+        }
     }
 
-    /**
-     * The key is not as this leader knows it: an earlier rewriting of its own was made and only its answer was lost, or another node's.
-     * Its own settles the matter as well, for whatever was guarded by the older revision can't be made any more.
-     */
-    private void resolveRewrittenKey(long expectedEpoch) {
-        election.readKeyOwnership(own -> {
-            if (expectedEpoch != loader.loadEpoch()) {
-                return;
-            }
-            switch (own) {
-                case HELD -> loader.reload();
-                case LOST -> election.loseLeadership("the key was rewritten");
-                default -> retryLater(expectedEpoch, () -> resolveRewrittenKey(expectedEpoch));
-            }
-        });
+    /** Marks everything in the batch as still to be written. */
+    private void restorePending(WriteBatch batch, boolean rotating) {
+        batch.discard();
+        rotationRequested |= rotating;
+        batch.writes().forEach(w -> clusterState.markDirty(w.job));
     }
 }
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
@@ -0,0 +1,124 @@
+package org.beechhoist.controller.state;
+
+import org.beechhoist.store.JobRecord;
+import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.WidthRecord;
+import org.beechhoist.wire.Codec;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Applies the watched changes of open records to the cluster state: new jobs, cancellations, and widths that users allow. */
+final class WatchedChangeApplier {
+    private static final Logger LOG = LoggerFactory.getLogger(WatchedChangeApplier.class);
+
+    private final ClusterState clusterState;
+    private final JobRecordReader reader;
+    private final CancellationRegistry cancellations;
+    private final StateLoader.Listener listener;
+
+    WatchedChangeApplier(
+            ClusterState clusterState,
+            JobRecordReader reader,
+            CancellationRegistry cancellations,
+            StateLoader.Listener listener) {
+        this.clusterState = clusterState;
+        this.reader = reader;
+        this.cancellations = cancellations;
+        this.listener = listener;
+    }
+
+    /** Records the cancellation of a job where the change holds one. It counts at once, also while a commit of the job is in flight. */
+    void recordCancellation(StoreClient.KeyValue item) {
+        long at = item.value() == null || JobRecord.isFinalState(item.value())
+                ? 0
+                : item.value().path("cancel").longValue();
+        if (at > 0 && !JobRecordReader.isChunkKey(item.key())) {
+            JobId jobId = JobRecordReader.jobIdOf(item.key());
+            if (cancellations.record(jobId, at)) {
+                listener.jobCancelled(jobId);
+            }
+        }
+    }
+
+    /** Applies the change that arrived while a commit of the job was in flight, unless it is the commit itself. */
+    void applyPending(Job job) {
+        StoreClient.KeyValue item = job.pendingChange;
+        job.pendingChange = null;
+        if (item != null && clusterState.job(job.id()) == job) {
+            apply(item);
+        }
+    }
+
+    /** Applies a change of an open record; this leader's own changes and chunks of records are ignored. */
+    void apply(StoreClient.KeyValue item) {
+        if (item.value() == null || JobRecord.isFinalState(item.value()) || JobRecordReader.isChunkKey(item.key())) {
+            return;
+        }
+        JobId jobId = JobRecordReader.jobIdOf(item.key());
+        Job job = clusterState.job(jobId);
+        if (job == null ? clusterState.hasEnded(jobId) : item.version().compareTo(job.version) <= 0) {
+            return; // this leader's own commit
+        }
+        if (job != null && job.inFlight) {
+            // Either it is our own commit, or our commit will conflict, or it was made just before ours. In the last
+            // case
+            // nothing else would report it. Only the record waits: a cancellation is enforced already.
+            job.pendingChange = item;
+            return;
+        }
+        try {
+            if (job == null) {
+                addNewJob(item);
+            } else {
+                updateJob(job, item);
+            }
+            clusterState.requestReplan();
+        } catch (MalformedMessageException e) {
+            LOG.error("record unreadable: key={} cause={}", item.key(), e.getMessage());
+        }
+    }
+
+    private void addNewJob(StoreClient.KeyValue item) throws MalformedMessageException {
+        JobRecord record = reader.parseRecord(item);
+        if (!record.live.isEmpty() || record.done.size() != 0) {
+            return; // an earlier commit of this leader, of a job that has ended since
+        }
+        Job job = reader.newJob(record, item.version());
+        clusterState.addJob(job);
+        LOG.info(
+                "job added: job={} class={} tasks={} cpus={}",
+                job.id(),
+                job.spec().jobClass(),
+                job.spec().tasks(),
+                job.spec().cpus());
+        if (record.isCancelled()) {
+            clusterState.markDirty(job);
+        }
+    }
+
+    /** Takes over what other nodes change of a record: the cancellation and the width that the user allows, nothing else. */
+    private void updateJob(Job job, StoreClient.KeyValue item) throws MalformedMessageException {
+        job.version = item.version();
+        WidthRecord width = Codec.isAbsent(item.value(), "width")
+                ? null
+                : WidthRecord.parse(item.value().get("width"));
+        if (width != null && (job.record.width == null || width.number() > job.record.width.number())) {
+            job.record.width = width.withTarget(job.record.width == null ? width.target() : job.width());
+            job.committedWidth = width.target();
+            LOG.info(
+                    "job resized: job={} minWidth={} maxWidth={}",
+                    job.id(),
+                    width.allowed().min(),
+                    width.allowed().max());
+            listener.jobResized(job);
+        }
+        long cancel = item.value().path("cancel").longValue();
+        if (cancel > 0 && !job.record.isCancelled()) {
+            job.record.cancelledAtWallMs = cancel;
+            LOG.info("job cancelled: job={} liveTasks={}", job.id(), job.record.live.size());
+            clusterState.markDirty(job);
+        }
+    }
+}
