--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -13,16 +13,16 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * What this node knows of cancellations that are committed: by its own users, by the records, by what another node tells. Each of
- * them is certain, whoever told it, and stops work at once; but only the records tell all, and as of when they last did says
- * whether workers' leases may be renewed.
+ * The committed cancellations that this node knows, from its own users, from the records or from another node. Each of them is
+ * certain, whatever its source, and stops work at once; but only the records hold all of them, and how fresh the knowledge of the
+ * records is decides whether workers' leases may be renewed.
  */
 public final class CancellationRegistry {
-    /** Remembered for so many times as long as a task may go on after one. */
+    /** A cancellation is remembered for this many times as long as a task may continue after it. */
     private static final int REMEMBERED_TIMES = 4;
 
     private static final int MAX_REMEMBERED = 10_000;
-    /** In one message to another node. */
+    /** The most cancellations in one message to another node. */
     private static final int MAX_IN_MESSAGE = 200;
 
     private static final int MAX_NEWEST_IN_MESSAGE = 100;
@@ -30,55 +30,58 @@
     private final ControllerContext context;
     private final Freshness freshness;
     private final long cancelMs;
-    /** When each was committed, by the time of day, in the order in which they were heard of. */
+    /** The time of day at which each was committed, in the order in which this node learned of them. */
     private final Map<JobId, Long> known = new LinkedHashMap<>();
-    /** Those of them that this node's users were told of. */
+    /** Those of them that this node has confirmed to its users. */
     private final Map<JobId, Long> confirmedHere = new LinkedHashMap<>();
-    /** The records told of all that had been committed when this was sent; null: in this leadership they have not yet. */
+    /** All cancellations committed before this time have been read from the records; null: not yet in this term. */
     private MonotonicTime completeAsOf;
 
+    /** Creates a registry that knows of no cancellation. */
     public CancellationRegistry(ControllerContext context, Settings settings) {
         this.context = context;
         this.freshness = settings.freshness();
         this.cancelMs = settings.workers().cancelMs();
     }
 
-    /** A leadership begins or ends: what was known of the records counts no more. */
+    /** Forgets how fresh the knowledge of the records is, for a term begins or ends. */
     public void reset() {
         completeAsOf = null;
     }
 
-    /** All that was committed when this was sent is known and taken up. */
+    /** Notes that all cancellations committed before the request sent at this time are known and applied. */
     void markCompleteAsOf(MonotonicTime sent) {
         completeAsOf = completeAsOf == null || completeAsOf.isBefore(sent) ? sent : completeAsOf;
     }
 
-    /** Until when a worker's lease may be renewed. */
+    /** Until when workers' leases may be renewed. */
     public MonotonicTime leasesRenewableUntil() {
         return freshness.renewUntil(completeAsOf);
     }
 
+    /** Whether the knowledge of the records is fresh enough for workers' leases to be renewed now. */
     public boolean mayRenewLeases() {
         return context.now().isBefore(leasesRenewableUntil());
     }
 
-    /** How long the next question for changes may stay open; one is answered at once where the last answer is long ago, as after an outage. */
+    /** How long the next watch request may stay open; 0, for an answer at once, where the last answer is long ago, as after an outage. */
     long watchHoldMs() {
         return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.holdMs()
                 ? freshness.holdMs()
                 : 0;
     }
 
+    /** Whether a committed cancellation of the job is known. */
     public boolean isCancelled(JobId jobId) {
         return known.containsKey(jobId);
     }
 
-    /** When it was committed, by the time of day; 0: nothing is known of that. */
+    /** The time of day at which the job's cancellation was committed; 0 where none is known. */
     public long cancelledAtWallMs(JobId jobId) {
         return known.getOrDefault(jobId, 0L);
     }
 
-    /** It is committed; whether that is news. */
+    /** Records a committed cancellation; true if it was not known before. */
     public boolean record(JobId jobId, long wallMs) {
         if (known.putIfAbsent(jobId, wallMs) != null) {
             return false;
@@ -87,7 +90,7 @@
         return true;
     }
 
-    /** A user of this node is told of it: the others are to know at once. */
+    /** Records that a cancellation has been confirmed to a user of this node: the other nodes are to be informed at once. */
     public void recordConfirmed(JobId jobId, long wallMs) {
         confirmedHere.put(jobId, wallMs);
     }
@@ -100,7 +103,7 @@
         }
     }
 
-    /** What the others are told now: the newest, and of the rest those that are due soonest. */
+    /** What is sent to the other nodes now: the newest cancellations, and of the others those that were committed first. */
     public List<CancelledJob> forPeers() {
         confirmedHere.values().removeIf(at -> context.wallMs() - at > cancelMs);
         List<CancelledJob> all = new ArrayList<>();
--- a/src/main/java/org/beechhoist/controller/state/ChangeLog.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLog.java
@@ -13,11 +13,11 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * Which slots of the log are in use, and whose news they hold. A slot is free once every job in it has ended or has a
- * record that says the same; it is then written anew, so the log costs no deletions.
+ * Which slots of the change log are in use, and which jobs' changes they hold. A slot is free once every job in it has ended or
+ * has a record that holds the same; it is then overwritten, so the log needs no deletions.
  */
 public final class ChangeLog {
-    /** Beyond this many segments what the oldest say is gathered in new ones: a take-over has to read them all. */
+    /** Beyond this many segments the oldest are consolidated in new ones, for the next leader has to read them all. */
     private static final int CROWDED_SEGMENTS = 40;
 
     private record Segment(long number, int slot, Set<JobId> jobs) {}
@@ -34,7 +34,7 @@
         lastNumber = 0;
     }
 
-    /** The number of the newest segment that was written, or tried. */
+    /** The number of the newest segment that was written or attempted. */
     long lastNumber() {
         return lastNumber;
     }
@@ -47,19 +47,19 @@
         return ++lastNumber;
     }
 
-    /** A slot to be written; it is in use until {@link #release}. */
+    /** Reserves a free slot; it is in use until {@link #releaseSlot}, or until all jobs of its segment are forgotten. */
     int reserveSlot() {
         int slot = slots.nextClearBit(0);
         slots.set(slot);
         return slot;
     }
 
-    /** The slot was not written after all. */
+    /** Frees a reserved slot that was not written. */
     void releaseSlot(int slot) {
         slots.clear(slot);
     }
 
-    /** The state service holds a segment with these jobs' news. */
+    /** Records that the state service holds a segment with changes of these jobs. */
     void recordSegment(long number, int slot, Collection<JobId> jobs) {
         if (jobs.isEmpty()) {
             slots.clear(slot);
@@ -71,7 +71,7 @@
         jobs.forEach(j -> byJob.computeIfAbsent(j, k -> new ArrayDeque<>(2)).add(segment));
     }
 
-    /** The job has ended, or its record says all that the log does. */
+    /** Forgets the job's changes, for it has ended or its record holds them all. */
     void forgetJob(JobId job) {
         Deque<Segment> of = byJob.remove(job);
         if (of == null) {
@@ -86,11 +86,12 @@
         }
     }
 
-    /** Whether the job's record lacks what the log says. */
+    /** Whether the log holds changes that the job's record lacks. */
     boolean hasChangesOf(JobId job) {
         return byJob.containsKey(job);
     }
 
+    /** Whether there are so many segments that the oldest should be consolidated. */
     boolean isCrowded() {
         return inUse.size() > CROWDED_SEGMENTS;
     }
@@ -99,7 +100,7 @@
         return inUse.size();
     }
 
-    /** The jobs that keep the oldest segments in use, about so many. */
+    /** The jobs that keep the oldest segments in use: those of whole segments, until there are {@code most} or more. */
     Set<JobId> oldestJobs(int most) {
         Set<JobId> out = new LinkedHashSet<>();
         for (Segment segment : inUse.values()) {
--- a/src/main/java/org/beechhoist/controller/state/ClusterState.java
+++ b/src/main/java/org/beechhoist/controller/state/ClusterState.java
@@ -15,9 +15,9 @@
 import org.beechhoist.wire.MachineId;
 import org.beechhoist.wire.MonotonicTime;
 
-/** What the leader knows: the open jobs, the machines, and what of it the state service does not hold yet. */
+/** What the leader holds in memory: the open jobs, the machines, and which jobs the state service does not hold as they are here. */
 public final class ClusterState {
-    /** Clock drift of two machines and rounding, on top of a worker's lease. */
+    /** Covers the clock drift of two machines and rounding, as a factor of a worker's lease. */
     private static final double LEASE_SLACK = 1.002;
 
     private static final long LEASE_MARGIN_MS = 1000;
@@ -28,50 +28,53 @@
     private final Settings settings;
     private final Map<JobId, Job> jobs = new LinkedHashMap<>();
     private final Map<MachineId, Machine> machines = new TreeMap<>();
-    /** Jobs whose record the state service does not hold as it is here. */
+    /** Jobs with changes that are still to be written. */
     private final Set<Job> dirtyJobs = new LinkedHashSet<>();
-    /** CPU milliseconds that each team has used, by this leadership's knowledge. */
+    /** CPU milliseconds that each team has used, as far as is known in this term. */
     private final Map<String, Double> teamCpuMs = new HashMap<>();
-    /** Jobs whose record, or part of the log, can't be read: only that it is there is known of them. */
-    private final Set<JobId> isUnreadable = new HashSet<>();
+    /** Jobs whose record, or whose part of the change log, can't be read: only that they exist is known. */
+    private final Set<JobId> unreadableJobs = new HashSet<>();
 
-    private final Set<JobId> markEnded = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_ENDED);
+    private final Set<JobId> endedJobs = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_ENDED);
     private MonotonicTime termBeganAt = MonotonicTime.ZERO;
     private long term;
     private boolean replanRequested;
 
+    /** Creates an empty state. */
     public ClusterState(ControllerContext context, Settings settings) {
         this.context = context;
         this.settings = settings;
     }
 
-    /** Leadership begins or ends: nothing that was known counts any more. */
+    /** Forgets everything, for a term begins or ends. */
     public void reset() {
         term++;
         termBeganAt = context.now();
         jobs.clear();
-        isUnreadable.clear();
+        unreadableJobs.clear();
         machines.clear();
         dirtyJobs.clear();
         teamCpuMs.clear();
     }
 
-    /** When this leadership began. */
+    /** When this term began. */
     public MonotonicTime termBeganAt() {
         return termBeganAt;
     }
 
-    /** Changes with leadership; answers to calls of an earlier one are left alone. */
+    /** A number that changes when a term begins or ends: results of calls of an earlier one are ignored. */
     public long term() {
         return term;
     }
 
     // ---- jobs ----
 
+    /** All open jobs that can be read, in the order in which they were added. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
+    /** The open job, or null. */
     public Job job(JobId jobId) {
         return jobs.get(jobId);
     }
@@ -84,36 +87,38 @@
         jobs.remove(job.id());
     }
 
-    /** The job's final state is committed: what the watch still brings of it is old. */
+    /** Removes a job whose final state is committed: changes of it that are still watched are out of date. */
     void markEnded(Job job) {
         removeJob(job);
-        markEnded.add(job.id());
+        endedJobs.add(job.id());
     }
 
-    /** What is stored of the job can't be read: it is left alone, and so are its tasks. */
+    /** Ignores a job whose stored data can't be read; its tasks are ignored too. */
     void ignoreUnreadable(JobId jobId) {
         jobs.remove(jobId);
-        isUnreadable.add(jobId);
+        unreadableJobs.add(jobId);
     }
 
+    /** Whether the job is ignored, for its stored data can't be read. */
     public boolean isUnreadable(JobId jobId) {
-        return isUnreadable.contains(jobId);
+        return unreadableJobs.contains(jobId);
     }
 
+    /** Whether the final state of the job was lately committed by this leader. */
     boolean hasEnded(JobId jobId) {
-        return markEnded.contains(jobId);
+        return endedJobs.contains(jobId);
     }
 
-    /** Forgets all jobs and what was to be written of them, for they are read anew; hands over what was known. */
+    /** Removes all jobs and forgets which were to be written, for they are read anew; returns the jobs as they were. */
     Map<JobId, Job> takeAllJobs() {
         Map<JobId, Job> old = new HashMap<>(jobs);
         jobs.clear();
-        isUnreadable.clear();
+        unreadableJobs.clear();
         dirtyJobs.clear();
         return old;
     }
 
-    /** The job's record is to be written. */
+    /** Notes that the job has changes that are to be written. */
     public void markDirty(Job job) {
         if (!job.dirty) {
             job.dirty = true;
@@ -122,11 +127,12 @@
         }
     }
 
+    /** Jobs with changes that are to be written, in the order in which they were marked. */
     Collection<Job> dirtyJobs() {
         return dirtyJobs;
     }
 
-    /** The job's record is on its way to the state service. */
+    /** Notes that the job's changes are being written. */
     void markInFlight(Job job) {
         job.dirty = false;
         dirtyJobs.remove(job);
@@ -135,11 +141,12 @@
 
     // ---- machines ----
 
+    /** All known machines, ordered by id. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
-    /** The machine, entered if it was not known. */
+    /** The machine; it is added if it was not known. */
     public Machine machine(MachineId id) {
         return machines.computeIfAbsent(id, k -> new Machine(k, context.now()));
     }
@@ -149,11 +156,12 @@
         return machines.get(id);
     }
 
+    /** Removes the machine and returns it, or null if it was not known. */
     public Machine removeMachine(MachineId id) {
         return machines.remove(id);
     }
 
-    /** When the worker's lease has certainly run out, whoever answered it last, and whenever its session began. */
+    /** When the worker's lease has certainly run out, whichever node answered it last and whenever its epoch began. */
     public MonotonicTime leaseExpiry(Machine machine) {
         MonotonicTime last = machine.lastAnsweredAt == null || machine.lastAnsweredAt.isBefore(termBeganAt)
                 ? termBeganAt
@@ -162,6 +170,7 @@
         return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
     }
 
+    /** When the machine was last heard of in this term, or when the term began. */
     public MonotonicTime lastHeardOf(Machine machine) {
         return machine.lastHeardAt == null || machine.lastHeardAt.isBefore(termBeganAt)
                 ? termBeganAt
@@ -170,15 +179,17 @@
 
     // ---- teams ----
 
+    /** Adds CPU milliseconds that the team's tasks have used. */
     public void addTeamUsage(String team, double cpuMs) {
         teamCpuMs.merge(team, cpuMs, Double::sum);
     }
 
+    /** CPU milliseconds that each team has used, as far as is known in this term. */
     public Map<String, Double> teamCpuMs() {
         return teamCpuMs;
     }
 
-    /** CPUs and accelerators of each team's tasks that may be on machines. */
+    /** The CPUs and GPUs of each team's tasks that may be on machines. */
     public Map<String, double[]> teamUsage() {
         Map<String, double[]> used = new HashMap<>();
         for (Job job : jobs.values()) {
@@ -189,17 +200,19 @@
         return used;
     }
 
-    // ---- the plan's age ----
+    // ---- planning ----
 
-    /** Something happened that a new plan should know. */
+    /** Requests a new plan, for something has changed that it should consider. */
     public void requestReplan() {
         replanRequested = true;
     }
 
+    /** Whether a new plan has been requested since the last one. */
     public boolean replanRequested() {
         return replanRequested;
     }
 
+    /** Notes that a new plan has been made. */
     public void replanDone() {
         replanRequested = false;
     }
--- a/src/main/java/org/beechhoist/controller/state/CommitGuards.java
+++ b/src/main/java/org/beechhoist/controller/state/CommitGuards.java
@@ -6,7 +6,7 @@
 /** Conditions beyond a job's own version under which its new placements may be written. */
 public interface CommitGuards {
     /**
-     * Whether what is placed of the job may be written now. The decision rests on the very content that {@link #guard} names in the
+     * Whether the job's placements may be written now. The decision is made on the same version that {@link #guard} names in the
      * transaction.
      */
     boolean mayWrite(Job job);
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -19,66 +19,84 @@
 import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
 
-/** An open job in the leader's book. */
+/** An open job as the leader holds it in memory: its record, what of it is committed, and what decisions about it need. */
 public final class Job {
+    /** Failed tasks on this many machines, and this many failures, make a job suspect. */
     private static final int SUSPECT_MACHINES = 2;
+
     private static final int SUSPECT_FAILURES = 3;
-    /** Failures that an earlier leader counted, on machines that nobody knows any more. */
+    /** This many failures alone make it suspect: an earlier leader counted them, and on which machines is not stored. */
     private static final int SUSPECT_BEFORE = 8;
 
+    /** The record, with changes that are not written yet. */
     public final JobRecord record;
+
+    /** The version of the stored record. */
     Revision version;
-    /** Chunks as last committed, to write only what changed. */
+    /** The record's chunks as last committed, so that only changed ones are written. */
     Map<String, ArrayNode> chunks = new HashMap<>();
 
+    /** Whether it has changes that are to be written, and since when. */
     boolean dirty;
+
     MonotonicTime dirtySince = MonotonicTime.ZERO;
+    /** Whether a transaction with its changes is in flight. */
     public boolean inFlight;
-    /** What the watch brought of the record while a commit of the job was on its way, or null. */
+    /** The watched change of the record that arrived while a commit of the job was in flight, or null. */
     StoreClient.KeyValue pendingChange;
-    /** When its cancellation was committed, where that was heard before the record told; 0: it was not. */
+    /** The time of day at which its cancellation was committed, where that became known before the record was read; else 0. */
     public long cancelHeardAtMs;
-    /** Placements that no transaction holds yet: their launches wait for one. */
+    /** The number of placements that are not committed yet: their launches wait for that. */
     public int uncommittedPlacements;
-    /** Chosen from the time of day the job was accepted. */
+    /** When the job was accepted, computed from the time of day in its record. */
     public final MonotonicTime submittedAt;
 
+    /** No task of it is placed before this time. */
     public MonotonicTime notBefore = MonotonicTime.ZERO;
+    /** No other task is preempted for it before this time. */
     public MonotonicTime nextPreemption = MonotonicTime.ZERO;
+    /** No other job's width is reduced, and no other task preempted, for it before this time. */
     public MonotonicTime nextWidthReduction = MonotonicTime.ZERO;
-    /** Tasks that are to go, and how; most are not stopped yet. */
+    /** Tasks that are to be ended, and how; most are not stopped yet. */
     public final Map<Placement, Ending> endings = new LinkedHashMap<>();
     /** The width that the state service holds. */
     public int committedWidth;
-    /** Failures that the record in the state service counts. */
+    /** The number of failures in the stored record. */
     int committedFailures;
-    /** Its tasks as the state service holds them, by record and log. */
+    /** Its tasks as the state service holds them in the record and the change log. */
     CommittedTasks committedTasks;
-    /** The same by the record alone. */
+    /** Its tasks as the state service holds them in the record alone. */
     CommittedTasks recordedTasks;
 
+    /** The machines on which tasks of it have failed, as far as this leader knows. */
     public final Set<MachineId> failedOnMachines = new HashSet<>();
-    /** Failures since it was first thought to be submitted with a mistake. */
+    /** The number of back-offs after failures since it became suspect. */
     public int failureBackoffs;
 
+    /** When it last made progress, was released from a hold or was reported as stalled, as far as is known. */
     public MonotonicTime lastProgress;
-    /** Whether it fits into its team's guarantee together with the team's earlier open jobs. */
+    /** Whether it fits its team's guarantee together with the team's earlier open jobs. */
     public boolean withinQuota;
-    /** Whether it goes first, for its class, its team or its class's largest are below their half. */
+    /** Whether it is prioritized, for the share of its class, its team or its class's largest jobs is below the minimum. */
     public boolean prioritized;
-    /** So many of its tasks are to begin before others' do, for nothing of it has begun for long; none is to be stopped while it is {@link #aged}. */
+    /**
+     * How many of its tasks are to begin before those of other jobs, for nothing of it has begun for long; none of its tasks is
+     * to be stopped while it is {@link #starving}.
+     */
     public int expeditedUpTo;
 
+    /** Whether nothing of it has begun for so long that it goes first. */
     public boolean starving;
-    /** Why nothing of it may start, and perhaps nothing run: its key set; null: nothing stands against it. */
+    /** Why its key set forbids that tasks start, and perhaps that they run; null: it does not. */
     public Verdict keySetHold;
 
+    /** Since when the key set holds it, by the time of day. */
     public long heldSinceMs;
-    /** What of the release calendar it counts for, as of the last plan, or null. */
+    /** The release that it counts for, as of the last plan, or null. */
     public Release release;
-    /** What it counts for: its class, its team, and its class's largest; null until it is first asked. */
+    /** The groups whose service share it counts for: its class, its team and its class's largest jobs; null until computed. */
     public Set<String> shareGroups;
-    /** Whether it is left behind under overload, so that others are in time. */
+    /** Whether it is shed under overload, so that other jobs meet their deadlines. */
     public boolean shed;
 
     Job(JobRecord record, Revision version, MonotonicTime submitted) {
@@ -93,33 +111,36 @@
         this.keySetHold = record.spec.keySetBinding() == null ? null : Verdict.NOT_KNOWN;
     }
 
+    /** The job's id. */
     public JobId id() {
         return record.spec.id();
     }
 
+    /** What was submitted. */
     public JobSpec spec() {
         return record.spec;
     }
 
-    /** The width that was decided; without one, any number of its tasks may be live. */
+    /** The width that was decided for it; without one, any number of its tasks may be live. */
     public int width() {
         return record.width == null ? Integer.MAX_VALUE : record.width.target();
     }
 
-    /** Whether its tasks may have the other job's stopped. */
+    /** Whether tasks of the other job may be stopped for tasks of this one. */
     public boolean mayPreempt(Job other) {
         if (other.prioritized || other.starving) {
-            return false; // it would be lifted again, and stopped again
+            return false; // it would be prioritized again, and stopped again
         }
-        int urgency = spec().priority().compareTo(other.spec().priority());
+        int comparison = spec().priority().compareTo(other.spec().priority());
         boolean borrowed = !other.withinQuota && !other.spec().team().equals(spec().team());
-        // A guarantee could take back borrowed machines from more urgent work too, but that work waits worst.
-        return urgency < 0 || (urgency == 0 && withinQuota && borrowed);
+        // A guarantee could take back borrowed machines from jobs of higher priority too, but these suffer most from
+        // waiting.
+        return comparison < 0 || (comparison == 0 && withinQuota && borrowed);
     }
 
     /**
      * Whether it may have been submitted with a mistake: several tasks failed, on more than one machine as far as this leader
-     * saw them, and none is done. It is tried with one task at a time then, and nobody makes room or rents for it.
+     * knows, and none is done. One task of it at a time is tried then, and no task is stopped and no machine rented for it.
      */
     public boolean isSuspect() {
         return record.done.size() == 0
@@ -127,47 +148,47 @@
                         || record.failures >= SUSPECT_BEFORE);
     }
 
-    /** Whether it is held: nothing of it may run. */
+    /** Whether its key set holds it: no task of it may run. */
     public boolean isHeld() {
         return keySetHold != null && keySetHold.held();
     }
 
-    /** Tasks of it that go first now. */
+    /** How many more of its tasks go first now. */
     public int expeditedTasks() {
         return Math.max(0, expeditedUpTo - record.live.size() - record.done.size());
     }
 
-    /** Whether something of it has begun. */
+    /** Whether a task of it is live or done. */
     public boolean hasBegun() {
         return !record.live.isEmpty() || record.done.size() > 0;
     }
 
-    /** How many of its tasks may be placed now beside those that are. */
+    /** How many of its waiting tasks may be placed now. */
     public int maxPlaceable(int waiting) {
         return isSuspect() ? Math.min(waiting, record.live.isEmpty() ? 1 : 0) : waiting;
     }
 
-    /** Whether its cancellation is committed, as far as is known: by its record, or by who heard of it first. */
+    /** Whether its cancellation is known to be committed, from its record or from another source. */
     public boolean isCancelled() {
         return record.isCancelled() || cancelHeardAtMs > 0;
     }
 
-    /** When that was, by the time of day. */
+    /** The time of day at which its cancellation was committed. */
     public long cancelledAtMs() {
         return record.isCancelled() ? record.cancelledAtWallMs : cancelHeardAtMs;
     }
 
-    /** Whether its record has changed since it was read, as is known: a commit under the version that was read would fail. */
+    /** Whether its stored record is known to have changed since it was read: a commit under that version would fail. */
     boolean isRecordOutdated() {
         return cancelHeardAtMs > 0 && !record.isCancelled();
     }
 
-    /** What it is called once nothing of it is live. */
+    /** Its final state once no task of it is live. */
     String finalState() {
         return record.isCancelled() ? "cancelled" : "done";
     }
 
-    /** Whether what the leader holds of it is what the state service holds. */
+    /** Whether the state service holds it as the leader does. */
     public boolean isSettled() {
         return !dirty && !inFlight;
     }
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -17,86 +17,99 @@
 import org.beechhoist.wire.TaskId;
 import org.beechhoist.wire.WorkerCommand;
 
-/** What the leader knows of one machine. */
+/** What the leader knows of one machine and its worker. */
 public final class Machine {
+    /** The machine's id. */
     public final MachineId id;
+    /** The worker's address. */
     public String address;
+    /** The name of the machine type; null: not known yet. */
     public String type;
+    /** The zone that it is in. */
     public String zone;
+    /** Whether it is a spot machine. */
     public boolean spot;
 
-    /** Newest message of the worker. */
+    /** The epoch of the worker's newest message. */
     public long epoch;
-
+    /** The sequence number of the worker's newest message. */
     public long sequence;
-    /** When its worker's session was first heard of: the session's lease can have begun as late as that, though nothing was answered. */
+    /** When the worker's epoch was first heard of: its lease can have begun as late as that, even if nothing was answered. */
     public MonotonicTime epochFirstHeardAt = MonotonicTime.ZERO;
-    /** When the newest message of the worker came; no report older than that is more than a copy. */
+    /** When the newest message of the worker arrived; a heartbeat that is older can be no more than a copy. */
     public MonotonicTime newestAt = MonotonicTime.ZERO;
-    /** Its newest message is a report that was answered with 200. */
+    /** Whether its newest message is a heartbeat that was answered with 200. */
     public boolean newestAnswered;
-    /** Orders and questions that it may have counted, though no answer came, since its newest message. */
+    /** Whether a command or probe since its newest message had no answer: the worker may have counted it all the same. */
     public boolean callsLost;
-    /** Whether it hears; what it says does not prove that. */
+    /** Whether messages reach it; messages from it do not prove that. */
     public MachineReachability reachability;
-    /** It is there: the cloud has listed or rented it, or it has answered this leadership. A report alone may be a copy. */
+    /** Whether it is known to exist: the cloud has listed or rented it, or it has answered in this term. A heartbeat may be a copy. */
     public boolean confirmedPresent;
-    /** Reports that have seen no newer token than this may be of an earlier worker of the machine's name. */
+    /** A heartbeat that has seen no newer token than this may be of a previous incarnation: an earlier worker of the same name. */
     public FencingToken previousIncarnationToken = FencingToken.NONE;
-    /** Newest {@code /checkin} report: only these prove that a task is absent. */
+    /** The newest heartbeat sent to {@code /checkin}: only these prove that a task is absent. */
     public Heartbeat lastHeartbeat;
 
+    /** When a message of it last arrived that proves that it is there, or null. */
     public MonotonicTime lastHeardAt;
-    /** When this leadership last answered a report with 200; its worker's lease can't start later. */
+    /** When this node last answered a heartbeat with 200, or null; the worker's lease can't begin later. */
     public MonotonicTime lastAnsweredAt;
-
+    /** When the cloud takes it, by its preemption notice; null: no notice was given. */
     public MonotonicTime preemptedAt;
     /** The drain that empties it, or null; nothing new is placed there. */
     public String cordonedBy;
-    /** The replacement that it stands by for, or null: it is not returned for being idle. */
+    /** The drain for whose rolling replacement it is reserved, or null; a reserved machine is not returned for being idle. */
     public String standbyFor;
 
-    /** Where the records say that tasks may be on it. */
+    /** Placements by which tasks may be on it, from the records. */
     public final Map<TaskId, Placement> placements = new HashMap<>();
-    /** Running tasks that no record explains, until they are gone. */
+    /** The number of unknown tasks: running tasks that no record explains. */
     public int unknownTasks;
-    /** Placements of earlier leaderships that its newest report says nothing of, and does not prove gone either. */
+    /** The number of placements of earlier terms that its newest heartbeat neither shows nor proves to be gone. */
     public int unconfirmedPlacements;
 
-    /** Orders sent straight to the worker that are not answered yet. */
+    /** The number of command messages sent straight to the worker that are not answered yet. */
     public int commandsInFlight;
-    /** A launch sent with this token or a lower one may still be executed, minutes late. */
+    /** A launch without an answer that was sent with this token or a lower one may still be executed, minutes late. */
     public FencingToken unacknowledgedToken = FencingToken.NONE;
 
+    /** Commands that are to be sent to the worker. */
     public final List<WorkerCommand> outbox = new ArrayList<>();
 
+    /** Whether it is being returned to the cloud. */
     public boolean releasing;
-    /** The time of day by which something on it must be gone. */
+    /** The time of day by which a task on it must have ended. */
     public long mustBeGoneByMs = Long.MAX_VALUE;
-    /** The cloud was asked to end it, and has not answered yet. */
+    /** Whether the cloud was asked to end it and has not answered yet. */
     public boolean releaseRequested;
-    /** It was asked for its report and has not answered yet; how often in a row it did not; when it last did. */
+    /** Whether it was asked for its status and has not answered yet. */
     public boolean probeInFlight;
-
+    /** How many probes in a row had no answer. */
     public int unansweredProbes;
+    /** When it last answered a probe. */
     public MonotonicTime probeAnsweredAt = MonotonicTime.ZERO;
-    /** Until then it is not given up: an old report of it has come, and it is asked whether it is there. */
+    /** Until this time it is not given up: an old heartbeat of it has arrived, and it is probed. */
     public MonotonicTime probeGraceUntil = MonotonicTime.ZERO;
 
+    /** When it was rented, or null where that is not known. */
     public MonotonicTime rentedAt;
+    /** Whether its worker has sent a heartbeat. */
     public boolean up;
-    /** The cloud lists it as running, though it may not have reported to this leadership yet. */
+    /** Whether the cloud lists it as running; it may have sent no heartbeat in this term yet. */
     public boolean listedRunning;
 
+    /** Since when it has no task, or null. */
     public MonotonicTime idleSince;
+    /** Nothing is placed on it before this time, for tasks have lately failed there. */
     public MonotonicTime avoidUntil = MonotonicTime.ZERO;
-    /** When elastic jobs may grow onto it again. */
+    /** Decides when elastic jobs may grow onto it again. */
     public Damping growthDamping = Damping.NONE;
-    /** The session that the images are from, where an earlier leader noted them; 0: none did. */
+    /** The epoch that the images are of, where an earlier leader noted them; 0: none did. */
     public long imagesEpoch;
-    /** Images it should hold, least recently used first, with their sizes. */
+    /** The images that it should hold, least recently used first, with their sizes in GB. */
     public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
-    /** Jobs whose tasks failed on it since one last completed, and how many of each. */
+    /** The jobs whose tasks have failed on it since a task last completed there, and how many of each. */
     public final Map<JobId, Integer> failedJobs = new HashMap<>();
 
     Machine(MachineId id, MonotonicTime now) {
@@ -104,11 +117,12 @@
         this.reachability = MachineReachability.initial(now);
     }
 
+    /** Whether its machine type is known. */
     public boolean isKnown() {
         return type != null;
     }
 
-    /** A newer message of its worker has come. */
+    /** Records the newest message of its worker. */
     public void recordNewest(Heartbeat heartbeat, MonotonicTime now) {
         epochFirstHeardAt =
                 heartbeat.epoch() == epoch && epochFirstHeardAt != MonotonicTime.ZERO ? epochFirstHeardAt : now;
@@ -119,35 +133,40 @@
         callsLost = false;
     }
 
-    /** It has answered a question or command of this leadership. */
+    /** Records that it has answered a probe or command of this term. */
     public void recordAnswer(MonotonicTime now) {
         reachability = reachability.proven(now);
         confirmedPresent = true;
     }
 
-    /** A question or command was not answered; where this node itself is late, that tells nothing of the machine. */
+    /** Records that a probe or command had no answer; where this node itself is late, that proves nothing about the machine. */
     public void recordMissedCall(MonotonicTime now, boolean late) {
         reachability = late ? reachability : reachability.missed(1, now);
         callsLost = true;
     }
 
-    /** It is about to be taken, returned or emptied: nothing new is launched there, whatever was decided before. */
+    /** Whether it is about to be taken, returned or drained: no task is launched there, whatever was decided before. */
     public boolean isLeaving() {
         return preemptedAt != null || releasing || cordonedBy != null;
     }
 
-    /** Tasks given to it that it has shown, or that it has not. */
+    /**
+     * The number of tasks whose launch was sent to it.
+     *
+     * @param seen whether those are counted that its heartbeats have shown, or those that they have not
+     */
     public int countLaunched(boolean seen) {
         return (int) placements.values().stream()
                 .filter(p -> p.launchSent && seen == p.reported)
                 .count();
     }
 
-    /** How long a task of the job would wait for its image here. */
+    /** How long a task of the job would wait for its image on this machine, in milliseconds. */
     public long fetchMs(JobSpec spec, MachineType type) {
         return images.containsKey(spec.image()) ? 0 : Math.round(1000 * spec.imageGb() / type.fetchGbPerS());
     }
 
+    /** Records that it holds the image; the least recently used ones are dropped where the cache is full. */
     public void cacheImage(String image, double gb, double cacheGb) {
         images.put(image, gb);
         double sum = images.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/src/main/java/org/beechhoist/controller/state/MachineReachability.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineReachability.java
@@ -3,65 +3,65 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Whether a machine hears. That it speaks proves nothing of that: its reports may arrive while answers and commands don't
- * reach it. It is thought to hear until messages to it were lost twice with no proof in between.
+ * Whether messages reach a machine. Messages from it do not prove that: its heartbeats may arrive while answers and commands do
+ * not reach it. It counts as reachable until messages to it were lost twice with no proof of reachability in between.
  *
- * @param provedAt when it last proved to have heard something, or when it was first met
- * @param missed messages to it that were lost since
- * @param deafFrom when that became too many; null: it is thought to hear
- * @param spokeAt when it last spoke, having missed something; null: it has not
+ * @param lastProvenAt when it last proved to have received a message, or when it was first heard of
+ * @param missed how many messages to it have been lost since
+ * @param unreachableSince when these became too many; null: it counts as reachable
+ * @param lastHeartbeatAt when its last heartbeat since a lost message arrived; null: none has
  */
 public record MachineReachability(
         MonotonicTime lastProvenAt, int missed, MonotonicTime unreachableSince, MonotonicTime lastHeartbeatAt) {
-    /** So many lost messages in a row: one may be lost on the way, or be late because this node was. */
+    /** This many lost messages in a row make it unreachable: a single one may be lost, or late because this node was. */
     public static final int MISSED_LIMIT = 2;
-    /** What was given to it and never seen there waits no longer than this. */
+    /** Tasks that were launched on it and never seen there wait no longer than this. */
     private static final long SETTLE_MS = 2000;
-    /** Where most of a zone is deaf, its machines are kept for so many leases. */
+    /** Where most of a zone is unreachable, its machines are kept for this many leases. */
     private static final int ZONE_OUTAGE_LEASES = 4;
 
+    /** Returns the state of a machine that is reachable as far as is known. */
     public static MachineReachability initial(MonotonicTime now) {
         return new MachineReachability(now, 0, null, null);
     }
 
-    /** Something that it can only know from us, or an answer to a question. */
+    /** Returns the state after a proof: the machine has shown what it can only know from this node, or answered a probe. */
     public MachineReachability proven(MonotonicTime now) {
         return initial(now);
     }
 
-    /** A message of ours was lost, or its answer. */
+    /** Returns the state after {@code times} messages to it, or their answers, were lost. */
     public MachineReachability missed(int times, MonotonicTime now) {
         int sum = missed + times;
-        return new MachineReachability(
-                lastProvenAt,
-                sum,
-                unreachableSince != null ? unreachableSince : sum >= MISSED_LIMIT ? now : null,
-                lastHeartbeatAt);
+        MonotonicTime since = unreachableSince == null && sum >= MISSED_LIMIT ? now : unreachableSince;
+        return new MachineReachability(lastProvenAt, sum, since, lastHeartbeatAt);
     }
 
-    /** A new report of it has come. */
+    /** Returns the state after a new heartbeat that proves nothing. */
     public MachineReachability withHeartbeat(MonotonicTime now) {
         return missed == 0 ? this : new MachineReachability(lastProvenAt, missed, unreachableSince, now);
     }
 
+    /** Whether messages to it are taken to be lost. */
     public boolean isUnreachable() {
         return unreachableSince != null;
     }
 
-    /** It speaks and does not hear; what neither speaks nor hears is silent, which is another matter. */
+    /** Whether it is unreachable and sends heartbeats; a machine that sends none is silent, which is handled separately. */
     public boolean isOneWay() {
         return isUnreachable() && lastHeartbeatAt != null && !lastHeartbeatAt.isBefore(unreachableSince);
     }
 
     /**
-     * What its messages prove.
+     * What is known of a new heartbeat and of the messages before it.
      *
-     * @param same the session that its newest message so far was of
-     * @param afterOurAnswer its newest message so far was a report that we answered with 200
-     * @param next its message follows that one without another in between: it has turned to no other node
-     * @param newToken it has seen a token of ours that it had not seen then
-     * @param callsLost orders or questions to it that it may have counted, though we have no answer
-     * @param answeredWithinLease we answered a report of its last session so lately that its lease can't have ended if it heard
+     * @param sameEpoch whether it is of the same epoch as the newest message before
+     * @param followsOurAnswer whether the newest message before was a heartbeat that this node answered with 200
+     * @param consecutive whether no other message came between the two: the worker has turned to no other node
+     * @param carriesNewToken whether the worker has seen a token of this node that it had not seen before
+     * @param callsLost whether commands or probes that had no answer may have been counted by the worker
+     * @param answeredWithinLease whether this node answered a heartbeat of the last epoch so lately that the lease can't have
+     *     ended if the answer arrived
      */
     public record MessageContext(
             boolean sameEpoch,
@@ -71,7 +71,7 @@
             boolean callsLost,
             boolean answeredWithinLease) {}
 
-    /** A new report has come. */
+    /** Returns the state after a new heartbeat. */
     public MachineReachability afterHeartbeat(MessageContext message, MonotonicTime now) {
         if (message.carriesNewToken || message.sameEpoch && message.followsOurAnswer && message.consecutive) {
             return proven(now);
@@ -80,18 +80,20 @@
         if (!message.sameEpoch) {
             return message.answeredWithinLease ? then.missed(MISSED_LIMIT, now).withHeartbeat(now) : then;
         }
-        // It turned to another node: our answer did not reach it. Calls that were lost have been counted by themselves.
+        // The worker has turned to another node, so our answer did not reach it. Lost calls have been counted
+        // separately.
         return message.followsOurAnswer && !message.callsLost
                 ? then.missed(1, now).withHeartbeat(now)
                 : then;
     }
 
     /**
-     * Whether a machine that doesn't hear is to be returned for that.
+     * Whether the machine is to be returned to the cloud for being unreachable.
      *
-     * @param waiting tasks that were given to it and were never seen there: they can't begin elsewhere before
-     * @param seen tasks that it has shown
-     * @param dark most of its zone, or of all, is silent or does not hear: the network is the likelier cause
+     * @param waiting how many tasks were launched on it and never seen there: they can't begin elsewhere before it is returned
+     * @param seen how many tasks its heartbeats have shown
+     * @param dark whether most machines of its zone, or of all, are silent or unreachable: the network is the likelier cause
+     * @param leaseMs how long a worker's lease lasts
      */
     public boolean shouldRelease(int waiting, int seen, boolean dark, long leaseMs, MonotonicTime now) {
         if (!isUnreachable()) {
@@ -99,11 +101,11 @@
         }
         long unheard = now.since(lastProvenAt);
         if (dark) {
-            return unheard > ZONE_OUTAGE_LEASES * leaseMs; // what is there may hear again, and all come back at once
+            return unheard > ZONE_OUTAGE_LEASES * leaseMs; // its machines may become reachable again, all at once
         }
         if (waiting > 0 && seen == 0) {
             return now.since(unreachableSince) > SETTLE_MS;
         }
-        return isOneWay() && unheard > leaseMs + SETTLE_MS; // its worker has ended all that it had
+        return isOneWay() && unheard > leaseMs + SETTLE_MS; // its worker has ended all its tasks
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machine types with their current prices; every node keeps them to judge submissions. */
+/** The cloud's machine types with their current prices; every node holds them, to check submissions. */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
     private static final long REFRESH_MS = 30_000;
@@ -19,20 +19,26 @@
     private Map<String, MachineType> types = Map.of();
     private boolean unexpectedLogged;
 
+    /** Creates a catalog without types; {@link #start} begins to read them. */
     public MachineTypeCatalog(ControllerContext context) {
         this.context = context;
     }
 
+    /** Reads the types from the cloud, now and then regularly. */
     public void start() {
         context.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
             boolean read = false;
             if (result.isOk() && result.body().path("hosttypes").isArray()) {
                 read = replaceAll(result.body().get("hosttypes"));
             }
-            context.schedule(read ? REFRESH_MS : types.isEmpty() ? 1000 : 5000, this::start);
+            context.schedule(read ? REFRESH_MS : retryMs(), this::start);
         });
     }
 
+    private long retryMs() {
+        return types.isEmpty() ? 1000 : 5000;
+    }
+
     private boolean replaceAll(JsonNode list) {
         Map<String, MachineType> next = new LinkedHashMap<>();
         for (JsonNode node : list) {
@@ -42,7 +48,7 @@
             } catch (MalformedMessageException e) {
                 if (!unexpectedLogged) {
                     unexpectedLogged = true;
-                    LOG.warn("cloud: a machine type can't be read: {}", e.getMessage());
+                    LOG.warn("machine type unreadable: cause={}", e.getMessage());
                 }
                 return false;
             }
@@ -53,14 +59,17 @@
         return !next.isEmpty();
     }
 
+    /** Whether the types have been read. */
     public boolean isLoaded() {
         return !types.isEmpty();
     }
 
+    /** The type of this name, or null. */
     public MachineType get(String name) {
         return name == null ? null : types.get(name);
     }
 
+    /** All types, in the cloud's order. */
     public Collection<MachineType> all() {
         return types.values();
     }
--- a/src/main/java/org/beechhoist/controller/state/PrefixReader.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixReader.java
@@ -5,7 +5,10 @@
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
 
-/** What a leader reads once when it has won: all of a prefix, page by page, asked again until there is an answer or the leadership is over. */
+/**
+ * Reads all of a prefix once when a term begins, page by page; each page is requested again until there is an answer or the term
+ * is over.
+ */
 public final class PrefixReader {
     private static final long RETRY_MS = 700;
     private static final int PAGE_SIZE = 60;
@@ -15,6 +18,12 @@
     private final TokenBucket requests;
     private final ClusterState clusterState;
 
+    /**
+     * Creates a reader.
+     *
+     * @param requests tokens for requests to the state service
+     * @param clusterState tells which term it is
+     */
     public PrefixReader(ControllerContext context, StoreClient store, TokenBucket requests, ClusterState clusterState) {
         this.context = context;
         this.store = store;
@@ -22,6 +31,7 @@
         this.clusterState = clusterState;
     }
 
+    /** Reads all of the prefix; {@code each} gets every item, and {@code done} is run after the last. */
     public void read(String prefix, Consumer<StoreClient.KeyValue> each, Runnable done) {
         readPage(clusterState.term(), prefix, null, each, done);
     }
--- a/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
@@ -7,11 +7,14 @@
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.Revision;
 
-/** Reads all of a prefix, page by page, and follows its changes; read anew where the state service has forgotten some. */
+/**
+ * Reads all of a prefix, page by page, and watches its changes. The prefix is read anew where the state service does not keep
+ * the changes since any more.
+ */
 public final class PrefixWatch {
     private static final long HOLD_MS = 20_000;
     private static final long RETRY_MS = 500;
-    /** Several changes a second are taken together. */
+    /** The pause after changes, so that several changes a second share a request. */
     private static final long PAUSE_MS = 40;
 
     private static final int PAGE_SIZE = 200;
@@ -23,12 +26,17 @@
     private final Runnable onRestart;
     private final Consumer<StoreClient.KeyValue> onItem;
     private final Consumer<List<StoreClient.KeyValue>> onChanges;
+    /** Changes with each new reading: answers to requests of an earlier one are ignored. */
     private long round;
 
     /**
-     * @param begun it is read from the beginning: nothing counts any more
-     * @param found one item of a page; pages are of different moments, and only with the changes in between they are one
-     * @param changes since, none perhaps: the first call is for those in between, and all is known with it
+     * Creates a watch; {@link #start} begins it.
+     *
+     * @param begun called when the prefix is read from the beginning: everything known of it is to be forgotten
+     * @param found called with each item of a page; pages are of different revisions, and consistent only together with the changes
+     *     in between
+     * @param changes called with changes, perhaps none; the first call brings those made while the pages were read, after which
+     *     everything is known
      */
     public PrefixWatch(
             ControllerContext context,
@@ -47,6 +55,7 @@
         this.onChanges = changes;
     }
 
+    /** Reads the prefix from the beginning and then watches it. */
     public void start() {
         onRestart.run();
         readPage(++round, null, null);
@@ -83,20 +92,20 @@
 
     private void watch(long expectedRound, Revision after, long holdMs) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.watch(prefix, after, holdMs, news -> {
+        store.watch(prefix, after, holdMs, changes -> {
             if (expectedRound != round) {
                 return;
             }
-            if (news.status() == 410) {
+            if (changes.status() == 410) {
                 start();
-            } else if (news.status() != 200) {
+            } else if (changes.status() != 200) {
                 runLater(RETRY_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
             } else {
-                onChanges.accept(news.changes());
+                onChanges.accept(changes.changes());
                 runLater(
-                        news.changes().isEmpty() ? 0 : PAUSE_MS,
+                        changes.changes().isEmpty() ? 0 : PAUSE_MS,
                         expectedRound,
-                        () -> watch(expectedRound, news.revision(), HOLD_MS));
+                        () -> watch(expectedRound, changes.revision(), HOLD_MS));
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -17,19 +17,19 @@
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.JobId;
 
-/** One transaction of the leader under construction, and what the state service holds once it is done. */
+/** One transaction of the leader under construction, and what the state service holds once it is committed. */
 final class WriteBatch {
-    /** How a job's news are written. */
+    /** How a job's changes are written. */
     enum WriteMode {
-        /** Its final state, under a key of its own; its record goes. */
+        /** Its final state under a key of its own; its record is deleted. */
         FINAL_STATE,
-        /** Its final state where its record stood: one change instead of two, moved later. */
+        /** Its final state under the key of its record: one change instead of two; it is moved later. */
         FINAL_STATE_IN_PLACE,
-        /** Its record, whole. */
+        /** Its whole record. */
         RECORD,
-        /** What changed of its tasks, beside other jobs' news. */
+        /** The changes of its tasks, in a segment of the change log together with those of other jobs. */
         LOG,
-        /** All that its record lacks, so that the segments that said so before are free. */
+        /** All changes that its record lacks, in a new segment, so that the earlier segments with them are free. */
         CONSOLIDATE;
 
         boolean isFinal() {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A job's part, as it was when it was sent. */
+    /** A job's part of the transaction, as it was when it was sent. */
     static final class JobWrite {
         final Job job;
         final WriteMode mode;
@@ -48,9 +48,9 @@
         int width;
         int failures;
 
-        JobWrite(Job job, WriteMode way) {
+        JobWrite(Job job, WriteMode mode) {
             this.job = job;
-            this.mode = way;
+            this.mode = mode;
         }
     }
 
@@ -60,7 +60,7 @@
 
     private final Transaction transaction;
     private final RecordSizes sizes;
-    private final ChangeLog addToLog;
+    private final ChangeLog changeLog;
     private final int maxOperations;
     private final int maxGuards;
     private final ChangeLogSegment.Writer writer;
@@ -71,19 +71,24 @@
     private final CommitGuards guards;
     private final Set<String> keyGuards = new HashSet<>();
 
-    /** @param transaction with the leader's guard in it; {@code mostOps} changes may be made by now */
+    /**
+     * Creates an empty batch.
+     *
+     * @param transaction holds the leader's guard already
+     * @param maxChanges how many changes the limits allow now
+     */
     WriteBatch(
             Transaction transaction,
             Settings.State limits,
             RecordSizes sizes,
             ChangeLog changeLog,
             CommitGuards guards,
-            int mostOps) {
+            int maxChanges) {
         this.guards = guards;
         this.transaction = transaction;
         this.sizes = sizes;
-        this.addToLog = changeLog;
-        this.maxOperations = Math.min(limits.txnOps(), mostOps);
+        this.changeLog = changeLog;
+        this.maxOperations = Math.min(limits.txnOps(), maxChanges);
         this.maxGuards = 4 * limits.txnOps() - 1;
         this.writer = new ChangeLogSegment.Writer(sizes.segmentBytes());
     }
@@ -100,31 +105,31 @@
         return writer.segmentCount();
     }
 
-    /** Takes the job's news in, if there is room; false where there is none. */
-    boolean add(Job job, WriteMode way) {
-        JobWrite part = new JobWrite(job, way);
-        boolean fits = way == WriteMode.LOG || way == WriteMode.CONSOLIDATE ? addToLog(part) : addRecord(part);
-        String key = fits && !way.isFinal() ? guards.guardKey(job) : null;
+    /** Adds the job's changes if they fit; false if they do not. */
+    boolean add(Job job, WriteMode mode) {
+        JobWrite part = new JobWrite(job, mode);
+        boolean added = mode == WriteMode.LOG || mode == WriteMode.CONSOLIDATE ? addToLog(part) : addRecord(part);
+        String key = added && !mode.isFinal() ? guards.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
             guards.guard(transaction, job);
         }
-        if (fits) {
+        if (added) {
             part.width = job.width();
             part.failures = job.record.failures;
             transaction.guard(JobRecord.openKey(job.id()), job.version);
             writes.add(part);
         }
-        return fits;
+        return added;
     }
 
-    /** Whether the job's news would cost no change more. */
+    /** Whether the job's changes would fit a segment that is written anyhow, at the cost of no further change. */
     boolean costsNothing(Job job) {
         return writer.segmentCount() > 0
                 && writes.size() + keyGuards.size() < maxGuards - 1
                 && writer.segmentCountWith(job.id(), job.committedTasks.changesTo(job.record)) == writer.segmentCount();
     }
 
-    private boolean hasRoom(int ops, int more, int segments) {
+    private boolean fits(int ops, int more, int segments) {
         return writes.size() + keyGuards.size() < maxGuards - 1
                 && transaction.operationCount() + ops + segments <= maxOperations
                 && (writes.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MAX_BYTES);
@@ -134,7 +139,7 @@
         part.changes = part.mode == WriteMode.LOG
                 ? part.job.committedTasks.changesTo(part.job.record)
                 : part.job.recordedTasks.allChangesTo(part.job.record);
-        if (!hasRoom(0, GUARD_BYTES, writer.segmentCountWith(part.job.id(), part.changes))) {
+        if (!fits(0, GUARD_BYTES, writer.segmentCountWith(part.job.id(), part.changes))) {
             return false;
         }
         bytes += GUARD_BYTES;
@@ -151,7 +156,7 @@
         int size = RECORD_BYTES
                 + 30 * sizes.chunkTasks() * changed
                 + (job.record.isChunked() ? 0 : 40 * job.record.live.size());
-        if (!hasRoom(1 + (ends ? 1 : 0) + changed, size, writer.segmentCount())) {
+        if (!fits(1 + (ends ? 1 : 0) + changed, size, writer.segmentCount())) {
             return false;
         }
         bytes += size;
@@ -171,7 +176,7 @@
         } else if (ends) {
             transaction.delete(key).put(JobRecord.endedKey(job.id()), job.record.finalStateNode(job.finalState()));
         } else {
-            job.record.foldedSegment = addToLog.lastNumber();
+            job.record.foldedSegment = changeLog.lastNumber();
             part.stored = CommittedTasks.of(job.record);
             part.recorded = CommittedTasks.of(job.record);
             transaction.put(key, job.record.toNode());
@@ -190,11 +195,11 @@
         return count;
     }
 
-    /** The whole transaction; nothing more is taken in. */
+    /** Completes the transaction with the segments and returns it; nothing can be added afterwards. */
     Transaction seal() {
         for (Map<JobId, TaskChanges> jobs : writer.segments()) {
-            long number = addToLog.nextNumber();
-            int slot = addToLog.reserveSlot();
+            long number = changeLog.nextNumber();
+            int slot = changeLog.reserveSlot();
             slots.put(number, slot);
             writtenJobs.put(number, jobs.keySet());
             transaction.put(ChangeLogSegment.key(slot), new ChangeLogSegment(number, jobs).toNode());
@@ -202,7 +207,7 @@
         return transaction;
     }
 
-    /** Placements that are committed with it. */
+    /** The placements that are committed with it. */
     List<Placement> newPlacements() {
         List<Placement> out = new ArrayList<>();
         for (JobWrite part : writes) {
@@ -213,21 +218,21 @@
         return out;
     }
 
-    /** It was not made: its slots are free again. */
+    /** Frees the reserved slots, for the transaction was not applied. */
     void discard() {
-        slots.values().forEach(addToLog::releaseSlot);
+        slots.values().forEach(changeLog::releaseSlot);
     }
 
-    /** It was made: what the state service holds now. */
+    /** Records what the state service holds now, for the transaction was applied. */
     void applyCommitted() {
         for (JobWrite part : writes) {
             if (part.mode == WriteMode.LOG) {
                 part.job.committedTasks.apply(part.changes);
             } else if (part.mode == WriteMode.CONSOLIDATE) {
-                addToLog.forgetJob(part.job.id());
+                changeLog.forgetJob(part.job.id());
                 part.job.committedTasks = part.stored;
             } else {
-                addToLog.forgetJob(part.job.id());
+                changeLog.forgetJob(part.job.id());
                 part.job.committedTasks = part.stored;
                 part.job.recordedTasks = part.recorded;
                 part.job.chunks = part.chunks;
@@ -235,6 +240,6 @@
                 part.job.committedFailures = part.failures;
             }
         }
-        slots.forEach((number, slot) -> addToLog.recordSegment(number, slot, writtenJobs.get(number)));
+        slots.forEach((number, slot) -> changeLog.recordSegment(number, slot, writtenJobs.get(number)));
     }
 }
