--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -376,7 +376,7 @@
     /** What another controller said of itself. */
     public void peer(MonotonicTime now, long wallMs, PeerState state) {
         begin(now, wallMs);
-        peers.lastMessages(state, now);
+        peers.recordMessage(state, now);
         progress.heard(state, now);
         for (CancelledJob c : state.cancelledJobs()) {
             pursue(c.job(), c.wallMs(), cancellations.record(c.job(), c.wallMs()));
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -28,7 +28,7 @@
     }
 
     /** Records a message of another controller; one of an unknown name is ignored. */
-    public void lastMessages(PeerState state, MonotonicTime now) {
+    public void recordMessage(PeerState state, MonotonicTime now) {
         if (seeds.contains(state.node())) {
             lastMessages.put(state.node(), new LastMessage(state, now));
         }
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -70,7 +70,7 @@
 
     /** The machines on which tasks of it have failed, as far as this leader knows. */
     public final Set<MachineId> failedOnMachines = new HashSet<>();
-    /** The number of back-offs after failures since it became suspect. */
+    /** The number of back-offs after failures for which the job itself was found to be at fault. */
     public int failureBackoffs;
 
     /** When it last made progress, was released from a hold or was reported as stalled, as far as is known. */
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -51,7 +51,7 @@
     /** The newest heartbeat sent to {@code /checkin}: only these prove that a task is absent. */
     public Heartbeat lastHeartbeat;
 
-    /** When a message of it last arrived that proves that it is there, or null. */
+    /** When it was last heard of, or null; an old heartbeat does not count while probes of it are unanswered. */
     public MonotonicTime lastHeardAt;
     /** When this node last answered a heartbeat with 200, or null; the worker's lease can't begin later. */
     public MonotonicTime lastAnsweredAt;
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -38,7 +38,10 @@
     private static final double USERS_SHARE = 0.15;
     /** There are changes to spare where this share of the full budget is left. */
     private static final double PLENTIFUL = 0.8;
-    /** How many segments of the log are written with a second's changes; the others are for records and ends of jobs. */
+    /**
+     * After a commit with log segments the next one waits until the state service allows this many changes more, so that changes
+     * remain for records and ends of jobs.
+     */
     private static final double LOG_SHARE = 4;
     /** With less of the full budget, and this many jobs that have ended at once, a job ends with one change instead of two. */
     private static final double SCARCE = 0.5;
