--- a/src/main/java/org/beechhoist/controller/PeerExchange.java
+++ b/src/main/java/org/beechhoist/controller/PeerExchange.java
@@ -43,7 +43,7 @@
 
     /** Takes up what another controller said of itself. */
     void receive(PeerState state) {
-        peers.lastMessages(state, context.now());
+        peers.recordMessage(state, context.now());
         progress.heard(state, context.now());
         for (CancelledJob cancelled : state.cancelledJobs()) {
             boolean isNew = cancellations.record(cancelled.job(), cancelled.wallMs());
