--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -181,8 +181,7 @@
     private void readKey(long expectedRound) {
         requests.takeOrOverdraw(context.now(), 1);
         // A listing, for it returns the store's revision too: the key's own may be older than any change the store
-        // still
-        // keeps, and a watch from there would be answered with 410 at once, every time.
+        // still keeps, and a watch from there would be answered with 410 at once, every time.
         store.list(KEY, null, 10, page -> {
             if (expectedRound != round || isLeading) {
                 return;
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -228,8 +228,8 @@
                 then.accept(commit);
             } else {
                 // The state was read anew meanwhile, perhaps without this commit, so its result must be made certain.
-                // Without
-                // this, the commit would be taken for one that never ends, and nothing would be written any more.
+                // Without this, the commit would be taken for one that never ends, and nothing would be written any
+                // more.
                 unknownCommits.resolve();
             }
         });
--- a/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
+++ b/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
@@ -63,8 +63,7 @@
         }
         if (job != null && job.inFlight) {
             // Either it is our own commit, or our commit will conflict, or it was made just before ours. In the last
-            // case
-            // nothing else would report it. Only the record waits: a cancellation is enforced already.
+            // case nothing else would report it. Only the record waits: a cancellation is enforced already.
             job.pendingChange = item;
             return;
         }
