--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -13,6 +13,7 @@
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.BoundedCollections;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.ServiceRequest;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
@@ -318,12 +319,7 @@
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
-                ServiceCalls.Target.CLOUD,
-                null,
-                "POST",
-                "/machines/return",
-                body,
-                5000,
+                new ServiceRequest(ServiceCalls.Target.CLOUD, null, "POST", "/machines/return", body, 5000),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import org.beechhoist.config.Policy;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.ServiceRequest;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
@@ -353,12 +354,7 @@
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
-                ServiceCalls.Target.CLOUD,
-                null,
-                "POST",
-                "/machines",
-                body,
-                5000,
+                new ServiceRequest(ServiceCalls.Target.CLOUD, null, "POST", "/machines", body, 5000),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
--- a/src/main/java/org/beechhoist/controller/context/ControllerContext.java
+++ b/src/main/java/org/beechhoist/controller/context/ControllerContext.java
@@ -78,25 +78,25 @@
             JsonNode body,
             long timeoutMs,
             Consumer<CallResult> then) {
-        callBefore(null, target, address, method, path, body, timeoutMs, then);
+        callBefore(null, new ServiceRequest(target, address, method, path, body, timeoutMs), then);
     }
 
     /**
      * Calls another service before {@code until} (null: no bound) or not at all; the result is {@link CallResult#NOT_SENT}
      * then.
      */
-    public void callBefore(
-            MonotonicTime until,
-            Target target,
-            String address,
-            String method,
-            String path,
-            JsonNode body,
-            long timeoutMs,
-            Consumer<CallResult> then) {
+    public void callBefore(MonotonicTime until, ServiceRequest request, Consumer<CallResult> then) {
         long id = nextId++;
         pendingCalls.put(id, then);
-        effects.add(new Effect.Call(id, target, address, method, path, body, timeoutMs, until));
+        effects.add(new Effect.Call(
+                id,
+                request.target(),
+                request.address(),
+                request.method(),
+                request.path(),
+                request.body(),
+                request.timeoutMs(),
+                until));
     }
 
     /** Hands the result of the call {@code id} to whoever made it; the result of an unknown call is ignored. */
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/context/ServiceRequest.java
@@ -0,0 +1,14 @@
+package org.beechhoist.controller.context;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.beechhoist.wire.ServiceCalls;
+
+/**
+ * A request to another service.
+ *
+ * @param address the machine's address for {@link ServiceCalls.Target#HOST}, else null
+ * @param body null for none
+ * @param timeoutMs how long to wait for the answer
+ */
+public record ServiceRequest(
+        ServiceCalls.Target target, String address, String method, String path, JsonNode body, long timeoutMs) {}
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -46,15 +46,15 @@
     /**
      * What each of the others demands of one of the state service's limits; unknown where nothing was heard of it lately.
      *
-     * @param of which demand: that for changes, or that for all requests
+     * @param demand which one: that for changes, or that for all requests
      */
-    public List<RequestShares.Demand> demands(MonotonicTime now, ToDoubleFunction<PeerState> of) {
+    public List<RequestShares.Demand> demands(MonotonicTime now, ToDoubleFunction<PeerState> demand) {
         List<RequestShares.Demand> out = new ArrayList<>();
         for (String node : seeds) {
             LastMessage message = lastMessages.get(node);
             boolean fresh = message != null && isFresh(message, now);
             out.add(new RequestShares.Demand(
-                    fresh && message.state.leading(), fresh ? of.applyAsDouble(message.state) : -1));
+                    fresh && message.state.leading(), fresh ? demand.applyAsDouble(message.state) : -1));
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.ServiceRequest;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.CancellationRegistry;
@@ -228,12 +229,8 @@
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
-                ServiceCalls.Target.HOST,
-                machine.address,
-                "POST",
-                "/orders",
-                body,
-                DIRECT_TIMEOUT_MS,
+                new ServiceRequest(
+                        ServiceCalls.Target.HOST, machine.address, "POST", "/orders", body, DIRECT_TIMEOUT_MS),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -9,6 +9,7 @@
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.context.ServiceRequest;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
@@ -180,12 +181,7 @@
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
-                ServiceCalls.Target.HOST,
-                machine.address,
-                "GET",
-                "/show",
-                null,
-                PROBE_TIMEOUT_MS,
+                new ServiceRequest(ServiceCalls.Target.HOST, machine.address, "GET", "/show", null, PROBE_TIMEOUT_MS),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
