--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.store.LeaderRecord;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.CallResult;
-import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.FencingToken;
 import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
@@ -194,7 +194,7 @@
             for (StoreClient.KeyValue i : page.items()) {
                 item = i.key().equals(KEY) ? i : item;
             }
-            leader = item == null ? null : item.value().path("node").asText(null);
+            leader = item == null ? null : LeaderRecord.parse(item.value()).node();
             leaderKnownAt = context.now();
             if (item == null && context.now().isBefore(campaignFrom)) {
                 readKeyLater(700, expectedRound);
@@ -214,7 +214,7 @@
     }
 
     private ObjectNode keyValue() {
-        return Codec.map().put("node", node).put("at", wonWallMs).put("short", shortTerms);
+        return new LeaderRecord(node, wonWallMs, shortTerms).toNode();
     }
 
     /**
@@ -222,8 +222,9 @@
      * pause that doubles each time.
      */
     private boolean restartsRepeatedly(StoreClient.KeyValue own) {
-        boolean brief = context.wallMs() - own.value().path("at").longValue() < SHORT_TERM_MS;
-        shortTerms = brief ? own.value().path("short").intValue() + 1 : 0;
+        LeaderRecord earlier = LeaderRecord.parse(own.value());
+        boolean brief = context.wallMs() - earlier.wonAtWallMs() < SHORT_TERM_MS;
+        shortTerms = brief ? earlier.shortTerms() + 1 : 0;
         if (shortTerms <= MAX_SHORT_TERMS) {
             return false;
         }
@@ -259,7 +260,7 @@
                     campaign(expectedRound, Revision.ABSENT);
                 }
             } else {
-                leader = last.value().path("node").asText(null);
+                leader = LeaderRecord.parse(last.value()).node();
                 watchKey(expectedRound, changes.revision());
             }
         });
--- a/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
+++ b/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
@@ -3,7 +3,6 @@
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.WidthRecord;
-import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.MalformedMessageException;
 import org.slf4j.Logger;
@@ -33,7 +32,7 @@
     void recordCancellation(StoreClient.KeyValue item) {
         long at = item.value() == null || JobRecord.isFinalState(item.value())
                 ? 0
-                : item.value().path("cancel").longValue();
+                : JobRecord.cancelledAtWallMs(item.value());
         if (at > 0 && !JobRecordReader.isChunkKey(item.key())) {
             JobId jobId = JobRecordReader.jobIdOf(item.key());
             if (cancellations.record(jobId, at)) {
@@ -100,9 +99,7 @@
     /** Takes over what other nodes change of a record: the cancellation and the width that the user allows, nothing else. */
     private void updateJob(Job job, StoreClient.KeyValue item) throws MalformedMessageException {
         job.version = item.version();
-        WidthRecord width = Codec.isAbsent(item.value(), "width")
-                ? null
-                : WidthRecord.parse(item.value().get("width"));
+        WidthRecord width = JobRecord.width(item.value());
         if (width != null && (job.record.width == null || width.number() > job.record.width.number())) {
             job.record.width = width.withTarget(job.record.width == null ? width.target() : job.width());
             job.committedWidth = width.target();
@@ -113,9 +110,9 @@
                     width.allowed().max());
             listener.jobResized(job);
         }
-        long cancel = item.value().path("cancel").longValue();
-        if (cancel > 0 && !job.record.isCancelled()) {
-            job.record.cancelledAtWallMs = cancel;
+        long cancelledAtMs = JobRecord.cancelledAtWallMs(item.value());
+        if (cancelledAtMs > 0 && !job.record.isCancelled()) {
+            job.record.cancelledAtWallMs = cancelledAtMs;
             LOG.info("job cancelled: job={} liveTasks={}", job.id(), job.record.live.size());
             clusterState.markDirty(job);
         }
--- a/src/main/java/org/beechhoist/store/JobRecord.java
+++ b/src/main/java/org/beechhoist/store/JobRecord.java
@@ -146,6 +146,16 @@
         return node != null && node.hasNonNull("status") && !node.has("spec");
     }
 
+    /** When the cancellation that a record's value holds was accepted, by the wall clock; 0 where it holds none. */
+    public static long cancelledAtWallMs(JsonNode value) {
+        return value.path("cancel").longValue();
+    }
+
+    /** The width that a record's value holds, or null. */
+    public static WidthRecord width(JsonNode value) throws MalformedMessageException {
+        return Codec.isAbsent(value, "width") ? null : WidthRecord.parse(value.get("width"));
+    }
+
     /** Reads a record's own value; chunks are added with {@link #addLiveTasks}. */
     public static JobRecord parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject() || node.get("spec") == null) {
@@ -156,11 +166,11 @@
         record.stride = (int) (Codec.isAbsent(node, "stride") ? 3 : Codec.wholeNumber(node, "stride", 3, 16));
         record.nextAttempt = Codec.wholeNumber(node, "next", 1, Long.MAX_VALUE);
         record.done = TaskSet.parse(node, record.spec.tasks());
-        record.cancelledAtWallMs = node.path("cancel").longValue();
+        record.cancelledAtWallMs = cancelledAtWallMs(node);
         record.foldedSegment = node.path("folded").longValue();
         record.failures = node.path("failures").intValue();
         record.failureReason = node.path("reason").textValue();
-        record.width = Codec.isAbsent(node, "width") ? null : WidthRecord.parse(node.get("width"));
+        record.width = width(node);
         if (node.has("live")) {
             record.addLiveTasks(node.get("live"));
         }
--- a/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
+++ b/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
@@ -24,6 +24,7 @@
 import org.beechhoist.store.ChangeLogSegment;
 import org.beechhoist.store.FleetSnapshot;
 import org.beechhoist.store.JobRecord;
+import org.beechhoist.store.LeaderRecord;
 import org.beechhoist.store.ServiceShareRecord;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
@@ -39,17 +40,7 @@
     private static final String AMENDED = "jo/amended";
     /** Kinds of records whose reader is private to the controller, or that are read field by field. */
     private static final Set<String> ONLY_KEPT = Set.of(
-            "cursor/",
-            "je/",
-            "ks/bad",
-            "ks/num",
-            "lead",
-            "mv-recent",
-            "mv/",
-            "once/",
-            "rl/moved",
-            "rl/tally",
-            "sched/tab/");
+            "cursor/", "je/", "ks/bad", "ks/num", "mv-recent", "mv/", "once/", "rl/moved", "rl/tally", "sched/tab/");
 
     @Test
     void everyRecordIsWrittenAsItWasRead() throws IOException, MalformedMessageException {
@@ -82,6 +73,7 @@
         return switch (kind) {
             case "jo/", AMENDED -> job(stored);
             case "jo/*/" -> chunk(key, stored);
+            case "lead" -> LeaderRecord.parse(stored).toNode();
             case "log/" -> segment(stored);
             case "fleet/" -> FleetSnapshot.parse(stored).toNode();
             case "served" -> serviceShares(stored);
