--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -45,19 +45,21 @@
         Map<JobId, Integer> due = new HashMap<>();
         Map<JobId, Long> attempts = new HashMap<>();
         for (Plan.Reservation reservation : next.reservations()) {
-            if (reservation.hostUp() && reservation.startMs() <= context.now().ms()) {
+            if (reservation.machineUp()
+                    && reservation.startMs() <= context.now().ms()) {
                 due.merge(reservation.job(), 1, Integer::sum);
             }
         }
         for (Plan.Reservation reservation : next.reservations()) {
-            if (!reservation.hostUp() || reservation.startMs() > context.now().ms()) {
+            if (!reservation.machineUp()
+                    || reservation.startMs() > context.now().ms()) {
                 continue;
             }
             Job job = clusterState.job(reservation.job());
             if (job.spec().isGang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
                 continue; // all of it or nothing
             }
-            Machine machine = clusterState.findMachine(reservation.host());
+            Machine machine = clusterState.findMachine(reservation.machine());
             if (used == null) {
                 used = clusterState.teamUsage();
             }
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -18,7 +18,7 @@
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.elastic.Sure;
 import org.beechhoist.elastic.Surplus;
-import org.beechhoist.plan.Plan;
+import org.beechhoist.plan.WidthOptions;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.WidthRecord;
 import org.beechhoist.wire.JobSpec;
@@ -102,7 +102,7 @@
     }
 
     /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
-    Plan.Wish wish(Job job, int sure, Integer fixed) {
+    WidthOptions wish(Job job, int sure, Integer fixed) {
         WidthRecord width = job.record.width;
         int from = job.record.live.size() + sure;
         int most = width == null || job.spec().isService() || job.spec().isGang() || job.isCancelled()
@@ -113,7 +113,7 @@
                 || job.notBefore.ms() > context.now().ms()) {
             return null;
         }
-        return new Plan.Wish(from, most, untilMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
+        return new WidthOptions(from, most, untilMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
     }
 
     private double lowestCostPerCpu(JobSpec spec) {
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -20,8 +20,9 @@
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.plan.Evaluation;
 import org.beechhoist.plan.Plan;
-import org.beechhoist.plan.PlanHost;
+import org.beechhoist.plan.PlanMachine;
 import org.beechhoist.plan.RandomSearch;
+import org.beechhoist.plan.WidthOptions;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
@@ -171,7 +172,7 @@
     /** A plan with what runs and, in the given order, what waits; widths that are not given are weighed. */
     private Plan build(List<Job> order, Map<JobId, Integer> widths) {
         long now = context.now().ms();
-        List<PlanHost> planMachines = new ArrayList<>();
+        List<PlanMachine> planMachines = new ArrayList<>();
         Set<MachineId> planned = new HashSet<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
@@ -180,7 +181,7 @@
                     || coldStart.isDoubted(machine)) {
                 continue;
             }
-            PlanHost planMachine = new PlanHost(
+            PlanMachine planMachine = new PlanMachine(
                     machine.id,
                     type,
                     machine.zone,
@@ -270,7 +271,7 @@
                 continue;
             }
             int sure = elastic.sure(job);
-            Plan.Wish wish = elastic.wish(job, sure, widths.get(job.id()));
+            WidthOptions wish = elastic.wish(job, sure, widths.get(job.id()));
             if (wish == null) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -253,7 +253,7 @@
     }
 
     private void lookAfterHosts(Plan plan) {
-        Set<MachineId> planned = plan == null ? Set.of() : plan.plannedHosts();
+        Set<MachineId> planned = plan == null ? Set.of() : plan.plannedMachines();
         failureDetector.check();
         for (Machine machine : clusterState.machines()) {
             if (machine.releasing) {
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -214,8 +214,8 @@
         for (Plan.Reservation reservation : plan.reservations()) {
             Job job = clusterState.job(reservation.job());
             long begin = job == null ? now : reservation.beginMs();
-            if (!reservation.hostUp()) {
-                Space space = booting.get(reservation.host());
+            if (!reservation.machineUp()) {
+                Space space = booting.get(reservation.machine());
                 if (space != null) {
                     space.take(reservation.spec());
                 }
--- a/src/main/java/org/beechhoist/plan/Evaluation.java
+++ b/src/main/java/org/beechhoist/plan/Evaluation.java
@@ -5,23 +5,34 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * What a plan is worth, smaller is better: average wait, average bounded slowdown, and fairness as mean and standard
- * deviation of the teams' normalized waits. Tasks planned to begin after their objective's last moment are counted
- * apart: no gain elsewhere makes up for one more of them. {@code money} is what elastic jobs' widths cost.
+ * What a plan is worth; smaller is better.
+ *
+ * @param late how many tasks and elastic jobs are planned too late for their objective; no gain elsewhere makes up for one more
+ * @param waiting the average wait
+ * @param slowdown the average bounded slowdown
+ * @param fairness mean and standard deviation, added, of the teams' normalized waits
+ * @param money what elastic jobs' widths cost
  */
 public record Evaluation(int late, double waiting, double slowdown, double fairness, double money) {
-    /** Runs shorter than this count as this long, so that short tasks don't rule the slowdown. */
+    /** Runs shorter than this count as this long, so that short tasks don't dominate the slowdown. */
     private static final double BOUND_MS = 10_000;
+    /** A plan is better only by more than this, so that rounding does not decide. */
+    private static final double MIN_GAIN = 1e-9;
 
     /** The weights of the parts' relative changes. */
     public record Weights(double waiting, double slowdown, double fairness) {
+        /** The weights that are used where nothing else is said. */
         public static final Weights DEFAULT = new Weights(1, 1, 10);
     }
 
-    /** What is known of a planned job beside its reservations. */
+    /** What is known of a planned job beside its reservations. A later begin than {@code latestStartMs} misses its objective. */
     public record Facts(String team, long submittedMs, long latestStartMs, long lengthMs) {}
 
-    /** @param usage each team's past use in fleet shares, with the floor added */
+    /**
+     * Evaluates a plan; jobs without facts are left out.
+     *
+     * @param usage each team's past use in fleet shares, with the minimum added
+     */
     public static Evaluation of(Plan plan, Map<JobId, Facts> facts, Map<String, Double> usage) {
         int late = 0;
         int count = 0;
@@ -33,12 +44,12 @@
             if (fact == null) {
                 continue;
             }
-            double weight = Math.max(0, reservation.beginMs() - fact.submittedMs());
+            double waited = Math.max(0, reservation.beginMs() - fact.submittedMs());
             count++;
             late += !reservation.wide() && reservation.beginMs() > fact.latestStartMs() ? 1 : 0;
-            wait += weight;
-            slowdown += Math.max(1, (weight + fact.lengthMs()) / Math.max(fact.lengthMs(), BOUND_MS));
-            waits.merge(fact.team(), weight, Double::sum);
+            wait += waited;
+            slowdown += Math.max(1, (waited + fact.lengthMs()) / Math.max(fact.lengthMs(), BOUND_MS));
+            waits.merge(fact.team(), waited, Double::sum);
         }
         if (count == 0) {
             return new Evaluation(plan.lateWide(), 0, 0, 0, plan.money());
@@ -55,7 +66,7 @@
         return new Evaluation(late + plan.lateWide(), wait / count, slowdown / count, mean + deviation, plan.money());
     }
 
-    /** Whether this plan is better than the other by the weighted sum of relative changes. */
+    /** Returns whether this plan is better than the other by the weighted sum of relative changes. */
     public boolean betterThan(Evaluation other, Weights weights) {
         if (late != other.late) {
             return late < other.late;
@@ -64,10 +75,13 @@
                 + weights.slowdown() * relative(slowdown, other.slowdown)
                 + weights.fairness() * relative(fairness, other.fairness)
                 + relative(money, other.money);
-        return change < -1e-9;
+        return change < -MIN_GAIN;
     }
 
     private static double relative(double now, double before) {
-        return before == 0 ? (now == 0 ? 0 : 1) : (now - before) / before;
+        if (before == 0) {
+            return now == 0 ? 0 : 1;
+        }
+        return (now - before) / before;
     }
 }
--- a/src/main/java/org/beechhoist/plan/PlanHost.java
+++ b/src/main/java/org/beechhoist/plan/PlanMachine.java
@@ -7,7 +7,14 @@
 import org.beechhoist.wire.MachineType;
 
 /** A machine in the plan: up, booting, or one that might be rented. */
-public final class PlanHost {
+public final class PlanMachine {
+    /** Stands for the CPUs of a machine type that has none. */
+    private static final double MIN_CPUS = 0.01;
+
+    private static final int MS_PER_SECOND = 1000;
+    /** Few images become ready on one machine within one plan. */
+    private static final int IMAGES_EXPECTED = 4;
+
     final MachineId id;
     final MachineType type;
     final String zone;
@@ -15,7 +22,7 @@
     final boolean up;
     final long readyMs;
     Profile profile;
-    /** The last answer of {@link #earliest}, for which need, and how often the profile had been changed then. */
+    /** The last answer of {@link #earliest}, the request it answered, and how often the profile had been changed then. */
     private long found;
 
     private long foundFor;
@@ -24,56 +31,69 @@
     private double foundGpus;
     private double foundMem;
     private int foundChanges = -1;
-    /** Images that it holds; and those that it will hold from a time on. */
-    private Set<String> held = Set.of();
+    /** The images that it holds. */
+    private Set<String> heldImages = Set.of();
+
+    /** The images that it will hold, with the time from which on. */
+    private Map<String, Long> imageReady = new HashMap<>(IMAGES_EXPECTED);
 
-    private Map<String, Long> imageReady = new HashMap<>(4);
     private final double costPerCpu;
     /** Whether elastic jobs may grow onto it. */
     boolean widens;
     /** Whether this plan puts anything new on it. */
     boolean planned;
-    /** The best place for the next task of the entry being placed: see {@link Plan}. */
+    /** The start of the best place for the next task of the entry that is being placed; see {@link CandidateMachines}. */
     long start;
 
+    /** How long the task would wait there for its image. */
     long fetch;
+    /** When its work would begin, with the price as a delay added. */
     long score;
+    /** The CPUs that are free there at the start. */
     double free;
-    /** GPUs that it would break for larger tasks, and for a task without GPUs what it would take from those that have some. */
+    /** Free GPUs that the task would make useless for larger ones; for a task without GPUs, all of the machine's. */
     double breaks;
 
-    public PlanHost(MachineId id, MachineType type, String zone, boolean spot, boolean up, long readyMs) {
+    /**
+     * Makes a machine with nothing on it.
+     *
+     * @param readyMs from when on it can run tasks
+     */
+    public PlanMachine(MachineId id, MachineType type, String zone, boolean spot, boolean up, long readyMs) {
         this.id = id;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
         this.up = up;
         this.readyMs = readyMs;
-        this.costPerCpu = type.priceOf(spot) / Math.max(0.01, type.cpus());
+        this.costPerCpu = type.priceOf(spot) / Math.max(MIN_CPUS, type.cpus());
         this.profile = new Profile(readyMs, type.cpus(), type.gpus(), type.memGb());
     }
 
-    /** Elastic jobs may grow onto it: it is up, well, and stays. */
+    /** Allows elastic jobs to grow onto it: it is up, healthy, and stays. */
     public void mayWiden() {
         widens = true;
     }
 
-    /** Something is on it until {@code endMs}. */
+    /** Enters something that is on it until {@code endMs}. */
     public void occupy(long endMs, double cpus, double gpus, double memGb) {
         profile.take(readyMs, endMs, cpus, gpus, memGb);
     }
 
-    /** It holds these images now; the set is not changed here. */
+    /** Sets the images that it holds now; the set is not changed here. */
     public void holds(Set<String> images) {
-        held = images;
+        heldImages = images;
     }
 
-    /** It holds the image from {@code atMs} on. */
+    /** Enters that it will hold the image from {@code atMs} on. */
     public void image(String image, long atMs) {
         imageReady.merge(image, atMs, Math::min);
     }
 
-    /** The earliest start from {@code at} on; jobs of one class ask the same of a machine one after the other. */
+    /**
+     * Returns the earliest start from {@code at} on. The last answer is kept, for jobs of one class ask the same of a machine one
+     * after the other.
+     */
     long earliest(long at, long length, double cpus, double gpus, double memGb) {
         boolean grows = profile.grows();
         if (foundChanges == profile.changes()
@@ -94,24 +114,25 @@
         return found;
     }
 
-    /** How long a task that starts at {@code startMs} waits for its image. */
+    /** Returns how long a task that starts at {@code startMs} waits for its image. */
     long fetchMs(String image, double gb, long startMs) {
-        if (held.contains(image)) {
+        if (heldImages.contains(image)) {
             return 0;
         }
-        Long at = imageReady.get(image);
-        return at != null ? Math.max(0, at - startMs) : Math.round(1000 * gb / type.fetchGbPerS());
+        Long readyAt = imageReady.get(image);
+        return readyAt != null ? Math.max(0, readyAt - startMs) : Math.round(MS_PER_SECOND * gb / type.fetchGbPerS());
     }
 
     double costPerCpu() {
         return costPerCpu;
     }
 
-    PlanHost copy() {
-        PlanHost machine = new PlanHost(id, type, zone, spot, up, readyMs);
+    /** Returns a copy to try placements on; what was found for the next task is not copied. */
+    PlanMachine copy() {
+        PlanMachine machine = new PlanMachine(id, type, zone, spot, up, readyMs);
         machine.widens = widens;
         machine.profile = new Profile(profile);
-        machine.held = held;
+        machine.heldImages = heldImages;
         machine.imageReady = new HashMap<>(imageReady);
         return machine;
     }
--- a/src/main/java/org/beechhoist/plan/Profile.java
+++ b/src/main/java/org/beechhoist/plan/Profile.java
@@ -2,18 +2,21 @@
 
 import java.util.Arrays;
 
-/** What is free over time, as steps: the gaps of one machine, or of one team's limit. Times in milliseconds. */
+/** What is free over time, as a step function: on one machine, or under one limit. Times are in milliseconds. */
 final class Profile {
+    /** The answer where there is no gap. */
     static final long NEVER = Long.MAX_VALUE;
+
     private static final double EPSILON = 1e-6;
+    private static final int INITIAL_STEPS = 8;
 
-    private long[] from = new long[8];
-    private double[] cpus = new double[8];
-    private double[] gpus = new double[8];
-    private double[] mem = new double[8];
+    private long[] from = new long[INITIAL_STEPS];
+    private double[] cpus = new double[INITIAL_STEPS];
+    private double[] gpus = new double[INITIAL_STEPS];
+    private double[] mem = new double[INITIAL_STEPS];
     private int steps;
     private int changes;
-    /** Nothing was taken but from the beginning on: what is free only grows, and a gap never ends. */
+    /** Whether everything was taken from the beginning on, so that what is free only grows and a gap never ends. */
     private boolean grows = true;
 
     Profile(long start, double cpus, double gpus, double mem) {
@@ -34,17 +37,17 @@
         grows = profile.grows;
     }
 
-    private boolean room(int index, double neededCpus, double neededGpus, double neededMemGb) {
+    private boolean fits(int index, double neededCpus, double neededGpus, double neededMemGb) {
         return cpus[index] + EPSILON >= neededCpus
                 && gpus[index] + EPSILON >= neededGpus
                 && mem[index] + EPSILON >= neededMemGb;
     }
 
-    /** The earliest start from {@code at} on with room throughout {@code length}; NEVER where there is none. */
+    /** Returns the earliest start from {@code at} on with enough free throughout {@code length}, or {@link #NEVER}. */
     long earliest(long at, long length, double neededCpus, double neededGpus, double neededMemGb) {
         long start = Math.max(at, from[0]);
         for (int i = index(start); i < steps; i++) {
-            if (!room(i, neededCpus, neededGpus, neededMemGb)) {
+            if (!fits(i, neededCpus, neededGpus, neededMemGb)) {
                 if (i + 1 == steps) {
                     return NEVER;
                 }
@@ -56,6 +59,7 @@
         return start;
     }
 
+    /** Takes so much from what is free between the two times. */
     void take(long start, long end, double neededCpus, double neededGpus, double neededMemGb) {
         if (end <= start) {
             return;
@@ -71,17 +75,17 @@
         }
     }
 
-    /** How often something was taken. */
+    /** Returns how often something was taken. */
     int changes() {
         return changes;
     }
 
-    /** Whether what is free only grows, so that room at one time is room ever after. */
+    /** Returns whether what is free only grows, so that what fits at one time fits ever after. */
     boolean grows() {
         return grows;
     }
 
-    /** From when on everything is free that ever will be. */
+    /** Returns the time from which on everything is free that ever will be. */
     long lastChange() {
         return from[steps - 1];
     }
@@ -94,11 +98,13 @@
         return cpus[index(time)];
     }
 
+    /** Returns the index of the step that this time is in. */
     private int index(long time) {
         int i = Arrays.binarySearch(from, 0, steps, time);
         return i >= 0 ? i : Math.max(0, -i - 2);
     }
 
+    /** Returns the index of the step that begins at this time, which is made if there is none. */
     private int split(long time) {
         if (time <= from[0]) {
             return 0;
--- a/src/main/java/org/beechhoist/plan/RandomSearch.java
+++ b/src/main/java/org/beechhoist/plan/RandomSearch.java
@@ -7,9 +7,11 @@
 import java.util.function.Function;
 
 /**
- * Random Search over plans: a candidate (an order of entries, or an order with widths) is moved at random, the plan is
- * built anew, and the candidate is kept if the plan is better. It advances by single steps, so that whoever runs it can
- * turn to other things in between.
+ * Random search over plans: a candidate (an order of entries, or an order with widths) is changed at random, the plan is built
+ * anew, and the candidate is kept if the plan is better. It advances by single steps, so that the caller can do other work in
+ * between.
+ *
+ * @param <C> what a plan is built from
  */
 public final class RandomSearch<C> {
     private final SplittableRandom random;
@@ -22,6 +24,13 @@
     private int done;
     private int kept;
 
+    /**
+     * Makes a search that has not begun.
+     *
+     * @param move makes a changed candidate of a given one
+     * @param evaluate builds a candidate's plan and measures it
+     * @param iterations how many candidates are tried
+     */
     public RandomSearch(
             C start,
             BiFunction<C, SplittableRandom, C> move,
@@ -37,7 +46,7 @@
         this.random = random;
     }
 
-    /** The paper's move: a random entry goes to a random place. */
+    /** Returns a copy of the order in which the entry at {@code from} has a random place. */
     public static <T> List<T> moved(List<T> order, int from, SplittableRandom random) {
         List<T> candidate = new ArrayList<>(order);
         T entry = candidate.remove(from);
@@ -45,10 +54,12 @@
         return candidate;
     }
 
+    /** Returns whether all iterations are done. */
     public boolean finished() {
         return done >= iterations;
     }
 
+    /** Tries one candidate; does nothing once finished. */
     public void step() {
         if (finished()) {
             return;
@@ -66,15 +77,17 @@
         }
     }
 
+    /** Returns the best candidate so far. */
     public C best() {
         return best;
     }
 
+    /** Returns how many candidates were tried. */
     public int steps() {
         return done;
     }
 
-    /** How many candidates were better than what was there. */
+    /** Returns how many candidates were better than the best before them. */
     public int kept() {
         return kept;
     }
--- a/src/main/java/org/beechhoist/plan/TeamLimit.java
+++ b/src/main/java/org/beechhoist/plan/TeamLimit.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What a team's limit leaves free over time, in whole seconds: starts rounded down and ends up, so that it errs on
- * the safe side and its steps stay few however many tasks there are.
+ * What a team's limit leaves free over time. Starts are rounded down to whole seconds and ends up, so that it errs on the safe side
+ * and its steps stay few however many tasks there are.
  */
 final class TeamLimit {
     private static final long STEP_MS = 1000;
@@ -16,9 +16,11 @@
     private final long nowMs;
     private final double cpus;
     private final double gpus;
+    /** The sum of all CPUs taken, as if all were in use at once. */
     private double cpusEver;
+    /** The sum of all GPUs taken, as if all were in use at once. */
     private double gpusEver;
-    /** Not yet in the profile, which is made only for a team that may reach its limit. */
+    /** What is not in the profile yet, which is made only for a team that may reach its limit. */
     private final List<Use> pending;
 
     private Profile profile;
@@ -40,6 +42,7 @@
         profile = other.profile == null ? null : new Profile(other.profile);
     }
 
+    /** Enters what the team uses between two times. */
     void take(long from, long to, double cpus, double gpus) {
         cpusEver += cpus;
         gpusEver += gpus;
@@ -61,14 +64,14 @@
         return Double.isInfinite(cpus) && Double.isInfinite(gpus);
     }
 
-    /** What is free over time; null where even everything at once, and that much more, stays within the limit. */
+    /** Returns what is free over time, or null if everything at once, and that much more, stays within the limit. */
     Profile within(double moreCpus, double moreGpus) {
         if (cpusEver + moreCpus <= cpus + EPSILON && gpusEver + moreGpus <= gpus + EPSILON) {
             return null;
         }
         if (profile == null) {
             profile = new Profile(nowMs, cpus, gpus, Double.POSITIVE_INFINITY);
-            pending.forEach(u -> profile.take(u.from, u.to, u.cpus, u.gpus, 0));
+            pending.forEach(use -> profile.take(use.from, use.to, use.cpus, use.gpus, 0));
             pending.clear();
         }
         return profile;
--- a/src/test/java/org/beechhoist/plan/PlanTest.java
+++ b/src/test/java/org/beechhoist/plan/PlanTest.java
@@ -50,14 +50,14 @@
         return new Plan.Entry(s.id(), s, s.tasks(), length, Map.of(), 0, 0);
     }
 
-    private record Made(Plan plan, List<PlanHost> hosts, List<Plan.Entry> entries) {}
+    private record Made(Plan plan, List<PlanMachine> hosts, List<Plan.Entry> entries) {}
 
     private static Made random(long seed) {
         SplittableRandom r = new SplittableRandom(seed);
-        List<PlanHost> hosts = new ArrayList<>();
+        List<PlanMachine> hosts = new ArrayList<>();
         for (int i = 0; i < 2 + r.nextInt(6); i++) {
             boolean up = r.nextInt(4) > 0;
-            hosts.add(new PlanHost(
+            hosts.add(new PlanMachine(
                     new MachineId("m-" + i),
                     r.nextBoolean() ? SMALL : BIG,
                     r.nextBoolean() ? "a" : "b",
@@ -99,18 +99,18 @@
                 Map<MachineId, Double> used = new java.util.HashMap<>();
                 for (Plan.Reservation r : m.plan.reservations()) {
                     if (r.startMs() <= t && t < r.endMs()) {
-                        used.merge(r.host(), r.spec().cpus(), Double::sum);
+                        used.merge(r.machine(), r.spec().cpus(), Double::sum);
                         red += r.spec().team().equals("red") ? r.spec().cpus() : 0;
                     }
-                    PlanHost h = m.hosts.stream()
-                            .filter(x -> x.id.equals(r.host()))
+                    PlanMachine h = m.hosts.stream()
+                            .filter(x -> x.id.equals(r.machine()))
                             .findFirst()
                             .orElseThrow();
                     assertTrue(r.spec().spot() || !h.spot, "seed " + seed);
                     assertTrue(r.startMs() >= h.readyMs, "seed " + seed);
                 }
                 assertTrue(red <= 10 + 1e-6, "seed " + seed + ": red has " + red);
-                for (PlanHost h : m.hosts) {
+                for (PlanMachine h : m.hosts) {
                     assertTrue(used.getOrDefault(h.id, 0.0) <= h.type.cpus() + 1e-6, "seed " + seed + " on " + h.id);
                 }
             }
@@ -204,7 +204,7 @@
     }
 
     private static Map<JobId, Long> starts(List<Plan.Entry> entries, long busyUntil) {
-        PlanHost h = new PlanHost(new MachineId("m-1"), SMALL, "a", false, true, NOW);
+        PlanMachine h = new PlanMachine(new MachineId("m-1"), SMALL, "a", false, true, NOW);
         h.occupy(busyUntil, 4, 0, 4);
         Plan plan = new Plan(NOW, List.of(h));
         entries.forEach(plan::place);
@@ -220,7 +220,7 @@
 
     @Test
     void aHugeArrayCostsNoMoreThanItsHorizon() {
-        PlanHost h = new PlanHost(new MachineId("m-1"), BIG, "a", false, true, NOW);
+        PlanMachine h = new PlanMachine(new MachineId("m-1"), BIG, "a", false, true, NOW);
         Plan plan = new Plan(NOW, List.of(h));
         JobSpec s = spec(1, "array", 100_000, 1, 0, false, false);
         plan.place(entry(s, 1000));
@@ -228,15 +228,15 @@
         assertEquals(100_000 - plan.reservations().size(), plan.unplaced(s.id()));
     }
 
-    private static Plan.Wish wish(int from, int most, long until) {
-        return new Plan.Wish(from, most, until, 4, BIG.priceOf(true) / 16, null);
+    private static WidthOptions wish(int from, int most, long until) {
+        return new WidthOptions(from, most, until, 4, BIG.priceOf(true) / 16, null);
     }
 
     /** An elastic job fills what is there, but keeps no machine for a corner of it unless it would be late. */
     @Test
     void aWidthIsWorthItsMoney() {
         JobSpec s = spec(1, "array", 200, 1, 0, false, false);
-        PlanHost idle = new PlanHost(new MachineId("m-1"), BIG, "a", true, true, NOW);
+        PlanMachine idle = new PlanMachine(new MachineId("m-1"), BIG, "a", true, true, NOW);
         idle.mayWiden();
         Plan full = new Plan(NOW, List.of(idle));
         assertEquals(16, full.widen(entry(s, 20_000), List.of(), wish(0, 16, Long.MAX_VALUE)));
@@ -244,7 +244,7 @@
                 16, full.reservations().stream().filter(r -> r.startMs() == NOW).count());
         assertTrue(full.reservations().stream().allMatch(Plan.Reservation::wide));
 
-        PlanHost other = new PlanHost(new MachineId("m-2"), BIG, "a", true, true, NOW);
+        PlanMachine other = new PlanMachine(new MachineId("m-2"), BIG, "a", true, true, NOW);
         other.mayWiden();
         Plan corner = new Plan(NOW, List.of(other));
         assertEquals(0, corner.widen(entry(s, 20_000), List.of(), wish(0, 3, Long.MAX_VALUE)));
@@ -256,10 +256,10 @@
     void aWidthIsALimitOverTimeAndNeverOntoMachinesThatAreNotThere() {
         for (long seed = 0; seed < 40; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            List<PlanHost> hosts = new ArrayList<>();
+            List<PlanMachine> hosts = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 boolean up = r.nextInt(3) > 0;
-                hosts.add(new PlanHost(new MachineId("m-" + i), BIG, "a", true, up, up ? NOW : NOW + 9000));
+                hosts.add(new PlanMachine(new MachineId("m-" + i), BIG, "a", true, up, up ? NOW : NOW + 9000));
                 if (up && r.nextInt(4) > 0) {
                     hosts.get(i).mayWiden();
                 }
@@ -276,7 +276,7 @@
                                 .count()
                         + live.stream().filter(end -> end > at.startMs()).count();
                 assertTrue(busy <= width, "seed " + seed + ": " + busy + " of " + width);
-                assertTrue(hosts.stream().anyMatch(h -> h.id.equals(at.host()) && h.up && h.widens), "seed " + seed);
+                assertTrue(hosts.stream().anyMatch(h -> h.id.equals(at.machine()) && h.up && h.widens), "seed " + seed);
             }
         }
     }
@@ -291,7 +291,7 @@
             List<Plan.Entry> first = null;
             for (int run = 0; run < 2; run++) {
                 java.util.function.Function<List<Plan.Entry>, Evaluation> value = order -> {
-                    Plan p = new Plan(NOW, List.of(new PlanHost(new MachineId("m-1"), BIG, "a", false, true, NOW)));
+                    Plan p = new Plan(NOW, List.of(new PlanMachine(new MachineId("m-1"), BIG, "a", false, true, NOW)));
                     p.limit("red", 10, 0);
                     order.forEach(p::place);
                     return Evaluation.of(p, facts, Map.of());
