--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -493,7 +493,7 @@
     }
 
     private void make(Job large, Moves.Found found) {
-        Making move = new Making(found.host(), large.id(), null, context.wallMs());
+        Making move = new Making(found.machine(), large.id(), null, context.wallMs());
         found.moves().forEach(o -> move.to.put(o.task(), o.to()));
         Transaction transaction = election.guardedTransaction().put(PREFIX + move.machine.text(), move.toNode());
         Map<String, Account> charged = charge(move);
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -115,8 +115,8 @@
         return start == null || start > context.now().ms() + SOON_MS || spec.sameZone() && plan.unplaced(job.id()) > 0;
     }
 
-    private static Moves.Room room(JobSpec spec) {
-        return new Moves.Room(spec.cpus(), spec.gpus(), spec.memGb());
+    private static Moves.Resources room(JobSpec spec) {
+        return new Moves.Resources(spec.cpus(), spec.gpus(), spec.memGb());
     }
 
     private boolean allowed(TaskId task, MachineId id) {
@@ -197,7 +197,7 @@
                 }
             }
             out.add(new Moves.Machine(
-                    machine.id, new Moves.Room(free.cpus(), free.gpus(), free.memGb()), may, movable));
+                    machine.id, new Moves.Resources(free.cpus(), free.gpus(), free.memGb()), may, movable));
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/packing/Moves.java
+++ b/src/main/java/org/beechhoist/packing/Moves.java
@@ -9,57 +9,82 @@
 import org.beechhoist.wire.TaskId;
 
 /**
- * The cheapest moves that make room for one large task on one machine: exact over the sets of that machine's movable tasks, each
- * of which must find a place on another machine that is not itself whole for the large one; machines are tried by what they lack.
+ * The cheapest moves of tasks after which one large task fits on one machine. For each machine all sets of its movable tasks are
+ * compared; each task of a set must find a place on another machine, but on none that the large task fits on as it is. Machines that
+ * lack the fewest GPUs are tried first.
  */
 public final class Moves {
-    /** Tasks of a machine that are weighed in all their sets: the cheapest. */
-    private static final int MOST_WEIGHED = 10;
-    /** Machines that are looked at, those that lack least first. */
-    private static final int MOST_MACHINES = 24;
+    /** How many tasks of a machine are compared in all their sets: the cheapest ones. */
+    private static final int MAX_TASKS = 10;
+    /** How many machines are tried: those that lack the fewest GPUs. */
+    private static final int MAX_MACHINES = 24;
 
     private static final double EPSILON = 1e-6;
 
-    /** Room on a machine, or what a task takes of it. */
-    public record Room(double cpus, double gpus, double memGb) {
-        Room less(Room room) {
-            return new Room(cpus - room.cpus, gpus - room.gpus, memGb - room.memGb);
+    /** What is free on a machine, or what a task takes of it. */
+    public record Resources(double cpus, double gpus, double memGb) {
+        Resources minus(Resources other) {
+            return new Resources(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
         }
 
-        Room plus(Room room) {
-            return new Room(cpus + room.cpus, gpus + room.gpus, memGb + room.memGb);
+        Resources plus(Resources other) {
+            return new Resources(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
         }
 
-        boolean fits(Room room) {
-            return cpus + EPSILON >= room.cpus && gpus + EPSILON >= room.gpus && memGb + EPSILON >= room.memGb;
+        boolean fits(Resources need) {
+            return cpus + EPSILON >= need.cpus && gpus + EPSILON >= need.gpus && memGb + EPSILON >= need.memGb;
         }
     }
 
-    /** Whether a task may run on a machine, its room left aside. */
-    public interface Allowed {
-        boolean on(TaskId task, MachineId host);
+    /** Whether a task may run on a machine, apart from the resources that it needs there. */
+    public interface PlacementRule {
+        /** Returns whether the task may run on the machine. */
+        boolean allows(TaskId task, MachineId machine);
     }
 
     /**
      * A task that may be moved.
      *
-     * @param cost of moving it, in GPU seconds: out of service while it saves, is proved gone and fetches its image, and what it loses
+     * @param cost of moving it, in GPU seconds: its time out of service, while it saves a checkpoint, is proved gone and fetches its
+     *     image, and the work that it loses
      */
-    public record Movable(TaskId task, Room takes, double cost) {}
+    public record Movable(TaskId task, Resources takes, double cost) {}
 
-    /** @param mayTake whether the large task may run there at all */
-    public record Machine(MachineId host, Room free, boolean mayTake, List<Movable> movable) {}
+    /**
+     * A machine and the tasks on it that may be moved.
+     *
+     * @param mayTake whether the large task may run there at all
+     */
+    public record Machine(MachineId id, Resources free, boolean mayTake, List<Movable> movable) {}
 
-    /** One task's way. */
+    /** The move of one task to a machine. */
     public record Move(TaskId task, MachineId to) {}
 
-    /** @param cost in GPU seconds */
-    public record Found(MachineId host, List<Move> moves, double cost) {}
+    /**
+     * The moves after which the large task fits on a machine.
+     *
+     * @param cost of all moves, in GPU seconds
+     */
+    public record Found(MachineId machine, List<Move> moves, double cost) {}
 
-    private Moves() {}
+    private final Resources need;
+    private final List<Machine> machines;
+    private final PlacementRule rule;
+    private final Sizes sizes;
 
-    /** The cheapest, or null: nothing makes room, or there is room already. */
-    public static Found cheapest(Room need, List<Machine> machines, Allowed allowed, Sizes sizes) {
+    private Moves(Resources need, List<Machine> machines, PlacementRule rule, Sizes sizes) {
+        this.need = need;
+        this.machines = machines;
+        this.rule = rule;
+        this.sizes = sizes;
+    }
+
+    /** Returns the cheapest moves, or null if no moves are enough or the large task fits somewhere already. */
+    public static Found cheapest(Resources need, List<Machine> machines, PlacementRule rule, Sizes sizes) {
+        return new Moves(need, machines, rule, sizes).cheapest();
+    }
+
+    private Found cheapest() {
         List<Machine> lacking = new ArrayList<>();
         for (Machine machine : machines) {
             if (machine.mayTake && machine.free.fits(need)) {
@@ -69,28 +94,28 @@
                 lacking.add(machine);
             }
         }
-        lacking.sort(Comparator.comparingDouble((Machine m) -> need.gpus - m.free.gpus)
-                .thenComparing(Machine::host));
+        lacking.sort(Comparator.comparingDouble((Machine machine) -> need.gpus - machine.free.gpus)
+                .thenComparing(Machine::id));
         Found best = null;
-        for (Machine machine : lacking.subList(0, Math.min(MOST_MACHINES, lacking.size()))) {
-            Found f = on(machine, need, machines, allowed, sizes, best == null ? Double.MAX_VALUE : best.cost);
-            best = f == null ? best : f;
+        for (Machine machine : lacking.subList(0, Math.min(MAX_MACHINES, lacking.size()))) {
+            Found found = cheapestFor(machine, best == null ? Double.MAX_VALUE : best.cost);
+            best = found == null ? best : found;
         }
         return best;
     }
 
-    private static Found on(
-            Machine machine, Room need, List<Machine> machines, Allowed allowed, Sizes sizes, double below) {
+    /** Returns the cheapest moves off the machine that cost less than {@code below}, or null. */
+    private Found cheapestFor(Machine machine, double below) {
         List<Movable> tasks = machine.movable.stream()
-                .sorted(Comparator.comparingDouble(Movable::cost).thenComparing(t -> t.task.toString()))
-                .limit(MOST_WEIGHED)
+                .sorted(Comparator.comparingDouble(Movable::cost).thenComparing(movable -> movable.task.toString()))
+                .limit(MAX_TASKS)
                 .toList();
         Found best = null;
         for (int set = 1; set < 1 << tasks.size(); set++) {
-            Room free = machine.free;
+            Resources free = machine.free;
             double cost = 0;
             for (int i = 0; i < tasks.size(); i++) {
-                if ((set >> i & 1) == 1) {
+                if (contains(set, i)) {
                     free = free.plus(tasks.get(i).takes);
                     cost += tasks.get(i).cost;
                 }
@@ -98,58 +123,66 @@
             if (cost >= (best == null ? below : best.cost) || !free.fits(need)) {
                 continue;
             }
-            List<Move> moves = placed(machine, tasks, set, need, machines, allowed, sizes);
+            List<Move> moves = moves(machine, tasks, set);
             if (moves != null) {
-                best = new Found(machine.host, moves, cost);
+                best = new Found(machine.id, moves, cost);
             }
         }
         return best;
     }
 
-    /** A place for each, the largest first, where it breaks least; null where one has none. */
-    private static List<Move> placed(
-            Machine from,
-            List<Movable> tasks,
-            int set,
-            Room need,
-            List<Machine> machines,
-            Allowed allowed,
-            Sizes sizes) {
-        List<Movable> out = new ArrayList<>();
+    /** Whether a set, one bit for each task, contains the task at this index. */
+    private static boolean contains(int set, int index) {
+        return (set >> index & 1) == 1;
+    }
+
+    /** Returns a place for each task of the set, the largest first, or null if one has none. */
+    private List<Move> moves(Machine from, List<Movable> tasks, int set) {
+        List<Movable> moving = new ArrayList<>();
         for (int i = 0; i < tasks.size(); i++) {
-            if ((set >> i & 1) == 1) {
-                out.add(tasks.get(i));
+            if (contains(set, i)) {
+                moving.add(tasks.get(i));
             }
         }
-        out.sort(Comparator.comparingDouble((Movable t) -> -t.takes.gpus));
-        Map<MachineId, Room> left = new HashMap<>();
+        moving.sort(Comparator.comparingDouble((Movable movable) -> -movable.takes.gpus));
+        Map<MachineId, Resources> left = new HashMap<>();
         List<Move> moves = new ArrayList<>();
-        for (Movable movable : out) {
-            Machine best = null;
-            double least = 0;
-            for (Machine machine : machines) {
-                Room free = left.getOrDefault(machine.host, machine.free);
-                if (machine == from
-                        || !free.fits(movable.takes)
-                        || !allowed.on(movable.task, machine.host)
-                        || machine.mayTake && free.fits(need)) {
-                    continue;
-                }
-                double broken = sizes.broken(free.gpus, movable.takes.gpus);
-                if (best == null
-                        || broken < least - EPSILON
-                        || broken < least + EPSILON
-                                && free.gpus < left.getOrDefault(best.host, best.free).gpus - EPSILON) {
-                    best = machine;
-                    least = broken;
-                }
-            }
-            if (best == null) {
+        for (Movable movable : moving) {
+            Machine target = target(from, movable, left);
+            if (target == null) {
                 return null;
             }
-            left.put(best.host, left.getOrDefault(best.host, best.free).less(movable.takes));
-            moves.add(new Move(movable.task, best.host));
+            left.put(target.id, left.getOrDefault(target.id, target.free).minus(movable.takes));
+            moves.add(new Move(movable.task, target.id));
         }
         return moves;
     }
+
+    /**
+     * Returns the machine on which the task fragments the fewest GPUs, and of equal ones that with the fewest free, or null.
+     *
+     * @param left what is free on the machines that tasks of the set go to already
+     */
+    private Machine target(Machine from, Movable movable, Map<MachineId, Resources> left) {
+        Machine best = null;
+        double least = 0;
+        for (Machine machine : machines) {
+            Resources free = left.getOrDefault(machine.id, machine.free);
+            if (machine == from
+                    || !free.fits(movable.takes)
+                    || !rule.allows(movable.task, machine.id)
+                    || machine.mayTake && free.fits(need)) {
+                continue;
+            }
+            double fragmented = sizes.fragmentationChange(free.gpus, movable.takes.gpus);
+            if (best == null
+                    || fragmented < least - EPSILON
+                    || fragmented < least + EPSILON
+                            && free.gpus < left.getOrDefault(best.id, best.free).gpus - EPSILON) {
+                best = machine;
+                least = fragmented;
+            }
+        }
+        return best;
+    }
 }
--- a/src/main/java/org/beechhoist/packing/Sizes.java
+++ b/src/main/java/org/beechhoist/packing/Sizes.java
@@ -4,19 +4,25 @@
 import java.util.TreeMap;
 
 /**
- * The sizes, in GPUs a task, that are asked for: lately, and by what is open. What is free on a machine is a fragment for whoever
- * asks for more than that; a task goes where it makes the least of such (the fragmentation gradient of Weng et al., "Beware of
+ * The sizes of tasks, in GPUs, that are asked for: lately, and by open jobs. What is free on a machine is a fragment for a task that
+ * asks for more than that; a task goes where it adds the least to such fragments (the fragmentation gradient of Weng et al., "Beware of
  * Fragmentation: Scheduling GPU-Sharing Workloads with Fragmentation Gradient Descent", USENIX ATC 2023, over sizes alone).
  */
 public final class Sizes {
+    /** No sizes are known: nothing counts as a fragment. */
     public static final Sizes NONE = new Sizes(Map.of());
+
     private static final double EPSILON = 1e-6;
 
     private final double[] sizes;
-    /** The part of all tasks that asks for this size or more, by size. */
+    /** For each of the sizes, the part of all tasks that asks for it or more. */
     private final double[] atLeast;
 
-    /** @param asked how often each size is asked for */
+    /**
+     * Makes the distribution of sizes.
+     *
+     * @param asked how often each size is asked for
+     */
     public Sizes(Map<Double, Double> asked) {
         TreeMap<Double, Double> sorted = new TreeMap<>(asked);
         sizes = new double[sorted.size()];
@@ -26,12 +32,13 @@
         int index = 0;
         for (Map.Entry<Double, Double> entry : sorted.entrySet()) {
             sizes[index] = entry.getKey();
-            atLeast[index++] = all == 0 ? 0 : left / all;
+            atLeast[index] = all == 0 ? 0 : left / all;
+            index++;
             left -= entry.getValue();
         }
     }
 
-    /** Free GPUs of a machine, by the part of tasks that can't use them for there are too few. */
+    /** Returns the free GPUs of a machine, times the part of all tasks for which they are too few. */
     double fragment(double free) {
         for (int i = 0; i < sizes.length; i++) {
             if (sizes[i] > free + EPSILON) {
@@ -41,8 +48,11 @@
         return 0;
     }
 
-    /** What a task that takes so many breaks on a machine with so many free; less than nothing where it uses up a fragment. */
-    public double broken(double free, double takes) {
+    /**
+     * Returns by how much the fragment of a machine with so many GPUs free grows when a task takes so many; it is negative where the
+     * task uses up a fragment.
+     */
+    public double fragmentationChange(double free, double takes) {
         return fragment(free - takes) - fragment(free);
     }
 }
--- a/src/main/java/org/beechhoist/packing/package-info.java
+++ b/src/main/java/org/beechhoist/packing/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Whole GPUs out of pieces: what a placement breaks of what is still whole ({@link org.beechhoist.packing.Sizes}), and the cheapest
- * moves that make room for a large task ({@link org.beechhoist.packing.Moves}). Pure decisions over a snapshot; {@code plan.Plan}
- * asks the first, the leader's room {@code core.MoveDesk} asks and carries out the second.
+ * Fragmentation of GPUs: by how much a placement makes free GPUs useless for larger tasks ({@link org.beechhoist.packing.Sizes}), and
+ * the cheapest moves after which a large task fits on a machine ({@link org.beechhoist.packing.Moves}). Both are decisions over a
+ * snapshot; the package owns no state and depends on {@code wire} only. {@code plan} and {@code controller.MigrationController} use
+ * the first; {@code controller.MigrationSearch} asks for the second, which {@code controller.MigrationController} carries out.
  */
 package org.beechhoist.packing;
--- a/src/main/java/org/beechhoist/plan/CandidateMachines.java
+++ b/src/main/java/org/beechhoist/plan/CandidateMachines.java
@@ -158,7 +158,7 @@
         machine.fetch = machine.fetchMs(spec.image(), spec.imageGb(), start);
         machine.score = start + machine.fetch + priceInMs(machine);
         machine.free = machine.profile.freeCpusAt(start);
-        machine.breaks = fragmentation(machine, start, spec);
+        machine.fragmentation = fragmentation(machine, start, spec);
         return true;
     }
 
@@ -170,7 +170,7 @@
         if (spec.gpus() == 0) {
             return machine.type.gpus();
         }
-        return sizes.broken(machine.profile.freeGpusAt(start), spec.gpus());
+        return sizes.fragmentationChange(machine.profile.freeGpusAt(start), spec.gpus());
     }
 
     /** Returns the earliest start that the machine, the team's limit and the width limit all allow, or {@link Profile#NEVER}. */
@@ -205,8 +205,8 @@
         if (step != other) {
             return step < other;
         }
-        if (Math.abs(machine.breaks - than.breaks) > EPSILON) {
-            return machine.breaks < than.breaks;
+        if (Math.abs(machine.fragmentation - than.fragmentation) > EPSILON) {
+            return machine.fragmentation < than.fragmentation;
         }
         if (machine.costPerCpu() != than.costPerCpu()) {
             return machine.costPerCpu() < than.costPerCpu();
--- a/src/main/java/org/beechhoist/plan/PlanMachine.java
+++ b/src/main/java/org/beechhoist/plan/PlanMachine.java
@@ -52,7 +52,7 @@
     /** The CPUs that are free there at the start. */
     double free;
     /** Free GPUs that the task would make useless for larger ones; for a task without GPUs, all of the machine's. */
-    double breaks;
+    double fragmentation;
 
     /**
      * Makes a machine with nothing on it.
--- a/src/test/java/org/beechhoist/sim/PackingTest.java
+++ b/src/test/java/org/beechhoist/sim/PackingTest.java
@@ -229,11 +229,11 @@
     @Test
     void whatAPlacementBreaks() {
         Sizes s = new Sizes(Map.of(1.0, 6.0, 2.0, 3.0, 8.0, 1.0));
-        assertTrue(s.broken(8, 1) > 0);
-        assertTrue(s.broken(3, 1) < s.broken(8, 1));
-        assertTrue(s.broken(1, 1) < s.broken(2, 1) + 1e-9);
-        assertTrue(s.broken(8, 8) <= 0);
-        assertEquals(0, Sizes.NONE.broken(8, 1));
+        assertTrue(s.fragmentationChange(8, 1) > 0);
+        assertTrue(s.fragmentationChange(3, 1) < s.fragmentationChange(8, 1));
+        assertTrue(s.fragmentationChange(1, 1) < s.fragmentationChange(2, 1) + 1e-9);
+        assertTrue(s.fragmentationChange(8, 8) <= 0);
+        assertEquals(0, Sizes.NONE.fragmentationChange(8, 1));
     }
 
     private static TaskId task(int i) {
@@ -241,17 +241,17 @@
     }
 
     private static Moves.Movable movable(int i, int gpus, double cost) {
-        return new Moves.Movable(task(i), new Moves.Room(gpus, gpus, gpus), cost);
+        return new Moves.Movable(task(i), new Moves.Resources(gpus, gpus, gpus), cost);
     }
 
     private static Moves.Machine machine(String id, int free, Moves.Movable... tasks) {
-        return new Moves.Machine(new MachineId(id), new Moves.Room(free, free, free), true, List.of(tasks));
+        return new Moves.Machine(new MachineId(id), new Moves.Resources(free, free, free), true, List.of(tasks));
     }
 
     /** The cheapest set on one machine, each with a place elsewhere; none where there is room, or no place for what must go. */
     @Test
     void theCheapestMoves() {
-        Moves.Room need = new Moves.Room(8, 8, 8);
+        Moves.Resources need = new Moves.Resources(8, 8, 8);
         Sizes s = new Sizes(Map.of(1.0, 1.0, 8.0, 1.0));
         Moves.Found f = Moves.cheapest(
                 need,
@@ -261,7 +261,7 @@
                         machine("c", 3, movable(5, 5, 9))),
                 (t, h) -> true,
                 s);
-        assertEquals(new MachineId("b"), f.host(), f.toString());
+        assertEquals(new MachineId("b"), f.machine(), f.toString());
         assertEquals(5, f.cost());
         assertEquals(2, f.moves().size());
         assertNull(
