--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -18,9 +18,9 @@
 import org.beechhoist.floor.Share;
 import org.beechhoist.release.ShipOrder;
 import org.beechhoist.store.Placement;
+import org.beechhoist.triage.Capacity;
 import org.beechhoist.triage.Demand;
-import org.beechhoist.triage.Means;
-import org.beechhoist.triage.Triage;
+import org.beechhoist.triage.ShedJobSelector;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineType;
@@ -114,7 +114,7 @@
                     late,
                     more || begun || job.prioritized || ordering.shipKey(job) != ShipOrder.NONE));
         }
-        Set<JobId> now = !overloaded ? Set.of() : Triage.behind(demands, means());
+        Set<JobId> now = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
         if (!now.isEmpty()) {
             now = new HashSet<>(now);
             for (Job j : missed) {
@@ -135,7 +135,7 @@
         }
     }
 
-    private Means means() {
+    private Capacity capacity() {
         double cpus = 0;
         double busy = 0;
         double gpus = 0;
@@ -162,12 +162,12 @@
                 }
             }
         }
-        Map<String, Means.Team> teams = new HashMap<>();
+        Map<String, Capacity.Team> teams = new HashMap<>();
         for (Settings.Team team : settings.teams().values()) {
             if (team.cpusMax() < Double.POSITIVE_INFINITY && team.cpusMax() > 0) {
-                teams.put(team.name(), new Means.Team(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
+                teams.put(team.name(), new Capacity.Team(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
             }
         }
-        return new Means(context.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
+        return new Capacity(context.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
     }
 }
--- a/src/main/java/org/beechhoist/triage/Demand.java
+++ b/src/main/java/org/beechhoist/triage/Demand.java
@@ -6,13 +6,15 @@
 /**
  * What an open job still asks for.
  *
- * @param groups its class, its team, and its class's largest where it is one: of none of them more than half is left behind for another's sake
- * @param rank whose work goes before whose, the lower first
- * @param cpuMs of its tasks that wait, and {@code gpuMs} of the GPUs that they need
- * @param lengthMs what one of them takes, its image included
- * @param dueMs by when it must be over; {@link #NO_DUE} where nothing can be missed any more, or ever could
- * @param missed whether it is late for all that it was promised
- * @param keep whether it is not to be left behind: machines for it may still be had, it goes first, or it has begun
+ * @param groups its class, its team, and the group of its class's largest jobs if it is one of them; none of these groups has more
+ *     than half of its jobs shed for the sake of others
+ * @param rank jobs of a lower rank go before those of a higher one
+ * @param cpuMs CPU time of its waiting tasks
+ * @param gpuMs GPU time of its waiting tasks
+ * @param lengthMs duration of one task, fetching its image included
+ * @param dueMs its deadline; {@link #NO_DUE} if it has none, or none that can still be missed
+ * @param missed whether it is late already
+ * @param keep whether it must not be shed: machines for it may still be rented, it is prioritized, or it has begun
  */
 public record Demand(
         JobId job,
@@ -25,5 +27,6 @@
         long dueMs,
         boolean missed,
         boolean keep) {
+    /** The value of {@code dueMs} for a job without a deadline that can be missed. */
     public static final long NO_DUE = Long.MAX_VALUE;
 }
--- a/src/test/java/org/beechhoist/triage/TriageTest.java
+++ b/src/test/java/org/beechhoist/triage/TriageTest.java
@@ -31,8 +31,8 @@
                 keep);
     }
 
-    private static Means means(double cpus) {
-        return new Means(NOW, cpus, 0, 0, 0, Map.of(), Map.of());
+    private static Capacity capacity(double cpus) {
+        return new Capacity(NOW, cpus, 0, 0, 0, Map.of(), Map.of());
     }
 
     /** With one class as many are kept as any choice of jobs could have in time, give or take the one by which lines are coarse. */
@@ -46,7 +46,7 @@
             for (int i = 0; i < n; i++) {
                 all.add(demand(i, "one", 1000 * random.nextInt(1, 40), random.nextInt(2000, 12_000), false));
             }
-            Set<JobId> behind = Triage.behind(all, means(10));
+            Set<JobId> behind = ShedJobSelector.select(all, capacity(10));
             List<Demand> kept =
                     all.stream().filter(d -> !behind.contains(d.job())).toList();
             assertTrue(inTime(kept, 10), "round " + round + ": not all that are kept can be in time");
@@ -88,7 +88,7 @@
                 sum += cpuMs;
                 all.add(demand(i, "class" + i % 3, cpuMs, 20_000 + random.nextInt(4000), false));
             }
-            Set<JobId> behind = Triage.behind(all, means(sum * 0.7 / 20_000));
+            Set<JobId> behind = ShedJobSelector.select(all, capacity(sum * 0.7 / 20_000));
             Map<String, Integer> kept = new HashMap<>();
             all.stream()
                     .filter(d -> !behind.contains(d.job()))
@@ -106,9 +106,10 @@
                 demand(0, "one", 90_000, 5000, true),
                 demand(1, "one", 90_000, 5000, false),
                 demand(2, "one", 1000, 5000, false)));
-        assertEquals(Set.of(new JobId("job-1"), new JobId("job-2")), Triage.behind(all, means(10)));
-        assertEquals(Set.of(), Triage.behind(all, means(1000)));
-        assertEquals(Set.of(), Triage.behind(all, means(0)), "no machine is no reason to leave anybody behind");
+        assertEquals(Set.of(new JobId("job-1"), new JobId("job-2")), ShedJobSelector.select(all, capacity(10)));
+        assertEquals(Set.of(), ShedJobSelector.select(all, capacity(1000)));
+        assertEquals(
+                Set.of(), ShedJobSelector.select(all, capacity(0)), "no machine is no reason to leave anybody behind");
     }
 
     /** A team's own limit leaves its jobs behind, and nobody else's. */
@@ -128,8 +129,8 @@
                     false,
                     false));
         }
-        Set<JobId> behind =
-                Triage.behind(all, new Means(NOW, 1000, 0, 0, 0, Map.of("red", new Means.Team(5, 0)), Map.of()));
+        Set<JobId> behind = ShedJobSelector.select(
+                all, new Capacity(NOW, 1000, 0, 0, 0, Map.of("red", new Capacity.Team(5, 0)), Map.of()));
         Set<JobId> reds = new HashSet<>();
         all.stream().filter(d -> d.team().equals("red")).forEach(d -> reds.add(d.job()));
         assertTrue(!behind.isEmpty() && reds.containsAll(behind), behind.toString());
@@ -152,7 +153,7 @@
                     false,
                     false));
         }
-        Set<JobId> behind = Triage.behind(all, new Means(NOW, 1000, 0, 4, 0, Map.of(), Map.of()));
+        Set<JobId> behind = ShedJobSelector.select(all, new Capacity(NOW, 1000, 0, 4, 0, Map.of(), Map.of()));
         assertTrue(behind.size() >= 2 && behind.size() <= 4, behind.toString());
         assertTrue(behind.stream().allMatch(j -> Integer.parseInt(j.text().substring(4)) % 2 == 0), behind.toString());
         assertTrue(behind.contains(new JobId("job-10")), "the largest by GPUs: " + behind);
