--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -13,7 +13,7 @@
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
-import org.beechhoist.floor.Aged;
+import org.beechhoist.floor.StarvingJobSelector;
 import org.beechhoist.release.ShipOrder;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
@@ -71,7 +71,9 @@
             latest =
                     stillOpen(latest, context.now().ms() + ships - context.wallMs() - estimates.expectedMs(job.spec()));
         }
-        return job.hasBegun() ? latest : stillOpen(latest, job.submittedAt.ms() + Aged.BEGUN_MS - BEGIN_MARGIN_MS);
+        return job.hasBegun()
+                ? latest
+                : stillOpen(latest, job.submittedAt.ms() + StarvingJobSelector.BEGIN_WITHIN_MS - BEGIN_MARGIN_MS);
     }
 
     private long objective(Job job) {
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -15,11 +15,11 @@
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
-import org.beechhoist.floor.Aged;
-import org.beechhoist.floor.Floor;
 import org.beechhoist.floor.Largest;
 import org.beechhoist.floor.Ledger;
+import org.beechhoist.floor.PrioritizedJobSelector;
 import org.beechhoist.floor.Share;
+import org.beechhoist.floor.StarvingJobSelector;
 import org.beechhoist.store.ServiceShareRecord;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
@@ -154,7 +154,7 @@
             if (job.release != null) {
                 all.add("maker:" + job.release.maker());
             }
-            all.addAll(largest.meet(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
+            all.addAll(largest.record(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
             job.shareGroups = Set.copyOf(all);
         }
         return job.shareGroups;
@@ -177,7 +177,7 @@
         if (!known) {
             return;
         }
-        List<Floor.Waiting> waiting = new ArrayList<>();
+        List<PrioritizedJobSelector.Waiting> waiting = new ArrayList<>();
         Set<String> guaranteed = new HashSet<>();
         for (Job job : clusterState.jobs()) {
             if (job.withinQuota && job.keySetHold == null && !job.isCancelled() && job.record.waitingCount() > 0) {
@@ -206,11 +206,11 @@
                             && (job.withinQuota
                                     || guaranteed.stream().allMatch(job.spec().team()::equals))) {
                 long ends = context.wallMs() + estimates.expectedMs(job.spec());
-                waiting.add(new Floor.Waiting(job.id(), groups(job), job.prioritized, ends, limit));
+                waiting.add(new PrioritizedJobSelector.Waiting(job.id(), groups(job), job.prioritized, ends, limit));
             }
         }
         Set<JobId> before = lifted;
-        lifted = Floor.lifted(ledger.shares(context.wallMs()), waiting);
+        lifted = PrioritizedJobSelector.select(ledger.shares(context.wallMs()), waiting);
         Map<JobId, Integer> aged = aged();
         for (Job job : clusterState.jobs()) {
             Integer part = aged.get(job.id());
@@ -246,7 +246,7 @@
     }
 
     private Map<JobId, Integer> aged() {
-        List<Aged.Waiting> waiting = new ArrayList<>();
+        List<StarvingJobSelector.Waiting> waiting = new ArrayList<>();
         double all = 0;
         for (Machine h : clusterState.machines()) {
             all += h.up && !h.releasing ? cpus.applyAsDouble(h) : 0;
@@ -257,14 +257,14 @@
                     && !job.isSuspect()
                     && job.notBefore.ms() <= context.now().ms()
                     && (job.starving || !job.hasBegun())
-                    && groups(job).stream().anyMatch(Largest::ofSize)) {
+                    && groups(job).stream().anyMatch(Largest::isSizeGroup)) {
                 long first = job.record.live.values().stream()
                         .mapToLong(p -> context.now().since(p.placedAt))
                         .max()
                         .orElse(0);
                 JobSpec spec = job.spec();
                 boolean whole = spec.isGang() || spec.isService() || spec.sameZone() || spec.antiAffinity();
-                waiting.add(new Aged.Waiting(
+                waiting.add(new StarvingJobSelector.Waiting(
                         job.id(),
                         job.record.submittedWallMs,
                         whole,
@@ -275,7 +275,7 @@
                         spec.cpus()));
             }
         }
-        return Aged.first(waiting, all, context.wallMs());
+        return StarvingJobSelector.select(waiting, all, context.wallMs());
     }
 
     private void write() {
--- a/src/main/java/org/beechhoist/floor/Ledger.java
+++ b/src/main/java/org/beechhoist/floor/Ledger.java
@@ -5,32 +5,34 @@
 import java.util.TreeMap;
 
 /**
- * What was asked and served within the last minutes, by group, in steps of time. Memory is bounded: by the steps, and by
- * the number of groups, beyond which new ones are not counted.
+ * Counts what was asked and served within the last minutes, by group, in steps of time. Memory is bounded by the number of steps and
+ * by the number of groups, beyond which new ones are not counted.
  */
 public final class Ledger {
-    /** A step's length, and how many of them count. */
+    /** The length of a step. */
     public static final long STEP_MS = 15_000;
 
+    /** The number of steps that count. */
     public static final int STEPS = 20;
-    private static final int MOST_GROUPS = 256;
 
-    /** By group, then by step; a step is numbered by the time of day, so that leaders agree on it. */
+    private static final int MAX_GROUPS = 256;
+
+    /** The counts by group, then by step; a step is numbered by the time of day, so that leaders agree on it. */
     private final Map<String, TreeMap<Long, Share>> groups = new LinkedHashMap<>();
 
-    /** One job's time is up, or it was over before. */
+    /** Counts one job of the group: its time is up, or it was over before that. */
     public void count(String group, long wallMs, boolean served) {
         add(group, wallMs / STEP_MS, new Share(1, served ? 1 : 0));
     }
 
-    /** Takes over what an earlier leader counted. */
+    /** Adds what an earlier leader counted. */
     public void add(String group, long step, Share share) {
-        if (groups.containsKey(group) || groups.size() < MOST_GROUPS) {
-            groups.computeIfAbsent(group, k -> new TreeMap<>()).merge(step, share, Share::plus);
+        if (groups.containsKey(group) || groups.size() < MAX_GROUPS) {
+            groups.computeIfAbsent(group, name -> new TreeMap<>()).merge(step, share, Share::plus);
         }
     }
 
-    /** Sums of the steps that count, by group; groups of which nothing counts any more are forgotten. */
+    /** Returns the sums of the steps that count, by group; groups of which nothing counts any more are forgotten. */
     public Map<String, Share> shares(long wallMs) {
         long first = wallMs / STEP_MS - STEPS;
         Map<String, Share> out = new TreeMap<>();
@@ -38,18 +40,19 @@
             steps.headMap(first, true).clear();
             return steps.isEmpty();
         });
-        groups.forEach((g, steps) -> out.put(g, steps.values().stream().reduce(new Share(0, 0), Share::plus)));
+        groups.forEach((group, steps) -> out.put(group, steps.values().stream().reduce(new Share(0, 0), Share::plus)));
         return out;
     }
 
-    /** All that counts, to be stored. */
+    /** Returns all steps that count, by group, to be stored. */
     public Map<String, Map<Long, Share>> steps(long wallMs) {
         shares(wallMs);
         Map<String, Map<Long, Share>> out = new TreeMap<>();
-        groups.forEach((g, steps) -> out.put(g, new TreeMap<>(steps)));
+        groups.forEach((group, steps) -> out.put(group, new TreeMap<>(steps)));
         return out;
     }
 
+    /** Forgets all counts. */
     public void clear() {
         groups.clear();
     }
--- a/src/main/java/org/beechhoist/floor/Share.java
+++ b/src/main/java/org/beechhoist/floor/Share.java
@@ -1,8 +1,13 @@
 package org.beechhoist.floor;
 
-/** Jobs of a class or team whose time was up lately, and those of them that were over in time. */
+/**
+ * What was asked and served of a group of jobs.
+ *
+ * @param asked jobs whose time was up lately
+ * @param served those of them that were over in time
+ */
 public record Share(int asked, int served) {
-    /** From 0 to 1; 1 where nothing was asked. */
+    /** Returns the part that was served, from 0 to 1; 1 if nothing was asked. */
     public double value() {
         return asked == 0 ? 1 : (double) served / asked;
     }
--- a/src/main/java/org/beechhoist/store/ServiceShareRecord.java
+++ b/src/main/java/org/beechhoist/store/ServiceShareRecord.java
@@ -23,7 +23,7 @@
         ObjectNode node = Codec.map().put("v", VERSION).put("at", wallMs);
         int bytes = 40;
         ObjectNode sizes = node.putObject("sizes");
-        for (Map.Entry<String, long[]> entry : largest.known().entrySet()) {
+        for (Map.Entry<String, long[]> entry : largest.minSizes().entrySet()) {
             bytes += entry.getKey().length() + 40;
             if (bytes > mostBytes / 4) {
                 break;
@@ -68,7 +68,7 @@
             for (int i = 0; i < from.length; i++) {
                 from[i] = Math.max(0, entry.getValue().get(i).asLong());
             }
-            largest.take(entry.getKey(), from);
+            largest.restore(entry.getKey(), from);
         }
         return node.path("at").asLong();
     }
--- a/src/test/java/org/beechhoist/floor/FloorTest.java
+++ b/src/test/java/org/beechhoist/floor/FloorTest.java
@@ -10,51 +10,56 @@
 import org.junit.jupiter.api.Test;
 
 class FloorTest {
-    private static Floor.Waiting waiting(int n, String group, long ends, long limit) {
-        return new Floor.Waiting(new JobId("job-" + n), Set.of(group, "team:t"), false, ends, limit);
+    private static PrioritizedJobSelector.Waiting waiting(int n, String group, long ends, long limit) {
+        return new PrioritizedJobSelector.Waiting(new JobId("job-" + n), Set.of(group, "team:t"), false, ends, limit);
     }
 
     @Test
     void nobodyIsLiftedWhileAllHaveTheirHalf() {
-        List<Floor.Waiting> all = List.of(waiting(1, "class:a", 10, 20));
-        assertEquals(Set.of(), Floor.lifted(Map.of("class:a", new Share(10, 6), "class:b", new Share(10, 10)), all));
+        List<PrioritizedJobSelector.Waiting> all = List.of(waiting(1, "class:a", 10, 20));
         assertEquals(
                 Set.of(),
-                Floor.lifted(Map.of("class:a", new Share(10, 2), "class:b", new Share(100, 69)), all),
+                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 6), "class:b", new Share(10, 10)), all));
+        assertEquals(
+                Set.of(),
+                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 2), "class:b", new Share(100, 69)), all),
                 "nobody is far above");
         assertEquals(
                 Set.of(),
-                Floor.lifted(Map.of("class:a", new Share(3, 0), "class:b", new Share(10, 10)), all),
+                PrioritizedJobSelector.select(Map.of("class:a", new Share(3, 0), "class:b", new Share(10, 10)), all),
                 "too few to say");
         assertEquals(
                 Set.of(),
-                Floor.lifted(Map.of("class:a", new Share(10, 2), "team:b", new Share(10, 10)), all),
+                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 2), "team:b", new Share(10, 10)), all),
                 "another kind");
     }
 
     @Test
     void noMoreAreLiftedThanItTakesAndOnlyThoseThatCanBeInTime() {
-        List<Floor.Waiting> all = new ArrayList<>();
+        List<PrioritizedJobSelector.Waiting> all = new ArrayList<>();
         for (int i = 1; i <= 20; i++) {
             all.add(waiting(i, "class:a", i <= 2 ? 1000 : 10, 100 + 20 - i));
         }
         all.add(waiting(99, "class:b", 10, 20));
         Map<String, Share> shares = Map.of("class:a", new Share(10, 5), "class:b", new Share(10, 10));
-        assertEquals(3, Floor.needed(new Share(10, 5)), "8 of 13 are above 0.6");
+        assertEquals(3, PrioritizedJobSelector.needed(new Share(10, 5)), "8 of 13 are above 0.6");
         assertEquals(
                 Set.of(new JobId("job-18"), new JobId("job-19"), new JobId("job-20")),
-                Floor.lifted(shares, all),
+                PrioritizedJobSelector.select(shares, all),
                 "the first to be due");
     }
 
     @Test
     void whatIsLiftedStaysSoAndCountsAgainstWhatItTakes() {
-        Floor.Waiting running = new Floor.Waiting(new JobId("job-50"), Set.of("class:a"), true, 900, 100);
-        List<Floor.Waiting> all = List.of(
+        PrioritizedJobSelector.Waiting running =
+                new PrioritizedJobSelector.Waiting(new JobId("job-50"), Set.of("class:a"), true, 900, 100);
+        List<PrioritizedJobSelector.Waiting> all = List.of(
                 running, waiting(1, "class:a", 10, 30), waiting(2, "class:a", 10, 20), waiting(3, "class:a", 10, 40));
         Map<String, Share> shares = Map.of("class:a", new Share(10, 5), "class:b", new Share(10, 10));
-        assertEquals(Set.of(new JobId("job-50"), new JobId("job-1"), new JobId("job-2")), Floor.lifted(shares, all));
-        assertEquals(Set.of(new JobId("job-50")), Floor.lifted(Map.of(), all));
+        assertEquals(
+                Set.of(new JobId("job-50"), new JobId("job-1"), new JobId("job-2")),
+                PrioritizedJobSelector.select(shares, all));
+        assertEquals(Set.of(new JobId("job-50")), PrioritizedJobSelector.select(Map.of(), all));
     }
 
     @Test
--- a/src/test/java/org/beechhoist/sim/ServedFloorTest.java
+++ b/src/test/java/org/beechhoist/sim/ServedFloorTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import org.beechhoist.config.Policy;
-import org.beechhoist.floor.Floor;
+import org.beechhoist.floor.PrioritizedJobSelector;
 import org.beechhoist.standin.StateService;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -65,7 +65,7 @@
         assertTrue(with.get("class slow").value() >= 0.5, "with the floor: " + with + "; without: " + without);
         // It gives up what the other needs for its half, and stays far above its own.
         assertTrue(
-                with.get("class fast").value() >= Floor.FAR_ABOVE,
+                with.get("class fast").value() >= PrioritizedJobSelector.FAR_ABOVE,
                 "urgent work gave up too much: " + with + "; without: " + without);
     }
 
