--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -16,7 +16,7 @@
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.elastic.Ending;
-import org.beechhoist.elastic.Sure;
+import org.beechhoist.elastic.GuaranteedWidth;
 import org.beechhoist.elastic.Surplus;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
@@ -85,7 +85,7 @@
             return Math.max(0, Math.min(waiting, width.allowed().max() - job.record.live.size()));
         }
         int unfinished = job.spec().tasks() - job.record.done.size();
-        int sure = Sure.width(
+        int sure = GuaranteedWidth.width(
                 width.allowed(),
                 unfinished,
                 estimates.expectedMs(job.spec()),
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -203,7 +203,7 @@
             return;
         }
         turns.given(spec.team(), context.now());
-        queue.add(new Submission(request, spec.withKeySetBinding(binding.pin()), Revision.ABSENT));
+        queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
         flush();
     }
 
@@ -221,7 +221,7 @@
 
     /** A job that was judged well, bound to its key set if it needs one. */
     JobSpec bound(JobSpec spec) {
-        return spec.withKeySetBinding(bind(spec).pin());
+        return spec.withKeySetBinding(bind(spec).keySetBinding());
     }
 
     /** Null: nothing is known yet. */
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -14,29 +14,34 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * A key set as the state service holds it, {@code ks/set/NAME}.
+ * A key set as the state service holds it, {@code ks/set/NAME}. It is immutable: a change returns a new one.
  *
- * @param owner the team it is for
- * @param classes of jobs that it is for; empty: all of that team
- * @param number of its last change; it only grows, and is held beside it ({@code ks/num/NAME}) against a record that somebody
- *     brings back
+ * @param owner the team that it is for
+ * @param classes the classes of jobs that it is for; empty: all jobs of that team
+ * @param number the number of its last change; it only grows, and is stored beside the record too ({@code ks/num/NAME}), so that
+ *     an old record that somebody writes again is noticed
  * @param versions the oldest first
  */
 public record KeySet(String name, String owner, List<String> classes, long number, List<Version> versions) {
+    /** The most versions of a set. */
     public static final int MOST_VERSIONS = 20;
+
+    /** The most fingerprints of a version. */
     public static final int MOST_FINGERPRINTS = 16;
+
     private static final int MOST_NAME = 64;
     private static final int MOST_TEXT = 120;
     private static final String NAME = "[a-z0-9][a-z0-9._-]{0," + (MOST_NAME - 1) + "}";
     private static final String FINGERPRINT = "[0-9A-Za-z+/=:_-]{8,100}";
 
-    /** What became of a version. */
+    /** The state of a version; stored and shown in lower case. */
     public enum State {
         PROPOSED,
         APPROVED,
         SUPERSEDED,
         REVOKED;
 
+        /** Returns the state as it is stored and shown. */
         public String text() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -53,9 +58,13 @@
     }
 
     /**
-     * @param digest of what it holds, as it was proposed
-     * @param who changed it last, when by the time of day, and why
-     * @param drainUntilMs superseded: jobs that are bound to it may run until then
+     * One version of a set.
+     *
+     * @param digest the digest of what it holds, as it was proposed
+     * @param who who changed it last
+     * @param atMs when, by the time of day
+     * @param why the reason for that change
+     * @param drainUntilMs until when jobs that are bound to a superseded version may run
      */
     public record Version(
             long version,
@@ -66,13 +75,18 @@
             long atMs,
             String why,
             long drainUntilMs) {
-        Version is(State other, String by, long now, String because, long drain) {
-            return new Version(version, fingerprints, digest, other, by, now, because, drain);
+        Version withState(State next, Change change, long drainUntil) {
+            return new Version(version, fingerprints, digest, next, change.who, change.atMs, change.why, drainUntil);
         }
     }
 
-    /** Who makes a change, when and why. */
+    /**
+     * Who makes a change, when and why.
+     *
+     * @param atMs by the time of day
+     */
     public record Change(String who, long atMs, String why) {
+        /** Checks that who and why are given and not too long. */
         public Change {
             if (who.isBlank() || who.length() > MOST_TEXT) {
                 throw new IllegalArgumentException(
@@ -85,13 +99,14 @@
         }
     }
 
+    /** Returns whether the text can be a set's name. */
     public static boolean validName(String name) {
         return name.matches(NAME);
     }
 
-    // ---- what it holds ----
+    // ---- content ----
 
-    /** Over the canonical form: name, owner and version, then the fingerprints in their order by character, a line each. */
+    /** Returns the SHA-256 of the canonical form: name, owner and version, then the sorted fingerprints, one a line. */
     public static String digest(String name, String owner, long version, List<String> fingerprints) {
         List<String> lines = new ArrayList<>(List.of(name, owner, Long.toString(version)));
         fingerprints.stream().sorted().forEach(lines::add);
@@ -104,27 +119,36 @@
         }
     }
 
-    /** The digest of what the version holds now, whatever digest stands beside it. */
+    /** Returns the digest computed from what the version holds now, whatever digest is stored with it. */
     public String digestNow(Version version) {
         return digest(name, owner, version.version, version.fingerprints);
     }
 
+    /** Returns the version of this number, or null. */
     public Version version(long number) {
-        return versions.stream().filter(v -> v.version == number).findFirst().orElse(null);
+        return versions.stream()
+                .filter(one -> one.version == number)
+                .findFirst()
+                .orElse(null);
     }
 
+    /** Returns the approved version, or null. */
     public Version approved() {
         return versions.stream()
-                .filter(v -> v.state == State.APPROVED)
+                .filter(one -> one.state == State.APPROVED)
                 .findFirst()
                 .orElse(null);
     }
 
     // ---- changes ----
 
-    /** A new set, or a new version of one; {@code before} is null for the first. */
+    /**
+     * Returns a new set, or a set with a new version.
+     *
+     * @param before the set so far; null: there is none
+     */
     public static KeySet propose(
-            KeySet before, String name, String owner, List<String> classes, List<String> fingerprints, Change by)
+            KeySet before, String name, String owner, List<String> classes, List<String> fingerprints, Change change)
             throws MalformedMessageException {
         if (!validName(name)) {
             throw new MalformedMessageException("name = " + name + ": a to z, 0 to 9, dot, dash and underline, "
@@ -134,6 +158,19 @@
             throw new MalformedMessageException(
                     "owner = " + owner + ": " + before.owner + ", whose set it is, is expected");
         }
+        checkFingerprints(fingerprints);
+        List<Version> all = new ArrayList<>(before == null ? List.of() : before.versions);
+        if (all.size() == MOST_VERSIONS) {
+            removeOldest(all, change.atMs);
+        }
+        long next = all.isEmpty() ? 1 : all.get(all.size() - 1).version + 1;
+        List<String> sorted = fingerprints.stream().sorted().toList();
+        String digest = digest(name, owner, next, sorted);
+        all.add(new Version(next, sorted, digest, State.PROPOSED, change.who, change.atMs, change.why, 0));
+        return new KeySet(name, owner, List.copyOf(classes), before == null ? 1 : before.number + 1, all);
+    }
+
+    private static void checkFingerprints(List<String> fingerprints) throws MalformedMessageException {
         if (fingerprints.isEmpty() || fingerprints.size() > MOST_FINGERPRINTS) {
             throw new MalformedMessageException(
                     "fingerprints: 1 to " + MOST_FINGERPRINTS + " are expected, not " + fingerprints.size());
@@ -147,27 +184,26 @@
         if (fingerprints.stream().distinct().count() < fingerprints.size()) {
             throw new MalformedMessageException("fingerprints: each is expected once");
         }
-        List<Version> all = new ArrayList<>(before == null ? List.of() : before.versions);
-        if (all.size() == MOST_VERSIONS) {
-            // Jobs that are bound to the oldest are held from then on, as if it had never been; one in use is not
-            // dropped.
-            State oldest = all.get(0).state;
-            if (oldest != State.REVOKED && !(oldest == State.SUPERSEDED && all.get(0).drainUntilMs < by.atMs)) {
-                throw new MalformedMessageException("versions: " + MOST_VERSIONS + " at most, and version "
-                        + all.get(0).version + " is still in use");
-            }
-            all.remove(0);
+    }
+
+    /** Removes the oldest version unless it is in use. Jobs that are bound to it are held from then on, as if it had never existed. */
+    private static void removeOldest(List<Version> versions, long nowMs) throws MalformedMessageException {
+        Version oldest = versions.get(0);
+        if (oldest.state != State.REVOKED && !(oldest.state == State.SUPERSEDED && oldest.drainUntilMs < nowMs)) {
+            throw new MalformedMessageException(
+                    "versions: " + MOST_VERSIONS + " at most, and version " + oldest.version + " is still in use");
         }
-        long next = all.isEmpty() ? 1 : all.get(all.size() - 1).version + 1;
-        List<String> sorted = fingerprints.stream().sorted().toList();
-        all.add(new Version(
-                next, sorted, digest(name, owner, next, sorted), State.PROPOSED, by.who, by.atMs, by.why, 0));
-        return new KeySet(name, owner, List.copyOf(classes), before == null ? 1 : before.number + 1, all);
+        versions.remove(0);
     }
 
-    /** Approves this very version; the one approved before is superseded, and what is bound to it may run on until {@code drainUntilMs}. */
-    public KeySet approve(long version, String digest, long drainUntilMs, Change by) throws MalformedMessageException {
-        Version keyVersion = known(version);
+    /**
+     * Returns the set with this version approved, if it holds what the digest says; the version approved before is superseded.
+     *
+     * @param drainUntilMs until when jobs that are bound to the superseded version may run
+     */
+    public KeySet approve(long version, String digest, long drainUntilMs, Change change)
+            throws MalformedMessageException {
+        Version keyVersion = existing(version);
         if (!keyVersion.digest.equals(digest) || !digestNow(keyVersion).equals(digest)) {
             throw new MalformedMessageException(
                     "digest = " + digest + ": version " + version + " holds " + digestNow(keyVersion));
@@ -180,17 +216,17 @@
             throw new MalformedMessageException("version = " + version + ": version " + last.version
                     + " is approved; only a newer one may follow, or one that was revoked");
         }
-        KeySet out =
-                last == null ? this : changed(last, last.is(State.SUPERSEDED, by.who, by.atMs, by.why, drainUntilMs));
-        return out.changed(keyVersion, keyVersion.is(State.APPROVED, by.who, by.atMs, by.why, 0));
+        KeySet out = last == null ? this : changed(last, last.withState(State.SUPERSEDED, change, drainUntilMs));
+        return out.changed(keyVersion, keyVersion.withState(State.APPROVED, change, 0));
     }
 
-    public KeySet revoke(long version, Change by) throws MalformedMessageException {
-        Version v = known(version);
-        return changed(v, v.is(State.REVOKED, by.who, by.atMs, by.why, 0));
+    /** Returns the set with this version revoked. */
+    public KeySet revoke(long version, Change change) throws MalformedMessageException {
+        Version revoked = existing(version);
+        return changed(revoked, revoked.withState(State.REVOKED, change, 0));
     }
 
-    private Version known(long version) throws MalformedMessageException {
+    private Version existing(long version) throws MalformedMessageException {
         Version keyVersion = version(version);
         if (keyVersion == null) {
             throw new MalformedMessageException("version = " + version + ": one of "
@@ -205,11 +241,12 @@
                 owner,
                 classes,
                 number + 1,
-                versions.stream().map(v -> v == from ? to : v).toList());
+                versions.stream().map(one -> one == from ? to : one).toList());
     }
 
     // ---- as stored and shown ----
 
+    /** Returns the set as it is stored and shown. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map().put("name", name).put("owner", owner).put("number", number);
         ArrayNode otherClasses = node.putArray("classes");
@@ -226,12 +263,13 @@
             if (version.drainUntilMs > 0) {
                 row.put("drainUntil", version.drainUntilMs);
             }
-            ArrayNode f = row.putArray("fingerprints");
-            version.fingerprints.forEach(f::add);
+            ArrayNode prints = row.putArray("fingerprints");
+            version.fingerprints.forEach(prints::add);
         }
         return node;
     }
 
+    /** Reads a stored set. */
     public static KeySet parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.path("versions").isArray()) {
             throw new MalformedMessageException("versions: a list is expected");
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -8,19 +8,33 @@
 import org.beechhoist.wire.Revision;
 
 /**
- * All key sets as a node knows them at one moment.
+ * All key sets as a node knows them at one moment; immutable.
  *
  * @param sets by name
- * @param marks by name: somebody has seen a set hold something else than it did, and nobody has approved it since
- * @param classes of which every job is bound to a set, and {@code teams}
+ * @param marks mismatches by the set's name: a node has seen the set hold something else than it did, and nobody has approved it
+ *     since
+ * @param classes every job of these classes must be bound to a set
+ * @param teams every job of these teams must be bound to a set
  */
 public record KeySets(Map<String, Known> sets, Map<String, Mark> marks, Set<String> classes, Set<String> teams) {
+    /** No key sets. */
     public static final KeySets NONE = new KeySets(Map.of(), Map.of(), Set.of(), Set.of());
 
-    /** @param set null where the record can't be read */
+    /**
+     * A set and the revision of its record.
+     *
+     * @param set null if the record can't be read
+     */
     public record Known(KeySet set, Revision revision) {}
 
-    /** A mismatch that was seen: {@code saw} and {@code known} say what stood there and what should. */
+    /**
+     * A mismatch that was seen.
+     *
+     * @param atMs when, by the time of day
+     * @param node which node saw it
+     * @param saw what the set held
+     * @param known what it should hold
+     */
     public record Mark(long atMs, String node, String saw, String known) {
         String text() {
             return "it holds " + saw + ", " + known + " is what was known, seen by " + node;
@@ -28,23 +42,29 @@
     }
 
     /**
-     * What a submission is bound to.
+     * What a submission is bound to, or why it is refused.
      *
-     * @param pin null: to nothing, for nothing binds it
+     * @param keySetBinding null: it is bound to no set, and need not be
      * @param refusal why it can't be accepted; null: it can
      */
-    public record Binding(KeySetBinding pin, String refusal) {
+    public record Binding(KeySetBinding keySetBinding, String refusal) {
         private static Binding refused(String why) {
             return new Binding(null, why);
         }
     }
 
+    /** Returns the revision of the set's record. */
     public Revision revision(String set) {
-        Known k = sets.get(set);
-        return k == null ? Revision.ABSENT : k.revision;
+        Known known = sets.get(set);
+        return known == null ? Revision.ABSENT : known.revision;
     }
 
-    /** @param named the set that the job names, or null */
+    /**
+     * Returns what a new job is bound to: the approved version of the set that it names, or of the one set that fits it if its class
+     * or team needs one.
+     *
+     * @param named the set that the job names, or null
+     */
     public Binding bind(String team, String jobClass, String named) {
         if (named != null) {
             Known known = sets.get(named);
@@ -66,9 +86,10 @@
                 fitting.put(known.set.name(), known.set);
             }
         }
-        // One made for the class goes before one for all of the team.
-        List<KeySet> forClass =
-                fitting.values().stream().filter(s -> !s.classes().isEmpty()).toList();
+        // A set for the class goes before one for the whole team.
+        List<KeySet> forClass = fitting.values().stream()
+                .filter(set -> !set.classes().isEmpty())
+                .toList();
         List<KeySet> left = forClass.isEmpty() ? List.copyOf(fitting.values()) : forClass;
         if (left.isEmpty()) {
             return Binding.refused(
@@ -99,17 +120,20 @@
                 && (keySet.classes().isEmpty() || keySet.classes().contains(jobClass));
     }
 
-    /** Whether what is bound so may run. Nothing but this very version with this very content, approved or draining, lets it. */
-    public Verdict verdict(KeySetBinding pin, long nowMs) {
-        Known known = sets.get(pin.keySet());
+    /**
+     * Returns whether a job that is bound so may run: only if the set still has exactly this version with exactly this content, and it
+     * is approved, or superseded and may still be drained.
+     */
+    public Verdict verdict(KeySetBinding binding, long nowMs) {
+        Known known = sets.get(binding.keySet());
         if (known == null) {
             return Verdict.held(0, "the state service", "the key set is gone");
         }
-        Mark mark = marks.get(pin.keySet());
+        Mark mark = marks.get(binding.keySet());
         if (mark != null) {
             return Verdict.held(mark.atMs, mark.node, "mismatch: " + mark.text());
         }
-        KeySet.Version version = known.set == null ? null : known.set.version(pin.version());
+        KeySet.Version version = known.set == null ? null : known.set.version(binding.version());
         if (version == null) {
             return Verdict.held(
                     0,
@@ -117,9 +141,9 @@
                     known.set == null ? "mismatch: the key set can't be read" : "the version is gone");
         }
         String now = known.set.digestNow(version);
-        if (!now.equals(pin.digest()) || !version.digest().equals(pin.digest())) {
+        if (!now.equals(binding.digest()) || !version.digest().equals(binding.digest())) {
             return Verdict.held(
-                    0, "the state service", "mismatch: it holds " + now + ", the job is bound to " + pin.digest());
+                    0, "the state service", "mismatch: it holds " + now + ", the job is bound to " + binding.digest());
         }
         return switch (version.state()) {
             case APPROVED -> Verdict.MAY_RUN;
@@ -135,10 +159,16 @@
         };
     }
 
-    /** What a changed record shows that only a hand at the state service can have done; null: a change as people make them here. */
+    /**
+     * Returns what of a changed record can't have been written by this software, but only by somebody who writes to the state service
+     * directly; null if there is nothing of the kind.
+     *
+     * @param before the set as it was known, or null
+     * @param number the number of its last change as stored beside it, or null
+     */
     public static String tampered(KeySet before, KeySet now, Long number) {
         if (now == null) {
-            return null; // told by its verdict
+            return null; // its verdict says so
         }
         for (KeySet.Version version : now.versions()) {
             KeySet.Version old = before == null ? null : before.version(version.version());
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -19,7 +19,7 @@
  *
  * @param ship by the clock of the factory's zone
  * @param leadDays business days of {@code calendar} that the factory needs before it; all days where there is no calendar
- * @param team whose jobs count for it, and {@code jobClass} and {@code bundle}; null: any. With none of them only jobs that name it
+ * @param team whose jobs count for it, and {@code jobClass} and {@code image}; null: any. With none of them only jobs that name it
  * @param dueMs the factory moment, by the time of day: computed when it was put or moved, so that all nodes have the same
  * @param number of its last change; it only grows
  * @param history the oldest first
@@ -34,7 +34,7 @@
         String calendar,
         String team,
         String jobClass,
-        String bundle,
+        String image,
         long dueMs,
         long number,
         boolean removed,
@@ -140,8 +140,7 @@
     /** The release with another ship date, and the change in its history. */
     public Release moved(LocalDateTime to, long due, String who, long atMs, String why) {
         Release next = new Release(
-                name, maker, factory, to, zone, leadDays, calendar, team, jobClass, bundle, due, number, false,
-                history);
+                name, maker, factory, to, zone, leadDays, calendar, team, jobClass, image, due, number, false, history);
         return change(this, next, due, "moved", who, atMs, why);
     }
 
@@ -158,7 +157,7 @@
                 calendar,
                 team,
                 jobClass,
-                bundle,
+                image,
                 dueMs,
                 out.number,
                 true,
@@ -180,7 +179,7 @@
                 to.calendar,
                 to.team,
                 to.jobClass,
-                to.bundle,
+                to.image,
                 due,
                 before == null ? 1 : before.number + 1,
                 false,
@@ -199,7 +198,7 @@
                 .put("calendar", calendar)
                 .put("team", team)
                 .put("class", jobClass)
-                .put("bundle", bundle)
+                .put("bundle", image)
                 .put("due", dueMs)
                 .put("number", number)
                 .put("removed", removed);
@@ -242,7 +241,7 @@
                 release.calendar,
                 release.team,
                 release.jobClass,
-                release.bundle,
+                release.image,
                 node.path("due").asLong(),
                 Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE),
                 node.path("removed").asBoolean(),
--- a/src/main/java/org/beechhoist/release/Releases.java
+++ b/src/main/java/org/beechhoist/release/Releases.java
@@ -19,7 +19,7 @@
     public Releases(Collection<Release> all) {
         all.stream().filter(r -> !r.removed()).forEach(r -> byName.put(r.name(), r));
         matching = byName.values().stream()
-                .filter(r -> r.team() != null || r.jobClass() != null || r.bundle() != null)
+                .filter(r -> r.team() != null || r.jobClass() != null || r.image() != null)
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList();
     }
@@ -42,7 +42,7 @@
         for (Release release : matching) {
             if ((release.team() == null || release.team().equals(spec.team()))
                     && (release.jobClass() == null || release.jobClass().equals(spec.jobClass()))
-                    && (release.bundle() == null || release.bundle().equals(spec.image()))) {
+                    && (release.image() == null || release.image().equals(spec.image()))) {
                 return release;
             }
         }
--- a/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
+++ b/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
@@ -73,12 +73,12 @@
     @Test
     void theSureWidthIsWhatItTakes() {
         Width w = new Width(2, 16, 100.0);
-        assertEquals(2, Sure.width(w, 100, 10_000, Ending.NEVER, NOW));
-        assertEquals(10, Sure.width(w, 100, 10_000, NOW + 100_000, NOW));
-        assertEquals(16, Sure.width(w, 100, 10_000, NOW + 30_000, NOW));
-        assertEquals(2, Sure.width(w, 100, 10_000, NOW + 5000, NOW), "too late to be chased");
-        assertEquals(2, Sure.width(w, 3, 10_000, NOW + 100_000, NOW));
-        assertEquals(0, Sure.width(new Width(0, 0, 100.0), 100, 10_000, NOW + 100_000, NOW));
+        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, Ending.NEVER, NOW));
+        assertEquals(10, GuaranteedWidth.width(w, 100, 10_000, NOW + 100_000, NOW));
+        assertEquals(16, GuaranteedWidth.width(w, 100, 10_000, NOW + 30_000, NOW));
+        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, NOW + 5000, NOW), "too late to be chased");
+        assertEquals(2, GuaranteedWidth.width(w, 3, 10_000, NOW + 100_000, NOW));
+        assertEquals(0, GuaranteedWidth.width(new Width(0, 0, 100.0), 100, 10_000, NOW + 100_000, NOW));
     }
 
     @Test
