--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -106,7 +106,7 @@
 
     // ---- content ----
 
-    /** Returns the SHA-256 of the canonical form: name, owner and version, then the sorted fingerprints, one a line. */
+    /** Returns the SHA-256 of the canonical form: name, owner and version, then the fingerprints sorted by character, one a line. */
     public static String digest(String name, String owner, long version, List<String> fingerprints) {
         List<String> lines = new ArrayList<>(List.of(name, owner, Long.toString(version)));
         fingerprints.stream().sorted().forEach(lines::add);
