--- a/src/main/java/org/beechhoist/cli/DrainCommands.java
+++ b/src/main/java/org/beechhoist/cli/DrainCommands.java
@@ -37,7 +37,7 @@
         public Integer call() {
             return TomlFile.use(file, given -> {
                 String name = Codec.text(given, "name");
-                Drain.described(name, given, SOME_MOMENT);
+                Drain.fromRequest(name, given, SOME_MOMENT);
                 return UserCommands.ask(nodes, "POST", DRAINS + "/" + name + "/put", change.to(given.deepCopy()), name);
             });
         }
@@ -60,7 +60,7 @@
         public Integer call() {
             return TomlFile.use(file, given -> {
                 String name = Codec.text(given, "name");
-                Drain.described(name, given, SOME_MOMENT);
+                Drain.fromRequest(name, given, SOME_MOMENT);
                 return UserCommands.ask(nodes, "POST", DRAINS + "/" + name + "/plan", given, name);
             });
         }
@@ -196,7 +196,7 @@
         @Override
         public Integer call() {
             return TomlFile.use(file, given -> {
-                String key = DisruptionBudget.described(given, "", SOME_MOMENT, "", 1)
+                String key = DisruptionBudget.fromRequest(given, "", SOME_MOMENT, "", 1)
                         .key();
                 return UserCommands.ask(nodes, "POST", BUDGETS + "/" + key + "/put", change.to(given.deepCopy()), key);
             });
--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -199,7 +199,7 @@
         boolean over = job == null && !clusterState.isUnreadable(task.job())
                 || job != null && (job.isCancelled() || job.record.done.contains(task.index()));
         if (over || placement != null && placement.attempt > away.attempt() && placement.runningSince != null) {
-            account.back(task);
+            account.clearAway(task);
             dirty.add(team);
         } else if (placement != null
                 && placement.attempt == away.attempt()
@@ -207,7 +207,7 @@
                 && context.wallMs() - away.atMs() > NEVER_STOPPED_MS
                 && neverLeaves(job, placement)) {
             LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.machine);
-            account.undo(task);
+            account.refund(task);
             dirty.add(team);
         }
     }
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -156,13 +156,13 @@
                         throw new OptimisticUpdate.RejectedException(
                                 409, "name = " + name + ": it was aborted; put it again");
                     }
-                    return drain.to(to, what, who, context.wallMs(), why).toNode();
+                    return drain.withState(to, what, who, context.wallMs(), why).toNode();
                 },
                 responder);
     }
 
     private Drain described(String name, JsonNode node) throws MalformedMessageException {
-        Drain drain = Drain.described(name, node, context.wallMs());
+        Drain drain = Drain.fromRequest(name, node, context.wallMs());
         if (drain.which().zone() != null
                 && !settings.zones().contains(drain.which().zone())) {
             throw new MalformedMessageException(
@@ -189,13 +189,14 @@
                     "name = " + name + ": at most " + MOST_DRAINS + " drains are allowed; remove some that are over");
         }
         openDays.of(
-                described.rest().calendar(),
+                described.pauses().calendar(),
                 responder,
                 open -> commit(
                         name,
-                        described.rest().calendar() == null
+                        described.pauses().calendar() == null
                                 ? described
-                                : described.with(described.rest().with(d -> !open.test(d), context.wallMs())),
+                                : described.withPauses(
+                                        described.pauses().withClosedDays(d -> !open.test(d), context.wallMs())),
                         who,
                         why,
                         responder));
@@ -205,7 +206,7 @@
         amending.update(
                 DrainRegistry.DRAINS + name,
                 before -> described
-                        .put(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
+                        .asChangeOf(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
                         .toNode(),
                 responder);
     }
@@ -233,7 +234,7 @@
             responder.respond(404, OptimisticUpdate.error("no such path"));
             return;
         }
-        DisruptionBudget described = DisruptionBudget.described(node, who, context.wallMs(), why, 1);
+        DisruptionBudget described = DisruptionBudget.fromRequest(node, who, context.wallMs(), why, 1);
         Set<String> teams = new TreeSet<>(settings.teams().keySet());
         if (!described.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(described.team())) {
             throw new MalformedMessageException("team = " + described.team() + ": " + DisruptionBudget.DEFAULT
@@ -244,7 +245,7 @@
         }
         amending.update(
                 DrainRegistry.BUDGETS + key,
-                before -> DisruptionBudget.described(
+                before -> DisruptionBudget.fromRequest(
                                 node,
                                 who,
                                 context.wallMs(),
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -175,7 +175,7 @@
         Map<MachineId, String> by = new HashMap<>();
         for (Drain drain : drains.drains()) {
             Progress progress = runs.get(drain.name());
-            if (!drain.holds(context.wallMs())) {
+            if (!drain.blocksNewWork(context.wallMs())) {
                 continue;
             }
             for (Machine machine : matched(drain)) {
@@ -216,7 +216,7 @@
         List<Evictions.Candidate> candidates = new ArrayList<>();
         Map<TaskId, MachineId> places = new HashMap<>();
         Set<MachineId> doomed = new HashSet<>();
-        drains.drains().stream().filter(d -> d.holds(context.wallMs())).forEach(d -> matched(d)
+        drains.drains().stream().filter(d -> d.blocksNewWork(context.wallMs())).forEach(d -> matched(d)
                 .forEach(h -> doomed.add(h.id)));
         FreeCapacity rooms = new FreeCapacity(
                 clusterState,
@@ -225,7 +225,7 @@
                 h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
         for (Drain drain : drains.drains()) {
             Progress progress = runs.computeIfAbsent(drain.name(), k -> new Progress());
-            if (drain.holds(context.wallMs())) {
+            if (drain.blocksNewWork(context.wallMs())) {
                 goOn(drain, progress, planner, rooms, candidates, places);
             }
         }
@@ -284,7 +284,7 @@
         if (rollouts.spares(drain, progress)) {
             dirty.add(drain.name());
         }
-        boolean works = drain.state() == Drain.State.RUNNING && !drain.rest().rests(context.wallMs());
+        boolean works = drain.state() == Drain.State.RUNNING && !drain.pauses().isPaused(context.wallMs());
         if (drain.replace() && rollouts.step(drain, progress, matched, works, planner)) {
             write(drain.name());
         }
@@ -347,7 +347,7 @@
     // ---- which tasks ----
 
     private Ending.Need need(Drain drain, long sinceMs) {
-        long by = sinceMs + 1000 * drain.pace().waitS();
+        long by = sinceMs + 1000 * drain.limits().waitS();
         by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
         return new Ending.Need(context.now().ms() + by - context.wallMs(), true);
     }
@@ -373,7 +373,7 @@
                 continue;
             }
             Evictions.Candidate candidate = candidate(drain, run, machine, job, placement, rooms, places);
-            lacks |= !candidate.mayLeave();
+            lacks |= !candidate.mayBeEvicted();
             out.add(candidate);
         }
         return lacks;
@@ -423,7 +423,7 @@
         Map<String, Account> accounts = disruptions.copies();
         Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, context.wallMs(), MOST_LEAVE);
         decision.blocked().forEach((why, count) -> {
-            Machine machine = clusterState.findMachine(why.host());
+            Machine machine = clusterState.findMachine(why.machine());
             if (machine != null && machine.cordonedBy != null) {
                 blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                         .merge(why.text(), count, Integer::sum);
@@ -436,17 +436,17 @@
         Set<String> teams = new HashSet<>();
         Set<String> names = new HashSet<>();
         Map<String, List<Evictions.Candidate>> taken = new HashMap<>();
-        for (Evictions.Candidate candidate : decision.leave()) {
-            Machine machine = clusterState.findMachine(candidate.host());
+        for (Evictions.Candidate candidate : decision.evicted()) {
+            Machine machine = clusterState.findMachine(candidate.machine());
             boolean moves = places.containsKey(candidate.task());
             int more = (teams.contains(candidate.team()) ? 0 : 1)
                     + (names.contains(machine.cordonedBy) ? 0 : 1)
-                    + (moves && !moving.containsKey(candidate.host()) ? 1 : 0);
+                    + (moves && !moving.containsKey(candidate.machine()) ? 1 : 0);
             boolean room = teams.size() + names.size() + moving.size() + more <= Math.max(LEAST_OPS, ops)
-                    && (!moves || moving.containsKey(candidate.host()) || moving.size() < MOST_MOVES);
+                    && (!moves || moving.containsKey(candidate.machine()) || moving.size() < MOST_MOVES);
             boolean fits = disruptions.fits(accounts.get(candidate.team()));
             if (!room || !fits) {
-                accounts.get(candidate.team()).undo(candidate.task()); // in the next round
+                accounts.get(candidate.team()).refund(candidate.task()); // in the next round
                 if (!fits) {
                     blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                             .merge(
@@ -459,7 +459,7 @@
             teams.add(candidate.team());
             names.add(machine.cordonedBy);
             if (moves) {
-                moving.computeIfAbsent(candidate.host(), k -> new HashMap<>())
+                moving.computeIfAbsent(candidate.machine(), k -> new HashMap<>())
                         .put(candidate.task(), places.get(candidate.task()));
             } else {
                 stopped.add(candidate);
@@ -499,7 +499,7 @@
     }
 
     private void stop(Evictions.Candidate candidate) {
-        Machine machine = clusterState.findMachine(candidate.host());
+        Machine machine = clusterState.findMachine(candidate.machine());
         Placement placement = machine == null ? null : machine.placements.get(candidate.task());
         if (placement != null
                 && placement.attempt == candidate.attempt()
@@ -584,7 +584,7 @@
         Progress progress = runs.getOrDefault(drain.name(), new Progress());
         List<Machine> matched = progress.overMs > 0 ? List.of() : matched(drain);
         DrainForecast.Cost left =
-                progress.overMs == 0 && drain.holds(context.wallMs()) ? foresight(drain, matched) : null;
+                progress.overMs == 0 && drain.blocksNewWork(context.wallMs()) ? foresight(drain, matched) : null;
         return DrainViews.row(
                 drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), context.wallMs());
     }
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -10,7 +10,7 @@
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.drain.Drain;
-import org.beechhoist.drain.Waves;
+import org.beechhoist.drain.ReplacementSteps;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.MachineType;
@@ -74,7 +74,8 @@
                 ? longest
                 : machines.isEmpty()
                         ? 0
-                        : Waves.lastsMs(drain.pace(), machines.size(), 0, (longest + sum / machines.size()) / 2, boot);
+                        : ReplacementSteps.estimatedDurationMs(
+                                drain.limits(), machines.size(), 0, (longest + sum / machines.size()) / 2, boot);
         return new Cost(tasks, cpuS, groups, lasts);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainViews.java
+++ b/src/main/java/org/beechhoist/controller/DrainViews.java
@@ -36,11 +36,11 @@
         if (progress.overMs > 0) {
             return "over";
         }
-        return !drain.holds(wallMs)
+        return !drain.blocksNewWork(wallMs)
                 ? "undone"
                 : drain.state() == Drain.State.PAUSED
                         ? "paused"
-                        : drain.rest().rests(wallMs)
+                        : drain.pauses().isPaused(wallMs)
                                 ? "rests"
                                 : progress.paused != null ? "paused: " + progress.paused : "works";
     }
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -177,11 +177,11 @@
     /** Whether the budgets that somebody declared for its team and class allow that it is moved. */
     private boolean mayDisturb(Budgets budgets, Job job, Placement placement) {
         JobSpec spec = job.spec();
-        if (!budgets.declared(spec.team(), spec.jobClass())) {
+        if (!budgets.isDeclared(spec.team(), spec.jobClass())) {
             return true;
         }
         Account account = disruptions.copies().getOrDefault(spec.team(), new Account());
-        Account.Ask ask = new Account.Ask(
+        Account.DisruptionRequest ask = new Account.DisruptionRequest(
                 placement.task,
                 spec.jobClass(),
                 spec.isService(),
@@ -189,8 +189,8 @@
                 DisruptionAccounting.lostCpuS(spec, placement, context.now()));
         DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
         return disruptions.known()
-                && account.refuses(budgets.ofTeam(spec.team()), ask, context.wallMs()) == null
-                && (own == null || account.refuses(own, ask, context.wallMs()) == null);
+                && account.refusalReason(budgets.ofTeam(spec.team()), ask, context.wallMs()) == null
+                && (own == null || account.refusalReason(own, ask, context.wallMs()) == null);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is moved. */
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -15,7 +15,7 @@
 import org.beechhoist.controller.worker.LossRecovery;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
-import org.beechhoist.drain.Waves;
+import org.beechhoist.drain.ReplacementSteps;
 import org.beechhoist.floor.Share;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
@@ -69,23 +69,23 @@
     /** One look at it; whether what is to be written of it has changed. */
     boolean step(Drain drain, Progress progress, List<Machine> matched, boolean works, Planner planner) {
         boolean changed = false;
-        List<Waves.Waiting> waiting = new ArrayList<>();
+        List<ReplacementSteps.Waiting> waiting = new ArrayList<>();
         Map<String, Integer> kinds = new HashMap<>();
         Map<String, Integer> inHand = new HashMap<>();
         for (Machine machine : matched) {
             if (progress.begun.containsKey(machine.id)) {
                 inHand.merge(String.valueOf(machine.zone), 1, Integer::sum);
             } else if (machine.cordonedBy == null) {
-                waiting.add(new Waves.Waiting(
+                waiting.add(new ReplacementSteps.Waiting(
                         machine.id, String.valueOf(machine.zone), lost(machine), machine.placements.size()));
                 kinds.merge(kind(machine), 1, Integer::sum);
             }
         }
-        if (progress.canaryGoneMs == 0 && progress.gone >= drain.pace().canary()) {
+        if (progress.canaryGoneMs == 0 && progress.gone >= drain.limits().canary()) {
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = Waves.stops(health(progress, planner.current()));
+        String stops = ReplacementSteps.stopReason(health(progress, planner.current()));
         if (stops != null) {
             if (progress.paused == null) {
                 LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
@@ -95,7 +95,7 @@
             progress.paused = stops;
             progress.pausedMs = context.wallMs();
         } else if (progress.paused != null
-                && context.wallMs() - progress.pausedMs >= 1000 * drain.pace().holdS()) {
+                && context.wallMs() - progress.pausedMs >= 1000 * drain.limits().holdS()) {
             LOG.info("drain {} goes on: {} is over", drain.name(), progress.paused);
             progress.paused = null;
             progress.sparesAsked = progress.spares.size();
@@ -108,15 +108,15 @@
         standBy(
                 drain,
                 progress,
-                Math.min(drain.pace().spare(), waiting.size() + progress.begun.size()) - progress.spares.size(),
+                Math.min(drain.limits().spare(), waiting.size() + progress.begun.size()) - progress.spares.size(),
                 kinds);
         int up = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
                 .filter(h -> h != null && h.up && h.confirmedPresent && !h.isLeaving())
                 .count();
-        List<MachineId> next = Waves.next(
-                drain.pace(),
-                new Waves.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
+        List<MachineId> next = ReplacementSteps.nextMachines(
+                drain.limits(),
+                new ReplacementSteps.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
                 context.wallMs());
         if (!next.isEmpty()) {
             LOG.info(
@@ -142,7 +142,7 @@
         return sum;
     }
 
-    private Waves.Health health(Progress progress, Plan plan) {
+    private ReplacementSteps.Health health(Progress progress, Plan plan) {
         int faulty = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
                 .filter(h -> h != null && faultTracker.isMachineFaulty(h))
@@ -165,7 +165,7 @@
             }
         }
         int machines = (int) clusterState.machines().stream().filter(h -> h.up).count();
-        return new Waves.Health(
+        return new ReplacementSteps.Health(
                 progress.sparesAsked,
                 progress.sparesFailed,
                 faulty,
--- a/src/main/java/org/beechhoist/drain/Account.java
+++ b/src/main/java/org/beechhoist/drain/Account.java
@@ -12,23 +12,29 @@
 import org.beechhoist.wire.TaskId;
 
 /**
- * What of one team's work was disturbed: tasks that are away on purpose, when each was last disturbed on purpose, and tasks and CPU
- * seconds by class and cause, of the last hour and of all before. Kept in the state service, {@code dr/acct/TEAM}.
+ * The disruptions of one team's work: which tasks are away (stopped on purpose and not running again), when each task was last
+ * disrupted on purpose, and the disrupted tasks and lost CPU seconds by class and cause, for the last hour and for all time before it.
+ * Stored in the state service under {@code dr/acct/TEAM}.
  */
 public final class Account {
     private static final long HOUR_MS = 3_600_000;
     private static final long SLOT_MS = 300_000;
-    /** What one record can hold beside its sums. */
+    private static final long MS_PER_S = 1000;
+    /** Number of tasks that one record can hold beside its sums, to stay below the size limit of a record. */
     private static final int MOST_REMEMBERED = 100;
-    /** Classes that are told apart; what comes beyond is counted together. */
+    /** Number of classes with sums of their own; further classes are counted together as {@link #OTHERS}. */
     private static final int MOST_CLASSES = 10;
 
     private static final String OTHERS = "others";
+    /** Array elements that the stored form uses for one task that is away. */
+    private static final int AWAY_FIELDS = 6;
+    /** Array elements that the stored form uses for the time at which one task was last disrupted. */
+    private static final int LAST_FIELDS = 2;
 
     /** A task that was stopped on purpose and does not run again yet; {@code attempt} is the one that was stopped. */
     public record Away(long attempt, String jobClass, Cause cause, double lostCpuS, long atMs) {}
 
-    /** Tasks and CPU seconds. */
+    /** A number of disrupted tasks and the CPU seconds that they lost. */
     public record Sum(int tasks, double cpuS) {
         Sum plus(int count, double seconds) {
             return new Sum(tasks + count, cpuS + seconds);
@@ -36,12 +42,15 @@
     }
 
     private final Map<TaskId, Away> away = new HashMap<>();
+    /** When each task was last disrupted on purpose. */
     private final Map<TaskId, Long> last = new HashMap<>();
-    /** By slot of five minutes, then by class and cause. */
+    /** Sums by slot of five minutes, then by class and cause. */
     private final TreeMap<Long, Map<String, Sum>> slots = new TreeMap<>();
 
+    /** Sums by class and cause of all that is older than the slots. */
     private final Map<String, Sum> before = new TreeMap<>();
 
+    /** Returns a copy that changes independently of this account. */
     public Account copy() {
         Account account = new Account();
         account.away.putAll(away);
@@ -55,13 +64,14 @@
         return jobClass + " " + cause.name();
     }
 
-    private String toldApart(String jobClass) {
+    /** The class under which disruptions of the given class are counted. */
+    private String accountedClass(String jobClass) {
         Set<String> classes = new HashSet<>();
         sums().keySet().forEach(k -> classes.add(k.substring(0, k.indexOf(' '))));
         return classes.contains(jobClass) || classes.size() < MOST_CLASSES ? jobClass : OTHERS;
     }
 
-    /** Takes less room: all of the hour counts as of its newest slot, so that it counts for longer. */
+    /** Makes the stored form smaller by merging all slots of the hour into the newest one; the merged sums therefore count for longer. */
     public void shrink() {
         if (slots.size() > 1) {
             Map<String, Sum> newest = slots.lastEntry().getValue();
@@ -73,11 +83,11 @@
         }
     }
 
-    /** One task was disturbed. */
+    /** Counts one disruption of a task, and remembers the task as away if the disruption was on purpose. */
     public void charge(TaskId task, Away absence) {
         slots.computeIfAbsent(absence.atMs / SLOT_MS, k -> new TreeMap<>())
                 .merge(
-                        row(toldApart(absence.jobClass), absence.cause),
+                        row(accountedClass(absence.jobClass), absence.cause),
                         new Sum(1, absence.lostCpuS),
                         (x, y) -> x.plus(y.tasks, y.cpuS));
         if (absence.cause.onPurpose()) {
@@ -86,45 +96,49 @@
         }
     }
 
-    /** It runs again, or never will. */
-    public void back(TaskId task) {
+    /** Records that a task is no longer away: it runs again, or never will. */
+    public void clearAway(TaskId task) {
         away.remove(task);
     }
 
-    /** It was never stopped: what it was charged is given back. */
-    public void undo(TaskId task) {
+    /** Takes back the charge for a task that was not stopped after all. */
+    public void refund(TaskId task) {
         Away absence = away.remove(task);
         if (absence == null) {
             return;
         }
         last.remove(task);
-        String row = row(toldApart(absence.jobClass), absence.cause);
+        String row = row(accountedClass(absence.jobClass), absence.cause);
         Map<String, Sum> in = before;
         for (Map<String, Sum> slot : slots.tailMap(absence.atMs / SLOT_MS).values()) {
-            in = in == before && slot.containsKey(row)
-                    ? slot
-                    : in; // its own slot, or the one that this was folded into
+            // The task's own slot, or the later one into which that was merged.
+            in = in == before && slot.containsKey(row) ? slot : in;
         }
         in.computeIfPresent(row, (k, s) -> s.tasks > 1 ? s.plus(-1, -absence.lostCpuS) : null);
     }
 
+    /** Returns the tasks that are away, as an immutable copy. */
     public Map<TaskId, Away> away() {
         return Map.copyOf(away);
     }
 
+    /** Returns whether the task was stopped on purpose and does not run again yet. */
     public boolean isAway(TaskId task) {
         return away.containsKey(task);
     }
 
-    /** What is older than an hour is folded into sums; what need not be known of single tasks any more is forgotten. */
+    /**
+     * Folds slots older than an hour into the total sums, and forgets when tasks were last disrupted once that is longer ago than any
+     * budget's minimum interval.
+     */
     public void fold(long nowMs) {
         while (!slots.isEmpty() && (slots.firstKey() + 1) * SLOT_MS < nowMs - HOUR_MS) {
             slots.pollFirstEntry().getValue().forEach((k, s) -> before.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS)));
         }
-        last.values().removeIf(at -> nowMs - at > 1000 * DisruptionBudget.MOST_AGAIN_S);
+        last.values().removeIf(at -> nowMs - at > MS_PER_S * DisruptionBudget.MOST_AGAIN_S);
     }
 
-    /** Of the last hour, of one class or of all. */
+    /** Returns the sum of the last hour for one class, or for all classes if {@code jobClass} is null. */
     public Sum lastHour(String jobClass, long nowMs) {
         Sum sum = new Sum(0, 0);
         for (Map<String, Sum> slot : slots.tailMap((nowMs - HOUR_MS) / SLOT_MS).values()) {
@@ -137,24 +151,26 @@
         return sum;
     }
 
-    /** All that there was, by class and cause. */
+    /** Returns the sums of all time, by class and cause. */
     public Map<String, Sum> sums() {
         Map<String, Sum> out = new TreeMap<>(before);
         slots.values().forEach(slot -> slot.forEach((k, s) -> out.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS))));
         return out;
     }
 
-    /** One task that is to be disturbed. */
-    public record Ask(TaskId task, String jobClass, boolean service, int replicas, double lostCpuS) {}
+    /** A request to disrupt one task on purpose. */
+    public record DisruptionRequest(TaskId task, String jobClass, boolean service, int replicas, double lostCpuS) {}
 
-    /** Why the budget refuses it now, with when that ends where it can be told; null: it may be disturbed. */
-    public String refuses(DisruptionBudget budget, Ask ask, long nowMs) {
+    /**
+     * Returns why the budget does not allow the disruption now, with the time until it will where that is known; null if it is allowed.
+     */
+    public String refusalReason(DisruptionBudget budget, DisruptionRequest request, long nowMs) {
         String whose = "budget of " + budget.key() + ": ";
         if (budget.atOnce() == 0) {
             return whose + "none of its tasks may be disturbed";
         }
-        if (ask.service && budget.mayBeAway(ask.replicas) == 0) {
-            return whose + "of " + ask.replicas + " replicas none may be away";
+        if (request.service && budget.mayBeAway(request.replicas) == 0) {
+            return whose + "of " + request.replicas + " replicas none may be away";
         }
         long out = away.entrySet().stream()
                 .filter(e -> budget.jobClass() == null || budget.jobClass().equals(e.getValue().jobClass))
@@ -162,30 +178,31 @@
         if (out >= budget.atOnce()) {
             return whose + out + " of " + budget.atOnce() + " tasks are away";
         }
-        if (away.size() >= MOST_REMEMBERED || last.size() >= MOST_REMEMBERED && !last.containsKey(ask.task)) {
+        if (away.size() >= MOST_REMEMBERED || last.size() >= MOST_REMEMBERED && !last.containsKey(request.task)) {
             return whose + "more tasks than can be remembered were disturbed in the last hour";
         }
-        if (ask.service
+        if (request.service
                 && away.keySet().stream()
-                                .filter(t -> t.job().equals(ask.task.job()))
+                                .filter(t -> t.job().equals(request.task.job()))
                                 .count()
-                        >= budget.mayBeAway(ask.replicas)) {
-            return whose + "a replica of " + ask.task.job() + " is away";
+                        >= budget.mayBeAway(request.replicas)) {
+            return whose + "a replica of " + request.task.job() + " is away";
         }
-        Long before = last.get(ask.task);
-        if (before != null && nowMs - before < 1000 * budget.againS()) {
-            return whose + ask.task + " was disturbed " + (nowMs - before) / 1000 + " s ago, again in "
-                    + (budget.againS() - (nowMs - before) / 1000) + " s";
+        Long before = last.get(request.task);
+        if (before != null && nowMs - before < MS_PER_S * budget.againS()) {
+            return whose + request.task + " was disturbed " + (nowMs - before) / MS_PER_S + " s ago, again in "
+                    + (budget.againS() - (nowMs - before) / MS_PER_S) + " s";
         }
         Sum hour = lastHour(budget.jobClass(), nowMs);
-        if (ask.lostCpuS > 0 && hour.cpuS + ask.lostCpuS > budget.lostCpuSPerHour()) {
-            long frees = slots.isEmpty() ? 0 : ((slots.firstKey() + 1) * SLOT_MS + HOUR_MS - nowMs) / 1000;
+        if (request.lostCpuS > 0 && hour.cpuS + request.lostCpuS > budget.lostCpuSPerHour()) {
+            long frees = slots.isEmpty() ? 0 : ((slots.firstKey() + 1) * SLOT_MS + HOUR_MS - nowMs) / MS_PER_S;
             return whose + Math.round(hour.cpuS) + " of " + Math.round(budget.lostCpuSPerHour())
                     + " CPU s of the hour are lost, less in " + Math.max(0, frees) + " s";
         }
         return null;
     }
 
+    /** Returns the stored form; CPU seconds are rounded. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map();
         ArrayNode rows = node.putArray("away");
@@ -205,49 +222,55 @@
         return node;
     }
 
-    /** What can't be read of it is left out: an account that forgets a charge is better than none. */
+    /** Reads the stored form and skips unreadable parts: an account that lacks a charge is better than none. */
     public static Account parse(JsonNode node) {
         Account out = new Account();
-        JsonNode rows = node.path("away");
-        for (int i = 0; i + 5 < rows.size(); i += 6) {
+        readAway(node.path("away"), out.away);
+        readLast(node.path("last"), out.last);
+        readSlots(node.path("hour"), out.slots);
+        readSums(node.path("before"), out.before);
+        return out;
+    }
+
+    private static void readAway(JsonNode rows, Map<TaskId, Away> out) {
+        for (int i = 0; i + AWAY_FIELDS - 1 < rows.size(); i += AWAY_FIELDS) {
             TaskId task = TaskId.parse(rows.get(i).asText());
             Cause cause = cause(rows.get(i + 3).asText());
             if (task != null && cause != null) {
-                out.away.put(
-                        task,
-                        new Away(
-                                rows.get(i + 1).asLong(),
-                                rows.get(i + 2).asText(),
-                                cause,
-                                rows.get(i + 4).asDouble(),
-                                rows.get(i + 5).asLong()));
+                long attempt = rows.get(i + 1).asLong();
+                String jobClass = rows.get(i + 2).asText();
+                double lostCpuS = rows.get(i + 4).asDouble();
+                long atMs = rows.get(i + 5).asLong();
+                out.put(task, new Away(attempt, jobClass, cause, lostCpuS, atMs));
             }
         }
-        for (int i = 0; i + 1 < node.path("last").size(); i += 2) {
-            TaskId task = TaskId.parse(node.path("last").get(i).asText());
+    }
+
+    private static void readLast(JsonNode rows, Map<TaskId, Long> out) {
+        for (int i = 0; i + LAST_FIELDS - 1 < rows.size(); i += LAST_FIELDS) {
+            TaskId task = TaskId.parse(rows.get(i).asText());
             if (task != null) {
-                out.last.put(task, node.path("last").get(i + 1).asLong());
+                out.put(task, rows.get(i + 1).asLong());
             }
         }
-        for (Map.Entry<String, JsonNode> slot : node.path("hour").properties()) {
+    }
+
+    private static void readSlots(JsonNode node, Map<Long, Map<String, Sum>> out) {
+        for (Map.Entry<String, JsonNode> slot : node.properties()) {
             if (slot.getKey().matches("[0-9]{1,12}")) {
-                slot.getValue().properties().forEach(entry -> out.slots
-                        .computeIfAbsent(Long.parseLong(slot.getKey()), k -> new TreeMap<>())
-                        .put(
-                                entry.getKey(),
-                                new Sum(
-                                        entry.getValue().path(0).asInt(),
-                                        entry.getValue().path(1).asDouble())));
+                slot.getValue().properties().forEach(row -> out.computeIfAbsent(
+                                Long.parseLong(slot.getKey()), k -> new TreeMap<>())
+                        .put(row.getKey(), sum(row.getValue())));
             }
         }
-        node.path("before")
-                .properties()
-                .forEach(entry -> out.before.put(
-                        entry.getKey(),
-                        new Sum(
-                                entry.getValue().path(0).asInt(),
-                                entry.getValue().path(1).asDouble())));
-        return out;
+    }
+
+    private static void readSums(JsonNode node, Map<String, Sum> out) {
+        node.properties().forEach(row -> out.put(row.getKey(), sum(row.getValue())));
+    }
+
+    private static Sum sum(JsonNode node) {
+        return new Sum(node.path(0).asInt(), node.path(1).asDouble());
     }
 
     private static Cause cause(String name) {
--- a/src/main/java/org/beechhoist/drain/Budgets.java
+++ b/src/main/java/org/beechhoist/drain/Budgets.java
@@ -5,31 +5,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** All budgets of disruption, as a node knows them at one moment. */
+/** All disruption budgets, as one node knows them at one moment. */
 public final class Budgets {
+    /** No declared budgets: every team has {@link DisruptionBudget#USUAL}. */
     public static final Budgets NONE = new Budgets(List.of());
+
     private final Map<String, DisruptionBudget> byKey = new HashMap<>();
 
+    /** Creates the set of the given budgets; of two with the same key, the later one counts. */
     public Budgets(Collection<DisruptionBudget> all) {
         all.forEach(b -> byKey.put(b.key(), b));
     }
 
-    /** The team's own, else the default's. */
+    /** Returns the team's own budget, or the default one if it has none. */
     public DisruptionBudget ofTeam(String team) {
         DisruptionBudget own = byKey.get(team);
         return own != null ? own : byKey.getOrDefault(DisruptionBudget.DEFAULT, DisruptionBudget.USUAL);
     }
 
-    /** That of one class beside it, or null. */
+    /** Returns the budget that applies to one class in addition to the team's, or null. */
     public DisruptionBudget ofClass(String team, String jobClass) {
         return byKey.get(DisruptionBudget.key(team, jobClass));
     }
 
-    /** Whether the team, or its class, has one of its own. */
-    public boolean declared(String team, String jobClass) {
+    /** Returns whether the team, or its class, has a budget of its own. */
+    public boolean isDeclared(String team, String jobClass) {
         return byKey.containsKey(team) || ofClass(team, jobClass) != null;
     }
 
+    /** Returns all declared budgets. */
     public Collection<DisruptionBudget> all() {
         return byKey.values();
     }
--- a/src/main/java/org/beechhoist/drain/Cause.java
+++ b/src/main/java/org/beechhoist/drain/Cause.java
@@ -1,22 +1,25 @@
 package org.beechhoist.drain;
 
-/** Why a task that could have gone on had to leave its machine. Each disturbed task has one cause, and is charged for it once. */
+/**
+ * Why a task that could have continued was taken off its machine. Each disruption has one cause, and is charged once. The names are
+ * stored and shown.
+ */
 public enum Cause {
-    /** Its machine is emptied. */
+    /** Its machine is drained. */
     DRAIN(true),
-    /** Its machine is replaced. */
+    /** Its machine is replaced in a rolling replacement. */
     ROLLOUT(true),
-    /** It makes room for a larger one, and has a place kept. */
+    /** It is migrated to make room for a larger task; its place elsewhere is reserved. */
     MOVE(true),
-    /** It makes room for more urgent work, or for a team's guarantee. */
+    /** It is preempted by work of higher priority, or for a team's guaranteed quota. */
     PREEMPTION(false),
-    /** Its job's width shrinks. */
+    /** Its job's width is reduced. */
     NARROWING(false),
-    /** Its gang has lost a task. */
+    /** Its gang (tasks that only run together) has lost a task. */
     GANG(false),
-    /** The cloud is about to take its machine. */
+    /** The cloud has announced that it takes the machine back (preemption notice). */
     NOTICE(false),
-    /** Its machine was lost, or returned with it. */
+    /** Its machine was lost, or was returned while the task was on it. */
     MACHINE(false);
 
     private final boolean onPurpose;
@@ -25,7 +28,10 @@
         this.onPurpose = onPurpose;
     }
 
-    /** Whether a budget may refuse it; what happens by itself is charged and never refused. */
+    /**
+     * Returns whether the scheduler decides the disruption freely, so that a budget may refuse it; other disruptions are charged but
+     * never refused.
+     */
     public boolean onPurpose() {
         return onPurpose;
     }
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -6,15 +6,18 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * How much of a team's work, or of one of its classes, may be disturbed on purpose.
+ * How much of the work of a team, or of one of its classes, may be disrupted on purpose.
  *
- * @param team {@link #DEFAULT}: of every team that has none of its own
- * @param jobClass null: all of the team's
- * @param atOnce tasks that may be away at once; 0: never
- * @param lostCpuSPerHour work thrown away, in CPU seconds, in the last hour; what happened by itself counts
- * @param leastUp the share of a service's replicas that stay up; null: all but one. 1: they are never moved
- * @param againS how often one task may be disturbed
- * @param number grows with each change
+ * @param team the team; {@link #DEFAULT} for every team that has no budget of its own
+ * @param jobClass the class; null for all classes of the team
+ * @param atOnce number of tasks that may be away at once; 0: none
+ * @param lostCpuSPerHour CPU seconds of work that may be lost in an hour; losses that were not on purpose count too
+ * @param leastUp the share of a service's replicas that stay up; null: all but one; 1: replicas are never disrupted
+ * @param againS minimum time between two disruptions of one task, in seconds
+ * @param who who declared the budget
+ * @param atMs when it was declared, in wall clock time
+ * @param why the reason that was given
+ * @param number the version, which grows with each change
  */
 public record DisruptionBudget(
         String team,
@@ -27,28 +30,33 @@
         long atMs,
         String why,
         long number) {
+    /** Name of the team whose budget applies to every team without one. */
     public static final String DEFAULT = "default";
-    /** What teams have that nobody has spoken of. */
+    /** The budget of teams for which none is declared, not even a default. */
     public static final DisruptionBudget USUAL =
             new DisruptionBudget(DEFAULT, null, 10, 20_000, null, 300, "", 0, "", 0);
 
+    /** Largest {@code atOnce} that can be declared. */
     public static final int MOST_AT_ONCE = 60;
-    /** Accounts remember a task for so long. */
+    /** Largest {@code againS} that can be declared; accounts remember disruptions of a task for this long. */
     public static final long MOST_AGAIN_S = 3600;
 
     private static final double MOST_LOST = 1e9;
+    /** Keeps a product that should be a whole number from being rounded down to the one below. */
+    private static final double ROUNDING_ERROR = 1e-9;
 
-    /** The name that it goes by: the team's, or the team's and the class's. */
+    /** Returns the key of the budget: the team, or the team and the class. */
     public String key() {
         return key(team, jobClass);
     }
 
+    /** Returns the key of the budget of a team, or of one of its classes if {@code jobClass} is not null. */
     public static String key(String team, String jobClass) {
         return jobClass == null ? team : team + "~" + jobClass;
     }
 
-    /** What a person puts, checked; what is left out is as {@link #USUAL} says. */
-    public static DisruptionBudget described(JsonNode node, String who, long atMs, String why, long number)
+    /** Reads and checks a budget from a request; absent fields have the values of {@link #USUAL}. */
+    public static DisruptionBudget fromRequest(JsonNode node, String who, long atMs, String why, long number)
             throws MalformedMessageException {
         String team = Fields.name("team", Codec.text(node, "team"));
         String jobClass = Fields.text(node, "class");
@@ -71,11 +79,12 @@
                 number);
     }
 
-    /** How many of a service's replicas may be away. */
+    /** Returns how many of a service's replicas may be away at once. */
     public int mayBeAway(int replicas) {
-        return leastUp == null ? 1 : (int) Math.floor(replicas * (1 - leastUp) + 1e-9);
+        return leastUp == null ? 1 : (int) Math.floor(replicas * (1 - leastUp) + ROUNDING_ERROR);
     }
 
+    /** Returns the stored form. */
     public ObjectNode toNode() {
         return Codec.map()
                 .put("team", team)
@@ -90,11 +99,12 @@
                 .put("number", number);
     }
 
+    /** Reads the stored form. */
     public static DisruptionBudget parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject()) {
             throw new MalformedMessageException("not a budget");
         }
-        return described(
+        return fromRequest(
                 node,
                 Codec.text(node, "who"),
                 node.path("at").asLong(),
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -10,38 +10,48 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * What operators have asked for, as the state service holds it: {@code dr/put/NAME}. Machines are emptied, at once or in steps; from
- * its commit on they get no new work.
+ * A drain as operators have requested it, stored in the state service under {@code dr/put/NAME}. The selected machines are emptied, all
+ * at once or step by step; from the commit of the drain on they get no new work.
  *
- * @param replace in steps, and others take their place
- * @param with the type of machine that takes their place; null: the same
- * @param byMs by then they should be empty, by the time of day; 0: whenever it loses least
- * @param untilMs from then on they are used again; 0: until it is undone
- * @param keep whether machines stay when they are empty; else they are returned
- * @param atMs when it was put
- * @param number grows with each change
+ * @param name the name of the drain
+ * @param replace whether this is a rolling replacement: machines are emptied in steps and new ones take their place
+ * @param with the type of the new machines; null: the type of the old ones
+ * @param which the machines to drain
+ * @param limits how many machines are drained at once, and how long tasks are waited for
+ * @param byMs when the machines should be empty, in wall clock time; 0: whenever the least work is lost
+ * @param untilMs when the machines are used again, in wall clock time; 0: when the drain is aborted
+ * @param keep whether machines are kept when they are empty; otherwise they are returned
+ * @param pauses at which times nothing is drained
+ * @param state whether the drain runs, is paused or was aborted
+ * @param atMs when it was requested, in wall clock time
+ * @param number the version, which grows with each change
+ * @param history the latest changes, oldest first
  */
 public record Drain(
         String name,
         boolean replace,
         String with,
         Selector which,
-        Pace pace,
+        DrainLimits limits,
         long byMs,
         long untilMs,
         boolean keep,
-        Rest rest,
+        PauseSchedule pauses,
         State state,
         long atMs,
         long number,
-        List<Past> history) {
+        List<Change> history) {
     private static final int MOST_HISTORY = 12;
     private static final long LONGEST_S = 30L * 86_400;
+    private static final long MS_PER_S = 1000;
 
-    /** What people want of it. */
+    /** The state that operators have set; the names are stored in lower case. */
     public enum State {
+        /** Machines are drained. */
         RUNNING,
+        /** No further tasks are evicted until the drain is resumed; its machines still get no new work. */
         PAUSED,
+        /** The drain is over and its machines are used again. */
         ABORTED;
 
         String text() {
@@ -49,11 +59,11 @@
         }
     }
 
-    /** One change: what, who, when and why. */
-    public record Past(String what, String who, long atMs, String why) {}
+    /** One change of a drain: what, who, when and why. */
+    public record Change(String what, String who, long atMs, String why) {}
 
-    /** What a person puts, checked; times count from now. */
-    public static Drain described(String name, JsonNode node, long nowMs) throws MalformedMessageException {
+    /** Reads and checks a drain from a request; its times are relative to now. */
+    public static Drain fromRequest(String name, JsonNode node, long nowMs) throws MalformedMessageException {
         Fields.name("name", name);
         boolean replace = Fields.flag(node, "replace");
         boolean keep = Fields.flag(node, "keep");
@@ -76,11 +86,11 @@
                 replace,
                 with,
                 Selector.parse(node),
-                Pace.parse(node, replace),
+                DrainLimits.parse(node, replace),
                 by,
                 until,
                 keep,
-                Rest.parse(node),
+                PauseSchedule.parse(node),
                 State.RUNNING,
                 nowMs,
                 0,
@@ -88,52 +98,62 @@
     }
 
     private static long seconds(JsonNode node, String field, long nowMs) throws MalformedMessageException {
-        long s = Fields.count(node, field, 0, 1, LONGEST_S);
-        return s == 0 ? 0 : nowMs + 1000 * s;
+        long seconds = Fields.count(node, field, 0, 1, LONGEST_S);
+        return seconds == 0 ? 0 : nowMs + MS_PER_S * seconds;
     }
 
-    public Drain with(Rest other) {
-        return new Drain(name, replace, with, which, pace, byMs, untilMs, keep, other, state, atMs, number, history);
+    /** Returns this drain with another schedule of pauses. */
+    public Drain withPauses(PauseSchedule other) {
+        return new Drain(name, replace, with, which, limits, byMs, untilMs, keep, other, state, atMs, number, history);
     }
 
-    /** The change of this drain that makes it what is described; what has begun stays in hand. */
-    public Drain put(Drain before, String who, long at, String why) {
+    /**
+     * Returns this request as the next version of {@code before}, or as the first version if that is null. Machines that are being
+     * drained already stay so.
+     */
+    public Drain asChangeOf(Drain before, String who, long at, String why) {
         return changed(before, State.RUNNING, before == null ? "put" : "put again", who, at, why);
     }
 
-    public Drain to(State next, String what, String who, long at, String why) {
+    /** Returns the next version of this drain, in another state; the change is added to the history. */
+    public Drain withState(State next, String what, String who, long at, String why) {
         return changed(this, next, what, who, at, why);
     }
 
     private Drain changed(Drain before, State next, String what, String who, long at, String why) {
-        List<Past> past = new ArrayList<>(before == null ? List.of() : before.history);
-        past.add(new Past(what, who, at, why));
-        List<Past> kept = List.copyOf(past.subList(Math.max(0, past.size() - MOST_HISTORY), past.size()));
+        List<Change> changes = new ArrayList<>(before == null ? List.of() : before.history);
+        changes.add(new Change(what, who, at, why));
+        List<Change> kept = List.copyOf(changes.subList(Math.max(0, changes.size() - MOST_HISTORY), changes.size()));
         return new Drain(
                 name,
                 replace,
                 with,
                 which,
-                pace,
+                limits,
                 byMs,
                 untilMs,
                 keep,
-                rest,
+                pauses,
                 next,
                 atMs,
                 before == null ? 1 : before.number + 1,
                 kept);
     }
 
-    /** Whether its machines get no new work: a pause stops nobody, but what is in hand stays in hand. */
-    public boolean holds(long nowMs) {
+    /**
+     * Returns whether the machines of this drain get no new work now. That holds during a pause too: no task is evicted then, but machines
+     * that are being drained stay so.
+     */
+    public boolean blocksNewWork(long nowMs) {
         return state != State.ABORTED && (untilMs == 0 || nowMs < untilMs);
     }
 
+    /** Returns the cause with which its evictions are charged. */
     public Cause cause() {
         return replace ? Cause.ROLLOUT : Cause.DRAIN;
     }
 
+    /** Returns the stored form. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map()
                 .put("name", name)
@@ -145,11 +165,11 @@
                 .put("until", untilMs)
                 .put("at", atMs)
                 .put("number", number);
-        which.into(node);
-        pace.into(node, replace);
-        rest.into(node);
-        ArrayNode past = node.putArray("history");
-        history.forEach(earlier -> past.addObject()
+        which.writeTo(node);
+        limits.writeTo(node, replace);
+        pauses.writeTo(node);
+        ArrayNode changes = node.putArray("history");
+        history.forEach(earlier -> changes.addObject()
                 .put("what", earlier.what)
                 .put("who", earlier.who)
                 .put("at", earlier.atMs)
@@ -157,6 +177,7 @@
         return node;
     }
 
+    /** Reads the stored form. */
     public static Drain parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject()) {
             throw new MalformedMessageException("not a drain");
@@ -170,9 +191,9 @@
             throw new MalformedMessageException(
                     "state = " + node.path("state").asText() + ": running, paused or aborted is expected");
         }
-        List<Past> history = new ArrayList<>();
+        List<Change> history = new ArrayList<>();
         for (JsonNode earlier : node.path("history")) {
-            history.add(new Past(
+            history.add(new Change(
                     Codec.text(earlier, "what"),
                     Codec.text(earlier, "who"),
                     earlier.path("at").asLong(),
@@ -183,11 +204,11 @@
                 replace,
                 Codec.isAbsent(node, "with") ? null : Codec.text(node, "with"),
                 Selector.parse(node),
-                Pace.parse(node, replace),
+                DrainLimits.parse(node, replace),
                 node.path("by").asLong(),
                 node.path("until").asLong(),
                 Codec.bool(node, "keep"),
-                Rest.parse(node),
+                PauseSchedule.parse(node),
                 state,
                 node.path("at").asLong(),
                 Codec.wholeNumber(node, "number", 1, Long.MAX_VALUE),
--- a/src/main/java/org/beechhoist/drain/Pace.java
+++ b/src/main/java/org/beechhoist/drain/DrainLimits.java
@@ -5,30 +5,38 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * How fast machines are emptied. A plain drain takes all at once; a replacement goes in steps.
+ * How many machines are drained at once, and how long each step waits. A plain drain takes all machines at once; a rolling replacement
+ * goes in steps.
  *
- * @param canary machines of the first step; it must hold before the next
- * @param atOnce machines in hand at once
- * @param perZone of them in one zone
- * @param spare machines that are up beside the old ones before one of those is begun
- * @param holdS how long the first step, and after a pause what stopped it, must be well
- * @param waitS how long a machine's tasks may come to their own end before they are stopped by what loses least
+ * @param canary number of machines of the first step, which must prove itself before the next one; 0: there is no such step
+ * @param atOnce number of machines that may be drained at once
+ * @param perZone how many of them may be in one zone
+ * @param spare number of new machines that must be up before an old one is drained
+ * @param holdS how long all must be well after the first step, and after an automatic pause, before the replacement continues
+ * @param waitS how long tasks of a machine may run to their end before they are evicted, those that lose least first
  */
-public record Pace(int canary, int atOnce, int perZone, int spare, long holdS, long waitS) {
+public record DrainLimits(int canary, int atOnce, int perZone, int spare, long holdS, long waitS) {
+    /** Largest number of machines that can be drained at once in a rolling replacement. */
     public static final int MOST_AT_ONCE = 100;
+
     private static final long LONGEST_S = 86_400;
     private static final long USUAL_WAIT_S = 600;
     private static final long USUAL_HOLD_S = 60;
     private static final int USUAL_AT_ONCE = 20;
 
-    /** @param steps whether it goes in steps */
-    public static Pace parse(JsonNode node, boolean steps) throws MalformedMessageException {
+    /**
+     * Reads the limits from a request or a stored drain.
+     *
+     * @param node the drain
+     * @param steps whether the drain goes in steps (rolling replacement); otherwise only {@code waitS} is read
+     */
+    public static DrainLimits parse(JsonNode node, boolean steps) throws MalformedMessageException {
         int atOnce = !steps ? Integer.MAX_VALUE : count(node, "atOnce", USUAL_AT_ONCE, 1, MOST_AT_ONCE);
         int perZone = !steps ? Integer.MAX_VALUE : count(node, "perZone", atOnce, 1, MOST_AT_ONCE);
         int canary = !steps ? 0 : count(node, "canary", 1, 0, MOST_AT_ONCE);
         int spare = !steps ? 0 : count(node, "spare", Math.min(atOnce, MOST_AT_ONCE), 0, MOST_AT_ONCE);
         long hold = !steps ? 0 : count(node, "holdS", USUAL_HOLD_S, 0, LONGEST_S);
-        return new Pace(canary, atOnce, perZone, spare, hold, count(node, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
+        return new DrainLimits(canary, atOnce, perZone, spare, hold, count(node, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
     }
 
     private static int count(JsonNode node, String field, long fallback, long least, long most)
@@ -36,7 +44,7 @@
         return (int) Fields.count(node, field, fallback, least, most);
     }
 
-    void into(ObjectNode node, boolean steps) {
+    void writeTo(ObjectNode node, boolean steps) {
         node.put("waitS", waitS);
         if (steps) {
             node.put("canary", canary)
--- a/src/main/java/org/beechhoist/drain/Evictions.java
+++ b/src/main/java/org/beechhoist/drain/Evictions.java
@@ -12,23 +12,30 @@
 import org.beechhoist.wire.TaskId;
 
 /**
- * Which tasks of machines that are emptied leave now. Greedy: the machine that can be empty with the least loss first, on it what
- * loses least first, each only as its team's and its class's budget allow. A gang leaves whole or not at all.
+ * Decides which tasks on drained machines are evicted now. The choice is greedy: the machine that can be emptied with the least loss of
+ * work comes first, on it the task that loses least; each only if the budgets of its team and class allow it. A gang is evicted
+ * completely or not at all.
  */
 public final class Evictions {
     /**
-     * A task on a machine that is emptied.
+     * A task on a drained machine.
      *
-     * @param gang the tasks that end with it, itself included; 0 where it is alone
-     * @param replicas of its service; 0: it is none
-     * @param due whether the moment at which it loses least has come
-     * @param lostCpuS what stopping it now throws away
-     * @param mayLeave whether it has a place elsewhere, where it needs one before it leaves
+     * @param task the task
+     * @param attempt the attempt that runs
+     * @param machine the machine that it runs on
+     * @param team the team whose budget applies
+     * @param jobClass the class whose budget applies in addition
+     * @param cause what its eviction is charged as
+     * @param gang number of tasks that end with it, itself included; 0: it does not belong to a gang
+     * @param replicas number of replicas of its service; 0: it does not belong to a service
+     * @param due whether the moment has come at which stopping it loses least
+     * @param lostCpuS CPU seconds of work that stopping it now loses
+     * @param mayBeEvicted false if it needs a place elsewhere before it is evicted, and has none
      */
     public record Candidate(
             TaskId task,
             long attempt,
-            MachineId host,
+            MachineId machine,
             String team,
             String jobClass,
             Cause cause,
@@ -36,65 +43,71 @@
             int replicas,
             boolean due,
             double lostCpuS,
-            boolean mayLeave) {
+            boolean mayBeEvicted) {
+        /** Returns whether the task is a replica of a service. */
         public boolean service() {
             return replicas > 0;
         }
     }
 
-    /** What keeps tasks on a machine. */
-    public record Why(MachineId host, String text) {}
+    /** A reason for which tasks on a machine are not evicted. */
+    public record BlockReason(MachineId machine, String text) {}
 
-    /** Who leaves, and why others can't, with how many tasks. */
-    public record Decision(List<Candidate> leave, Map<Why, Integer> blocked) {}
+    /** The tasks to evict, and the reasons for which others are not, with the number of tasks. */
+    public record Decision(List<Candidate> evicted, Map<BlockReason, Integer> blocked) {}
 
     private Evictions() {}
 
     /**
-     * @param accounts of the teams; those who leave are charged on them, so hand over copies
-     * @param most that leave at once
+     * Chooses the tasks to evict now.
+     *
+     * @param all the tasks on drained machines
+     * @param budgets the budgets of teams and classes
+     * @param accounts the accounts by team; evictions are charged on them, so pass copies
+     * @param nowMs the current wall clock time
+     * @param most the largest number of tasks to evict
      */
     public static Decision decide(
             List<Candidate> all, Budgets budgets, Map<String, Account> accounts, long nowMs, int most) {
         Map<MachineId, Double> loss = new HashMap<>();
-        all.forEach(c -> loss.merge(c.host, c.lostCpuS, Double::sum));
+        all.forEach(c -> loss.merge(c.machine, c.lostCpuS, Double::sum));
         List<Candidate> order = new ArrayList<>(all);
-        order.sort(Comparator.comparingDouble((Candidate c) -> loss.get(c.host))
-                .thenComparing(Candidate::host)
+        order.sort(Comparator.comparingDouble((Candidate c) -> loss.get(c.machine))
+                .thenComparing(Candidate::machine)
                 .thenComparingDouble(Candidate::lostCpuS)
                 .thenComparing(c -> c.task.toString()));
-        List<Candidate> leave = new ArrayList<>();
-        Map<Why, Integer> blocked = new HashMap<>();
+        List<Candidate> evicted = new ArrayList<>();
+        Map<BlockReason, Integer> blocked = new HashMap<>();
         Set<JobId> gangs = new HashSet<>();
         for (Candidate candidate : order) {
-            if (!candidate.due || leave.size() >= most) {
-                continue; // it comes to its own end, or to its next save
+            if (!candidate.due || evicted.size() >= most) {
+                continue; // it ends by itself, or reaches its next checkpoint first
             }
             if (candidate.gang > 0 && !gangs.add(candidate.task.job())) {
-                continue; // all of it was decided with its first
+                continue; // the gang was decided on with its first task
             }
-            Account account = accounts.computeIfAbsent(candidate.team, k -> new Account());
-            String why = candidate.mayLeave
-                    ? refused(candidate, budgets, account, nowMs)
+            Account account = accounts.computeIfAbsent(candidate.team, team -> new Account());
+            String why = candidate.mayBeEvicted
+                    ? refusalReason(candidate, budgets, account, nowMs)
                     : "no place: none is free for its replica yet";
             if (why != null) {
-                blocked.merge(new Why(candidate.host, why), 1, Integer::sum);
+                blocked.merge(new BlockReason(candidate.machine, why), 1, Integer::sum);
                 continue;
             }
             account.charge(
                     candidate.task,
                     new Account.Away(
                             candidate.attempt, candidate.jobClass, candidate.cause, candidate.lostCpuS, nowMs));
-            leave.add(candidate);
+            evicted.add(candidate);
         }
-        return new Decision(leave, blocked);
+        return new Decision(evicted, blocked);
     }
 
-    private static String refused(Candidate candidate, Budgets budgets, Account account, long nowMs) {
-        Account.Ask ask = new Account.Ask(
+    private static String refusalReason(Candidate candidate, Budgets budgets, Account account, long nowMs) {
+        Account.DisruptionRequest request = new Account.DisruptionRequest(
                 candidate.task, candidate.jobClass, candidate.service(), candidate.replicas, candidate.lostCpuS);
-        String team = account.refuses(budgets.ofTeam(candidate.team), ask, nowMs);
+        String team = account.refusalReason(budgets.ofTeam(candidate.team), request, nowMs);
         DisruptionBudget own = budgets.ofClass(candidate.team, candidate.jobClass);
-        return team != null || own == null ? team : account.refuses(own, ask, nowMs);
+        return team != null || own == null ? team : account.refusalReason(own, request, nowMs);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -4,7 +4,7 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Checked reading of what people put: what is wrong names field, value and what is allowed. */
+/** Reads and checks fields of requests; an error message names the field, its value and what is expected. */
 final class Fields {
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,59}";
 
@@ -47,7 +47,7 @@
         return value != null && value.booleanValue();
     }
 
-    /** Null where it is left out. */
+    /** Returns a name, or null if the field is absent. */
     static String text(JsonNode node, String field) throws MalformedMessageException {
         return Codec.isAbsent(node, field) ? null : name(field, Codec.text(node, field));
     }
--- a/src/main/java/org/beechhoist/drain/Rest.java
+++ b/src/main/java/org/beechhoist/drain/PauseSchedule.java
@@ -17,17 +17,24 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * When it rests. It works from one time of day to another by a zone's clock, over midnight too, on days that are open in a named
- * calendar; of a night it is the day on which the night begins. The closed days are taken from the calendar when the drain is put,
- * for what each node read of it by itself could differ.
+ * At which times a drain pauses. A drain works between two times of day in a time zone, which may span midnight, on days that are open
+ * in a named calendar; an interval that spans midnight belongs to the day on which it begins. The closed days are copied from the calendar
+ * when the drain is requested, because nodes that read the calendar by themselves could read different versions.
  *
- * @param from null: at all hours
+ * @param from when work begins each day; null: no restriction to hours
+ * @param to when work ends each day; null if {@code from} is
+ * @param zone the time zone of these times and of the days
+ * @param calendar the name of the calendar; null: every day is open
+ * @param closed the closed days
  */
-public record Rest(LocalTime from, LocalTime to, ZoneId zone, String calendar, Set<LocalDate> closed) {
-    public static final Rest NEVER = new Rest(null, null, ZoneId.of("UTC"), null, Set.of());
+public record PauseSchedule(LocalTime from, LocalTime to, ZoneId zone, String calendar, Set<LocalDate> closed) {
+    /** No pauses. */
+    public static final PauseSchedule NEVER = new PauseSchedule(null, null, ZoneId.of("UTC"), null, Set.of());
+    /** Number of days for which closed days are copied from the calendar. */
     private static final int DAYS = 90;
 
-    public static Rest parse(JsonNode node) throws MalformedMessageException {
+    /** Reads the schedule from a request or a stored drain. */
+    public static PauseSchedule parse(JsonNode node) throws MalformedMessageException {
         boolean hours = !Codec.isAbsent(node, "from") || !Codec.isAbsent(node, "to");
         String calendar = Codec.isAbsent(node, "calendar") ? null : Codec.text(node, "calendar");
         if (!hours && calendar == null) {
@@ -50,7 +57,8 @@
                 }
             }
         }
-        return new Rest(hours ? time(node, "from") : null, hours ? time(node, "to") : null, zone, calendar, closed);
+        return new PauseSchedule(
+                hours ? time(node, "from") : null, hours ? time(node, "to") : null, zone, calendar, closed);
     }
 
     private static LocalTime time(JsonNode node, String field) throws MalformedMessageException {
@@ -62,8 +70,8 @@
         }
     }
 
-    /** The same with the closed days of the next while. */
-    public Rest with(Predicate<LocalDate> isClosed, long nowMs) {
+    /** Returns this schedule with the closed days from yesterday to about three months ahead. */
+    public PauseSchedule withClosedDays(Predicate<LocalDate> isClosed, long nowMs) {
         Set<LocalDate> days = new TreeSet<>();
         LocalDate first = Instant.ofEpochMilli(nowMs).atZone(zone).toLocalDate().minusDays(1);
         for (int i = 0; i < DAYS; i++) {
@@ -71,26 +79,26 @@
                 days.add(first.plusDays(i));
             }
         }
-        return new Rest(from, to, zone, calendar, days);
+        return new PauseSchedule(from, to, zone, calendar, days);
     }
 
-    /** Whether it rests at the moment. */
-    public boolean rests(long wallMs) {
+    /** Returns whether the drain pauses at the given wall clock time. */
+    public boolean isPaused(long wallMs) {
         ZonedDateTime dateTime = Instant.ofEpochMilli(wallMs).atZone(zone);
         LocalDate day = dateTime.toLocalDate();
         if (from != null) {
             LocalTime now = dateTime.toLocalTime();
-            boolean night = !from.isBefore(to);
-            boolean early = night && now.isBefore(to);
-            if (night ? !early && now.isBefore(from) : now.isBefore(from) || !now.isBefore(to)) {
+            boolean spansMidnight = !from.isBefore(to);
+            boolean afterMidnight = spansMidnight && now.isBefore(to);
+            if (spansMidnight ? !afterMidnight && now.isBefore(from) : now.isBefore(from) || !now.isBefore(to)) {
                 return true;
             }
-            day = early ? day.minusDays(1) : day;
+            day = afterMidnight ? day.minusDays(1) : day;
         }
         return closed.contains(day);
     }
 
-    void into(ObjectNode node) {
+    void writeTo(ObjectNode node) {
         if (this == NEVER || from == null && calendar == null) {
             return;
         }
--- a/src/main/java/org/beechhoist/drain/Progress.java
+++ b/src/main/java/org/beechhoist/drain/Progress.java
@@ -9,40 +9,52 @@
 import org.beechhoist.wire.MachineId;
 
 /**
- * How far a drain has come, as the leader keeps it: {@code dr/run/NAME}. What was begun, and the machines that stand beside, are named;
- * all else is counted.
+ * The progress of a drain, stored by the leader under {@code dr/run/NAME}. Machines that are being drained and new machines in reserve
+ * are listed by name; everything else is counted.
  */
 public final class Progress {
-    /** Of which change of the drain it tells. */
+    /** Version of the drain that this progress belongs to. */
     public long number;
-    /** Machines in hand, and since when, by the time of day. */
+    /** Machines that are being drained, and since when, in wall clock time. */
     public final Map<MachineId, Long> begun = new TreeMap<>();
-    /** New machines that stand beside the old ones. */
+    /** New machines that are in reserve for old ones, and since when, in wall clock time. */
     public final Map<MachineId, Long> spares = new TreeMap<>();
 
+    /** Number of machines that are gone. */
     public int gone;
-    /** Of the new ones, those that have become ordinary machines: one for each that is gone. */
+    /** Number of new machines that have become ordinary ones: one for each machine that is gone. */
     public int released;
 
+    /** Number of steps so far. */
     public int steps;
+    /** When the last machine of the first step was gone, in wall clock time; 0: it is not. */
     public long canaryGoneMs;
+    /** Number of requested new machines, counted anew after each automatic pause. */
     public int sparesAsked;
+    /** How many of these did not come up. */
     public int sparesFailed;
-    /** Why it goes no further by itself, and since when; null: it does. */
+    /** Why the drain has paused automatically; null: it has not. */
     public String paused;
 
+    /** Since when it has paused automatically, in wall clock time. */
     public long pausedMs;
+    /** Number of automatic pauses so far. */
     public int pauses;
-    /** What it was thought to cost and to end when it began, and what it has cost. */
+    /** Forecast at the start: number of tasks that will be evicted. */
     public int tasksForeseen;
 
+    /** Forecast at the start: CPU seconds that will be lost. */
     public double cpuSForeseen;
+    /** Forecast at the start: when the drain will end, in wall clock time. */
     public long endForeseenMs;
+    /** Number of tasks evicted so far. */
     public int tasks;
+    /** CPU seconds lost so far. */
     public double cpuS;
-    /** When the last of its machines was gone; 0: it goes on. */
+    /** When the last machine was gone, in wall clock time; 0: the drain is not over. */
     public long overMs;
 
+    /** Returns the stored form; CPU seconds are rounded. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map()
                 .put("number", number)
@@ -61,15 +73,16 @@
                 .put("tasks", tasks)
                 .put("cpuS", Math.round(cpuS))
                 .put("over", overMs);
-        hosts(node.putArray("begun"), begun);
-        hosts(node.putArray("spares"), spares);
+        writeMachines(node.putArray("begun"), begun);
+        writeMachines(node.putArray("spares"), spares);
         return node;
     }
 
-    private static void hosts(ArrayNode out, Map<MachineId, Long> hosts) {
-        hosts.forEach((h, at) -> out.add(h.text()).add(at));
+    private static void writeMachines(ArrayNode out, Map<MachineId, Long> machines) {
+        machines.forEach((machine, at) -> out.add(machine.text()).add(at));
     }
 
+    /** Reads the stored form; absent fields are zero. */
     public static Progress parse(JsonNode node) {
         Progress progress = new Progress();
         progress.number = node.path("number").asLong();
@@ -88,12 +101,12 @@
         progress.tasks = node.path("tasks").asInt();
         progress.cpuS = node.path("cpuS").asDouble();
         progress.overMs = node.path("over").asLong();
-        read(node.path("begun"), progress.begun);
-        read(node.path("spares"), progress.spares);
+        readMachines(node.path("begun"), progress.begun);
+        readMachines(node.path("spares"), progress.spares);
         return progress;
     }
 
-    private static void read(JsonNode rows, Map<MachineId, Long> out) {
+    private static void readMachines(JsonNode rows, Map<MachineId, Long> out) {
         for (int i = 0; i + 1 < rows.size(); i += 2) {
             out.put(new MachineId(rows.get(i).asText()), rows.get(i + 1).asLong());
         }
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -11,28 +11,49 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * Which machines: by name, or all that were rented before the drain began and are of a type, a zone, a kind, an age, or a share of
- * them. A function of the machine and the record alone, so that every leader finds the same ones.
+ * Selects the machines of a drain: by name, or all that were rented before the drain was requested and have a type, a zone, a kind or an
+ * age, or a share of those. The result depends only on the machine and the record, so that every leader selects the same machines.
  *
- * @param names empty: not by name
- * @param spot null: both kinds
- * @param share of the machines that fit else, drawn by a hash of their names: about that many
+ * @param names the names of the machines; empty: selected by the other criteria
+ * @param type the machine type; null: any
+ * @param zone the zone; null: any
+ * @param spot whether spot machines or the others are selected; null: both
+ * @param olderThanS minimum age of a machine at the time of the request, in seconds
+ * @param share the approximate share of the matching machines that is selected, by a hash of their names
  */
 public record Selector(Set<String> names, String type, String zone, Boolean spot, long olderThanS, double share) {
+    /** Largest number of machines that can be selected by name. */
     public static final int MOST_NAMES = 100;
+
     private static final long LONGEST_S = 366L * 86_400;
     private static final double LEAST_SHARE = 0.001;
+    /** Number of different hash values. */
     private static final double HASHES = 4294967296.0;
 
-    /** @param rentedWallMs by the time of day; 0: not known */
+    private static final long MS_PER_S = 1000;
+
+    /**
+     * The properties of a machine by which it is selected.
+     *
+     * @param id the machine
+     * @param type its machine type
+     * @param zone its zone
+     * @param spot whether it is a spot machine
+     * @param rentedWallMs when it was rented, in wall clock time; 0: not known
+     */
     public record Machine(MachineId id, String type, String zone, boolean spot, long rentedWallMs) {}
 
-    /** @param atMs when the drain was put, by the time of day */
+    /**
+     * Returns whether the machine is selected.
+     *
+     * @param machine the machine
+     * @param atMs when the drain was requested, in wall clock time
+     */
     public boolean matches(Machine machine, long atMs) {
         if (!names.isEmpty()) {
             return names.contains(machine.id.text());
         }
-        boolean old = machine.rentedWallMs > 0 && machine.rentedWallMs < atMs - 1000 * olderThanS;
+        boolean old = machine.rentedWallMs > 0 && machine.rentedWallMs < atMs - MS_PER_S * olderThanS;
         return old
                 && (type == null || type.equals(machine.type))
                 && (zone == null || zone.equals(machine.zone))
@@ -42,6 +63,7 @@
                                 < share * HASHES);
     }
 
+    /** Reads the selector from a request or a stored drain. */
     public static Selector parse(JsonNode node) throws MalformedMessageException {
         Set<String> names = new TreeSet<>();
         if (!Codec.isAbsent(node, "machines")) {
@@ -65,7 +87,8 @@
         return new Selector(names, type, zone, spot, older, share);
     }
 
-    public void into(ObjectNode node) {
+    /** Writes the selector into the stored form of a drain or an answer. */
+    public void writeTo(ObjectNode node) {
         if (!names.isEmpty()) {
             ArrayNode list = node.putArray("machines");
             names.forEach(list::add);
--- a/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
+++ b/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
@@ -67,27 +67,27 @@
             }
             Evictions.Decision d = Evictions.decide(all, budgets, accounts, NOW, 40);
             Account a = accounts.getOrDefault("blue", new Account());
-            double purposely = d.leave().stream()
+            double purposely = d.evicted().stream()
                     .mapToDouble(Evictions.Candidate::lostCpuS)
                     .sum();
-            assertTrue(d.leave().size() <= Math.min(atOnce, 3), "round " + round);
+            assertTrue(d.evicted().size() <= Math.min(atOnce, 3), "round " + round);
             assertTrue(purposely == 0 || before + purposely <= lost + 1e-6, "round " + round);
             assertEquals(before + purposely, a.lastHour(null, NOW).cpuS(), 1e-6, "each is charged once");
             assertEquals(
                     all.size(),
-                    d.leave().size()
+                    d.evicted().size()
                             + d.blocked().values().stream()
                                     .mapToInt(Integer::intValue)
                                     .sum(),
                     "each has left or knows why not");
-            left += d.leave().size();
+            left += d.evicted().size();
             kept += d.blocked().size();
             // Nothing that was refused would be allowed now.
             Map<String, Account> again = new HashMap<>(Map.of("blue", a.copy()));
             List<Evictions.Candidate> rest =
-                    all.stream().filter(c -> !d.leave().contains(c)).toList();
+                    all.stream().filter(c -> !d.evicted().contains(c)).toList();
             assertEquals(
-                    List.of(), Evictions.decide(rest, budgets, again, NOW, 40).leave(), "round " + round);
+                    List.of(), Evictions.decide(rest, budgets, again, NOW, 40).evicted(), "round " + round);
         }
         assertTrue(left > 100 && kept > 100, left + " left, " + kept + " reasons");
     }
@@ -95,31 +95,38 @@
     @Test
     void whoIsRefusedAndWhy() {
         Account a = new Account();
-        Account.Ask ask = new Account.Ask(task(1, 0), "c", false, 0, 10);
-        assertTrue(a.refuses(budget("blue", null, 0, 100, null, 0), ask, NOW).contains("none of its tasks"));
-        assertNull(a.refuses(DisruptionBudget.USUAL, ask, NOW));
+        Account.DisruptionRequest ask = new Account.DisruptionRequest(task(1, 0), "c", false, 0, 10);
+        assertTrue(
+                a.refusalReason(budget("blue", null, 0, 100, null, 0), ask, NOW).contains("none of its tasks"));
+        assertNull(a.refusalReason(DisruptionBudget.USUAL, ask, NOW));
         a.charge(task(1, 0), new Account.Away(1, "c", Cause.DRAIN, 10, NOW));
-        assertTrue(a.refuses(DisruptionBudget.USUAL, ask, NOW + 60_000).contains("again in 240 s"));
-        assertTrue(a.refuses(budget("blue", null, 1, 100, null, 0), new Account.Ask(task(2, 0), "c", false, 0, 10), NOW)
+        assertTrue(a.refusalReason(DisruptionBudget.USUAL, ask, NOW + 60_000).contains("again in 240 s"));
+        assertTrue(a.refusalReason(
+                        budget("blue", null, 1, 100, null, 0),
+                        new Account.DisruptionRequest(task(2, 0), "c", false, 0, 10),
+                        NOW)
                 .contains("1 of 1 tasks are away"));
-        a.back(task(1, 0));
-        assertNull(a.refuses(DisruptionBudget.USUAL, ask, NOW + 301_000));
+        a.clearAway(task(1, 0));
+        assertNull(a.refusalReason(DisruptionBudget.USUAL, ask, NOW + 301_000));
         // A service of three that must keep three is never moved; one that may miss one has one away at a time.
-        Account.Ask replica = new Account.Ask(task(3, 0), "s", true, 3, 0);
-        assertTrue(a.refuses(budget("blue", null, 9, 100, 1.0, 0), replica, NOW)
+        Account.DisruptionRequest replica = new Account.DisruptionRequest(task(3, 0), "s", true, 3, 0);
+        assertTrue(a.refusalReason(budget("blue", null, 9, 100, 1.0, 0), replica, NOW)
                 .contains("of 3 replicas none may be away"));
-        assertNull(a.refuses(DisruptionBudget.USUAL, replica, NOW));
+        assertNull(a.refusalReason(DisruptionBudget.USUAL, replica, NOW));
         a.charge(task(3, 1), new Account.Away(1, "s", Cause.DRAIN, 0, NOW));
-        assertTrue(a.refuses(DisruptionBudget.USUAL, replica, NOW).contains("is away"));
+        assertTrue(a.refusalReason(DisruptionBudget.USUAL, replica, NOW).contains("is away"));
         // What happens by itself fills the hour, and is never away on purpose.
         a.charge(task(4, 0), new Account.Away(1, "c", Cause.MACHINE, 5000, NOW));
         assertFalse(a.isAway(task(4, 0)));
-        assertTrue(a.refuses(budget("blue", null, 9, 1000, null, 0), new Account.Ask(task(5, 0), "c", false, 0, 1), NOW)
+        assertTrue(a.refusalReason(
+                        budget("blue", null, 9, 1000, null, 0),
+                        new Account.DisruptionRequest(task(5, 0), "c", false, 0, 1),
+                        NOW)
                 .contains("CPU s of the hour"));
         a.fold(NOW + 2 * 3_600_000);
-        assertNull(a.refuses(
+        assertNull(a.refusalReason(
                 budget("blue", null, 9, 1000, null, 0),
-                new Account.Ask(task(5, 0), "c", false, 0, 1),
+                new Account.DisruptionRequest(task(5, 0), "c", false, 0, 1),
                 NOW + 2 * 3_600_000));
         assertEquals(5000, a.sums().get("c MACHINE").cpuS(), "sums are kept");
     }
@@ -145,7 +152,7 @@
         assertEquals(a.sums(), b.sums());
         Account c = new Account();
         c.charge(task(1, 1), new Account.Away(1, "c", Cause.DRAIN, 30, NOW));
-        c.undo(task(1, 1));
+        c.refund(task(1, 1));
         assertEquals(
                 new Account().toNode(),
                 Account.parse(c.toNode()).copy().toNode().put("x", 0).without("x"));
@@ -154,7 +161,7 @@
 
     @Test
     void whichMachinesComeNext() throws MalformedMessageException {
-        Pace p = Pace.parse(
+        DrainLimits p = DrainLimits.parse(
                 Codec.map()
                         .put("canary", 2)
                         .put("atOnce", 6)
@@ -162,19 +169,26 @@
                         .put("spare", 0)
                         .put("holdS", 60),
                 true);
-        List<Waves.Waiting> waiting = new ArrayList<>();
+        List<ReplacementSteps.Waiting> waiting = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            waiting.add(new Waves.Waiting(new MachineId("m-" + (10 + i)), i % 4 == 0 ? "b" : "a", 100 - i, 1));
+            waiting.add(
+                    new ReplacementSteps.Waiting(new MachineId("m-" + (10 + i)), i % 4 == 0 ? "b" : "a", 100 - i, 1));
         }
-        List<MachineId> first = Waves.next(p, new Waves.Facts(waiting, Map.of(), 0, 0, 0), NOW);
+        List<MachineId> first =
+                ReplacementSteps.nextMachines(p, new ReplacementSteps.Facts(waiting, Map.of(), 0, 0, 0), NOW);
         assertEquals(2, first.size());
         assertEquals(new MachineId("m-29"), first.get(0), "what loses least first");
         assertEquals(
                 List.of(),
-                Waves.next(p, new Waves.Facts(waiting, Map.of("a", 2), 0, 0, 0), NOW),
+                ReplacementSteps.nextMachines(p, new ReplacementSteps.Facts(waiting, Map.of("a", 2), 0, 0, 0), NOW),
                 "the first step must be over");
-        assertEquals(List.of(), Waves.next(p, new Waves.Facts(waiting, Map.of(), 2, NOW - 59_000, 0), NOW), "and hold");
-        List<MachineId> next = Waves.next(p, new Waves.Facts(waiting, Map.of("a", 1), 2, NOW - 60_000, 0), NOW);
+        assertEquals(
+                List.of(),
+                ReplacementSteps.nextMachines(
+                        p, new ReplacementSteps.Facts(waiting, Map.of(), 2, NOW - 59_000, 0), NOW),
+                "and hold");
+        List<MachineId> next = ReplacementSteps.nextMachines(
+                p, new ReplacementSteps.Facts(waiting, Map.of("a", 1), 2, NOW - 60_000, 0), NOW);
         assertEquals(5, next.size());
         assertEquals(
                 2,
@@ -182,18 +196,19 @@
                         .filter(h -> Integer.parseInt(h.text().substring(2)) % 4 != 2)
                         .count(),
                 "three of a zone at once: " + next);
-        Pace spare = Pace.parse(Codec.map().put("canary", 0).put("atOnce", 6).put("spare", 4), true);
+        DrainLimits spare =
+                DrainLimits.parse(Codec.map().put("canary", 0).put("atOnce", 6).put("spare", 4), true);
         assertEquals(
                 3,
-                Waves.next(spare, new Waves.Facts(waiting, Map.of("a", 1), 0, 0, 4), NOW)
+                ReplacementSteps.nextMachines(spare, new ReplacementSteps.Facts(waiting, Map.of("a", 1), 0, 0, 4), NOW)
                         .size(),
                 "one spare for each in hand");
-        assertNull(Waves.stops(new Waves.Health(0, 0, 0, 0, 1, "", 0, 100)));
-        assertNotNull(Waves.stops(new Waves.Health(6, 3, 0, 0, 1, "", 0, 100)));
-        assertNotNull(Waves.stops(new Waves.Health(0, 0, 0, 0, 0.5, "class:c", 0, 100)));
-        assertNotNull(Waves.stops(new Waves.Health(0, 0, 0, 0, 1, "", 30, 1000)));
-        assertNotNull(Waves.stops(new Waves.Health(0, 0, 0, 0, 1, "", 5, 20)));
-        assertNull(Waves.stops(new Waves.Health(0, 0, 0, 0, 1, "", 5, 200)));
+        assertNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 0, 100)));
+        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(6, 3, 0, 0, 1, "", 0, 100)));
+        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 0.5, "class:c", 0, 100)));
+        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 30, 1000)));
+        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 20)));
+        assertNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 200)));
     }
 
     /** Machines rented after the drain began are never meant; a share is the same machines each time. */
@@ -230,7 +245,7 @@
 
     private static ObjectNode node(Selector s) {
         ObjectNode n = Codec.map();
-        s.into(n);
+        s.writeTo(n);
         return n;
     }
 
@@ -246,20 +261,20 @@
         "2026-12-07T23:00+09:00, false"
     })
     void whenItRests(String at, boolean rests) throws MalformedMessageException {
-        Rest r = Rest.parse(Codec.map()
+        PauseSchedule r = PauseSchedule.parse(Codec.map()
                         .put("from", "22:00")
                         .put("to", "06:00")
                         .put("clock", "Asia/Tokyo")
                         .put("calendar", "kyushu"))
-                .with(d -> d.getDayOfWeek().getValue() > 5, NOW);
-        Rest stored = new Rest(
+                .withClosedDays(d -> d.getDayOfWeek().getValue() > 5, NOW);
+        PauseSchedule stored = new PauseSchedule(
                 r.from(),
                 r.to(),
                 r.zone(),
                 r.calendar(),
                 java.util.Set.of(LocalDate.parse("2026-12-05"), LocalDate.parse("2026-12-06")));
-        assertEquals(rests, stored.rests(ZonedDateTime.parse(at).toInstant().toEpochMilli()), at);
-        assertFalse(Rest.NEVER.rests(NOW));
+        assertEquals(rests, stored.isPaused(ZonedDateTime.parse(at).toInstant().toEpochMilli()), at);
+        assertFalse(PauseSchedule.NEVER.isPaused(NOW));
     }
 
     /** What is put, and written, is read back the same; bad input names field, value and what is allowed. */
@@ -273,15 +288,15 @@
                 .put("atOnce", 5)
                 .put("waitS", 120)
                 .put("inS", 600);
-        Drain d = Drain.described("night", n, NOW).put(null, "ops", NOW, "old kernels");
+        Drain d = Drain.fromRequest("night", n, NOW).asChangeOf(null, "ops", NOW, "old kernels");
         assertEquals(d, Drain.parse(d.toNode()));
-        Drain paused = d.to(Drain.State.PAUSED, "paused", "ops", NOW + 5, "too loud");
+        Drain paused = d.withState(Drain.State.PAUSED, "paused", "ops", NOW + 5, "too loud");
         assertEquals(2, paused.number());
         assertEquals(paused, Drain.parse(paused.toNode()));
         for (String[] bad : new String[][] {{"atOnce", "0"}, {"waitS", "-1"}, {"inS", "0"}, {"olderThanS", "-5"}}) {
             MalformedMessageException e = assertThrows(
                     MalformedMessageException.class,
-                    () -> Drain.described("night", n.deepCopy().put(bad[0], Integer.parseInt(bad[1])), NOW));
+                    () -> Drain.fromRequest("night", n.deepCopy().put(bad[0], Integer.parseInt(bad[1])), NOW));
             assertTrue(
                     e.getMessage().startsWith(bad[0] + " = " + bad[1])
                             && e.getMessage().contains("expected"),
@@ -289,15 +304,15 @@
         }
         assertThrows(
                 MalformedMessageException.class,
-                () -> Drain.described("night", n.deepCopy().put("keep", true), NOW));
-        assertThrows(MalformedMessageException.class, () -> Drain.described("a/b", n, NOW));
-        DisruptionBudget b = DisruptionBudget.described(
+                () -> Drain.fromRequest("night", n.deepCopy().put("keep", true), NOW));
+        assertThrows(MalformedMessageException.class, () -> Drain.fromRequest("a/b", n, NOW));
+        DisruptionBudget b = DisruptionBudget.fromRequest(
                 Codec.map().put("team", "blue").put("leastUp", 0.5), "ops", NOW, "because", 3);
         assertEquals(b, DisruptionBudget.parse(b.toNode()));
         assertEquals(2, b.mayBeAway(5));
         assertThrows(
                 MalformedMessageException.class,
-                () -> DisruptionBudget.described(
+                () -> DisruptionBudget.fromRequest(
                         Codec.map().put("team", "blue").put("leastUp", 1.5), "ops", NOW, "", 1));
     }
 
@@ -317,7 +332,7 @@
         a.shrink();
         assertEquals(hour, a.lastHour(null, NOW + 3_000_000).cpuS(), 1e-6);
         assertTrue(Codec.jsonBytes(a.toNode()) < 8 * 1024, Codec.jsonBytes(a.toNode()) + " bytes");
-        a.undo(task(1, 0));
+        a.refund(task(1, 0));
         assertEquals(hour - 1, a.lastHour(null, NOW + 3_000_000).cpuS(), 1e-6);
     }
 }
