--- a/src/main/java/org/beechhoist/cli/CronCommands.java
+++ b/src/main/java/org/beechhoist/cli/CronCommands.java
@@ -86,7 +86,8 @@
 
         private Map<String, Calendar> calendars;
 
-        private List<Entry> read(long since) throws MalformedMessageException, IOException, CronTable.Bad {
+        private List<Entry> read(long since)
+                throws MalformedMessageException, IOException, CronTable.InvalidTableException {
             calendars = source.read();
             List<Entry> all = CronTable.parse(base(file), Files.readString(file), since);
             for (Entry entry : all) {
@@ -106,7 +107,7 @@
     private static int look(Table table, long since, Look look) {
         try {
             return look.at(table.read(since));
-        } catch (CronTable.Bad | MalformedMessageException e) {
+        } catch (CronTable.InvalidTableException | MalformedMessageException e) {
             System.err.println("beechhoist: " + table.file + ": " + e.getMessage());
         } catch (IOException e) {
             System.err.println("beechhoist: " + table.file + ": readable files are expected: " + e.getMessage());
@@ -177,9 +178,9 @@
                                         local.getOffset().getId().equals("Z") ? "" : local.getOffset(),
                                         entry.line(),
                                         entry.jobName(),
-                                        entry.ref(instant))));
+                                        entry.jobId(instant))));
                     }
-                    Occurrences.leftOut(
+                    Occurrences.reportClosedDays(
                             entry,
                             calendar,
                             first,
@@ -224,7 +225,7 @@
                 CronTable.parse(table, text, 0);
                 return UserCommands.ask(
                         nodes, "POST", "/v1/cron/" + table, Codec.map().put("text", text), table);
-            } catch (CronTable.Bad e) {
+            } catch (CronTable.InvalidTableException e) {
                 System.err.println("beechhoist: " + file + ": " + e.getMessage());
             } catch (IOException e) {
                 System.err.println("beechhoist: " + file + ": a readable cron table is expected");
--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/CalendarDays.java
@@ -45,7 +45,7 @@
                     throw new MalformedMessageException("calendar = " + name + ": an installed calendar is expected");
                 }
                 Calendar c = Calendar.parse(read.item().value(), name);
-                use(d -> c.closed(d) == null, responder, use);
+                use(d -> c.closedReason(d) == null, responder, use);
             } catch (MalformedMessageException e) {
                 responder.respond(400, OptimisticUpdate.error(e.getMessage()));
             }
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -157,7 +157,7 @@
         List<Entry> parsed;
         try {
             parsed = CronTable.parse(table, Codec.text(body, "text"), context.wallMs() / 1000);
-        } catch (CronTable.Bad | MalformedMessageException e) {
+        } catch (CronTable.InvalidTableException | MalformedMessageException e) {
             responder.respond(400, error(e.getMessage()));
             return;
         }
@@ -182,7 +182,7 @@
                 // A line that stays goes on where it was: what is due at this very moment is not lost.
                 all.add(
                         before.containsKey(entry.id())
-                                ? entry.at(before.get(entry.id()).since())
+                                ? entry.withSince(before.get(entry.id()).since())
                                 : entry);
             }
             write(table, all, in, responder);
--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -8,6 +8,7 @@
 import java.time.LocalDate;
 import java.time.format.TextStyle;
 import java.util.EnumSet;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
@@ -16,8 +17,13 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * A named calendar: the weekdays on which business is done, and days on which it isn't (or is, though the weekday
- * says otherwise), each with its name.
+ * A named calendar: the business weekdays, and exceptions to them, each with its name.
+ *
+ * @param name the name of the calendar
+ * @param version the version that its maintainer has given it
+ * @param business the weekdays that are open
+ * @param holidays days that are closed whatever their weekday, with their names
+ * @param workdays days that are open whatever their weekday, with their names
  */
 public record Calendar(
         String name,
@@ -25,13 +31,15 @@
         Set<DayOfWeek> business,
         Map<LocalDate, String> holidays,
         Map<LocalDate, String> workdays) {
-    /** What one value of the state service holds. */
+    /** Largest number of exceptional days, so that a calendar fits into one value of the state service. */
     public static final int MAX_DAYS = 180;
 
     private static final int MAX_NAME = 60;
+    /** Letters to which the stored form abbreviates a weekday, and the fewest that are accepted. */
+    private static final int WEEKDAY_LETTERS = 3;
 
-    /** Why the day is closed, such as {@code holiday: Showa Day} or {@code Saturday}; null where it is open. */
-    public String closed(LocalDate date) {
+    /** Returns why the day is closed, such as {@code holiday: Showa Day} or {@code Saturday}, or null if it is open. */
+    public String closedReason(LocalDate date) {
         String holiday = holidays.get(date);
         if (holiday != null) {
             return "holiday: " + holiday;
@@ -42,24 +50,26 @@
         return date.getDayOfWeek().getDisplayName(TextStyle.FULL, Locale.ROOT);
     }
 
+    /** Returns whether the text can be the name of a calendar. */
     public static boolean validName(String text) {
         return text != null && text.matches("[A-Za-z0-9_-]{1," + MAX_NAME + "}");
     }
 
+    /** Returns the stored form. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map().put("name", name).put("version", version);
         ArrayNode week = node.putArray("business");
-        business.forEach(d -> week.add(d.name().substring(0, 3).toLowerCase(Locale.ROOT)));
-        days(node.putArray("holidays"), holidays);
-        days(node.putArray("workdays"), workdays);
+        business.forEach(d -> week.add(d.name().substring(0, WEEKDAY_LETTERS).toLowerCase(Locale.ROOT)));
+        writeDays(node.putArray("holidays"), holidays);
+        writeDays(node.putArray("workdays"), workdays);
         return node;
     }
 
-    private static void days(ArrayNode out, Map<LocalDate, String> days) {
+    private static void writeDays(ArrayNode out, Map<LocalDate, String> days) {
         days.forEach((d, name) -> out.addObject().put("date", d.toString()).put("name", name));
     }
 
-    /** Reads the form that {@link #toNode} writes, which is also that of a TOML file. */
+    /** Reads the form that {@link #toNode} writes; a calendar in a TOML file has the same form. */
     public static Calendar parse(JsonNode node, String name) throws MalformedMessageException {
         if (!validName(name)) {
             throw new MalformedMessageException(
@@ -68,14 +78,14 @@
         Set<DayOfWeek> week = EnumSet.noneOf(DayOfWeek.class);
         for (String text : node.has("business")
                 ? Codec.textList(node.get("business"), "business")
-                : java.util.List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun")) {
+                : List.of("mon", "tue", "wed", "thu", "fri", "sat", "sun")) {
             week.add(weekday(text));
         }
         if (week.isEmpty()) {
             throw new MalformedMessageException("business = []: at least one weekday is expected");
         }
-        Calendar calendar =
-                new Calendar(name, Codec.text(node, "version"), week, days(node, "holidays"), days(node, "workdays"));
+        Calendar calendar = new Calendar(
+                name, Codec.text(node, "version"), week, readDays(node, "holidays"), readDays(node, "workdays"));
         if (calendar.holidays.size() + calendar.workdays.size() > MAX_DAYS) {
             throw new MalformedMessageException("holidays: " + (calendar.holidays.size() + calendar.workdays.size())
                     + " days, at most " + MAX_DAYS + " are allowed; leave out years that are over");
@@ -85,19 +95,19 @@
 
     private static DayOfWeek weekday(String text) throws MalformedMessageException {
         for (DayOfWeek day : DayOfWeek.values()) {
-            if (text.length() >= 3 && day.name().startsWith(text.toUpperCase(Locale.ROOT))) {
+            if (text.length() >= WEEKDAY_LETTERS && day.name().startsWith(text.toUpperCase(Locale.ROOT))) {
                 return day;
             }
         }
         throw new MalformedMessageException("business: " + text + ": mon to sun is expected");
     }
 
-    private static Map<LocalDate, String> days(JsonNode node, String field) throws MalformedMessageException {
+    private static Map<LocalDate, String> readDays(JsonNode node, String field) throws MalformedMessageException {
         Map<LocalDate, String> out = new TreeMap<>();
-        for (JsonNode otherDate : node.path(field)) {
-            String date = otherDate.path("date").asText();
+        for (JsonNode day : node.path(field)) {
+            String date = day.path("date").asText();
             try {
-                out.put(LocalDate.parse(date), Codec.text(otherDate, "name"));
+                out.put(LocalDate.parse(date), Codec.text(day, "name"));
             } catch (DateTimeException e) {
                 throw new MalformedMessageException(
                         field + ".date = " + date + ": a date such as 2026-04-29 is expected");
--- a/src/main/java/org/beechhoist/cron/CalendarFile.java
+++ b/src/main/java/org/beechhoist/cron/CalendarFile.java
@@ -20,15 +20,28 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * A calendar as a person keeps it: TOML, or iCalendar (RFC 5545), whose all-day events are holidays. Recurring events are
- * written out for the years that are asked for.
+ * Reads a calendar from a file: TOML, or iCalendar (RFC 5545), whose all-day events are taken as holidays. Recurring events are expanded
+ * for the requested years.
  */
 public final class CalendarFile {
+    /** Days of one event that are read. */
     private static final int MOST_DAYS = 400;
+    /** Occurrences of one recurring event that are read. */
+    private static final int MOST_OCCURRENCES = MOST_DAYS * 10;
 
     private CalendarFile() {}
 
-    /** @param business weekdays for an iCalendar file, which can't say them; null: all */
+    /**
+     * Reads a calendar.
+     *
+     * @param file the file; a name that ends with {@code .ics} means iCalendar, any other TOML
+     * @param name the name of the calendar
+     * @param business the business weekdays for an iCalendar file, which has no field for them; null: all
+     * @param from the first day of an iCalendar file to take
+     * @param until the day after the last one to take
+     * @throws MalformedMessageException if the file is not a valid calendar
+     * @throws IOException if the file can't be read
+     */
     public static Calendar read(Path file, String name, List<String> business, LocalDate from, LocalDate until)
             throws MalformedMessageException, IOException {
         String text = Files.readString(file);
@@ -44,8 +57,8 @@
             throw new MalformedMessageException(file + ": an iCalendar object (BEGIN:VCALENDAR) is expected");
         }
         TreeMap<LocalDate, String> days = new TreeMap<>();
-        for (VEvent e : ics.getEvents()) {
-            take(e, from, until, days);
+        for (VEvent event : ics.getEvents()) {
+            addDays(event, from, until, days);
         }
         ObjectNode node = Codec.map()
                 .put(
@@ -63,7 +76,7 @@
         return Calendar.parse(node, name);
     }
 
-    private static void take(VEvent event, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
+    private static void addDays(VEvent event, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
             throws MalformedMessageException {
         String what =
                 event.getSummary() == null ? "holiday" : event.getSummary().getValue();
@@ -76,9 +89,9 @@
                 ? first.plusDays(1)
                 : day(event.getDateEnd().getValue(), zone);
         long length = Math.max(1, end.toEpochDay() - first.toEpochDay());
-        DateIterator it = event.getDateIterator(TimeZone.getTimeZone(zone));
-        for (int i = 0; it.hasNext() && i < MOST_DAYS * 10; i++) {
-            LocalDate date = day(it.next(), zone);
+        DateIterator dates = event.getDateIterator(TimeZone.getTimeZone(zone));
+        for (int i = 0; dates.hasNext() && i < MOST_OCCURRENCES; i++) {
+            LocalDate date = day(dates.next(), zone);
             if (!date.isBefore(until)) {
                 return;
             }
--- a/src/main/java/org/beechhoist/cron/Catchup.java
+++ b/src/main/java/org/beechhoist/cron/Catchup.java
@@ -5,29 +5,35 @@
 import java.util.List;
 
 /**
- * What a line does next, given where it has got to. An occurrence is missed if no leader was there at its time; a late
- * one, held up by load or by the run before, is not.
+ * What a schedule does next, given up to which occurrence it has been processed. An occurrence is missed if there was no leader at its
+ * time; one that is only late, because of load or because the previous run took long, is not missed.
  *
  * @param run the occurrence to run now; null: none
- * @param cursor where the line has got to once that is done
- * @param dropped occurrences that are passed over for good
+ * @param cursor the occurrence up to which the schedule is processed once that is done
+ * @param dropped number of occurrences that are skipped for good
  */
 public record Catchup(Instant run, Instant cursor, int dropped) {
-    /** Ordinary changes of leader take less; what came in that time is late and not missed. */
-    public static final Duration CHANGE = Duration.ofSeconds(120);
-    /** Looked at in one step; what was missed beyond is passed over in further ones. */
+    /** Longer than an ordinary change of leader takes; occurrences within that time are late and not missed. */
+    public static final Duration LEADER_CHANGE = Duration.ofSeconds(120);
+    /** Missed occurrences that are handled in one step; further ones are skipped in later steps. */
     private static final int STEP = 2000;
 
     /**
-     * @param servedSince since when the present leader has known its schedules
+     * Decides what a schedule does next.
+     *
+     * @param entry the schedule
+     * @param calendar its calendar; null: none
      * @param first the first occurrence after the cursor, which is not after {@code now}
+     * @param servedSince since when the present leader has known its schedules
+     * @param now the current time
      */
     public static Catchup next(Entry entry, Calendar calendar, Instant first, Instant servedSince, Instant now) {
-        Instant missedBefore = servedSince.minus(CHANGE);
+        Instant missedBefore = servedSince.minus(LEADER_CHANGE);
         if (!first.isBefore(missedBefore)) {
             return new Catchup(first, first, 0);
         }
-        // A single run stands for all until the return, also for one that would pass as late.
+        // A single run stands for all occurrences until the leader served again, also for those that would count as
+        // late.
         Instant end = entry.missed() == Entry.Missed.ONCE ? servedSince : missedBefore;
         Instant upTo = end.isBefore(now) ? end : now;
         List<Instant> missed = Occurrences.between(entry, calendar, first.minusMillis(1), upTo, STEP);
--- a/src/main/java/org/beechhoist/cron/CronTable.java
+++ b/src/main/java/org/beechhoist/cron/CronTable.java
@@ -32,45 +32,67 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Reads a cron table's text, by the grammar in Crontab.g4; docs/operations/cron.md explains what it says. */
+/** Reads the text of a cron table by the grammar in Crontab.g4; docs/operations/cron.md explains the format. */
 public final class CronTable {
-    /** A table that can't be used: line, column, what stands there and what may. */
-    public static final class Bad extends Exception {
-        Bad(int line, int column, String what) {
+    /** An invalid table: the message names line, column, the text found there and what is expected. */
+    public static final class InvalidTableException extends Exception {
+        InvalidTableException(int line, int column, String what) {
             super("line " + line + ", column " + (column + 1) + ": " + what, null, false, false);
         }
     }
 
-    /** Thrown out of ANTLR's listener, which can't declare Bad. */
-    private static final class Refused extends RuntimeException {
+    /** Thrown by ANTLR's error listener, which can't declare a checked exception. */
+    private static final class SyntaxError extends RuntimeException {
         private static final long serialVersionUID = 1;
-        private final transient Bad why;
+        private final transient InvalidTableException why;
 
-        Refused(Bad why) {
+        SyntaxError(InvalidTableException why) {
             super(why.getMessage(), why, false, false);
             this.why = why;
         }
     }
 
-    private static final Map<String, String> NICKNAMES = Map.of(
-            "@yearly",
-            "0 0 1 1 *",
-            "@annually",
-            "0 0 1 1 *",
-            "@monthly",
-            "0 0 1 * *",
-            "@weekly",
-            "0 0 * * 0",
-            "@daily",
-            "0 0 * * *",
-            "@midnight",
-            "0 0 * * *",
-            "@hourly",
-            "0 * * * *");
-    private static final List<String> MONTHS =
-            List.of("jan", "feb", "mar", "apr", "may", "jun", "jul", "aug", "sep", "oct", "nov", "dec");
-    private static final List<String> WEEKDAYS = List.of("sun", "mon", "tue", "wed", "thu", "fri", "sat");
+    /** Ends the reading at the first syntax error. */
+    private static final class RefusingListener extends BaseErrorListener {
+        @Override
+        public void syntaxError(
+                Recognizer<?, ?> recognizer,
+                Object symbol,
+                int line,
+                int column,
+                String message,
+                RecognitionException recognitionException) {
+            String found = found(symbol, message);
+            throw new SyntaxError(
+                    new InvalidTableException(line, column, found + expected(recognizer, recognitionException)));
+        }
+
+        private static String found(Object symbol, String message) {
+            if (!(symbol instanceof Token token)) {
+                return message;
+            }
+            if (token.getType() == Token.EOF) {
+                return "the end";
+            }
+            return token.getType() == CrontabParser.NL ? "the line's end" : "'" + token.getText() + "'";
+        }
+
+        private static String expected(Recognizer<?, ?> recognizer, RecognitionException recognitionException) {
+            if (recognitionException instanceof NoViableAltException) {
+                return ": a line such as 0 5 * * 1-5 JOB, or zone, calendar, team, job or NAME=value is expected";
+            }
+            if (recognizer instanceof CrontabParser parser) {
+                return ": " + parser.getExpectedTokens().toString(parser.getVocabulary()) + " is expected";
+            }
+            return "";
+        }
+    }
+
     private static final Set<String> OPTIONS = Set.of("missed", "most", "overlap", "once_key");
+    /** Digits of {@link Entry#MOST_MISSED}. */
+    private static final int MOST_MISSED_DIGITS = 3;
+    /** Hexadecimal digits of a schedule's id. */
+    private static final int ID_LENGTH = 16;
 
     private final String name;
     private final List<Entry> entries = new ArrayList<>();
@@ -86,55 +108,40 @@
         this.name = name;
     }
 
-    /** The table's lines, in their order; since the moment given. */
-    public static List<Entry> parse(String name, String text, long sinceS) throws Bad {
+    /**
+     * Reads a table and returns its schedules in their order.
+     *
+     * @param name the name of the table
+     * @param text the text of the table
+     * @param sinceS occurrences after this moment count, in seconds since 1970
+     * @throws InvalidTableException if the text is not a valid table
+     */
+    public static List<Entry> parse(String name, String text, long sinceS) throws InvalidTableException {
         CrontabLexer lexer = new CrontabLexer(CharStreams.fromString(text.endsWith("\n") ? text : text + "\n"));
         CrontabParser parser = new CrontabParser(new CommonTokenStream(lexer));
-        BaseErrorListener refuse = new BaseErrorListener() {
-            @Override
-            public void syntaxError(
-                    Recognizer<?, ?> recognizer,
-                    Object symbol,
-                    int line,
-                    int column,
-                    String message,
-                    RecognitionException recognitionException) {
-                String found = symbol instanceof Token token && token.getType() == Token.EOF
-                        ? "the end"
-                        : symbol instanceof Token offending && offending.getType() == CrontabParser.NL
-                                ? "the line's end"
-                                : symbol instanceof Token otherOffending
-                                        ? "'" + otherOffending.getText() + "'"
-                                        : message;
-                String may = recognitionException instanceof NoViableAltException
-                        ? ": a line such as 0 5 * * 1-5 JOB, or zone, calendar, team, job or NAME=value is expected"
-                        : recognizer instanceof CrontabParser crontabParser
-                                ? ": " + crontabParser.getExpectedTokens().toString(crontabParser.getVocabulary())
-                                        + " is expected"
-                                : "";
-                throw new Refused(new Bad(line, column, found + may));
-            }
-        };
+        BaseErrorListener refuse = new RefusingListener();
         lexer.removeErrorListeners();
         parser.removeErrorListeners();
         lexer.addErrorListener(refuse);
         parser.addErrorListener(refuse);
         try {
-            CronTable cronTable = new CronTable(name);
+            CronTable table = new CronTable(name);
             for (CrontabParser.LineContext line : parser.table().line()) {
-                cronTable.take(line, sinceS);
+                table.readLine(line, sinceS);
             }
-            return cronTable.entries;
-        } catch (Refused e) {
+            return table.entries;
+        } catch (SyntaxError e) {
             throw e.why;
         }
     }
 
-    private static Bad bad(ParserRuleContext at, String may) {
-        return new Bad(at.getStart().getLine(), at.getStart().getCharPositionInLine(), "'" + said(at) + "': " + may);
+    /** An exception at the given place of the table, with what is expected there. */
+    static InvalidTableException invalid(ParserRuleContext at, String expected) {
+        return new InvalidTableException(
+                at.getStart().getLine(), at.getStart().getCharPositionInLine(), "'" + source(at) + "': " + expected);
     }
 
-    private static String said(ParserRuleContext context) {
+    private static String source(ParserRuleContext context) {
         return context.getStart()
                 .getInputStream()
                 .getText(Interval.of(
@@ -142,16 +149,16 @@
     }
 
     private static String text(ParserRuleContext context) {
-        String s = context.getText();
-        return s.startsWith("\"") ? s.substring(1, s.length() - 1) : s;
+        String text = context.getText();
+        return text.startsWith("\"") ? text.substring(1, text.length() - 1) : text;
     }
 
-    private void take(CrontabParser.LineContext line, long sinceS) throws Bad {
+    private void readLine(CrontabParser.LineContext line, long sinceS) throws InvalidTableException {
         if (line.zone() != null) {
             try {
                 zone = ZoneId.of(text(line.zone().zoneName()));
             } catch (DateTimeException e) {
-                throw bad(line.zone().zoneName(), "a time zone such as Asia/Tokyo is expected");
+                throw invalid(line.zone().zoneName(), "a time zone such as Asia/Tokyo is expected");
             }
         } else if (line.calendar() != null) {
             boolean none = line.calendar().NONE() != null;
@@ -168,30 +175,30 @@
                     line.setting().NAME().getText(),
                     line.setting().value() == null ? "" : text(line.setting().value()));
         } else if (line.entry() != null) {
-            entry(line.entry(), sinceS);
+            addEntry(line.entry(), sinceS);
         }
     }
 
-    private static ObjectNode template(CrontabParser.JobContext job) throws Bad {
+    private static ObjectNode template(CrontabParser.JobContext job) throws InvalidTableException {
         ObjectNode out = Codec.map();
-        for (CrontabParser.PairContext p : job.pair()) {
-            out.set(text(p.name()), value(p.value()));
+        for (CrontabParser.PairContext pair : job.pair()) {
+            out.set(text(pair.name()), value(pair.value()));
         }
         return out;
     }
 
-    private static JsonNode value(CrontabParser.ValueContext valueContext) throws Bad {
+    private static JsonNode value(CrontabParser.ValueContext valueContext) throws InvalidTableException {
         if (valueContext.list() != null) {
             ArrayNode out = Codec.list();
-            for (CrontabParser.ValueContext e : valueContext.list().value()) {
-                out.add(value(e));
+            for (CrontabParser.ValueContext element : valueContext.list().value()) {
+                out.add(value(element));
             }
             return out;
         }
         if (valueContext.LBRACE() != null) {
             ObjectNode out = Codec.map();
-            for (CrontabParser.PairContext p : valueContext.pair()) {
-                out.set(text(p.name()), value(p.value()));
+            for (CrontabParser.PairContext pair : valueContext.pair()) {
+                out.set(text(pair.name()), value(pair.value()));
             }
             return out;
         }
@@ -199,70 +206,36 @@
             return BooleanNode.valueOf(valueContext.TRUE() != null);
         }
         try {
-            return valueContext.INT() != null
-                    ? LongNode.valueOf(Long.parseLong(valueContext.getText()))
-                    : valueContext.NUMBER() != null
-                            ? DoubleNode.valueOf(Double.parseDouble(valueContext.getText()))
-                            : TextNode.valueOf(text(valueContext));
+            if (valueContext.INT() != null) {
+                return LongNode.valueOf(Long.parseLong(valueContext.getText()));
+            }
+            return valueContext.NUMBER() != null
+                    ? DoubleNode.valueOf(Double.parseDouble(valueContext.getText()))
+                    : TextNode.valueOf(text(valueContext));
         } catch (NumberFormatException e) {
-            throw bad(valueContext, "a smaller number is expected");
+            throw invalid(valueContext, "a smaller number is expected");
         }
     }
 
-    private void entry(CrontabParser.EntryContext entryContext, long sinceS) throws Bad {
+    private void addEntry(CrontabParser.EntryContext entryContext, long sinceS) throws InvalidTableException {
         String job = text(entryContext.name());
-        ObjectNode template = jobs.get(job);
-        if (template == null) {
-            throw bad(
-                    entryContext.name(),
-                    jobs.isEmpty()
-                            ? "a job line must define it above"
-                            : "one of the jobs defined above is expected: "
-                                    + String.join(", ", new TreeMap<>(jobs).keySet()));
-        }
-        if (zone == null) {
-            throw bad(entryContext, "a zone line is expected above");
-        }
-        if (team == null && !template.has("owner")) {
-            throw bad(entryContext, "a team line is expected above, or owner in the job");
-        }
+        ObjectNode template = definedJob(entryContext, job);
         ObjectNode made = template.deepCopy();
         if (!made.has("owner")) {
             made.put("owner", team);
         }
-        Map<String, CrontabParser.OptionContext> options = new HashMap<>();
-        for (CrontabParser.OptionContext optionContext : entryContext.option()) {
-            String option = text(optionContext.name());
-            if (OPTIONS.contains(option)) {
-                options.put(option, optionContext);
-            } else {
-                made.set(option, value(optionContext.value())); // a field of the job, for this line only
-            }
-        }
+        Map<String, CrontabParser.OptionContext> options = readOptions(entryContext, made);
         Entry.Missed missed = choice(options.get("missed"), Entry.Missed.class, Entry.Missed.ONCE);
         Entry.Overlap overlap = choice(options.get("overlap"), Entry.Overlap.class, Entry.Overlap.QUEUE);
-        int most = 1;
-        if (options.containsKey("most")) {
-            CrontabParser.ValueContext valueContext = options.get("most").value();
-            if (valueContext.INT() == null
-                    || valueContext.getText().length() > 3
-                    || Integer.parseInt(valueContext.getText()) > Entry.MOST_MISSED) {
-                throw bad(valueContext, "a number from 0 to " + Entry.MOST_MISSED + " is expected");
-            }
-            most = Integer.parseInt(valueContext.getText());
-        }
+        int most = options.containsKey("most") ? mostMissed(options.get("most").value()) : 1;
         String once =
                 options.containsKey("once_key") ? text(options.get("once_key").value()) : null;
-        Expression expression = expression(entryContext.when());
-        String said = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|" + made + "|"
+        Expression expression = ExpressionReader.read(entryContext.when());
+        String content = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|" + made + "|"
                 + missed + "|" + overlap + "|" + once;
-        String id = Entry.hash(said).toString().replaceAll("[^0-9a-fA-F]", "");
-        for (int i = 2; !ids.add(id); i++) {
-            id = Entry.hash(said + "|" + i).toString().replaceAll("[^0-9a-fA-F]", "");
-        }
         Entry entry = new Entry(
                 name,
-                id.substring(0, Math.min(16, id.length())),
+                unusedId(content),
                 entryContext.getStart().getLine(),
                 expression,
                 zone,
@@ -275,97 +248,91 @@
                 overlap,
                 Entry.filledText(once, settings),
                 sinceS);
-        try {
-            entry.job(Instant.ofEpochSecond(sinceS));
-        } catch (MalformedMessageException m) {
-            throw bad(entryContext.name(), m.getMessage());
-        }
-        if (Occurrences.next(entry, null, Instant.ofEpochSecond(sinceS)) == null) {
-            throw bad(entryContext.when(), "it never comes");
-        }
+        check(entry, entryContext);
         entries.add(entry);
     }
 
-    private static <T extends Enum<T>> T choice(CrontabParser.OptionContext optionContext, Class<T> type, T fallback)
-            throws Bad {
-        if (optionContext == null) {
-            return fallback;
+    /** The template of the line's job, after a check that all that the line needs stands above it. */
+    private ObjectNode definedJob(CrontabParser.EntryContext entryContext, String job) throws InvalidTableException {
+        ObjectNode template = jobs.get(job);
+        if (template == null) {
+            throw invalid(
+                    entryContext.name(),
+                    jobs.isEmpty()
+                            ? "a job line must define it above"
+                            : "one of the jobs defined above is expected: "
+                                    + String.join(", ", new TreeMap<>(jobs).keySet()));
         }
-        List<String> all = new ArrayList<>();
-        for (T element : type.getEnumConstants()) {
-            all.add(element.name().toLowerCase(Locale.ROOT));
-            if (element.name().equalsIgnoreCase(text(optionContext.value()))) {
-                return element;
-            }
+        if (zone == null) {
+            throw invalid(entryContext, "a zone line is expected above");
         }
-        throw bad(optionContext.value(), "one of " + String.join(", ", all) + " is expected");
+        if (team == null && !template.has("owner")) {
+            throw invalid(entryContext, "a team line is expected above, or owner in the job");
+        }
+        return template;
     }
 
-    private static Expression expression(CrontabParser.WhenContext whenContext) throws Bad {
-        if (whenContext.NICKNAME() != null) {
-            String fields = NICKNAMES.get(whenContext.getText());
-            if (fields == null) {
-                throw bad(
-                        whenContext, "one of " + String.join(", ", new TreeMap<>(NICKNAMES).keySet()) + " is expected");
+    /** The line's options for the schedule; other ones are fields of the job, for this line only, and are set in it. */
+    private static Map<String, CrontabParser.OptionContext> readOptions(
+            CrontabParser.EntryContext entryContext, ObjectNode job) throws InvalidTableException {
+        Map<String, CrontabParser.OptionContext> options = new HashMap<>();
+        for (CrontabParser.OptionContext optionContext : entryContext.option()) {
+            String option = text(optionContext.name());
+            if (OPTIONS.contains(option)) {
+                options.put(option, optionContext);
+            } else {
+                job.set(option, value(optionContext.value()));
             }
-            CrontabParser crontabParser =
-                    new CrontabParser(new CommonTokenStream(new CrontabLexer(CharStreams.fromString(fields))));
-            return expression(crontabParser.when());
         }
-        long weekdays = bits(whenContext.dayOfWeek, 0, 7, WEEKDAYS, 0);
-        weekdays = (weekdays | weekdays >> 7) & 0x7f; // 7 is Sunday too
-        return new Expression(
-                bits(whenContext.minute, 0, 59, List.of(), 0),
-                (int) bits(whenContext.hour, 0, 23, List.of(), 0),
-                (int) bits(whenContext.dayOfMonth, 1, 31, List.of(), 1),
-                (int) bits(whenContext.month, 1, 12, MONTHS, 1),
-                (int) weekdays,
-                whenContext.hour.getText().equals("*"),
-                whenContext.dayOfMonth.getText().startsWith("*"),
-                whenContext.dayOfWeek.getText().startsWith("*"));
+        return options;
     }
 
-    private static long bits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
-            throws Bad {
-        long out = 0;
-        for (CrontabParser.ItemContext itemContext : field.item()) {
-            int from = itemContext.STAR() != null ? least : point(itemContext.from, least, most, names, first);
-            int to = itemContext.STAR() != null || (itemContext.to == null && itemContext.step != null)
-                    ? most
-                    : itemContext.to == null ? from : point(itemContext.to, least, most, names, first);
-            int step = 1;
-            if (itemContext.step != null) {
-                step = itemContext.step.getText().length() > 4 ? 0 : Integer.parseInt(itemContext.step.getText());
-                if (step < 1 || step > most) {
-                    throw bad(itemContext, "a step from 1 to " + most + " is expected");
-                }
-            }
-            if (from > to) {
-                throw bad(itemContext, "the first of a range must not be above the last");
-            }
-            for (int v = from; v <= to; v += step) {
-                out |= 1L << v;
-            }
+    private static int mostMissed(CrontabParser.ValueContext valueContext) throws InvalidTableException {
+        if (valueContext.INT() == null
+                || valueContext.getText().length() > MOST_MISSED_DIGITS
+                || Integer.parseInt(valueContext.getText()) > Entry.MOST_MISSED) {
+            throw invalid(valueContext, "a number from 0 to " + Entry.MOST_MISSED + " is expected");
         }
-        return out;
+        return Integer.parseInt(valueContext.getText());
     }
 
-    private static int point(
-            CrontabParser.PointContext pointContext, int least, int most, List<String> names, int first) throws Bad {
-        String may = "a number from " + least + " to " + most
-                + (names.isEmpty() ? "" : " or " + names.get(0) + " to " + names.get(names.size() - 1))
-                + " is expected";
-        if (pointContext.NAME() != null) {
-            int index = names.indexOf(pointContext.getText().toLowerCase(Locale.ROOT));
-            if (index < 0) {
-                throw bad(pointContext, may);
-            }
-            return index + first;
+    /** The id of a schedule by its content; a line that says the same as earlier ones is given a number. */
+    private String unusedId(String content) {
+        String id = hexadecimalHash(content);
+        for (int i = 2; !ids.add(id); i++) {
+            id = hexadecimalHash(content + "|" + i);
+        }
+        return id.substring(0, Math.min(ID_LENGTH, id.length()));
+    }
+
+    private static String hexadecimalHash(String text) {
+        return Entry.hash(text).toString().replaceAll("[^0-9a-fA-F]", "");
+    }
+
+    private static void check(Entry entry, CrontabParser.EntryContext entryContext) throws InvalidTableException {
+        Instant since = Instant.ofEpochSecond(entry.since());
+        try {
+            entry.job(since);
+        } catch (MalformedMessageException e) {
+            throw invalid(entryContext.name(), e.getMessage());
+        }
+        if (Occurrences.next(entry, null, since) == null) {
+            throw invalid(entryContext.when(), "it never comes");
+        }
+    }
+
+    private static <T extends Enum<T>> T choice(CrontabParser.OptionContext optionContext, Class<T> type, T fallback)
+            throws InvalidTableException {
+        if (optionContext == null) {
+            return fallback;
         }
-        int value = pointContext.getText().length() > 4 ? -1 : Integer.parseInt(pointContext.getText());
-        if (value < least || value > most) {
-            throw bad(pointContext, may);
+        List<String> all = new ArrayList<>();
+        for (T element : type.getEnumConstants()) {
+            all.add(element.name().toLowerCase(Locale.ROOT));
+            if (element.name().equalsIgnoreCase(text(optionContext.value()))) {
+                return element;
+            }
         }
-        return value;
+        throw invalid(optionContext.value(), "one of " + String.join(", ", all) + " is expected");
     }
 }
--- a/src/main/java/org/beechhoist/cron/Entry.java
+++ b/src/main/java/org/beechhoist/cron/Entry.java
@@ -22,10 +22,22 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * One line of a cron table: when it runs and what job it makes.
+ * One line of a cron table, a schedule: when it runs and which job it submits.
  *
- * @param id follows from what the line says and not from where it stands, so that a table's new version goes on where
- *     the old one was
+ * @param table the name of the table
+ * @param id the identity of the schedule, which depends on the content of the line and not on its position, so that a new version of the
+ *     table continues where the old one was
+ * @param line the number of the line in the table
+ * @param expression the five fields of the line
+ * @param zone the time zone of the line
+ * @param calendar the name of the calendar; null: none
+ * @param nextBusinessDay whether an occurrence on a closed day moves to the next open one; otherwise it is left out
+ * @param jobName the name of the job in the table
+ * @param template the fields of the job
+ * @param missed what becomes of missed occurrences
+ * @param mostMissed how many missed occurrences are run if all should be
+ * @param overlap what becomes of an occurrence while the previous run is not over
+ * @param onceKey the job's idempotency key, with variables; null: none
  * @param since occurrences after this moment count, in seconds since 1970
  */
 public record Entry(
@@ -43,24 +55,33 @@
         Overlap overlap,
         String onceKey,
         long since) {
-    /** What becomes of occurrences at which the service was down. */
+    /** What becomes of occurrences at which the service was down; the names are stored in lower case. */
     public enum Missed {
+        /** One run stands for all missed occurrences. */
         ONCE,
+        /** Missed occurrences are skipped. */
         NONE,
+        /** The latest missed occurrences are run, up to a limit. */
         ALL
     }
 
-    /** What becomes of an occurrence whose schedule's last run is not over. */
+    /** What becomes of an occurrence while the previous run of its schedule is not over; the names are stored in lower case. */
     public enum Overlap {
+        /** It waits until the previous run is over. */
         QUEUE,
+        /** It is skipped. */
         SKIP,
+        /** The previous run is cancelled. */
         REPLACE
     }
 
+    /** Largest number of missed occurrences that can be run afterwards. */
     public static final int MOST_MISSED = 100;
+
     private static final Pattern VARIABLE = Pattern.compile("\\{([A-Za-z_][A-Za-z0-9_]*)}");
 
-    public Entry at(long sinceS) {
+    /** Returns this schedule with another moment after which its occurrences count. */
+    public Entry withSince(long sinceS) {
         return new Entry(
                 table,
                 id,
@@ -78,13 +99,14 @@
                 sinceS);
     }
 
-    /** The ref of the job that an occurrence makes; the same whoever makes it, and whenever. */
-    public JobId ref(Instant at) {
+    /** Returns the id of the job that an occurrence submits; it is the same on every node and at any time. */
+    public JobId jobId(Instant at) {
         return new JobId("job-"
                 + new BigInteger(
                         1, hash(table + "\n" + id + "\n" + at.getEpochSecond()).toByteArray()));
     }
 
+    /** Returns the hash from which ids of schedules and jobs are made. */
     public static HashValue128 hash(String text) {
         return Hashing.murmur3_128().hashCharsTo128Bits(text);
     }
@@ -114,7 +136,7 @@
         return matcher.appendTail(out).toString();
     }
 
-    /** The job of one occurrence, as a user would submit it. */
+    /** Returns the job of one occurrence, as a user would submit it. */
     public JobSpec job(Instant at) throws MalformedMessageException {
         Map<String, String> variables = variables(at);
         ObjectNode node = JobSpec.withDefaults(template);
@@ -124,7 +146,7 @@
                         entry.getKey(), TextNode.valueOf(filled(entry.getValue().textValue(), variables)));
             }
         });
-        node.put("ref", ref(at).text());
+        node.put("ref", jobId(at).text());
         if (onceKey != null) {
             node.put("onceKey", filled(onceKey, variables));
         }
@@ -132,6 +154,7 @@
                 .withOrigin(table + ", line " + line + ", " + at.atZone(zone).toOffsetDateTime());
     }
 
+    /** Returns the stored form. */
     public ObjectNode toNode() {
         ObjectNode node = expression
                 .toNode()
@@ -153,6 +176,7 @@
         return node;
     }
 
+    /** Reads the stored form. */
     public static Entry parse(String table, JsonNode node) throws MalformedMessageException {
         try {
             return new Entry(
@@ -175,7 +199,7 @@
         }
     }
 
-    /** Fills the table's own variables in, once, when it is read. */
+    /** Replaces the table's own variables in the template; done once, when the table is read. */
     static ObjectNode filled(ObjectNode template, Map<String, String> settings) {
         ObjectNode out = template.deepCopy();
         Map<String, String> known = new TreeMap<>(settings);
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -7,12 +7,18 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * The five fields of a crontab line as sets of bits: minutes 0 to 59, hours 0 to 23, days 1 to 31, months 1 to 12,
- * weekdays 0 (Sunday) to 6.
+ * The five fields of a crontab line as bit sets. If neither the day-of-month nor the day-of-week field begins with {@code *}, a day
+ * matches if either field names it, as is usual for crontabs. Ids of schedules are hashes of text that contains {@link #toString}: names
+ * and order of the components must not change.
  *
- * @param everyHour the hour field is {@code *}: the line follows real time, also where local time jumps
- * @param anyDay the day-of-month field begins with {@code *}, {@code anyWeekday} the day-of-week field: where both are
- *     given, a day matches that either of them names, as crontabs have it
+ * @param minutes bits 0 to 59
+ * @param hours bits 0 to 23
+ * @param days bits 1 to 31
+ * @param months bits 1 to 12
+ * @param weekdays bits 0 (Sunday) to 6
+ * @param everyHour whether the hour field is {@code *}; such a line follows real time, also where local time jumps
+ * @param anyDay whether the day-of-month field begins with {@code *}
+ * @param anyWeekday whether the day-of-week field begins with {@code *}
  */
 public record Expression(
         long minutes,
@@ -23,14 +29,22 @@
         boolean everyHour,
         boolean anyDay,
         boolean anyWeekday) {
+    private static final int DAYS_PER_WEEK = 7;
+    private static final int HEXADECIMAL = 16;
+    /** Flags in the stored form. */
+    private static final int EVERY_HOUR = 1;
 
-    /** Whether the date is one of the line's, calendars aside. */
+    private static final int ANY_DAY = 2;
+    private static final int ANY_WEEKDAY = 4;
+    private static final int ALL_FLAGS = EVERY_HOUR | ANY_DAY | ANY_WEEKDAY;
+
+    /** Returns whether the line names the date, without regard to calendars. */
     boolean matches(LocalDate date) {
         if ((months >> date.getMonthValue() & 1) == 0) {
             return false;
         }
         boolean day = (days >> date.getDayOfMonth() & 1) == 1;
-        boolean weekday = (weekdays >> date.getDayOfWeek().getValue() % 7 & 1) == 1;
+        boolean weekday = (weekdays >> date.getDayOfWeek().getValue() % DAYS_PER_WEEK & 1) == 1;
         return anyDay || anyWeekday ? day && weekday : day || weekday;
     }
 
@@ -42,7 +56,7 @@
         return (hours >> hour & 1) == 1;
     }
 
-    /** Sets of bits as hexadecimal text: sixty minutes are more than the protocol's checked numbers hold. */
+    /** Returns the stored form, with bit sets as hexadecimal text: sixty bits are more than the protocol's checked numbers hold. */
     ObjectNode toNode() {
         return Codec.map()
                 .put("m", Long.toHexString(minutes))
@@ -50,25 +64,25 @@
                 .put("d", Integer.toHexString(days))
                 .put("mo", Integer.toHexString(months))
                 .put("w", Integer.toHexString(weekdays))
-                .put("free", (everyHour ? 1 : 0) + (anyDay ? 2 : 0) + (anyWeekday ? 4 : 0));
+                .put("free", (everyHour ? EVERY_HOUR : 0) + (anyDay ? ANY_DAY : 0) + (anyWeekday ? ANY_WEEKDAY : 0));
     }
 
     static Expression parse(JsonNode node) throws MalformedMessageException {
-        int free = (int) Codec.wholeNumber(node, "free", 0, 7);
+        int flags = (int) Codec.wholeNumber(node, "free", 0, ALL_FLAGS);
         return new Expression(
                 bits(node, "m"),
                 (int) bits(node, "h"),
                 (int) bits(node, "d"),
                 (int) bits(node, "mo"),
                 (int) bits(node, "w"),
-                (free & 1) != 0,
-                (free & 2) != 0,
-                (free & 4) != 0);
+                (flags & EVERY_HOUR) != 0,
+                (flags & ANY_DAY) != 0,
+                (flags & ANY_WEEKDAY) != 0);
     }
 
     private static long bits(JsonNode node, String field) throws MalformedMessageException {
         try {
-            return Long.parseUnsignedLong(Codec.text(node, field), 16);
+            return Long.parseUnsignedLong(Codec.text(node, field), HEXADECIMAL);
         } catch (NumberFormatException e) {
             throw new MalformedMessageException(field + ": a set of bits in hexadecimal is expected");
         }
--- /dev/null
+++ b/src/main/java/org/beechhoist/cron/ExpressionReader.java
@@ -0,0 +1,119 @@
+package org.beechhoist.cron;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.TreeMap;
+import org.antlr.v4.runtime.CharStreams;
+import org.antlr.v4.runtime.CommonTokenStream;
+import org.beechhoist.cron.grammar.CrontabLexer;
+import org.beechhoist.cron.grammar.CrontabParser;
+
+/** Reads the five fields of a crontab line, or a nickname such as {@code @daily}, from the syntax tree. */
+final class ExpressionReader {
+    private static final Map<String, String> NICKNAMES = Map.of(
+            "@yearly",
+            "0 0 1 1 *",
+            "@annually",
+            "0 0 1 1 *",
+            "@monthly",
+            "0 0 1 * *",
+            "@weekly",
+            "0 0 * * 0",
+            "@daily",
+            "0 0 * * *",
+            "@midnight",
+            "0 0 * * *",
+            "@hourly",
+            "0 * * * *");
+    private static final List<String> MONTHS =
+            List.of("jan", "feb", "mar", "apr", "may", "jun", "jul", "aug", "sep", "oct", "nov", "dec");
+    private static final List<String> WEEKDAYS = List.of("sun", "mon", "tue", "wed", "thu", "fri", "sat");
+    private static final int LAST_MINUTE = 59;
+    private static final int LAST_HOUR = 23;
+    private static final int LAST_DAY = 31;
+    private static final int LAST_MONTH = 12;
+    /** Weekday 7 is Sunday as well as 0. */
+    private static final int SUNDAY_AGAIN = 7;
+
+    private static final int ALL_WEEKDAYS = 0x7f;
+    /** Longer numbers are out of every field's range, and could be too long for an int. */
+    private static final int MOST_DIGITS = 4;
+
+    private ExpressionReader() {}
+
+    static Expression read(CrontabParser.WhenContext whenContext) throws CronTable.InvalidTableException {
+        if (whenContext.NICKNAME() != null) {
+            String fields = NICKNAMES.get(whenContext.getText());
+            if (fields == null) {
+                throw CronTable.invalid(
+                        whenContext, "one of " + String.join(", ", new TreeMap<>(NICKNAMES).keySet()) + " is expected");
+            }
+            CrontabParser parser =
+                    new CrontabParser(new CommonTokenStream(new CrontabLexer(CharStreams.fromString(fields))));
+            return read(parser.when());
+        }
+        long weekdays = bits(whenContext.dayOfWeek, 0, SUNDAY_AGAIN, WEEKDAYS, 0);
+        weekdays = (weekdays | weekdays >> SUNDAY_AGAIN) & ALL_WEEKDAYS;
+        return new Expression(
+                bits(whenContext.minute, 0, LAST_MINUTE, List.of(), 0),
+                (int) bits(whenContext.hour, 0, LAST_HOUR, List.of(), 0),
+                (int) bits(whenContext.dayOfMonth, 1, LAST_DAY, List.of(), 1),
+                (int) bits(whenContext.month, 1, LAST_MONTH, MONTHS, 1),
+                (int) weekdays,
+                whenContext.hour.getText().equals("*"),
+                whenContext.dayOfMonth.getText().startsWith("*"),
+                whenContext.dayOfWeek.getText().startsWith("*"));
+    }
+
+    /** The values that a field names as a bit set; {@code first} is the value of the first of the names. */
+    private static long bits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
+            throws CronTable.InvalidTableException {
+        long out = 0;
+        for (CrontabParser.ItemContext itemContext : field.item()) {
+            int from = itemContext.STAR() != null ? least : point(itemContext.from, least, most, names, first);
+            int to = from;
+            if (itemContext.STAR() != null || itemContext.to == null && itemContext.step != null) {
+                to = most;
+            } else if (itemContext.to != null) {
+                to = point(itemContext.to, least, most, names, first);
+            }
+            int step = 1;
+            if (itemContext.step != null) {
+                step = itemContext.step.getText().length() > MOST_DIGITS
+                        ? 0
+                        : Integer.parseInt(itemContext.step.getText());
+                if (step < 1 || step > most) {
+                    throw CronTable.invalid(itemContext, "a step from 1 to " + most + " is expected");
+                }
+            }
+            if (from > to) {
+                throw CronTable.invalid(itemContext, "the first of a range must not be above the last");
+            }
+            for (int value = from; value <= to; value += step) {
+                out |= 1L << value;
+            }
+        }
+        return out;
+    }
+
+    private static int point(
+            CrontabParser.PointContext pointContext, int least, int most, List<String> names, int first)
+            throws CronTable.InvalidTableException {
+        String expected = "a number from " + least + " to " + most
+                + (names.isEmpty() ? "" : " or " + names.get(0) + " to " + names.get(names.size() - 1))
+                + " is expected";
+        if (pointContext.NAME() != null) {
+            int index = names.indexOf(pointContext.getText().toLowerCase(Locale.ROOT));
+            if (index < 0) {
+                throw CronTable.invalid(pointContext, expected);
+            }
+            return index + first;
+        }
+        int value = pointContext.getText().length() > MOST_DIGITS ? -1 : Integer.parseInt(pointContext.getText());
+        if (value < least || value > most) {
+            throw CronTable.invalid(pointContext, expected);
+        }
+        return value;
+    }
+}
--- a/src/main/java/org/beechhoist/cron/Occurrences.java
+++ b/src/main/java/org/beechhoist/cron/Occurrences.java
@@ -13,26 +13,31 @@
 import java.util.function.BiConsumer;
 
 /**
- * When a line runs. A line with hours of its own runs at local times: one that falls into a gap runs once at the gap's
- * end, one that comes twice runs at the first. A line whose hour field is {@code *} follows real time: every real minute
- * whose local minute it names.
+ * Computes when a schedule runs. A line that names hours runs at local times: a time that falls into a gap of the local clock runs once
+ * at the end of the gap, a time that occurs twice runs the first time. A line whose hour field is {@code *} follows real time and runs at
+ * every real minute whose local minute it names.
  */
 public final class Occurrences {
-    /** From 29 February over a century's turn to the next one that falls on a given weekday, and some. */
+    /** Days that are searched: more than from one 29 February on a given weekday to the next, across a century without a leap day. */
     private static final int MOST_DAYS = 366 * 41;
 
+    /** Closed days in a row of which occurrences can move to the next business day. */
     private static final int LONGEST_CLOSED = 60;
 
+    private static final int HOURS_PER_DAY = 24;
+    private static final int MINUTES_PER_HOUR = 60;
+    private static final int S_PER_MINUTE = 60;
+
     private Occurrences() {}
 
-    /** The first occurrence after the moment; null where there is none in 41 years. */
+    /** Returns the first occurrence after the moment, or null if there is none within 41 years. */
     public static Instant next(Entry entry, Calendar calendar, Instant after) {
         LocalDate day =
                 LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         List<Instant> found = new ArrayList<>(1);
         for (int i = 0; i < MOST_DAYS; i++, day = day.plusDays(1)) {
             if (runsOn(entry, calendar, day)) {
-                times(entry, day, after, Instant.MAX, 1, found);
+                addLocalTimes(entry, day, after, Instant.MAX, 1, found);
                 if (!found.isEmpty()) {
                     return found.get(0);
                 }
@@ -41,7 +46,7 @@
         return null;
     }
 
-    /** The line's moments after one and up to another, at most so many; earlier ones first. */
+    /** Returns the occurrences after one moment and up to another, at most {@code most}, earlier ones first. */
     public static List<Instant> between(Entry entry, Calendar calendar, Instant after, Instant upTo, int most) {
         List<Instant> out = new ArrayList<>();
         LocalDate last =
@@ -50,19 +55,19 @@
                 LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         for (; !day.isAfter(last) && out.size() < most; day = day.plusDays(1)) {
             if (runsOn(entry, calendar, day)) {
-                times(entry, day, after, upTo, most, out);
+                addLocalTimes(entry, day, after, upTo, most, out);
             }
         }
         return out;
     }
 
-    /** Tells of each day between two that the line names and its calendar leaves out, with the reason. */
-    public static void leftOut(
-            Entry entry, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> tell) {
+    /** Reports each day from one to before another that the line names and its calendar has closed, with the reason. */
+    public static void reportClosedDays(
+            Entry entry, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> report) {
         for (LocalDate date = from; calendar != null && date.isBefore(until); date = date.plusDays(1)) {
-            String closed = entry.expression().matches(date) ? calendar.closed(date) : null;
+            String closed = entry.expression().matches(date) ? calendar.closedReason(date) : null;
             if (closed != null) {
-                tell.accept(date, closed);
+                report.accept(date, closed);
             }
         }
     }
@@ -71,7 +76,7 @@
         if (calendar == null) {
             return entry.expression().matches(day);
         }
-        if (calendar.closed(day) != null) {
+        if (calendar.closedReason(day) != null) {
             return false;
         }
         if (entry.expression().matches(day)) {
@@ -80,9 +85,9 @@
         if (!entry.nextBusinessDay()) {
             return false;
         }
-        // What closed days just before have pushed on to this one.
+        // Occurrences on the closed days just before are moved to this day.
         LocalDate date = day.minusDays(1);
-        for (int i = 0; i < LONGEST_CLOSED && calendar.closed(date) != null; i++, date = date.minusDays(1)) {
+        for (int i = 0; i < LONGEST_CLOSED && calendar.closedReason(date) != null; i++, date = date.minusDays(1)) {
             if (entry.expression().matches(date)) {
                 return true;
             }
@@ -90,21 +95,22 @@
         return false;
     }
 
-    /** Adds the day's moments after one and up to another, in their order, until there are {@code most} in all. */
-    private static void times(Entry entry, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
+    /** Adds the day's occurrences after one moment and up to another, in order, until there are {@code most} in all. */
+    private static void addLocalTimes(
+            Entry entry, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
         Expression expression = entry.expression();
         if (expression.everyHour()) {
-            realMinutes(expression, day, entry.zone(), after, upTo, most, out);
+            addRealMinutes(expression, day, entry.zone(), after, upTo, most, out);
             return;
         }
         ZoneRules rules = entry.zone().getRules();
         Instant last = after;
-        for (int hour = 0; hour < 24; hour++) {
-            for (int minute = 0; expression.hour(hour) && minute < 60 && out.size() < most; minute++) {
+        for (int hour = 0; hour < HOURS_PER_DAY; hour++) {
+            for (int minute = 0; expression.hour(hour) && minute < MINUTES_PER_HOUR && out.size() < most; minute++) {
                 Instant instant = expression.minute(minute)
                         ? instant(rules, LocalDateTime.of(day, LocalTime.of(hour, minute)))
                         : last;
-                if (instant.isAfter(last) && !instant.isAfter(upTo)) { // several in a gap are one
+                if (instant.isAfter(last) && !instant.isAfter(upTo)) { // several times in one gap are one occurrence
                     out.add(instant);
                     last = instant;
                 }
@@ -121,7 +127,7 @@
         return gap.getInstant();
     }
 
-    private static void realMinutes(
+    private static void addRealMinutes(
             Expression expression,
             LocalDate day,
             ZoneId zone,
@@ -132,11 +138,12 @@
         Instant end = day.plusDays(1).atStartOfDay(zone).toInstant();
         Instant instant = day.atStartOfDay(zone).toInstant();
         if (instant.isBefore(after)) {
-            instant = instant.plusSeconds((after.getEpochSecond() - instant.getEpochSecond()) / 60 * 60);
+            instant = instant.plusSeconds(
+                    (after.getEpochSecond() - instant.getEpochSecond()) / S_PER_MINUTE * S_PER_MINUTE);
         }
         for (;
                 instant.isBefore(end) && !instant.isAfter(upTo) && out.size() < most;
-                instant = instant.plusSeconds(60)) {
+                instant = instant.plusSeconds(S_PER_MINUTE)) {
             if (instant.isAfter(after)
                     && expression.minute(LocalDateTime.ofInstant(instant, zone).getMinute())) {
                 out.add(instant);
--- a/src/main/java/org/beechhoist/cron/ShipDates.java
+++ b/src/main/java/org/beechhoist/cron/ShipDates.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Ship dates as a maker keeps them: the events of an iCalendar file (RFC 5545), each once, by name. */
+/** Reads ship dates from an iCalendar file (RFC 5545): its events by name, each of which occurs once. */
 public final class ShipDates {
-    private static final int MOST = 500;
+    private static final int MOST_EVENTS = 500;
 
     private ShipDates() {}
 
-    /** Names with the local time in the zone at which each event begins; a whole day begins at midnight. */
+    /** Returns the events by name with the local time in the zone at which each begins; an all-day event begins at midnight. */
     public static Map<String, String> read(Path file, String zone) throws MalformedMessageException, IOException {
         ZoneId zoneId;
         try {
@@ -43,23 +43,23 @@
                 throw new MalformedMessageException(
                         "event " + name + ": one that happens once is expected, without RRULE");
             }
-            // A date without a zone is read by the machine's own; its wall clock is what is meant.
+            // The library reads a time without a zone in the zone of this computer; its local time is what is meant.
             boolean timed = event.getDateStart().getValue().hasTime();
             LocalDateTime dateTime = LocalDateTime.ofInstant(
                     event.getDateStart().getValue().toInstant(),
-                    timed && fixed(ics, event) ? zoneId : ZoneId.systemDefault());
+                    timed && hasZone(ics, event) ? zoneId : ZoneId.systemDefault());
             if (out.put(name, dateTime.toString()) != null) {
                 throw new MalformedMessageException("event " + name + ": it is there twice");
             }
-            if (out.size() > MOST) {
-                throw new MalformedMessageException("at most " + MOST + " events are allowed");
+            if (out.size() > MOST_EVENTS) {
+                throw new MalformedMessageException("at most " + MOST_EVENTS + " events are allowed");
             }
         }
         return out;
     }
 
-    /** Whether the event's start is a moment, in UTC or a zone of its own, rather than a time on whatever clock. */
-    private static boolean fixed(ICalendar ics, VEvent event) {
+    /** Whether the event's start has a time zone (UTC or its own), rather than being a local time without one. */
+    private static boolean hasZone(ICalendar ics, VEvent event) {
         return !ics.getTimezoneInfo().isFloating(event.getDateStart());
     }
 }
--- a/src/test/java/org/beechhoist/cron/OccurrencesTest.java
+++ b/src/test/java/org/beechhoist/cron/OccurrencesTest.java
@@ -26,7 +26,7 @@
         try {
             return CronTable.parse("t", HEAD + "zone " + zone + "\n" + line + "\n", 0)
                     .get(0);
-        } catch (CronTable.Bad e) {
+        } catch (CronTable.InvalidTableException e) {
             throw new IllegalStateException(line + ": " + e.getMessage(), e);
         }
     }
@@ -101,7 +101,7 @@
                 .toList();
         assertEquals(List.of("2026-04-28", "2026-04-30", "2026-05-01", "2026-05-07", "2026-05-08"), days);
         List<String> why = new ArrayList<>();
-        Occurrences.leftOut(
+        Occurrences.reportClosedDays(
                 skip, japan(), LocalDate.of(2026, 4, 27), LocalDate.of(2026, 5, 9), (d, w) -> why.add(d + " " + w));
         assertEquals(
                 List.of(
@@ -205,8 +205,9 @@
                 "? * * * * j|'?'"
             })
     void aBadLineIsRefusedWithWhatMayStandThere(String line, String part) {
-        CronTable.Bad e =
-                assertThrows(CronTable.Bad.class, () -> CronTable.parse("t", HEAD + "zone UTC\n" + line + "\n", 0));
+        CronTable.InvalidTableException e = assertThrows(
+                CronTable.InvalidTableException.class,
+                () -> CronTable.parse("t", HEAD + "zone UTC\n" + line + "\n", 0));
         assertTrue(e.getMessage().contains(part) && e.getMessage().startsWith("line 4, column"), e.getMessage());
     }
 
@@ -216,8 +217,8 @@
         Entry b = line("UTC", "\n\n# later\n0 0 * * *   j");
         assertEquals(a.id(), b.id());
         assertNotEquals(a.id(), line("UTC", "0 0 * * * j pieces=2").id());
-        assertEquals(a.ref(Instant.ofEpochSecond(60)), b.ref(Instant.ofEpochSecond(60)));
-        assertNotEquals(a.ref(Instant.ofEpochSecond(60)), a.ref(Instant.ofEpochSecond(120)));
+        assertEquals(a.jobId(Instant.ofEpochSecond(60)), b.jobId(Instant.ofEpochSecond(60)));
+        assertNotEquals(a.jobId(Instant.ofEpochSecond(60)), a.jobId(Instant.ofEpochSecond(120)));
     }
 
     /** Down over several hours: one run, none, or the last few; what is merely late is never dropped. */
