--- a/src/main/java/org/beechhoist/http/HttpParser.java
+++ b/src/main/java/org/beechhoist/http/HttpParser.java
@@ -41,12 +41,12 @@
     }
 
     /** Adds bytes that were received. */
-    public void feed(ByteBuffer in) {
-        int available = in.remaining();
+    public void feed(ByteBuffer bytes) {
+        int available = bytes.remaining();
         if (len + available > buf.length) {
             buf = Arrays.copyOf(buf, Math.max(len + available, Math.min(2 * buf.length, len + available + 65536)));
         }
-        in.get(buf, len, available);
+        bytes.get(buf, len, available);
         len += available;
     }
 
