--- a/src/main/java/org/beechhoist/http/HttpParser.java
+++ b/src/main/java/org/beechhoist/http/HttpParser.java
@@ -12,11 +12,12 @@
  * thrown, framing is lost and the connection is of no more use.
  */
 public final class HttpParser {
-    /** A message that can't be taken; {@code status} is what the sender should be told. */
-    public static final class Broken extends Exception {
+    /** Bytes that are no HTTP message, or one that is too large. */
+    public static final class UnparsableMessageException extends Exception {
+        /** The HTTP status that tells the sender why. */
         public final int status;
 
-        Broken(int status, String reason) {
+        UnparsableMessageException(int status, String reason) {
             super(reason, null, false, false);
             this.status = status;
         }
@@ -51,7 +52,7 @@
     }
 
     /** The next whole message, or null until more has arrived. */
-    public HttpMessage next() throws Broken {
+    public HttpMessage next() throws UnparsableMessageException {
         if (head == null && !parseHead()) {
             return null;
         }
@@ -78,7 +79,7 @@
         return len > 0;
     }
 
-    private boolean parseHead() throws Broken {
+    private boolean parseHead() throws UnparsableMessageException {
         int skip = 0;
         while (scanned == 0 && skip + 1 < len && buf[skip] == '\r' && buf[skip + 1] == '\n') {
             skip += 2; // a stray blank line before a request is tolerated
@@ -97,12 +98,12 @@
         if (end < 0) {
             scanned = Math.max(0, len);
             if (len > MAX_HEAD) {
-                throw new Broken(431, "head too long");
+                throw new UnparsableMessageException(431, "head too long");
             }
             return false;
         }
         if (end > MAX_HEAD) {
-            throw new Broken(431, "head too long");
+            throw new UnparsableMessageException(431, "head too long");
         }
         String[] lines = new String(buf, 0, end - 4, StandardCharsets.ISO_8859_1).split("\r\n", -1);
         Map<String, String> headers = headers(lines);
@@ -114,15 +115,16 @@
         return true;
     }
 
-    private static HttpMessage requestLine(String[] first, Map<String, String> headers) throws Broken {
+    private static HttpMessage requestLine(String[] first, Map<String, String> headers)
+            throws UnparsableMessageException {
         if (first.length != 3
                 || first[0].isEmpty()
                 || !first[0].chars().allMatch(c -> c >= 'A' && c <= 'Z')
                 || first[1].isEmpty()) {
-            throw new Broken(400, "malformed request line");
+            throw new UnparsableMessageException(400, "malformed request line");
         }
         if (!first[2].equals("HTTP/1.1") && !first[2].equals("HTTP/1.0")) {
-            throw new Broken(first[2].startsWith("HTTP/") ? 505 : 400, "HTTP/1.1 expected");
+            throw new UnparsableMessageException(first[2].startsWith("HTTP/") ? 505 : 400, "HTTP/1.1 expected");
         }
         if (first[2].equals("HTTP/1.0")) {
             headers.putIfAbsent("connection", "close");
@@ -130,14 +132,15 @@
         return new HttpMessage(first[0], first[1], 0, headers, NONE);
     }
 
-    private static HttpMessage statusLine(String[] first, Map<String, String> headers) throws Broken {
+    private static HttpMessage statusLine(String[] first, Map<String, String> headers)
+            throws UnparsableMessageException {
         if (first.length < 2 || !first[0].startsWith("HTTP/1.") || !first[1].matches("[1-5][0-9][0-9]")) {
-            throw new Broken(502, "malformed status line");
+            throw new UnparsableMessageException(502, "malformed status line");
         }
         return new HttpMessage(null, null, Integer.parseInt(first[1]), headers, NONE);
     }
 
-    private static Map<String, String> headers(String[] lines) throws Broken {
+    private static Map<String, String> headers(String[] lines) throws UnparsableMessageException {
         Map<String, String> headers = new HashMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
@@ -145,31 +148,31 @@
                     || lines[i].charAt(colon - 1) == ' '
                     || lines[i].charAt(0) == ' '
                     || lines[i].charAt(0) == '\t') {
-                throw new Broken(400, "malformed header");
+                throw new UnparsableMessageException(400, "malformed header");
             }
             String name = lines[i].substring(0, colon).toLowerCase(Locale.ROOT);
             String old = headers.put(name, lines[i].substring(colon + 1).trim());
             if (old != null && name.equals("content-length") && !old.equals(headers.get(name))) {
-                throw new Broken(400, "two lengths");
+                throw new UnparsableMessageException(400, "two lengths");
             }
         }
         return headers;
     }
 
-    private int bodyLength(Map<String, String> headers, int status) throws Broken {
+    private int bodyLength(Map<String, String> headers, int status) throws UnparsableMessageException {
         if (headers.containsKey("transfer-encoding")) {
-            throw new Broken(501, "transfer codings are not served");
+            throw new UnparsableMessageException(501, "transfer codings are not served");
         }
         String text = headers.get("content-length");
         if (text == null || status == 204 || status == 304) {
             return 0;
         }
         if (text.isEmpty() || text.length() > 9 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new Broken(text.matches("[0-9]{10,}") ? 413 : 400, "malformed length");
+            throw new UnparsableMessageException(text.matches("[0-9]{10,}") ? 413 : 400, "malformed length");
         }
         int length = Integer.parseInt(text);
         if (maxBody > 0 && length > maxBody) {
-            throw new Broken(413, "body too long");
+            throw new UnparsableMessageException(413, "body too long");
         }
         return length;
     }
--- a/src/main/java/org/beechhoist/net/HttpClient.java
+++ b/src/main/java/org/beechhoist/net/HttpClient.java
@@ -203,7 +203,7 @@
         }
 
         @Override
-        void unparsable(HttpParser.Broken why) {
+        void unparsable(HttpParser.UnparsableMessageException why) {
             fail();
         }
 
--- a/src/main/java/org/beechhoist/net/HttpServer.java
+++ b/src/main/java/org/beechhoist/net/HttpServer.java
@@ -242,7 +242,7 @@
         }
 
         @Override
-        void unparsable(HttpParser.Broken why) {
+        void unparsable(HttpParser.UnparsableMessageException why) {
             closeAfter = true; // framing is lost
             respond(why.status, "text/plain", ascii(why.getMessage() + "\n"), 0);
         }
--- a/src/main/java/org/beechhoist/net/Wire.java
+++ b/src/main/java/org/beechhoist/net/Wire.java
@@ -25,7 +25,7 @@
 
     abstract void message(HttpMessage message) throws IOException;
 
-    abstract void unparsable(HttpParser.Broken why) throws IOException;
+    abstract void unparsable(HttpParser.UnparsableMessageException why) throws IOException;
 
     @Override
     public void ready(SelectionKey key) throws IOException {
@@ -59,7 +59,7 @@
                 }
                 message(message);
             }
-        } catch (HttpParser.Broken e) {
+        } catch (HttpParser.UnparsableMessageException e) {
             unparsable(e);
         }
     }
--- a/src/test/java/org/beechhoist/http/HttpParserTest.java
+++ b/src/test/java/org/beechhoist/http/HttpParserTest.java
@@ -24,7 +24,7 @@
     private static int status(String text) {
         HttpParser p = new HttpParser(true, MAX);
         p.feed(ByteBuffer.wrap(bytes(text)));
-        return assertThrows(HttpParser.Broken.class, p::next).status;
+        return assertThrows(HttpParser.UnparsableMessageException.class, p::next).status;
     }
 
     @ParameterizedTest
@@ -50,11 +50,11 @@
     void anEndlessHeadIsCutOff() {
         HttpParser p = new HttpParser(true, MAX);
         p.feed(ByteBuffer.wrap(new byte[20_000]));
-        assertEquals(431, assertThrows(HttpParser.Broken.class, p::next).status);
+        assertEquals(431, assertThrows(HttpParser.UnparsableMessageException.class, p::next).status);
     }
 
     @Test
-    void piecesOfAnySizeMakeTheSameMessages() throws HttpParser.Broken {
+    void piecesOfAnySizeMakeTheSameMessages() throws HttpParser.UnparsableMessageException {
         for (long seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<byte[]> bodies = new ArrayList<>();
@@ -102,7 +102,7 @@
                 for (int i = 0; i < 10 && p.next() != null; i++) {
                     assertTrue(i < 9, "a message without bytes, seed " + seed);
                 }
-            } catch (HttpParser.Broken e) {
+            } catch (HttpParser.UnparsableMessageException e) {
                 broken++;
                 assertTrue(e.status >= 400 && e.status < 600, "seed " + seed);
             }
