--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -18,19 +18,22 @@
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 
-/** In which order waiting jobs are planned: by urgency and guarantee, then by what is promised of them. */
+/** Determines the order in which waiting jobs are planned: by priority and quota, then by objectives and deadlines. */
 final class JobOrdering {
-    /** How long a job may wait that no objective speaks for, or none any more. */
+    /** Allowed wait of a job that has no objective, or none that can still be met. */
     private static final long NO_OBJECTIVE_MS = 300_000;
-    /** Rooms are not free to the second that the plan says. */
+    /** Safety margin before the starvation limit, because capacity is not free at the exact second the plan predicts. */
     private static final long BEGIN_MARGIN_MS = 30_000;
 
-    private static final int FIRST = -1;
-    private static final int LAST = Integer.MAX_VALUE;
-    /** A job that is late by less than this may still be in time, for lengths are guesses. */
-    private static final long GUESSED_MS = 3000;
+    private static final int PRIORITIZED_RANK = -1;
+    private static final int SHED_RANK = Integer.MAX_VALUE;
+    /** A job that is late by less than this may still be in time, because durations are estimates. */
+    private static final long ESTIMATE_TOLERANCE_MS = 3000;
 
-    private static final double SERVED_TIMES = 1.5;
+    /** A job counts as served if it ends within this multiple of its deadline. */
+    private static final double SERVED_DEADLINE_FACTOR = 1.5;
+    /** Tolerance of comparisons between sums of CPUs or GPUs and a quota. */
+    private static final double QUOTA_TOLERANCE = 1e-6;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -53,103 +56,116 @@
         this.estimates = estimates;
     }
 
-    /** The release calendar's order and moments; without it jobs go as if there were no releases. */
-    void releases(ReleaseController desk) {
-        releases = desk;
+    /** Sets the source of release order and due times; until it is set, jobs are ordered as if there were no releases. */
+    void releases(ReleaseController releaseController) {
+        releases = releaseController;
     }
 
-    /** Its place among jobs of its rank, for its release's sake. */
+    /** Returns the job's position, by its release, among jobs of the same rank. */
     long shipKey(Job job) {
         return releases == null ? ShipOrder.NONE : releases.key(job);
     }
 
-    /** When the job's waiting tasks should begin, for the first of its objectives that can still be met; the largest too begin in four minutes. */
+    /**
+     * Returns the latest time at which the job's waiting tasks should begin to meet the earliest objective that can still be
+     * met. A job of which nothing has begun should also begin within the starvation limit, the largest jobs included.
+     */
     long latestStart(Job job) {
-        long latest = objective(job);
-        Long ships = releases == null ? null : releases.dueMs(job);
-        if (ships != null) {
-            latest =
-                    stillOpen(latest, context.now().ms() + ships - context.wallMs() - estimates.expectedMs(job.spec()));
+        long latest = latestStartByObjective(job);
+        Long dueWallMs = releases == null ? null : releases.dueMs(job);
+        if (dueWallMs != null) {
+            latest = earlierIfOpen(
+                    latest, context.now().ms() + dueWallMs - context.wallMs() - estimates.expectedMs(job.spec()));
         }
         return job.hasBegun()
                 ? latest
-                : stillOpen(latest, job.submittedAt.ms() + StarvingJobSelector.BEGIN_WITHIN_MS - BEGIN_MARGIN_MS);
+                : earlierIfOpen(latest, job.submittedAt.ms() + StarvingJobSelector.BEGIN_WITHIN_MS - BEGIN_MARGIN_MS);
     }
 
-    private long objective(Job job) {
-        long length = estimates.expectedMs(job.spec());
-        long from = job.submittedAt.ms();
-        long latest = Math.max(from, context.now().ms()) + NO_OBJECTIVE_MS;
+    /** Returns the latest start for the deadline, class objectives and quota guarantee, or the default wait without any. */
+    private long latestStartByObjective(Job job) {
+        long durationMs = estimates.expectedMs(job.spec());
+        long submittedMs = job.submittedAt.ms();
+        long latest = Math.max(submittedMs, context.now().ms()) + NO_OBJECTIVE_MS;
         if (job.spec().deadlineS() != null) {
-            latest = stillOpen(latest, from + Math.round(1000 * job.spec().deadlineS()) - length);
+            latest = earlierIfOpen(
+                    latest, submittedMs + Math.round(1000 * job.spec().deadlineS()) - durationMs);
         }
         for (Settings.Objective objective : settings.objectives()) {
             if (job.spec().jobClass().equals(objective.jobClass())) {
                 switch (objective.kind()) {
                     case "finished" ->
-                        latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()) - length);
-                    case "wait" -> latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()));
+                        latest = earlierIfOpen(
+                                latest, submittedMs + Math.round(1000 * objective.withinS()) - durationMs);
+                    case "wait" -> latest = earlierIfOpen(latest, submittedMs + Math.round(1000 * objective.withinS()));
                     case "deadline" -> {
                         if (job.spec().deadlineS() != null) {
-                            latest = stillOpen(
+                            latest = earlierIfOpen(
                                     latest,
-                                    from
+                                    submittedMs
                                             + Math.round(1000
                                                     * objective.times()
                                                     * job.spec().deadlineS())
-                                            - length);
+                                            - durationMs);
                         }
                     }
                     default -> {}
                 }
             } else if (objective.kind().equals("guarantee") && job.withinQuota) {
-                latest = stillOpen(latest, from + Math.round(1000 * objective.withinS()));
+                latest = earlierIfOpen(latest, submittedMs + Math.round(1000 * objective.withinS()));
             }
         }
         return latest;
     }
 
+    /** Returns whether the job has a release or an objective that can still be met. */
     boolean objectiveOpen(Job job) {
         return shipKey(job) != ShipOrder.NONE
-                || objective(job) < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
+                || latestStartByObjective(job)
+                        < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
     }
 
-    private long stillOpen(long latest, long candidate) {
-        return candidate + GUESSED_MS < context.now().ms() ? latest : Math.min(latest, candidate);
+    /** Returns the earlier of the two times, or {@code latest} if the candidate can no longer be met. */
+    private long earlierIfOpen(long latest, long candidate) {
+        return candidate + ESTIMATE_TOLERANCE_MS < context.now().ms() ? latest : Math.min(latest, candidate);
     }
 
-    /** By when the job counts as served, from its submission on: the last of what its class is promised, or 1.5 times its deadline. */
+    /**
+     * Returns the time after submission within which the job counts as served: the longest completion objective of its class
+     * or 1.5 times its deadline, whichever is later.
+     */
     long servedWithinMs(JobSpec spec) {
-        double most = spec.deadlineS() == null ? 0 : SERVED_TIMES * spec.deadlineS();
+        double longestS = spec.deadlineS() == null ? 0 : SERVED_DEADLINE_FACTOR * spec.deadlineS();
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.kind().equals("finished") && spec.jobClass().equals(objective.jobClass())) {
-                most = Math.max(most, objective.withinS());
+                longestS = Math.max(longestS, objective.withinS());
             }
         }
-        return most == 0 ? NO_OBJECTIVE_MS : Math.round(1000 * most);
+        return longestS == 0 ? NO_OBJECTIVE_MS : Math.round(1000 * longestS);
     }
 
-    /** The first moment by which the job is to be over that it can still meet, or null: all are missed, or there is none. */
-    Long overBy(Job job) {
-        long least = context.now().ms() + estimates.expectedMs(job.spec()) - GUESSED_MS;
+    /** Returns the earliest completion time that the job can still meet, or null if all are missed or there is none. */
+    Long earliestOpenDueMs(Job job) {
+        long earliestEndMs = context.now().ms() + estimates.expectedMs(job.spec()) - ESTIMATE_TOLERANCE_MS;
         Long first = null;
-        for (long within : overWithinMs(job.spec())) {
+        for (long within : completionLimitsMs(job.spec())) {
             long due = job.submittedAt.ms() + within;
-            first = due >= least && (first == null || due < first) ? Long.valueOf(due) : first;
+            first = due >= earliestEndMs && (first == null || due < first) ? Long.valueOf(due) : first;
         }
         return first;
     }
 
-    /** Whether it is promised at all by when the job is over. */
-    boolean hasEnd(JobSpec spec) {
-        return !overWithinMs(spec).isEmpty();
+    /** Returns whether the job has a deadline or an objective for its completion. */
+    boolean hasCompletionLimit(JobSpec spec) {
+        return !completionLimitsMs(spec).isEmpty();
     }
 
-    private List<Long> overWithinMs(JobSpec spec) {
+    /** Returns all limits of the time from submission to completion, from the deadline and the class objectives. */
+    private List<Long> completionLimitsMs(JobSpec spec) {
         List<Long> out = new ArrayList<>();
         if (spec.deadlineS() != null) {
             out.add(Math.round(1000 * spec.deadlineS()));
-            out.add(Math.round(1000 * SERVED_TIMES * spec.deadlineS()));
+            out.add(Math.round(1000 * SERVED_DEADLINE_FACTOR * spec.deadlineS()));
         }
         for (Settings.Objective objective : settings.objectives()) {
             if (spec.jobClass().equals(objective.jobClass()) && objective.kind().equals("finished")) {
@@ -164,19 +180,23 @@
     }
 
     /**
-     * Under overload a promise of a start would have every job begun and none ended, the newest first: what counts is by when
-     * it must begin to be over in time.
+     * Returns the time by which the job should begin. Under overload, ordering by start objectives would start every job and
+     * finish none, the newest first; so the start that still allows completion in time counts instead.
      */
-    private long beginBy(Job job) {
-        Long due = overloaded ? overBy(job) : null;
+    private long startBy(Job job) {
+        Long due = overloaded ? earliestOpenDueMs(job) : null;
         return due == null ? latestStart(job) : due - estimates.expectedMs(job.spec());
     }
 
-    void overloaded(boolean is) {
-        overloaded = is;
+    /** Sets whether the cluster is overloaded, which changes how {@link #byObjective} orders jobs. */
+    void setOverloaded(boolean newValue) {
+        overloaded = newValue;
     }
 
-    /** How long it waits for a machine at the lowest price; for a release not at all: one of a later date would begin in its place. */
+    /**
+     * Returns how long the job may wait for a machine at the lowest price. A job of a release doesn't wait: a job of a later
+     * release would begin in its place.
+     */
     long patience(Job job) {
         return shipKey(job) != ShipOrder.NONE
                 ? 0
@@ -184,7 +204,8 @@
                         * Math.max(0, latestStart(job) - context.now().ms()));
     }
 
-    private void markGuaranteed() {
+    /** Marks, in order of submission, the jobs that fit their team's quota together with the team's earlier jobs. */
+    private void markWithinQuota() {
         Map<String, double[]> sums = new HashMap<>();
         List<Job> all = new ArrayList<>(clusterState.jobs());
         all.sort(Comparator.comparing((Job j) -> j.submittedAt).thenComparing(Job::id));
@@ -194,29 +215,29 @@
                 double[] sum = sums.computeIfAbsent(team.name(), k -> new double[2]);
                 sum[0] += job.spec().tasks() * job.spec().cpus();
                 sum[1] += job.spec().tasks() * job.spec().gpus();
-                job.withinQuota = sum[0] <= team.cpus() + 1e-6 && sum[1] <= team.gpus() + 1e-6;
+                job.withinQuota = sum[0] <= team.cpus() + QUOTA_TOLERANCE && sum[1] <= team.gpus() + QUOTA_TOLERANCE;
             }
         }
     }
 
-    /** The waiting jobs: more urgent first, then what is guaranteed, then by when they should begin. */
+    /** Returns the waiting jobs by rank (priority, then quota), then release order, then the time by which they should begin. */
     List<Job> byObjective() {
-        record Ranked(Job job, long ships, long latest) {}
-        markGuaranteed();
+        record Ranked(Job job, long shipKey, long startByMs) {}
+        markWithinQuota();
         List<Ranked> ranked = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled() && job.keySetHold == null && job.record.waitingCount() > 0) {
-                ranked.add(new Ranked(job, shipKey(job), beginBy(job)));
+                ranked.add(new Ranked(job, shipKey(job), startBy(job)));
             }
         }
         ranked.sort(Comparator.comparingInt((Ranked r) -> rank(r.job))
-                .thenComparingLong(Ranked::ships)
-                .thenComparingLong(Ranked::latest));
+                .thenComparingLong(Ranked::shipKey)
+                .thenComparingLong(Ranked::startByMs));
         return ranked.stream().map(Ranked::job).toList();
     }
 
-    /** The jobs that the last search placed keep its order among themselves, in the places that are theirs. */
-    static List<Job> arranged(List<Job> list, List<JobId> preferred) {
+    /** Reorders the jobs named in {@code preferred} among the positions that they occupy in the list, then sorts all by rank. */
+    static List<Job> withPreferredOrder(List<Job> list, List<JobId> preferred) {
         if (preferred.isEmpty()) {
             return list;
         }
@@ -233,20 +254,22 @@
     }
 
     /**
-     * More urgent work first, and what a team is guaranteed before what it borrows: no search may trade that. What is lifted
-     * for its class's or team's half comes before all; {@link MinimumServiceShare} lifts nothing over another team's guarantee. What is
-     * left behind under overload comes after all.
+     * Returns the job's rank; lower ranks are planned first, and the search never changes the order of ranks. Higher priority
+     * comes first, and jobs within a team's quota before those beyond it. Prioritized jobs, whose class or team is below its
+     * minimum service share, come before all; {@link MinimumServiceShare} prioritizes none over another team's guarantee. Jobs
+     * that are shed under overload come after all.
      */
     static int rank(Job job) {
         if (job.prioritized) {
-            return FIRST;
+            return PRIORITIZED_RANK;
         }
         if (job.shed) {
-            return LAST;
+            return SHED_RANK;
         }
         return usualRank(job);
     }
 
+    /** Returns the rank by priority and quota alone, whether or not the job is prioritized or shed. */
     static int usualRank(Job job) {
         return 2 * job.spec().priority().ordinal() + (job.withinQuota ? 0 : 1);
     }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -94,8 +94,8 @@
                     spec.machineTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
                             + "/" + spec.memGb(),
                     k -> scaleOut.mayGrow(spec));
-            Long due = ordering.overBy(job);
-            boolean late = due == null && ordering.hasEnd(spec);
+            Long due = ordering.earliestOpenDueMs(job);
+            boolean late = due == null && ordering.hasCompletionLimit(spec);
             if (late && !more && ordering.shipKey(job) == ShipOrder.NONE) {
                 missed.add(job);
             }
@@ -129,7 +129,7 @@
                     now.size());
         }
         behind = now;
-        ordering.overloaded(!now.isEmpty());
+        ordering.setOverloaded(!now.isEmpty());
         for (Job j : clusterState.jobs()) {
             j.shed = !j.prioritized && behind.contains(j.id());
         }
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -347,7 +347,7 @@
     }
 
     private Evaluation evaluate(Arrangement arrangement) {
-        List<Job> list = JobOrdering.arranged(ordering.byObjective(), arrangement.order());
+        List<Job> list = JobOrdering.withPreferredOrder(ordering.byObjective(), arrangement.order());
         Map<JobId, Evaluation.Facts> facts = new HashMap<>();
         for (Job job : list) {
             facts.put(
@@ -381,6 +381,6 @@
     }
 
     private List<Job> ordered() {
-        return JobOrdering.arranged(ordering.byObjective(), preferred.order());
+        return JobOrdering.withPreferredOrder(ordering.byObjective(), preferred.order());
     }
 }
