--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -250,7 +250,7 @@
             scheduling.widthReduction.run(plan, usageByTeam);
             scheduling.preemption.run(plan, usageByTeam);
         }
-        scheduling.planner.pace();
+        scheduling.planner.startPause();
     }
 
     /** Whether work may be placed: a task that begins while a cancellation may be unknown could not be kept. */
@@ -260,7 +260,7 @@
 
     /** Whether the planner waits for its next plan or step of the search. */
     boolean wantsPlan() {
-        return scheduling.planner.wantsTurn() && mayPlan();
+        return scheduling.planner.hasPendingWork() && mayPlan();
     }
 
     /** When the next plan or step of the search is due. */
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -2,10 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
@@ -13,124 +11,92 @@
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
-import org.beechhoist.controller.state.Machine;
-import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.controller.worker.ColdStartRecovery;
-import org.beechhoist.controller.worker.PreemptionNotices;
-import org.beechhoist.elastic.Ending;
 import org.beechhoist.plan.Evaluation;
 import org.beechhoist.plan.Plan;
-import org.beechhoist.plan.PlanMachine;
 import org.beechhoist.plan.RandomSearch;
-import org.beechhoist.plan.WidthOptions;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobId;
-import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.MachineId;
-import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes the plan from the book, as often as its size allows, and searches for better orders in between. */
+/**
+ * Decides when a new plan is made, the less often the larger plans are, and runs a random search for better job orders and
+ * elastic widths in between.
+ */
 final class Planner {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
-    private static final long PLAN_EVERY_MS = 100;
-    /** A plan that looked for this many gaps may be followed by the next one a millisecond later. */
+    /** Shortest pause between plans. */
+    private static final long MIN_PAUSE_MS = 100;
+    /** Number of searched gaps in a plan that lengthens the pause after it by one millisecond. */
     private static final long FITS_PER_MS = 400;
-    /** Plans go on however far behind the node is: nothing would start without them. */
-    private static final long MOST_BEHIND_MS = 1500;
-    /** Elastic jobs whose widths one plan weighs: each costs a few trials of its part of the plan. */
-    private static final int MAX_WEIGHED = 8;
-    /** How long an elastic job that nobody waits for would wait for a machine at the lowest price. */
-    private static final long NO_HURRY_MS = 3_600_000;
-    /** Keeps a team that has used nothing yet from outweighing all others. */
-    private static final double USAGE_FLOOR = 0.05;
+    /** Longest extension of the pause when inputs are processed late: without plans nothing would start. */
+    private static final long MAX_LAG_PAUSE_MS = 1500;
+    /** Added to each team's usage, so that a team that has used nothing yet doesn't outweigh all others. */
+    private static final double MIN_USAGE = 0.05;
 
     private final ControllerContext context;
     private final Settings settings;
     private final Policy policy;
     private final SplittableRandom random;
-    private final MachineTypeCatalog machineTypes;
     private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
-    private final Admission admission;
-    private final Provisioner provisioner;
     private final ElasticWidths elastic;
-    private final ColdStartRecovery coldStart;
-    private final MigrationController migrations;
-    private final PreemptionNotices preemptionNotices;
+    private final PlanBuilder builder;
     private MonotonicTime nextPlan = MonotonicTime.ZERO;
     private Plan plan;
     private RandomSearch<Arrangement> search;
     private MonotonicTime nextSearch = MonotonicTime.ZERO;
     private MonotonicTime searchEnds = MonotonicTime.ZERO;
-    /** What the last search liked best, for those of its jobs that still wait. */
+    /** Best arrangement of the last search, applied to those of its jobs that still wait. */
     private Arrangement preferred = Arrangement.NONE;
 
     private long searchSteps;
     private long searchKept;
 
-    Planner(
-            ControllerContext context,
-            Settings settings,
-            Policy policy,
-            SplittableRandom random,
-            MachineTypeCatalog machineTypes,
-            ClusterState clusterState,
-            DurationEstimates estimates,
-            JobOrdering ordering,
-            Admission admission,
-            Provisioner provisioner,
-            ElasticWidths elastic,
-            ColdStartRecovery coldStart,
-            MigrationController migrations,
-            PreemptionNotices preemptionNotices) {
-        this.migrations = migrations;
-        this.preemptionNotices = preemptionNotices;
-        this.coldStart = coldStart;
-        this.context = context;
-        this.settings = settings;
+    Planner(WorkerComponents workers, Policy policy, SplittableRandom random, PlanBuilder builder) {
+        this.context = workers.services.context();
+        this.settings = workers.services.settings();
         this.policy = policy;
         this.random = random;
-        this.machineTypes = machineTypes;
-        this.clusterState = clusterState;
-        this.estimates = estimates;
-        this.ordering = ordering;
-        this.admission = admission;
-        this.provisioner = provisioner;
-        this.elastic = elastic;
+        this.clusterState = workers.clusterState;
+        this.estimates = workers.estimates;
+        this.ordering = workers.jobOrdering;
+        this.elastic = workers.elastic;
+        this.builder = builder;
     }
 
+    /** Forgets the search of an earlier term when a new one begins. */
     void begin() {
         search = null;
         preferred = Arrangement.NONE;
     }
 
+    /** Forgets the plan and the search when the term ends. */
     void end() {
         search = null;
         plan = null;
     }
 
-    /** Whether something has changed and the last plan has served long enough. */
+    /** Returns whether a new plan was requested and the pause after the last one is over. */
     boolean due() {
         return clusterState.replanRequested() && !context.now().isBefore(nextPlan);
     }
 
-    /** Makes a new plan. */
+    /** Makes a new plan and returns it. */
     Plan plan() {
         clusterState.replanDone();
-        plan = build(ordered(), preferred.fixed());
+        plan = builder.build(ordered(), preferred.fixed());
         return plan;
     }
 
-    /** The plan has been acted on; the larger it is, the longer it must serve before the next. */
-    void pace() {
+    /** Sets the earliest time of the next plan, once the current one has been acted on. */
+    void startPause() {
         nextPlan = context.now().plusMs(pause(plan));
     }
 
-    /** When the newest plan has all of the job's tasks over; null where it doesn't reach that far, or has no end. */
+    /** Returns when the newest plan has all of the job's tasks ended, or null if it doesn't place them all or has no end. */
     Long plannedEnd(Job job) {
         if (plan == null || job.spec().isService() || plan.unplaced(job.id()) > 0) {
             return null;
@@ -143,8 +109,8 @@
                 end = Math.max(end, reservation.endMs());
             }
         }
-        for (Placement p : job.record.live.values()) {
-            end = Math.max(end, estimates.expectedEnd(p, context.now()).ms());
+        for (Placement placement : job.record.live.values()) {
+            end = Math.max(end, estimates.expectedEnd(placement, context.now()).ms());
         }
         return waiting + job.record.live.size() + job.record.done.size()
                         < job.spec().tasks()
@@ -152,186 +118,75 @@
                 : end;
     }
 
-    /** Whether a plan or a step of the search is to follow, at {@link #next}. */
-    boolean wantsTurn() {
+    /** Returns whether a plan or a step of the search is to follow, at {@link #next}. */
+    boolean hasPendingWork() {
         return clusterState.replanRequested() || search != null;
     }
 
+    /** Returns when the next plan or step of the search is to be made. */
     MonotonicTime next() {
         return search != null ? context.now().plusMs(1) : nextPlan;
     }
 
+    /** Returns the number of steps of all searches that have ended. */
     long searchSteps() {
         return searchSteps;
     }
 
+    /** Returns the number of moves that the searches that have ended kept. */
     long searchKept() {
         return searchKept;
     }
 
-    /** A plan with what runs and, in the given order, what waits; widths that are not given are weighed. */
-    private Plan build(List<Job> order, Map<JobId, Integer> widths) {
-        long now = context.now().ms();
-        List<PlanMachine> planMachines = new ArrayList<>();
-        Set<MachineId> planned = new HashSet<>();
-        for (Machine machine : clusterState.machines()) {
-            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
-            if (type == null
-                    || (!admission.usable(machine) && (machine.up || machine.releasing))
-                    || coldStart.isDoubted(machine)) {
-                continue;
-            }
-            PlanMachine planMachine = new PlanMachine(
-                    machine.id,
-                    type,
-                    machine.zone,
-                    machine.spot,
-                    machine.up,
-                    machine.up ? now : provisioner.readyAt(machine, type));
-            planMachine.holds(machine.images.keySet());
-            for (Placement placement : machine.placements.values()) {
-                Job job = clusterState.job(placement.task.job());
-                if (job != null) {
-                    JobSpec spec = job.spec();
-                    planMachine.occupy(
-                            estimates.expectedEnd(placement, context.now()).ms(),
-                            spec.cpus(),
-                            spec.gpus(),
-                            spec.memGb());
-                    planMachine.image(
-                            spec.image(),
-                            placement.runningSince != null
-                                    ? now
-                                    : Math.max(now + 500, placement.placedAt.ms() + placement.fetchMs));
-                }
-            }
-            for (JobSpec kept : migrations.keptOn(machine.id)) {
-                planMachine.occupy(now + 3_600_000, kept.cpus(), kept.gpus(), kept.memGb());
-            }
-            if (machine.up && admission.mayWiden(machine)) {
-                planMachine.mayWiden();
-            }
-            planMachines.add(planMachine);
-            planned.add(machine.id);
-        }
-        Plan next = new Plan(now, planMachines);
-        next.sizes(migrations.sizes());
-        for (Settings.Team t : settings.teams().values()) {
-            next.limit(t.name(), t.cpusMax(), t.gpusMax());
-        }
-        for (Job job : clusterState.jobs()) {
-            for (Placement placement : job.record.live.values()) {
-                Machine machine = clusterState.findMachine(placement.machine);
-                long end = planned.contains(placement.machine)
-                                || machine != null && (machine.preemptedAt != null || machine.cordonedBy != null)
-                        ? preemptionNotices.expectedEnd(machine, placement).ms()
-                        : now + 3_600_000;
-                next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
-            }
-        }
-        for (Job job : order) {
-            if (first(job) > 0) {
-                next.place(entry(job, Math.min(first(job), job.maxPlaceable(elastic.sure(job))), 0));
-            }
-        }
-        for (Job job : order) {
-            if (job.spec().isGang() && !job.record.live.isEmpty()) {
-                continue; // what is left of a gang ends first, then all of it starts anew
-            }
-            int sure = job.maxPlaceable(elastic.sure(job)) - first(job) - migrations.underWay(job);
-            if (sure > 0) {
-                next.place(entry(job, sure, ordering.patience(job)));
-            }
-        }
-        widen(next, order, widths);
-        return next;
-    }
-
-    /** Tasks of it that come before all others: what has waited for long, and whom room is made for. */
-    private int first(Job job) {
-        return Math.max(job.expeditedTasks(), migrations.roomsFor(job));
-    }
-
-    private Plan.Entry entry(Job job, int waiting, long patienceMs) {
-        return new Plan.Entry(
-                job.id(),
-                job.spec(),
-                waiting,
-                estimates.expectedMs(job.spec()),
-                admission.liveByZone(job),
-                job.notBefore.ms(),
-                patienceMs);
-    }
-
-    /** After all others, elastic jobs onto what would stand idle. */
-    private void widen(Plan next, List<Job> order, Map<JobId, Integer> widths) {
-        int weighed = 0;
-        for (Job job : order) {
-            if (job.record.width == null) {
-                continue;
-            }
-            int sure = elastic.sure(job);
-            WidthOptions wish = elastic.wish(job, sure, widths.get(job.id()));
-            if (wish == null) {
-                continue;
-            }
-            if (wish.fixed() == null && weighed++ >= MAX_WEIGHED) {
-                wish = wish.fixedAt(job.width()); // it stays as wide as it is
-            }
-            List<Long> busyUntil = new ArrayList<>();
-            for (Placement p : job.record.live.values()) {
-                busyUntil.add(estimates.expectedEnd(p, context.now()).ms());
-            }
-            long slack = wish.untilMs() == Ending.NEVER
-                    ? NO_HURRY_MS
-                    : Math.max(0, wish.untilMs() - context.now().ms());
-            next.widen(
-                    entry(job, job.record.waitingCount() - sure, Math.round(policy.patience() * slack)),
-                    busyUntil,
-                    wish);
-        }
-    }
-
-    /** One step of the periodic search, if it is time for one; other inputs come in between. */
+    /** Makes one step of the periodic search if it is time for one; other inputs are processed between steps. */
     void searchStep() {
         if (search == null) {
             if (context.now().isBefore(nextSearch) || policy.searchIterations() == 0) {
                 return;
             }
-            nextSearch = context.now().plusMs(policy.searchEveryMs());
-            searchEnds = context.now().plusMs(policy.searchMs());
-            // Where an objective still speaks for a job it decides the order, and search was measured to spend the
-            // slack that objectives need; what none speaks for is ordered by waits, slowdown and fairness.
-            List<JobId> free = ordered().stream()
-                    .filter(j -> !ordering.objectiveOpen(j))
-                    .map(Job::id)
-                    .toList();
-            Arrangement start = arrangement(free);
-            search = new RandomSearch<>(
-                    start,
-                    Arrangement::moved,
-                    this::evaluate,
-                    policy.weights(),
-                    start.movable() ? policy.searchIterations() : 0,
-                    random);
+            startSearch();
         }
         if (search.finished() || !context.now().isBefore(searchEnds)) {
-            searchSteps += search.steps();
-            searchKept += search.kept();
-            if (search.kept() > 0) {
-                preferred = search.best();
-                clusterState.requestReplan();
-                LOG.debug("search kept {} of {} moves", search.kept(), search.steps());
-            } else if (!preferred.fixed().isEmpty()) {
-                preferred = preferred.unfixed(); // the plan weighs them again
-                clusterState.requestReplan();
-            }
-            search = null;
+            finishSearch();
             return;
         }
         search.step();
     }
 
+    private void startSearch() {
+        nextSearch = context.now().plusMs(policy.searchEveryMs());
+        searchEnds = context.now().plusMs(policy.searchMs());
+        // An open objective decides a job's order: measurements showed that searching over such jobs uses up the
+        // slack that objectives need. The search orders the others by waits, slowdown and fairness.
+        List<JobId> free = ordered().stream()
+                .filter(j -> !ordering.objectiveOpen(j))
+                .map(Job::id)
+                .toList();
+        Arrangement start = arrangement(free);
+        search = new RandomSearch<>(
+                start,
+                Arrangement::moved,
+                this::evaluate,
+                policy.weights(),
+                start.movable() ? policy.searchIterations() : 0,
+                random);
+    }
+
+    private void finishSearch() {
+        searchSteps += search.steps();
+        searchKept += search.kept();
+        if (search.kept() > 0) {
+            preferred = search.best();
+            clusterState.requestReplan();
+            LOG.debug("search kept {} of {} moves", search.kept(), search.steps());
+        } else if (!preferred.fixed().isEmpty()) {
+            preferred = preferred.unfixed(); // the plan chooses the widths again
+            clusterState.requestReplan();
+        }
+        search = null;
+    }
+
+    /** Returns the arrangement from which the search starts: the given jobs and the elastic jobs that may widen. */
     private Arrangement arrangement(List<JobId> free) {
         List<JobId> wide = new ArrayList<>();
         Map<JobId, Integer> widest = new HashMap<>();
@@ -346,6 +201,7 @@
         return new Arrangement(free, wide, widest, Map.of());
     }
 
+    /** Builds a plan for the arrangement and evaluates it. */
     private Evaluation evaluate(Arrangement arrangement) {
         List<Job> list = JobOrdering.withPreferredOrder(ordering.byObjective(), arrangement.order());
         Map<JobId, Evaluation.Facts> facts = new HashMap<>();
@@ -359,27 +215,28 @@
                             estimates.expectedMs(job.spec())));
         }
         Map<String, Double> usage = new HashMap<>();
-        double all = Math.max(
+        double totalCpuMs = Math.max(
                 1,
                 clusterState.teamCpuMs().values().stream()
                         .mapToDouble(Double::doubleValue)
                         .sum());
         for (String team : settings.teams().keySet()) {
-            usage.put(team, USAGE_FLOOR + clusterState.teamCpuMs().getOrDefault(team, 0.0) / all);
+            usage.put(team, MIN_USAGE + clusterState.teamCpuMs().getOrDefault(team, 0.0) / totalCpuMs);
         }
-        return Evaluation.of(build(list, arrangement.fixed()), facts, usage);
+        return Evaluation.of(builder.build(list, arrangement.fixed()), facts, usage);
     }
 
-    /** How long a plan must serve before the next: the larger it is, and the further this node is behind, the longer. */
+    /** Returns the pause after a plan: the larger the plan, and the later this node processes its inputs, the longer. */
     private long pause(Plan plan) {
-        return PLAN_EVERY_MS + plan.fits() / FITS_PER_MS + Math.min(MOST_BEHIND_MS, context.lagMs());
+        return MIN_PAUSE_MS + plan.fits() / FITS_PER_MS + Math.min(MAX_LAG_PAUSE_MS, context.lagMs());
     }
 
-    /** The newest plan, or null. */
+    /** Returns the newest plan, or null. */
     Plan current() {
         return plan;
     }
 
+    /** Returns the waiting jobs by objective, with the order that the last search preferred. */
     private List<Job> ordered() {
         return JobOrdering.withPreferredOrder(ordering.byObjective(), preferred.order());
     }
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -94,21 +94,8 @@
     }
 
     private Planner createPlanner(SplittableRandom random) {
-        return new Planner(
-                services.context(),
-                services.settings(),
-                policy,
-                random,
-                machineTypes,
-                workers.clusterState,
-                workers.estimates,
-                workers.jobOrdering,
-                admission,
-                workers.provisioner,
-                workers.elastic,
-                workers.coldStart,
-                migrations,
-                preemptionNotices);
+        PlanBuilder builder = new PlanBuilder(workers, policy, machineTypes, admission, migrations, preemptionNotices);
+        return new Planner(workers, policy, random, builder);
     }
 
     private WidthReduction createWidthReduction() {
