--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -15,14 +15,21 @@
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineType;
 
-/** Whether a task may start on a machine now: the rules, the teams' limits and the room, against what may be running. */
+/** Decides whether a task may start on a machine now: placement rules, team limits and free resources, given what may be running. */
 final class Admission {
+    /** Tolerance of comparisons between sums of CPUs, GPUs or memory and a limit. */
+    private static final double TOLERANCE = 1e-6;
+    /** A machine may take elastic growth if its last heartbeat is younger than 1.5 report intervals, in ms per second. */
+    private static final int WIDEN_HEARD_MS_PER_S = 1500;
+    /** A machine is usable if its last heartbeat is younger than three report intervals, in ms per second. */
+    private static final int USABLE_HEARD_MS_PER_S = 3000;
+
     private final ControllerContext context;
     private final Settings settings;
     private final MachineTypeCatalog machineTypes;
     private final ClusterState clusterState;
     private final FaultTracker faultTracker;
-    /** Null until it is there. */
+    /** Null until set by {@link #setMigrations}. */
     private MigrationController migrations;
 
     Admission(
@@ -38,20 +45,24 @@
         this.faultTracker = faultTracker;
     }
 
-    /** Room that is kept for tasks on their way, or for whom it was made. */
-    void keeps(MigrationController desk) {
-        migrations = desk;
+    /** Sets the source of the resources that are reserved for migrating tasks, or for the jobs that they were freed for. */
+    void setMigrations(MigrationController controller) {
+        migrations = controller;
     }
 
-    /** Whether elastic jobs may grow onto the machine: it is well, heard of, and stays; it was not taken back lately. */
+    /**
+     * Returns whether elastic jobs may grow onto the machine: it is usable, not faulty and heard from lately, and its growth is
+     * not damped because capacity on it was lately taken back.
+     */
     boolean mayWiden(Machine machine) {
         return usable(machine)
                 && machine.growthDamping.open(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
                 && context.now().since(clusterState.lastHeardOf(machine))
-                        < settings.workers().reportS() * 1500;
+                        < settings.workers().reportS() * WIDEN_HEARD_MS_PER_S;
     }
 
+    /** Returns whether the machine may take tasks at all: up, confirmed, reachable, heard from, not leaving and not avoided. */
     boolean usable(Machine machine) {
         return machine.up
                 && machine.confirmedPresent
@@ -60,72 +71,78 @@
                 && machine.unknownTasks == 0
                 && machineTypes.get(machine.type) != null
                 && context.now().since(clusterState.lastHeardOf(machine))
-                        < settings.workers().reportS() * 3000
+                        < settings.workers().reportS() * USABLE_HEARD_MS_PER_S
                 && machine.avoidUntil.isBefore(context.now())
                 && machine.lastHeardAt != null;
     }
 
-    /** What would be free on a machine; less than nothing where a task doesn't fit. */
-    record Room(double cpus, double gpus, double memGb) {
-        Room plus(JobSpec spec, int times) {
-            return new Room(cpus + times * spec.cpus(), gpus + times * spec.gpus(), memGb + times * spec.memGb());
+    /** Resources free on a machine; negative where a task doesn't fit. */
+    record FreeResources(double cpus, double gpus, double memGb) {
+        /** Returns the resources after adding those of {@code times} tasks; negative to subtract them. */
+        FreeResources plus(JobSpec spec, int times) {
+            return new FreeResources(
+                    cpus + times * spec.cpus(), gpus + times * spec.gpus(), memGb + times * spec.memGb());
         }
 
+        /** Returns whether no resource is negative. */
         boolean enough() {
-            return cpus >= -1e-6 && gpus >= -1e-6 && memGb >= -1e-6;
+            return cpus >= -TOLERANCE && gpus >= -TOLERANCE && memGb >= -TOLERANCE;
         }
     }
 
-    /** What is free on the host, less what is kept there; null where what is on it is not known. */
-    Room free(Machine machine, MachineType type) {
-        Room room = new Room(type.cpus(), type.gpus(), type.memGb());
+    /** Returns what is free on the machine less what is reserved there, or null if a task on it is unknown. */
+    FreeResources free(Machine machine, MachineType type) {
+        FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb());
         for (Placement placement : machine.placements.values()) {
             Job other = clusterState.job(placement.task.job());
             if (other == null) {
                 return null;
             }
-            room = room.plus(other.spec(), -1);
+            free = free.plus(other.spec(), -1);
         }
         for (JobSpec kept : migrations == null ? List.<JobSpec>of() : migrations.keptOn(machine.id)) {
-            room = room.plus(kept, -1);
+            free = free.plus(kept, -1);
         }
-        return room;
+        return free;
     }
 
-    /** What is free on the host once such a task is there too; null where what is on it is not known. */
-    Room roomBeside(Machine machine, MachineType type, JobSpec spec) {
-        Room room = new Room(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
+    /** Returns what is free on the machine once such a task is there too, or null if a task on it is unknown. */
+    FreeResources freeBeside(Machine machine, MachineType type, JobSpec spec) {
+        FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
         for (Placement placement : machine.placements.values()) {
             Job other = clusterState.job(placement.task.job());
             if (other == null) {
                 return null;
             }
-            room = room.plus(other.spec(), -1);
+            free = free.plus(other.spec(), -1);
         }
-        return room;
+        return free;
     }
 
-    /** Whether the team's limit, not the machines, keeps the job's next task waiting. */
+    /** Returns whether the job's next task would exceed its team's limit, or its team is unknown. */
     boolean overLimit(Job job, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         Settings.Team team = settings.teams().get(spec.team());
-        double[] u = used.getOrDefault(spec.team(), new double[2]);
-        return team == null || u[0] + spec.cpus() > team.cpusMax() + 1e-6 || u[1] + spec.gpus() > team.gpusMax() + 1e-6;
+        double[] usage = used.getOrDefault(spec.team(), new double[2]);
+        return team == null
+                || usage[0] + spec.cpus() > team.cpusMax() + TOLERANCE
+                || usage[1] + spec.gpus() > team.gpusMax() + TOLERANCE;
     }
 
+    /** Returns the live tasks by zone, under "" where it is unknown; empty for jobs without zone rules. */
     Map<String, Integer> liveByZone(Job job) {
         Map<String, Integer> out = new HashMap<>();
         if (job.spec().sameZone() || job.spec().antiAffinity()) {
             for (Placement placement : job.record.live.values()) {
                 Machine machine = clusterState.machine(placement.machine);
-                // A host that nobody has described yet may be anywhere: no zone is certain until it is.
+                // A machine whose zone is not known yet may be in any zone.
                 out.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
             }
         }
         return out;
     }
 
-    /** The rules of placement once more, against what may be running now, whatever the plan says. */
+    /** Checks the placement rules against what may be running now, whatever the plan says; returns whether the task may start. */
     boolean admissible(Job job, Machine machine, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         MachineType type =
@@ -133,9 +150,9 @@
         if (type == null || !spec.mayRunOn(type, machine.zone, machine.spot)) {
             return false;
         }
-        Room room = roomBeside(machine, type, spec);
-        if (room == null
-                || !room.enough()
+        FreeResources free = freeBeside(machine, type, spec);
+        if (free == null
+                || !free.enough()
                 || overLimit(job, used)
                 || migrations != null && migrations.keptFromOthers(machine.id, job.id())) {
             return false;
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -14,7 +14,7 @@
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.TaskId;
 
-/** Starts what a plan has due. */
+/** Starts the tasks that a plan has due. */
 final class Dispatch {
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -38,59 +38,83 @@
         this.elastic = elastic;
     }
 
-    /** Places what the plan starts now: in the book first, launched once that is committed. */
+    /** Places the tasks that the plan starts now: recorded in the cluster state first, launched once that is committed. */
     void dispatch(Plan next) {
-        Map<String, double[]> used = null;
-        Map<JobId, ArrayDeque<Integer>> waiting = new HashMap<>();
-        Map<JobId, Integer> due = new HashMap<>();
-        Map<JobId, Long> attempts = new HashMap<>();
+        Map<JobId, Integer> due = dueTasks(next);
+        Run run = new Run(due);
         for (Plan.Reservation reservation : next.reservations()) {
-            if (reservation.machineUp()
-                    && reservation.startMs() <= context.now().ms()) {
-                due.merge(reservation.job(), 1, Integer::sum);
-            }
-        }
-        for (Plan.Reservation reservation : next.reservations()) {
-            if (!reservation.machineUp()
-                    || reservation.startMs() > context.now().ms()) {
+            if (!isDue(reservation)) {
                 continue;
             }
             Job job = clusterState.job(reservation.job());
             if (job.spec().isGang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
-                continue; // all of it or nothing
-            }
-            Machine machine = clusterState.findMachine(reservation.machine());
-            if (used == null) {
-                used = clusterState.teamUsage();
+                continue; // a gang starts as a whole or not at all
             }
-            if (!admission.admissible(job, machine, used)
-                    || ElasticWidths.mayPlace(job) <= 0
-                    || (reservation.wide() && !admission.mayWiden(machine))) {
-                continue;
-            }
-            ArrayDeque<Integer> free =
-                    waiting.computeIfAbsent(reservation.job(), k -> new ArrayDeque<>(job.record.waiting(due.get(k))));
-            if (free.isEmpty() || job.notBefore.ms() > context.now().ms()) {
-                continue;
+            placeReserved(run, job, reservation);
+        }
+    }
+
+    /** What one call of {@link #dispatch} has to remember from one reservation to the next. */
+    private static final class Run {
+        private final Map<JobId, ArrayDeque<Integer>> waiting = new HashMap<>();
+        private final Map<JobId, Long> attempts = new HashMap<>();
+        private final Map<JobId, Integer> due;
+        /** CPUs and GPUs that each team uses; null until first needed. */
+        private Map<String, double[]> used;
+
+        private Run(Map<JobId, Integer> due) {
+            this.due = due;
+        }
+    }
+
+    /** Returns how many tasks of each job the plan starts now. */
+    private Map<JobId, Integer> dueTasks(Plan next) {
+        Map<JobId, Integer> due = new HashMap<>();
+        for (Plan.Reservation reservation : next.reservations()) {
+            if (isDue(reservation)) {
+                due.merge(reservation.job(), 1, Integer::sum);
             }
-            TaskId id = new TaskId(reservation.job(), free.poll());
-            // A gang's tasks find one another by their common attempt.
-            long attempt = job.spec().isGang()
-                    ? attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
-                    : job.record.nextAttempt++;
-            enter(job, id, attempt, machine, reservation.fetchMs());
-            double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
-            usage[0] += job.spec().cpus();
-            usage[1] += job.spec().gpus();
         }
+        return due;
+    }
+
+    private boolean isDue(Plan.Reservation reservation) {
+        return reservation.machineUp() && reservation.startMs() <= context.now().ms();
+    }
+
+    /** Places the job's next waiting task as reserved, if it is admissible now. */
+    private void placeReserved(Run run, Job job, Plan.Reservation reservation) {
+        Machine machine = clusterState.findMachine(reservation.machine());
+        if (run.used == null) {
+            run.used = clusterState.teamUsage();
+        }
+        if (!admission.admissible(job, machine, run.used)
+                || ElasticWidths.mayPlace(job) <= 0
+                || (reservation.wide() && !admission.mayWiden(machine))) {
+            return;
+        }
+        ArrayDeque<Integer> free = run.waiting.computeIfAbsent(
+                reservation.job(), k -> new ArrayDeque<>(job.record.waiting(run.due.get(k))));
+        if (free.isEmpty() || job.notBefore.ms() > context.now().ms()) {
+            return;
+        }
+        TaskId id = new TaskId(reservation.job(), free.poll());
+        // A gang's tasks find one another by their common attempt.
+        long attempt = job.spec().isGang()
+                ? run.attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
+                : job.record.nextAttempt++;
+        recordPlacement(job, id, attempt, machine, reservation.fetchMs());
+        double[] usage = run.used.computeIfAbsent(job.spec().team(), k -> new double[2]);
+        usage[0] += job.spec().cpus();
+        usage[1] += job.spec().gpus();
     }
 
-    /** Places one task on this machine, if the rules allow it now, whatever the plan says. */
+    /** Places one task on the machine if admission allows it now, whatever the plan says; returns whether it did. */
     boolean place(Job job, int index, Machine machine) {
         if (job.spec().isGang() || !admission.admissible(job, machine, clusterState.teamUsage())) {
             return false;
         }
-        enter(
+        recordPlacement(
                 job,
                 new TaskId(job.id(), index),
                 job.record.nextAttempt++,
@@ -99,7 +123,8 @@
         return true;
     }
 
-    private void enter(Job job, TaskId id, long attempt, Machine machine, long fetchMs) {
+    /** Records the placement in the cluster state, to be committed and then launched. */
+    private void recordPlacement(Job job, TaskId id, long attempt, Machine machine, long fetchMs) {
         Placement placement = new Placement(id, attempt, machine.id);
         placement.placedAt = context.now();
         placement.placedS =
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -16,9 +16,9 @@
     private static final class Free {
         private final Machine machine;
         private final MachineType type;
-        private Admission.Room room;
+        private Admission.FreeResources room;
 
-        private Free(Machine machine, MachineType type, Admission.Room room) {
+        private Free(Machine machine, MachineType type, Admission.FreeResources room) {
             this.machine = machine;
             this.type = type;
             this.room = room;
@@ -38,7 +38,7 @@
         for (Machine machine : clusterState.machines()) {
             MachineType type =
                     admission.usable(machine) && serves.test(machine) ? machineTypes.get(machine.type) : null;
-            Admission.Room room = type == null ? null : admission.free(machine, type);
+            Admission.FreeResources room = type == null ? null : admission.free(machine, type);
             if (room != null && room.cpus() > 0) {
                 all.add(new Free(machine, type, room));
             }
@@ -54,7 +54,7 @@
                 + spec.zone() + "/" + spec.spot();
         for (int i = tried.getOrDefault(shape, 0); i < all.size(); i++) {
             Free free = all.get(i);
-            Admission.Room left = free.room.plus(spec, -1);
+            Admission.FreeResources left = free.room.plus(spec, -1);
             if (left.enough() && spec.mayRunOn(free.type, free.machine.zone, free.machine.spot)) {
                 free.room = left;
                 tried.put(shape, i);
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -177,7 +177,7 @@
         List<Moves.Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
-            Admission.Room free =
+            Admission.FreeResources free =
                     type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
                             ? null
                             : admission.free(machine, type);
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -157,8 +157,8 @@
     private Offer offer(Machine machine, Job job, int waiting, long beginsMs) {
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.Room room =
-                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
+        Admission.FreeResources room =
+                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.freeBeside(machine, type, spec) : null;
         if (room == null || room.enough()) {
             return null;
         }
@@ -185,7 +185,9 @@
         // One large task stopped makes room for several small ones; taken for one each, a job of thirty small tasks
         // once had thirty large ones stopped.
         int tasks = 1;
-        for (Admission.Room more = room.plus(spec, -1); tasks < waiting && more.enough(); more = more.plus(spec, -1)) {
+        for (Admission.FreeResources more = room.plus(spec, -1);
+                tasks < waiting && more.enough();
+                more = more.plus(spec, -1)) {
             tasks++;
         }
         return new Offer(out, tasks, lost(out) + fetchCost(machine, job), beginsMs);
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -90,7 +90,7 @@
     private void connectMigrations() {
         workers.disruptions.moving(migrations::moves);
         workers.provisioner.kept(machine -> !migrations.keptOn(machine).isEmpty());
-        admission.keeps(migrations);
+        admission.setMigrations(migrations);
     }
 
     private Planner createPlanner(SplittableRandom random) {
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -212,8 +212,8 @@
         int tasks = late.tasks;
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.Room room =
-                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.roomBeside(machine, type, spec) : null;
+        Admission.FreeResources room =
+                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.freeBeside(machine, type, spec) : null;
         if (room == null) {
             return null;
         }
@@ -256,9 +256,9 @@
     }
 
     /** How many of the job's tasks fit; {@code room} is what is left once one is there. */
-    private static int fits(Admission.Room room, JobSpec spec, int most) {
+    private static int fits(Admission.FreeResources room, JobSpec spec, int most) {
         int count = 0;
-        for (Admission.Room left = room; count < most && left.enough(); left = left.plus(spec, -1)) {
+        for (Admission.FreeResources left = room; count < most && left.enough(); left = left.plus(spec, -1)) {
             count++;
         }
         return count;
