--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -38,19 +38,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the machines: has them rented, lists them, returns what idles, is lost or never comes up. */
+/** Manages the rented machines: lists them, has more rented, and releases idle, lost and failed ones. */
 public final class Provisioner implements MachineReleases {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
-    private static final int MAX_RETURN = 100;
-    private static final int MOST_RETURN_CALLS = 4;
-    private static final long EVERY_MS = 1000;
+    private static final int MAX_MACHINES_PER_RETURN = 100;
+    private static final int MAX_CONCURRENT_RETURN_CALLS = 4;
+    private static final long RUN_INTERVAL_MS = 1000;
+    private static final long LIST_INTERVAL_MS = 6000;
     private static final long LIST_OVERDUE_MS = 15_000;
-    private static final int REMEMBERED_GONE = 4000;
-    private static final long SOON_HEARD_MS = 3000;
-    /** By then the cloud has taken it, or will at any moment; its answer proves that what was there is gone. */
-    private static final long NOTICE_OVER_MS = 500;
-    /** How long a new leadership waits for the first list before it rents without. */
-    private static final long FIRST_LIST_MS = 15_000;
+    private static final int MAX_REMEMBERED_RELEASES = 4000;
+    /** The expected time until a machine that runs already sends its first heartbeat. */
+    private static final long FIRST_HEARTBEAT_MS = 3000;
+    /** From this long before its expected start on, a machine is expected after half of its delay again. */
+    private static final long STARTUP_RECHECK_MS = 2000;
+    /** The startup time in milliseconds per stated second, with a margin of a tenth. */
+    private static final long EXPECTED_STARTUP_MS_PER_S = 1100;
+    /** How long after a preemption notice a machine is released; the cloud's answer proves that its tasks are gone. */
+    private static final long PREEMPTION_RELEASE_MS = 500;
+    /** How long a new term waits for the first complete list before it rents machines without it. */
+    private static final long FIRST_LIST_TIMEOUT_MS = 15_000;
+    /** An unlisted machine is released only when it has not been heard of for this long. */
+    private static final long UNLISTED_UNHEARD_MS = 6000;
+    /** How long after the stated lag of the list a machine may still be missing from it. */
+    private static final int LIST_LAG_MARGIN_S = 5;
+
+    private static final int CALL_TIMEOUT_MS = 5000;
+    private static final int MS_PER_S = 1000;
+    /** The part of the cloud's request limit that this node uses. */
+    private static final double CLOUD_CALL_SHARE = 0.8;
+    /** How long a machine of an unknown type may take to start. */
+    private static final double UNKNOWN_TYPE_STARTUP_S = 120;
+
+    private static final int STARTUP_TIMEOUT_FACTOR = 3;
+    private static final int STARTUP_TIMEOUT_MARGIN_S = 45;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -65,28 +85,28 @@
     private final FailureDetector failureDetector;
     private final LossRecovery lossRecovery;
     private final ColdStartRecovery coldStart;
-    private final Set<MachineId> gone = BoundedCollections.insertionOrderedSet(REMEMBERED_GONE);
-    private MonotonicTime nextTurn = MonotonicTime.ZERO;
-    private MonotonicTime nextList = MonotonicTime.ZERO;
+    private final Set<MachineId> released = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_RELEASES);
+    private MonotonicTime nextRunAt = MonotonicTime.ZERO;
+    private MonotonicTime nextListAt = MonotonicTime.ZERO;
     private boolean listing;
-    /** Whether this leadership has seen all machines once: before that, it would rent what it already has. */
+    /** Whether a list was complete in this term: renting before that could duplicate existing machines. */
     private boolean listed;
 
     private int returnCalls;
-    private Predicate<MachineId> kept = h -> false;
+    private Predicate<MachineId> reservedForMigration = machine -> false;
 
     Provisioner(
             ControllerServices services,
             Policy policy,
             MachineTypeCatalog machineTypes,
             ClusterState clusterState,
-            JobOrdering ordering,
+            JobOrdering jobOrdering,
             DurationEstimates estimates,
             FaultTracker faultTracker,
             TaskRemoval taskRemoval,
             LossRecovery lossRecovery,
             ColdStartRecovery coldStart,
-            BiConsumer<Machine, Heartbeat> beganAnew) {
+            BiConsumer<Machine, Heartbeat> workerRestarted) {
         this.coldStart = coldStart;
         this.context = services.context();
         this.election = services.election();
@@ -96,95 +116,99 @@
         this.clusterState = clusterState;
         this.faultTracker = faultTracker;
         this.taskRemoval = taskRemoval;
-        this.failureDetector = new FailureDetector(services, policy, clusterState, coldStart, lossRecovery, beganAnew);
+        this.failureDetector =
+                new FailureDetector(services, policy, clusterState, coldStart, lossRecovery, workerRestarted);
         this.lossRecovery = lossRecovery;
-        this.calls = new TokenBucket(settings.cloudLimits().rps() * 0.8);
-        this.scaleOut =
-                new ScaleOutPolicy(context, policy, election, machineTypes, clusterState, ordering, estimates, calls);
+        this.calls = new TokenBucket(settings.cloudLimits().rps() * CLOUD_CALL_SHARE);
+        this.scaleOut = new ScaleOutPolicy(
+                context, policy, election, machineTypes, clusterState, jobOrdering, estimates, calls);
     }
 
-    /** A new leadership begins: its fencing token makes the names of its rentals. */
-    void reset(FencingToken newBaton) {
-        scaleOut.reset(newBaton);
+    /** Resets the state for a new term, whose fencing token is part of the names of its rentals. */
+    void reset(FencingToken newToken) {
+        scaleOut.reset(newToken);
         listed = false;
         listing = false;
         returnCalls = 0;
         failureDetector.reset();
         lossRecovery.reset();
-        nextList = context.now();
-        nextTurn = context.now();
+        nextListAt = context.now();
+        nextRunAt = context.now();
     }
 
-    /** Whether this leadership has seen all machines that the cloud lists. */
+    /** Returns whether the cloud has listed all machines in this term. */
     boolean listed() {
         return listed;
     }
 
-    /** Who knows which machines have a place that is kept for a task on its way. */
-    void kept(Predicate<MachineId> by) {
-        kept = by;
+    /** Sets the test for machines on which a place is reserved for a migrating task; they are not released as idle. */
+    void kept(Predicate<MachineId> isReserved) {
+        reservedForMigration = isReserved;
     }
 
+    /** Returns the policy that rents machines. */
     ScaleOutPolicy renting() {
         return scaleOut;
     }
 
     @Override
     public boolean isReleased(MachineId id) {
-        return gone.contains(id);
+        return released.contains(id);
     }
 
+    /** Returns when a machine that is not up is expected to be ready, in milliseconds. */
     long readyAt(Machine machine, MachineType type) {
         if (machine.listedRunning) {
-            return context.now().ms() + SOON_HEARD_MS; // it runs, and only has to find this node
+            return context.now().ms() + FIRST_HEARTBEAT_MS; // it runs, and only has to reach this node
         }
         long expected = (machine.rentedAt == null ? context.now().ms() : machine.rentedAt.ms())
-                + Math.round(1100 * type.startupS());
+                + Math.round(EXPECTED_STARTUP_MS_PER_S * type.startupS());
         long late = context.now().ms() - expected;
-        return late > -2000 ? context.now().ms() + Math.max(3000, late / 2) : expected;
+        return late > -STARTUP_RECHECK_MS ? context.now().ms() + Math.max(FIRST_HEARTBEAT_MS, late / 2) : expected;
     }
 
+    /** Checks the machines, releases and lists them, and rents what the plan needs; the plan may be null. */
     void tick(Plan plan) {
-        if (context.now().isBefore(nextTurn)) {
+        if (context.now().isBefore(nextRunAt)) {
             return;
         }
-        nextTurn = context.now().plusMs(EVERY_MS);
-        lookAfterHosts(plan);
-        if (context.now().since(nextList) > LIST_OVERDUE_MS) {
-            list(); // with few calls, or a fall that takes long, everything else would always come first
+        nextRunAt = context.now().plusMs(RUN_INTERVAL_MS);
+        checkMachines(plan);
+        if (context.now().since(nextListAt) > LIST_OVERDUE_MS) {
+            startListing(); // first, or with few calls or many lost machines the other calls would always precede it
         }
         sendReturns(true);
-        boolean oriented = listed || context.now().since(clusterState.termBeganAt()) > FIRST_LIST_MS;
-        if (plan != null && oriented) {
+        boolean mayRent = listed || context.now().since(clusterState.termBeganAt()) > FIRST_LIST_TIMEOUT_MS;
+        if (plan != null && mayRent) {
             scaleOut.rentFor(plan);
         }
-        list();
+        startListing();
         sendReturns(false);
     }
 
-    /** Only what must be gone is returned: while the book is not certain nothing else is decided. */
+    /** Sends only the releases that are due with tasks; used while the cluster state is uncertain. */
     void returnOverdue() {
         sendReturns(true);
     }
 
     // ---- the list ----
 
-    private void list() {
-        if (!context.now().isBefore(nextList) && !listing && calls.tryTake(context.now(), 1)) {
+    private void startListing() {
+        if (!context.now().isBefore(nextListAt) && !listing && calls.tryTake(context.now(), 1)) {
             listing = true;
-            list(null, new HashMap<>(), context.now());
+            requestPage(null, new HashMap<>(), context.now());
         }
     }
 
-    private void list(String after, Map<MachineId, JsonNode> found, MonotonicTime asked) {
+    private void requestPage(String after, Map<MachineId, JsonNode> found, MonotonicTime requestedAt) {
         long term = clusterState.term();
         String path = "/machines?limit=500" + (after == null ? "" : "&after=" + after);
-        context.call(ServiceCalls.Target.CLOUD, null, "GET", path, null, 5000, result -> {
+        context.call(ServiceCalls.Target.CLOUD, null, "GET", path, null, CALL_TIMEOUT_MS, result -> {
             if (term != clusterState.term()) {
                 return;
             }
             listing = false;
-            nextList = context.now().plusMs(6000);
+            nextListAt = context.now().plusMs(LIST_INTERVAL_MS);
             if (!result.isOk() || !result.body().path("hosts").isArray()) {
                 return;
             }
@@ -198,113 +222,140 @@
             if (result.body().path("more").asBoolean() && last != null) {
                 listing = true;
                 calls.takeOrOverdraw(context.now(), 1);
-                list(last, found, asked);
+                requestPage(last, found, requestedAt);
             } else {
-                listed(found, asked);
+                applyList(found, requestedAt);
             }
         });
     }
 
-    private void listed(Map<MachineId, JsonNode> found, MonotonicTime asked) {
+    private void applyList(Map<MachineId, JsonNode> found, MonotonicTime requestedAt) {
         listed = true;
         coldStart.markListed();
-        found.forEach((id, node) -> {
-            if (gone.contains(id)) {
-                return; // the list lags
-            }
-            Machine machine = clusterState.machine(id);
-            if (!machine.isKnown()) {
-                machine.type = node.path("hosttype").asText(null);
-                machine.zone = node.path("yard").asText(null);
-                machine.spot = node.path("loaner").asBoolean();
-                machine.address = node.path("address").asText(null);
-            }
-            if (machine.rentedAt == null) {
-                machine.rentedAt =
-                        asked.plusMs(-Math.round(1000 * node.path("ageS").asDouble(0)));
-            }
-            machine.listedRunning = node.path("status").asText().equals("running");
-            machine.confirmedPresent = true;
-            if (node.path("status").asText().equals("failed")) {
-                releaseMachine(machine, "it failed");
-            }
-        });
-        long blind = Math.round(1000 * (2 * settings.cloudLimits().listLagS() + 5));
+        found.forEach((id, node) -> applyListed(id, node, requestedAt));
+        long listLagMs = Math.round(MS_PER_S * (2 * settings.cloudLimits().listLagS() + LIST_LAG_MARGIN_S));
         for (Machine machine : clusterState.machines()) {
-            MonotonicTime since = machine.rentedAt != null
-                    ? machine.rentedAt
-                    : machine.placements.isEmpty() ? asked : clusterState.termBeganAt();
-            boolean old = asked.since(since) > blind;
+            boolean old = requestedAt.since(knownSince(machine, requestedAt)) > listLagMs;
             if (!found.containsKey(machine.id)
                     && old
-                    && context.now().since(clusterState.lastHeardOf(machine)) > 6000) {
+                    && context.now().since(clusterState.lastHeardOf(machine)) > UNLISTED_UNHEARD_MS) {
                 releaseMachine(machine, "the cloud doesn't list it any more");
             }
         }
     }
 
-    // ---- returning ----
+    private void applyListed(MachineId id, JsonNode node, MonotonicTime requestedAt) {
+        if (released.contains(id)) {
+            return; // the list lags
+        }
+        Machine machine = clusterState.machine(id);
+        if (!machine.isKnown()) {
+            machine.type = node.path("hosttype").asText(null);
+            machine.zone = node.path("yard").asText(null);
+            machine.spot = node.path("loaner").asBoolean();
+            machine.address = node.path("address").asText(null);
+        }
+        if (machine.rentedAt == null) {
+            machine.rentedAt =
+                    requestedAt.plusMs(-Math.round(MS_PER_S * node.path("ageS").asDouble(0)));
+        }
+        machine.listedRunning = node.path("status").asText().equals("running");
+        machine.confirmedPresent = true;
+        if (node.path("status").asText().equals("failed")) {
+            releaseMachine(machine, "it failed");
+        }
+    }
+
+    private MonotonicTime knownSince(Machine machine, MonotonicTime requestedAt) {
+        if (machine.rentedAt != null) {
+            return machine.rentedAt;
+        }
+        return machine.placements.isEmpty() ? requestedAt : clusterState.termBeganAt();
+    }
+
+    // ---- releasing ----
 
     @Override
     public void releaseMachine(Machine machine, String why) {
         if (!machine.releasing) {
             machine.releasing = true;
-            LOG.info("{} is returned: {}", machine.id, why);
+            LOG.info("machine released: machine={} reason={}", machine.id, why);
         }
     }
 
-    private void lookAfterHosts(Plan plan) {
+    private void checkMachines(Plan plan) {
         Set<MachineId> planned = plan == null ? Set.of() : plan.plannedMachines();
         failureDetector.check();
         for (Machine machine : clusterState.machines()) {
             if (machine.releasing) {
                 continue;
             }
-            MachineType type = machineTypes.get(machine.type);
-            if (!machine.up && !machine.placements.isEmpty() && failureDetector.isGone(machine)) {
-                releaseMachine(machine, "it holds tasks and has not reported to this leader");
-            } else if (!machine.up) {
-                MonotonicTime since = machine.rentedAt == null ? clusterState.lastHeardOf(machine) : machine.rentedAt;
-                double allowed = type == null ? 120 : Math.max(3 * type.startupS(), type.startupS() + 45);
-                if (context.now().since(since) > 1000 * allowed
-                        && context.now().since(clusterState.lastHeardOf(machine))
-                                > failureDetector.heartbeatTimeoutMs()) {
-                    releaseMachine(machine, "it never came up");
-                }
-            } else if (failureDetector.isGone(machine)) {
-                releaseMachine(machine, "it is silent");
-            } else if (failureDetector.isUnreachable(machine)) {
-                releaseMachine(machine, "it speaks but does not hear");
-            } else if (machine.preemptedAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
-                releaseMachine(machine, "it is about to be taken and empty");
-            } else if (machine.preemptedAt != null && context.now().since(machine.preemptedAt) > NOTICE_OVER_MS) {
-                releaseMachine(machine, "its notice has run out");
-            } else if (faultTracker.isMachineFaulty(machine)) {
-                releaseMachine(machine, "jobs of several users failed on it");
-            } else if (!machine.placements.isEmpty()
-                    || machine.unknownTasks > 0
-                    || planned.contains(machine.id)
-                    || machine.cordonedBy != null
-                    || machine.standbyFor != null
-                    || kept.test(machine.id)) {
-                machine.idleSince = null;
-            } else if (machine.idleSince == null) {
-                machine.idleSince = context.now();
-            } else if (context.now().since(machine.idleSince)
-                    > (machine.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
-                releaseMachine(machine, "it idles");
+            if (machine.up) {
+                checkRunning(machine, planned);
+            } else {
+                checkNotUp(machine);
             }
         }
     }
 
-    /** Several calls may be on their way: five hundred dead machines are five calls, and their tasks wait for each. */
+    /** Releases a machine that is not up when it is given up with its tasks or did not start in time. */
+    private void checkNotUp(Machine machine) {
+        MachineType type = machineTypes.get(machine.type);
+        if (!machine.placements.isEmpty() && failureDetector.isGone(machine)) {
+            releaseMachine(machine, "it holds tasks and has not reported to this leader");
+            return;
+        }
+        MonotonicTime since = machine.rentedAt == null ? clusterState.lastHeardOf(machine) : machine.rentedAt;
+        double allowedS = type == null
+                ? UNKNOWN_TYPE_STARTUP_S
+                : Math.max(STARTUP_TIMEOUT_FACTOR * type.startupS(), type.startupS() + STARTUP_TIMEOUT_MARGIN_S);
+        if (context.now().since(since) > MS_PER_S * allowedS
+                && context.now().since(clusterState.lastHeardOf(machine)) > failureDetector.heartbeatTimeoutMs()) {
+            releaseMachine(machine, "it never came up");
+        }
+    }
+
+    /** Releases a running machine that is lost, preempted, faulty or idle. */
+    private void checkRunning(Machine machine, Set<MachineId> planned) {
+        if (failureDetector.isGone(machine)) {
+            releaseMachine(machine, "it is silent");
+        } else if (failureDetector.isUnreachable(machine)) {
+            releaseMachine(machine, "it speaks but does not hear");
+        } else if (machine.preemptedAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
+            releaseMachine(machine, "it is about to be taken and empty");
+        } else if (machine.preemptedAt != null && context.now().since(machine.preemptedAt) > PREEMPTION_RELEASE_MS) {
+            releaseMachine(machine, "its notice has run out");
+        } else if (faultTracker.isMachineFaulty(machine)) {
+            releaseMachine(machine, "jobs of several users failed on it");
+        } else if (isNeeded(machine, planned)) {
+            machine.idleSince = null;
+        } else if (machine.idleSince == null) {
+            machine.idleSince = context.now();
+        } else if (context.now().since(machine.idleSince)
+                > (machine.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
+            releaseMachine(machine, "it idles");
+        }
+    }
+
+    private boolean isNeeded(Machine machine, Set<MachineId> planned) {
+        return !machine.placements.isEmpty()
+                || machine.unknownTasks > 0
+                || planned.contains(machine.id)
+                || machine.cordonedBy != null
+                || machine.standbyFor != null
+                || reservedForMigration.test(machine.id);
+    }
+
+    /** Sends release calls, several at once: five hundred lost machines take five calls, and their tasks wait for them. */
     private void sendReturns(boolean withTasks) {
         List<Machine> due = lossRecovery.machinesToRelease(withTasks);
-        for (int from = 0; from < due.size() && returnCalls < MOST_RETURN_CALLS; from += MAX_RETURN) {
+        for (int from = 0;
+                from < due.size() && returnCalls < MAX_CONCURRENT_RETURN_CALLS;
+                from += MAX_MACHINES_PER_RETURN) {
             if (!calls.tryTake(context.now(), 1)) {
                 return;
             }
-            sendReturn(due.subList(from, Math.min(due.size(), from + MAX_RETURN)));
+            sendReturn(due.subList(from, Math.min(due.size(), from + MAX_MACHINES_PER_RETURN)));
         }
     }
 
@@ -319,7 +370,7 @@
         long term = clusterState.term();
         context.callBefore(
                 election.leaseValidUntil(),
-                new ServiceRequest(ServiceCalls.Target.CLOUD, null, "POST", "/machines/return", body, 5000),
+                new ServiceRequest(ServiceCalls.Target.CLOUD, null, "POST", "/machines/return", body, CALL_TIMEOUT_MS),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
@@ -328,7 +379,7 @@
                     for (Machine machine : machines) {
                         machine.releaseRequested = false;
                         if (result.hasStatus(200)) {
-                            gone.add(machine.id);
+                            released.add(machine.id);
                             taskRemoval.machineGone(machine.id);
                         }
                     }
