--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/MachineSpace.java
@@ -0,0 +1,29 @@
+package org.beechhoist.controller;
+
+import org.beechhoist.wire.JobSpec;
+
+/** The free capacity of a machine that boots or is about to be rented. */
+final class MachineSpace {
+    final MachineOffer offer;
+    private double cpus;
+    private double gpus;
+    private double memGb;
+
+    MachineSpace(MachineOffer offer) {
+        this.offer = offer;
+        cpus = offer.type.cpus();
+        gpus = offer.type.gpus();
+        memGb = offer.type.memGb();
+    }
+
+    /** Takes what one task needs, and returns false where it does not fit. */
+    boolean take(JobSpec spec) {
+        if (cpus < spec.cpus() || gpus < spec.gpus() || memGb < spec.memGb()) {
+            return false;
+        }
+        cpus -= spec.cpus();
+        gpus -= spec.gpus();
+        memGb -= spec.memGb();
+        return true;
+    }
+}
