--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -171,7 +171,7 @@
                 String bad = judge(entry, in);
                 if (bad != null) {
                     responder.respond(
-                            bad.equals(UserApi.TYPES)
+                            bad.equals(AdmissionRules.MACHINE_TYPES_UNKNOWN)
                                     ? 503
                                     : entry.calendar() != null && !in.calendars.containsKey(entry.calendar())
                                             ? 400
@@ -198,7 +198,7 @@
         }
         try {
             JobSpec job = entry.job(Instant.ofEpochMilli(context.wallMs()));
-            return users.judge(job);
+            return users.refusal(job);
         } catch (MalformedMessageException m) {
             return m.getMessage();
         }
@@ -441,7 +441,7 @@
             return;
         }
         int row = index;
-        users.peek(new JobId(rows.get(row).get("last").textValue()), state -> {
+        users.readStatus(new JobId(rows.get(row).get("last").textValue()), state -> {
             if (state != null) {
                 ((ObjectNode) rows.get(row)).put("outcome", state.path("status").asText());
                 if (state.has("reason")) {
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -178,7 +178,7 @@
                     line.held = "it replaces " + line.last;
                     if (!line.replacing) {
                         line.replacing = true;
-                        users.replace(line.last, gone -> line.replacing = false);
+                        users.cancelReplaced(line.last, gone -> line.replacing = false);
                     }
                     return null;
                 }
@@ -186,8 +186,8 @@
         }
         try {
             JobSpec job = line.entry.job(catchup.run());
-            String never = users.judge(job);
-            if (UserApi.later(never)) {
+            String never = users.refusal(job);
+            if (AdmissionRules.isTemporary(never)) {
                 line.held = never;
                 return null;
             }
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -24,7 +24,7 @@
 
     /** Reads a job; hands over null where nothing could be learnt. */
     interface Reader {
-        void read(JobId jobId, Consumer<UserApi.Found> then);
+        void read(JobId jobId, Consumer<JobReader.StoredJob> then);
     }
 
     private final ControllerContext context;
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -0,0 +1,278 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import org.beechhoist.config.Policy;
+import org.beechhoist.config.Settings;
+import org.beechhoist.controller.context.ControllerContext;
+import org.beechhoist.controller.leadership.RequestShares;
+import org.beechhoist.keyset.KeySets;
+import org.beechhoist.store.JobRecord;
+import org.beechhoist.store.StoreClient;
+import org.beechhoist.store.StoreClient.CommitResult;
+import org.beechhoist.store.TokenBucket;
+import org.beechhoist.store.Transaction;
+import org.beechhoist.wire.Codec;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MalformedMessageException;
+import org.beechhoist.wire.Revision;
+
+/** Checks submissions of jobs and commits them in batches. */
+final class SubmissionHandler {
+    private static final int MAX_COMMITS = 4;
+    private static final int MAX_QUEUE = 400;
+    /** Well under the size limit of a transaction. */
+    private static final int MAX_BATCH = 20;
+
+    private static final String QUEUE_FULL = "too many submissions wait here";
+    private static final String WRITES_USED_UP = "this node has used its share of the state service's writes";
+
+    /** Answers a request that can't be served now. */
+    interface Refusal {
+        /** Answers a request with a reason to come back later. */
+        void refuse(long request, String reason);
+    }
+
+    /** {@code replacedKey}: the version of its idempotency key that it was found to replace. */
+    private record Submission(long request, JobSpec spec, Revision replacedKey) {}
+
+    private final ControllerContext context;
+    private final Settings settings;
+    private final Policy policy;
+    private final StoreClient store;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final AdmissionRules rules;
+    private final JobReader reader;
+    private final ConditionalStatusReads reads;
+    private final IdempotencyKeys idempotencyKeys;
+    private final BooleanSupplier leaderWrites;
+    private final Refusal refusal;
+    private final TeamRoundRobin teamTurns = new TeamRoundRobin();
+    /**
+     * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
+     * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
+     */
+    private final TokenBucket besideLeader;
+
+    private final List<Submission> queue = new ArrayList<>();
+    private int commits;
+
+    /** Creates a handler; {@code leaderWrites} says whether this node leads and its writes run short. */
+    SubmissionHandler(
+            StateServiceAccess access,
+            Policy policy,
+            AdmissionRules rules,
+            JobReads jobReads,
+            IdempotencyKeys idempotencyKeys,
+            BooleanSupplier leaderWrites,
+            Refusal refusal) {
+        this.context = access.context();
+        this.settings = access.settings();
+        this.policy = policy;
+        this.store = access.store();
+        this.requests = access.requests();
+        this.writes = access.writes();
+        this.rules = rules;
+        this.reader = jobReads.reader();
+        this.reads = jobReads.statusReads();
+        this.idempotencyKeys = idempotencyKeys;
+        this.leaderWrites = leaderWrites;
+        this.refusal = refusal;
+        this.besideLeader = new TokenBucket(
+                Math.max(1, RequestShares.followerShare(settings.stateLimits().writeRps(), settings.nodes())));
+    }
+
+    /**
+     * How jobs are read.
+     *
+     * @param reader reads single jobs
+     * @param statusReads polls, which learn the version of a new job's record
+     */
+    record JobReads(JobReader reader, ConditionalStatusReads statusReads) {}
+
+    /** Submits a job, or answers why not. */
+    void submit(long request, byte[] body) {
+        JobSpec spec;
+        try {
+            spec = JobSpec.parse(Codec.decodeMap(body));
+            if (!policy.elastic().on()) {
+                spec = spec.withoutWidth(); // as any field that a node does not know
+            }
+            spec = (policy.cron().on() ? spec : spec.withoutIdempotencyKey())
+                    .withOrigin(null)
+                    .withKeySetBinding(null);
+            spec = policy.releases() ? spec : spec.withoutRelease();
+            spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
+        } catch (MalformedMessageException e) {
+            context.answer(request, 400, JobStates.reason(e.getMessage()));
+            return;
+        }
+        JsonNode finalState = reader.cachedEnded(spec.id());
+        if (finalState != null) {
+            context.answer(request, 200, JobStates.endedState(spec.id(), finalState));
+            return;
+        }
+        if (reader.isCutOff()) {
+            refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
+            return;
+        }
+        if (!rules.areMachineTypesLoaded()) {
+            refusal.refuse(request, AdmissionRules.MACHINE_TYPES_UNKNOWN);
+            return;
+        }
+        enter(request, spec);
+    }
+
+    private void enter(long request, JobSpec spec) {
+        KeySets.Binding binding = rules.binding(spec);
+        if (binding == null) {
+            refusal.refuse(request, AdmissionRules.KEY_SETS_UNKNOWN);
+            return;
+        }
+        String permanent = rules.permanentRefusal(spec) == null ? binding.refusal() : rules.permanentRefusal(spec);
+        if (permanent != null) {
+            // A job that was accepted once, when there were other machine types, is never refused later.
+            reader.read(spec.id(), requests.tryTake(context.now(), 1), found -> {
+                if (found == null) {
+                    refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
+                } else if (found.status() == null) {
+                    context.answer(request, 422, JobStates.reason(permanent));
+                } else {
+                    context.answer(request, 200, found.status());
+                }
+            });
+            return;
+        }
+        if (queue.size() >= MAX_QUEUE) {
+            refusal.refuse(request, QUEUE_FULL);
+            return;
+        }
+        if (!teamTurns.may(
+                spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
+            writes.recordMissed(1);
+            refusal.refuse(request, WRITES_USED_UP);
+            return;
+        }
+        teamTurns.given(spec.team(), context.now());
+        queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
+        flush();
+    }
+
+    private void flush() {
+        while (!queue.isEmpty() && commits < MAX_COMMITS) {
+            double left = Math.min(
+                    writes.available(context.now()),
+                    leaderWrites.getAsBoolean() ? besideLeader.available(context.now()) : MAX_BATCH);
+            int limit = (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH), Math.floor(left));
+            if (limit < 1 || !requests.tryTake(context.now(), 1)) {
+                // Refused rather than held: the user is told when to come back.
+                writes.recordMissed(queue.size());
+                queue.forEach(submission -> refusal.refuse(submission.request, WRITES_USED_UP));
+                queue.clear();
+                return;
+            }
+            List<Submission> batch = new ArrayList<>();
+            List<Submission> duplicates = new ArrayList<>();
+            int puts = 0;
+            Set<String> keys = new HashSet<>();
+            while (!queue.isEmpty() && (batch.isEmpty() || puts + IdempotencyKeys.puts(queue.get(0).spec) <= limit)) {
+                Submission submission = queue.get(0);
+                if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.place(submission.spec))) {
+                    break; // the same work twice: the second is answered after the first
+                }
+                queue.remove(0);
+                boolean duplicate =
+                        batch.stream().anyMatch(other -> other.spec.id().equals(submission.spec.id()));
+                (duplicate ? duplicates : batch).add(submission);
+                puts += IdempotencyKeys.puts(submission.spec);
+            }
+            writes.takeOrOverdraw(context.now(), puts);
+            besideLeader.takeOrOverdraw(context.now(), puts);
+            send(batch);
+            duplicates.forEach(duplicate -> answerKnown(duplicate.request, duplicate.spec.id()));
+        }
+    }
+
+    private void send(List<Submission> batch) {
+        Transaction transaction = new Transaction();
+        for (Submission submission : batch) {
+            idempotencyKeys.enter(transaction, submission.spec, submission.replacedKey, context.wallMs());
+        }
+        commits++;
+        store.commit(transaction, commit -> {
+            commits--;
+            switch (commit.outcome()) {
+                case COMMITTED -> batch.forEach(submission -> answerQueued(submission, commit));
+                case CONFLICT -> batch.forEach(submission -> resolveConflict(submission, commit));
+                default -> batch.forEach(submission -> refusal.refuse(submission.request, UserApi.STORE_UNAVAILABLE));
+            }
+            flush();
+        });
+    }
+
+    private void answerQueued(Submission submission, CommitResult commit) {
+        JobId jobId = submission.spec.id();
+        reads.remember(
+                jobId,
+                commit.revision(),
+                JobStates.openState(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
+        context.answer(submission.request, 201, JobStates.state(jobId, "queued"));
+    }
+
+    private void resolveConflict(Submission submission, CommitResult commit) {
+        JobSpec spec = submission.spec;
+        if (commit.failedKeys().contains(JobRecord.openKey(spec.id()))
+                || commit.failedKeys().contains(JobRecord.endedKey(spec.id()))) {
+            answerKnown(submission.request, spec.id());
+        } else if (spec.idempotencyKey() != null && commit.failedKeys().contains(IdempotencyKeys.place(spec))) {
+            answerFirstSubmission(submission);
+        } else if (spec.keySetBinding() != null
+                && commit.failedKeys()
+                        .contains(KeySetRegistry.SETS + spec.keySetBinding().keySet())) {
+            rules.keySets()
+                    .overtaken(
+                            Set.of(KeySetRegistry.SETS + spec.keySetBinding().keySet()),
+                            () -> enter(submission.request, spec.withKeySetBinding(null)));
+        } else {
+            queue.add(submission);
+        }
+    }
+
+    /** The idempotency key is taken: answers with the first submission's job, unless that is longer ago than its class allows. */
+    private void answerFirstSubmission(Submission submission) {
+        requests.takeOrOverdraw(context.now(), 1);
+        store.get(IdempotencyKeys.place(submission.spec), read -> {
+            JobId owner = read.item() == null
+                    ? null
+                    : IdempotencyKeys.owner(read.item().value(), context.wallMs());
+            if (!read.answered()) {
+                refusal.refuse(submission.request, UserApi.STORE_UNAVAILABLE);
+            } else if (owner != null) {
+                answerKnown(submission.request, owner);
+            } else {
+                queue.add(new Submission(
+                        submission.request,
+                        submission.spec,
+                        read.item() == null ? Revision.ABSENT : read.item().version()));
+                flush();
+            }
+        });
+    }
+
+    private void answerKnown(long request, JobId jobId) {
+        requests.takeOrOverdraw(context.now(), 1);
+        reader.read(jobId, true, found -> {
+            if (found == null || found.status() == null) {
+                refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
+            } else {
+                context.answer(request, 200, found.status());
+            }
+        });
+    }
+}
