--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/InstalledSchedules.java
@@ -0,0 +1,51 @@
+package org.beechhoist.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.beechhoist.cron.Calendar;
+import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.ScheduleKeys;
+import org.beechhoist.store.StoreClient;
+import org.beechhoist.wire.Codec;
+import org.beechhoist.wire.MalformedMessageException;
+
+/** The cron tables and calendars that the state service holds. */
+final class InstalledSchedules {
+    /** The values that describe the tables, by the name of the table. */
+    final Map<String, StoreClient.KeyValue> tables = new TreeMap<>();
+    /** The calendars by name. */
+    final Map<String, Calendar> calendars = new HashMap<>();
+    /** The parts of the tables by key. */
+    final Map<String, JsonNode> parts = new TreeMap<>();
+
+    /** The lines of an installed table; those that can't be read are left out. */
+    List<Entry> entries(String table) {
+        List<Entry> out = new ArrayList<>();
+        JsonNode meta = tables.get(table).value();
+        for (int index = 0; index < meta.path("chunks").asInt(); index++) {
+            for (JsonNode node : parts.getOrDefault(
+                    ScheduleKeys.definition(table, meta.path("gen").asLong(), index), Codec.list())) {
+                try {
+                    out.add(Entry.parse(table, node));
+                } catch (MalformedMessageException m) {
+                    // the leader's log names it
+                }
+            }
+        }
+        return out;
+    }
+
+    /** The keys of a table's parts that belong to its older version, none where {@code old} is null. */
+    List<String> stale(String table, StoreClient.KeyValue old) {
+        return old == null
+                ? List.of()
+                : parts.keySet().stream()
+                        .filter(key -> key.startsWith(ScheduleKeys.definitions(table)
+                                + old.value().path("gen").asLong() + "/"))
+                        .toList();
+    }
+}
