--- a/src/main/java/org/beechhoist/plan/Plan.java
+++ b/src/main/java/org/beechhoist/plan/Plan.java
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 import org.beechhoist.packing.Sizes;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineId;
 
 /**
  * The plan: per zone, machines with their gaps and the reservations in them; and each team's limit over time.
@@ -38,7 +38,7 @@
      * sake of a machine at the lowest price rather than one at four times that.
      */
     public record Entry(
-            JobRef job,
+            JobId job,
             JobSpec spec,
             int waiting,
             long lengthMs,
@@ -47,7 +47,7 @@
             long patienceMs,
             Cap cap) {
         public Entry(
-                JobRef job,
+                JobId job,
                 JobSpec spec,
                 int waiting,
                 long lengthMs,
@@ -106,9 +106,9 @@
      * nothing is rented or stopped for it.
      */
     public record Reservation(
-            JobRef job,
+            JobId job,
             JobSpec spec,
-            HostId host,
+            MachineId host,
             boolean hostUp,
             String zone,
             long startMs,
@@ -126,8 +126,8 @@
     private final Map<String, List<PlanHost>> zones = new TreeMap<>();
     private final Map<String, TeamLimit> limits = new HashMap<>();
     private final List<Reservation> reservations = new ArrayList<>();
-    private final Map<JobRef, Integer> unplaced = new HashMap<>();
-    private final Map<JobRef, Long> firstStart = new HashMap<>();
+    private final Map<JobId, Integer> unplaced = new HashMap<>();
+    private final Map<JobId, Long> firstStart = new HashMap<>();
     /** The machines an entry may use, the best place for its next task first; a heap, made anew for each entry. */
     private PlanHost[] candidates = new PlanHost[64];
 
@@ -177,17 +177,17 @@
     }
 
     /** Tasks of the job that found no place within the plan's bounds. */
-    public int unplaced(JobRef job) {
+    public int unplaced(JobId job) {
         return unplaced.getOrDefault(job, 0);
     }
 
     /** The planned start of the job's first waiting task, or null. */
-    public Long plannedStart(JobRef job) {
+    public Long plannedStart(JobId job) {
         return firstStart.get(job);
     }
 
-    public Set<HostId> plannedHosts() {
-        Set<HostId> out = new HashSet<>();
+    public Set<MachineId> plannedHosts() {
+        Set<MachineId> out = new HashSet<>();
         reservations.forEach(r -> out.add(r.host()));
         return out;
     }
@@ -209,8 +209,8 @@
      * @param busyUntil when its live tasks are over
      */
     public int widen(Entry entry, List<Long> busyUntil, Wish wish) {
-        Map<HostId, Long> others = new HashMap<>();
-        Map<HostId, PlanHost> byId = new HashMap<>();
+        Map<MachineId, Long> others = new HashMap<>();
+        Map<MachineId, PlanHost> byId = new HashMap<>();
         zones.values()
                 .forEach(list -> list.forEach(machine -> {
                     byId.put(machine.id, machine);
--- a/src/main/java/org/beechhoist/plan/PlanHost.java
+++ b/src/main/java/org/beechhoist/plan/PlanHost.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.HostType;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MachineType;
 
 /** A machine in the plan: up, booting, or one that might be rented. */
 public final class PlanHost {
-    final HostId id;
-    final HostType type;
+    final MachineId id;
+    final MachineType type;
     final String zone;
     final boolean spot;
     final boolean up;
@@ -42,7 +42,7 @@
     /** GPUs that it would break for larger tasks, and for a task without GPUs what it would take from those that have some. */
     double breaks;
 
-    public PlanHost(HostId id, HostType type, String zone, boolean spot, boolean up, long readyMs) {
+    public PlanHost(MachineId id, MachineType type, String zone, boolean spot, boolean up, long readyMs) {
         this.id = id;
         this.type = type;
         this.zone = zone;
--- a/src/main/java/org/beechhoist/plan/Widening.java
+++ b/src/main/java/org/beechhoist/plan/Widening.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.MachineId;
 
 /**
  * What a width is worth in one plan: the money of keeping machines that would else go, less what the work done there
@@ -42,10 +42,10 @@
             Plan.Wish wish,
             int width,
             List<Plan.Reservation> made,
-            Map<HostId, PlanHost> hosts,
-            Map<HostId, Long> busyUntil,
+            Map<MachineId, PlanHost> hosts,
+            Map<MachineId, Long> busyUntil,
             long nowMs) {
-        Map<HostId, Long> ours = new HashMap<>();
+        Map<MachineId, Long> ours = new HashMap<>();
         double cpuMs = 0;
         long end = nowMs;
         for (Plan.Reservation reservation : made) {
@@ -55,7 +55,7 @@
             end = Math.max(end, reservation.endMs());
         }
         double keeping = 0;
-        for (Map.Entry<HostId, Long> mine : ours.entrySet()) {
+        for (Map.Entry<MachineId, Long> mine : ours.entrySet()) {
             PlanHost machine = hosts.get(mine.getKey());
             long longer = Math.max(0, mine.getValue() - Math.max(nowMs, busyUntil.getOrDefault(machine.id, nowMs)));
             keeping += machine.type.priceOf(machine.spot) * longer / MS_PER_HOUR;
--- a/src/main/java/org/beechhoist/regress/Regress.java
+++ b/src/main/java/org/beechhoist/regress/Regress.java
@@ -23,7 +23,7 @@
 final class Regress implements Callable<Integer> {
     /** What storage, membership, timers and messages between machines are made of. A change elsewhere owes the operations sites alone. */
     private static final Pattern BETWEEN_MACHINES = Pattern.compile(
-            "src/main/(java/org/beechhoist/(store|peer|net|http|wire|core|daemon|config|plan)/|resources/).*|deploy/service\\.toml|pom\\.xml");
+            "src/main/(java/org/beechhoist/(store|peer|net|http|wire|controller|daemon|config|plan)/|resources/).*|deploy/service\\.toml|pom\\.xml");
     /** The newest build of the bench, which serves all sites. Figures of an older one are no baseline. */
     private static final String BENCH = "more/hunt/bin/fleetbench";
 
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * What a maker has promised to ship, as the state service holds it: {@code rl/set/NAME}.
@@ -53,13 +53,14 @@
     }
 
     /** The moment by which the factory needs the images: the ship date less its lead, at the same hour by the clock there. */
-    public static long due(LocalDateTime ship, ZoneId zone, int leadDays, Predicate<LocalDate> open) throws Malformed {
+    public static long due(LocalDateTime ship, ZoneId zone, int leadDays, Predicate<LocalDate> open)
+            throws MalformedMessageException {
         LocalDate day = ship.toLocalDate();
         int left = leadDays;
         for (int i = 0; left > 0; i++) {
             if (i == LONGEST_BACK_DAYS) {
-                throw new Malformed("leadDays = " + leadDays + ": the calendar has not so many business days before "
-                        + ship.toLocalDate());
+                throw new MalformedMessageException("leadDays = " + leadDays
+                        + ": the calendar has not so many business days before " + ship.toLocalDate());
             }
             day = day.minusDays(1);
             left -= open.test(day) ? 1 : 0;
@@ -72,9 +73,9 @@
     }
 
     /** What a person puts: checked, without the moment, which needs the calendar. */
-    public static Release described(String name, JsonNode node) throws Malformed {
+    public static Release described(String name, JsonNode node) throws MalformedMessageException {
         if (!validName(name)) {
-            throw new Malformed(
+            throw new MalformedMessageException(
                     "name = " + name + ": 1 to 64 letters, digits, dots, dashes and underlines are expected");
         }
         LocalDateTime ship = time("ship", Codec.text(node, "ship"));
@@ -82,7 +83,8 @@
         try {
             zone = ZoneId.of(Codec.text(node, "zone"));
         } catch (DateTimeException e) {
-            throw new Malformed("zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
+            throw new MalformedMessageException(
+                    "zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
         }
         int lead = Codec.absent(node, "leadDays") ? 0 : (int) Codec.count(node, "leadDays", 0, MOST_LEAD_DAYS);
         return new Release(
@@ -102,22 +104,24 @@
                 List.of());
     }
 
-    public static LocalDateTime time(String field, String text) throws Malformed {
+    public static LocalDateTime time(String field, String text) throws MalformedMessageException {
         try {
             return LocalDateTime.parse(text);
         } catch (DateTimeParseException e) {
-            throw new Malformed(field + " = " + text + ": a date and time such as 2026-12-20T17:00 is expected");
+            throw new MalformedMessageException(
+                    field + " = " + text + ": a date and time such as 2026-12-20T17:00 is expected");
         }
     }
 
-    private static String optional(JsonNode node, String field) throws Malformed {
+    private static String optional(JsonNode node, String field) throws MalformedMessageException {
         return Codec.absent(node, field) ? null : text(node, field);
     }
 
-    private static String text(JsonNode node, String field) throws Malformed {
+    private static String text(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
         if (text.isBlank() || text.length() > MOST_TEXT) {
-            throw new Malformed(field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+            throw new MalformedMessageException(
+                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
         }
         return text;
     }
@@ -201,9 +205,9 @@
         return node;
     }
 
-    public static Release parse(JsonNode node) throws Malformed {
+    public static Release parse(JsonNode node) throws MalformedMessageException {
         if (node == null) {
-            throw new Malformed("not a release");
+            throw new MalformedMessageException("not a release");
         }
         Release release = described(
                 Codec.text(node, "name"),
--- a/src/main/java/org/beechhoist/release/ShipOrder.java
+++ b/src/main/java/org/beechhoist/release/ShipOrder.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * In which order jobs go for their releases' sake, within one rank: those of the nearest factory moment first; then those whose
@@ -23,12 +23,12 @@
     private static final double MOST_OF_ALL = 0.75;
 
     /** @param cpuS all that the job asked for when it was submitted, done or not: the same for every leader */
-    public record Open(JobRef job, Release release, long submittedMs, double cpuS) {}
+    public record Open(JobId job, Release release, long submittedMs, double cpuS) {}
 
     private ShipOrder() {}
 
     /** The smaller the earlier; only jobs that have a release within its maker's bound are in it. */
-    public static Map<JobRef, Long> keys(List<Open> open, long nowMs) {
+    public static Map<JobId, Long> keys(List<Open> open, long nowMs) {
         double all = 0;
         Map<String, Double> ofMaker = new HashMap<>();
         List<Open> released = new ArrayList<>();
@@ -42,7 +42,7 @@
         released.sort(Comparator.comparingLong((Open o) -> key(o.release, nowMs))
                 .thenComparingLong(Open::submittedMs)
                 .thenComparing(Open::job));
-        Map<JobRef, Long> out = new HashMap<>();
+        Map<JobId, Long> out = new HashMap<>();
         Map<String, Double> taken = new HashMap<>();
         for (Open job : released) {
             String maker = job.release.maker();
--- a/src/main/java/org/beechhoist/standin/Worker.java
+++ b/src/main/java/org/beechhoist/standin/Worker.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostType;
 import org.beechhoist.wire.JobSpec;
+import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.TaskId;
 
 /** A stand-in of a worker, written from the protocol: a state machine that is told the time. */
@@ -86,7 +86,7 @@
 
     public final String name;
     public final String address;
-    public final HostType type;
+    public final MachineType type;
     public final String zone;
     public final boolean spot;
     private final World world;
@@ -104,7 +104,7 @@
     public Worker(
             String name,
             String address,
-            HostType type,
+            MachineType type,
             String zone,
             boolean spot,
             long leaseMs,
--- a/src/main/java/org/beechhoist/store/ChangeLogSegment.java
+++ b/src/main/java/org/beechhoist/store/ChangeLogSegment.java
@@ -10,14 +10,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.ToIntFunction;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * What changed of many jobs' tasks, in one value: {@code log/<slot>}. Segments are numbered as they are written; a job's
  * record says up to which number it holds what the log says.
  */
-public record LogSegment(long number, Map<JobRef, Delta> jobs) {
+public record ChangeLogSegment(long number, Map<JobId, TaskChanges> jobs) {
     public static final String PREFIX = "log/";
 
     public static String key(int slot) {
@@ -35,30 +35,30 @@
      * @param tasks the number of a job's tasks; below 0 for a job that is not open any more: what is said of it is over
      * @param unreadable receives the jobs whose part can't be read
      */
-    public static LogSegment parse(JsonNode node, ToIntFunction<JobRef> tasks, Set<JobRef> unreadable)
-            throws Malformed {
+    public static ChangeLogSegment parse(JsonNode node, ToIntFunction<JobId> tasks, Set<JobId> unreadable)
+            throws MalformedMessageException {
         if (node == null || !node.path("jobs").isObject()) {
-            throw new Malformed("not a log segment");
+            throw new MalformedMessageException("not a log segment");
         }
-        Map<JobRef, Delta> jobs = new LinkedHashMap<>();
+        Map<JobId, TaskChanges> jobs = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> entry : node.get("jobs").properties()) {
-            JobRef ref = new JobRef(entry.getKey());
+            JobId ref = new JobId(entry.getKey());
             int count = tasks.applyAsInt(ref);
             if (count >= 0) {
                 try {
-                    jobs.put(ref, Delta.parse(ref, count, entry.getValue()));
-                } catch (Malformed m) {
+                    jobs.put(ref, TaskChanges.parse(ref, count, entry.getValue()));
+                } catch (MalformedMessageException m) {
                     unreadable.add(ref);
                 }
             }
         }
-        return new LogSegment(Codec.count(node, "seq", 1, Long.MAX_VALUE), jobs);
+        return new ChangeLogSegment(Codec.count(node, "seq", 1, Long.MAX_VALUE), jobs);
     }
 
     /** Puts deltas into as few segments as hold them, each within a value's limit. */
     public static final class Writer {
         private final int most;
-        private final List<Map<JobRef, Delta>> segments = new ArrayList<>();
+        private final List<Map<JobId, TaskChanges>> segments = new ArrayList<>();
         private int bytes;
 
         public Writer(int mostBytes) {
@@ -66,11 +66,11 @@
         }
 
         /** How many segments there would be with it, too. */
-        public int with(JobRef ref, Delta changes) {
+        public int with(JobId ref, TaskChanges changes) {
             return walk(ref, changes, (n, part) -> {});
         }
 
-        public void add(JobRef ref, Delta changes) {
+        public void add(JobId ref, TaskChanges changes) {
             walk(ref, changes, (segment, part) -> {
                 if (segment > segments.size()) {
                     segments.add(new LinkedHashMap<>());
@@ -82,11 +82,11 @@
         }
 
         /** Hands over each part with the number of segments that it makes; parts of one job never share one. */
-        private int walk(JobRef ref, Delta changes, BiConsumer<Integer, Delta> then) {
+        private int walk(JobId ref, TaskChanges changes, BiConsumer<Integer, TaskChanges> then) {
             int count = segments.size();
             int filled = bytes;
             boolean first = true;
-            for (Delta part : changes.parts(ref, most)) {
+            for (TaskChanges part : changes.parts(ref, most)) {
                 int size = part.bytes(ref);
                 boolean fits = first && count > 0 && filled + size <= most;
                 filled = fits ? filled + size : size;
@@ -102,7 +102,7 @@
         }
 
         /** The segments' jobs, in the order of their numbers. */
-        public List<Map<JobRef, Delta>> segments() {
+        public List<Map<JobId, TaskChanges>> segments() {
             return segments;
         }
     }
--- a/src/main/java/org/beechhoist/store/CommittedTasks.java
+++ b/src/main/java/org/beechhoist/store/CommittedTasks.java
@@ -6,34 +6,34 @@
 import java.util.Map;
 
 /** What the state service holds of a job's tasks, by its record and the log together. */
-public final class Stored {
+public final class CommittedTasks {
     /** Attempts of the live tasks. */
     private final Map<Integer, Long> live = new HashMap<>();
 
     private TaskSet done;
 
-    private Stored(TaskSet done) {
+    private CommittedTasks(TaskSet done) {
         this.done = done;
     }
 
     /** All that the record says at this moment. */
-    public static Stored of(JobRecord record) {
-        Stored committed = new Stored(record.done.copy());
+    public static CommittedTasks of(JobRecord record) {
+        CommittedTasks committed = new CommittedTasks(record.done.copy());
         record.live.forEach((i, p) -> committed.live.put(i, p.attempt));
         return committed;
     }
 
     /** What the record says beyond this. */
-    public Delta until(JobRecord record) {
+    public TaskChanges until(JobRecord record) {
         return until(record, false);
     }
 
     /** The same, given that this is the record alone: it stands for all that the log says. */
-    public Delta allUntil(JobRecord record) {
+    public TaskChanges allUntil(JobRecord record) {
         return until(record, true);
     }
 
-    private Delta until(JobRecord record, boolean begins) {
+    private TaskChanges until(JobRecord record, boolean begins) {
         List<Placement> placed = new ArrayList<>();
         List<Integer> gone = new ArrayList<>();
         for (Map.Entry<Integer, Placement> entry : record.live.entrySet()) {
@@ -47,11 +47,11 @@
                 gone.add(task);
             }
         }
-        return new Delta(record.nextAttempt, placed, gone, record.done.minus(done), begins);
+        return new TaskChanges(record.nextAttempt, placed, gone, record.done.minus(done), begins);
     }
 
     /** The state service holds this now, too. */
-    public void apply(Delta changes) {
+    public void apply(TaskChanges changes) {
         changes.gone().forEach(live::remove);
         changes.placed().forEach(p -> live.put(p.task.index(), p.attempt));
         done = done.plus(changes.done());
--- a/src/main/java/org/beechhoist/store/FleetSnapshot.java
+++ b/src/main/java/org/beechhoist/store/FleetSnapshot.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MalformedMessageException;
 
 /**
  * What a new leader needs of the machines before they speak, in parts of a value each: {@code fleet/<part>}. A machine's
@@ -24,7 +24,7 @@
 public record FleetSnapshot(int part, int parts, long wallMs, List<Machine> machines) {
     /** @param rentedWallMs 0 where that is not known; {@code images} those it should hold, with their sizes in GB */
     public record Machine(
-            HostId id,
+            MachineId id,
             String address,
             String type,
             String zone,
@@ -57,7 +57,7 @@
         return count;
     }
 
-    public static int partOf(HostId id, int parts) {
+    public static int partOf(MachineId id, int parts) {
         return (int) (Hashing.xxh3_64().hashCharsToLong(id.text()) & (parts - 1));
     }
 
@@ -118,14 +118,14 @@
     }
 
     /** Refuses what another version wrote, and what is not whole. */
-    public static FleetSnapshot parse(JsonNode node) throws Malformed {
+    public static FleetSnapshot parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject() || node.path("v").asInt() != VERSION) {
-            throw new Malformed("v: " + VERSION + " expected");
+            throw new MalformedMessageException("v: " + VERSION + " expected");
         }
         JsonNode rows = node.path("hosts");
         JsonNode words = node.path("words");
         if (!rows.isArray() || rows.size() % ROW != 0 || !words.isArray()) {
-            throw new Malformed("hosts: rows of " + ROW + " expected, with their words");
+            throw new MalformedMessageException("hosts: rows of " + ROW + " expected, with their words");
         }
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < rows.size(); i += ROW) {
@@ -138,7 +138,7 @@
                     images.put(image.substring(0, size), Double.parseDouble(image.substring(size + 1)));
                 }
                 machines.add(new Machine(
-                        new HostId(rows.get(i).asText()),
+                        new MachineId(rows.get(i).asText()),
                         rows.get(i + 1).asText(),
                         word(words, rows.get(i + 2)),
                         word(words, rows.get(i + 3)),
@@ -147,7 +147,7 @@
                         1000 * Long.parseLong(times[0]),
                         images));
             } catch (NumberFormatException | IndexOutOfBoundsException e) {
-                throw new Malformed("hosts: row " + i / ROW + " has no times or sizes");
+                throw new MalformedMessageException("hosts: row " + i / ROW + " has no times or sizes");
             }
         }
         FleetSnapshot snapshot = new FleetSnapshot(
@@ -157,21 +157,21 @@
                 machines);
         if (!Long.toHexString(snapshot.sum(snapshot.wallMs))
                 .equals(node.path("sum").asText())) {
-            throw new Malformed("sum: it is torn");
+            throw new MalformedMessageException("sum: it is torn");
         }
         return snapshot;
     }
 
-    private static String word(JsonNode words, JsonNode place) throws Malformed {
+    private static String word(JsonNode words, JsonNode place) throws MalformedMessageException {
         if (!place.isInt() || !words.path(place.asInt()).isTextual()) {
-            throw new Malformed("words: place " + place + " of " + words.size());
+            throw new MalformedMessageException("words: place " + place + " of " + words.size());
         }
         return words.get(place.asInt()).textValue();
     }
 
     /** The machines of all parts; of one that stands in two, for the fleet was cut anew, what was written last. */
-    public static Map<HostId, Machine> merged(List<FleetSnapshot> parts) {
-        Map<HostId, Machine> out = new TreeMap<>();
+    public static Map<MachineId, Machine> merged(List<FleetSnapshot> parts) {
+        Map<MachineId, Machine> out = new TreeMap<>();
         List<FleetSnapshot> byTime = new ArrayList<>(parts);
         byTime.sort((a, b) -> Long.compare(a.wallMs, b.wallMs));
         byTime.forEach(s -> s.machines.forEach(m -> out.put(m.id, m)));
--- a/src/main/java/org/beechhoist/store/JobRecord.java
+++ b/src/main/java/org/beechhoist/store/JobRecord.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.TaskId;
 
 /**
@@ -44,7 +44,7 @@
     /** The number of the newest log segment whose news of this job are in the record. */
     public long folded;
 
-    public Sizes sizes = Sizes.USUAL;
+    public RecordSizes sizes = RecordSizes.USUAL;
 
     public JobRecord(JobSpec spec, long submittedWallMs) {
         this.spec = spec;
@@ -54,11 +54,11 @@
         this.submittedWallMs = submittedWallMs;
     }
 
-    public static String openKey(JobRef ref) {
+    public static String openKey(JobId ref) {
         return OPEN + ref.text();
     }
 
-    public static String endedKey(JobRef ref) {
+    public static String endedKey(JobId ref) {
         return ENDED + ref.text();
     }
 
@@ -134,9 +134,9 @@
         return node != null && node.hasNonNull("status") && !node.has("spec");
     }
 
-    public static JobRecord parse(JsonNode node) throws Malformed {
+    public static JobRecord parse(JsonNode node) throws MalformedMessageException {
         if (node == null || !node.isObject() || node.get("spec") == null) {
-            throw new Malformed("not a job record");
+            throw new MalformedMessageException("not a job record");
         }
         JobRecord record =
                 new JobRecord(JobSpec.parse(node.get("spec")), node.path("at").longValue());
@@ -155,14 +155,16 @@
     }
 
     /** Adds the live tasks of a chunk. */
-    public void addLive(JsonNode list) throws Malformed {
+    public void addLive(JsonNode list) throws MalformedMessageException {
         if (!list.isArray() || list.size() % stride != 0) {
-            throw new Malformed("live tasks expected");
+            throw new MalformedMessageException("live tasks expected");
         }
         for (int i = 0; i < list.size(); i += stride) {
             TaskId id = new TaskId(spec.ref(), list.get(i).intValue());
             Placement placement = new Placement(
-                    id, list.get(i + 1).longValue(), new HostId(list.get(i + 2).textValue()));
+                    id,
+                    list.get(i + 1).longValue(),
+                    new MachineId(list.get(i + 2).textValue()));
             placement.placedS = stride > 3 ? list.get(i + 3).intValue() : 0;
             live.put(id.index(), placement);
         }
--- a/src/main/java/org/beechhoist/store/Placement.java
+++ b/src/main/java/org/beechhoist/store/Placement.java
@@ -1,9 +1,9 @@
 package org.beechhoist.store;
 
-import org.beechhoist.wire.Baton;
-import org.beechhoist.wire.HostId;
+import org.beechhoist.wire.FencingToken;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.TaskId;
-import org.beechhoist.wire.Tick;
 
 /**
  * Where a task may be. The first three fields are the committed record; the rest is what this leader knows of the
@@ -12,25 +12,25 @@
 public final class Placement {
     public final TaskId task;
     public final long attempt;
-    public final HostId host;
+    public final MachineId host;
 
     /** False while the transaction that records it is on its way: nothing may be launched before. */
     public boolean committed;
     /** A launch has been sent, or an earlier leader may have sent one. */
     public boolean sent;
     /** Reports older than this token can't speak for it: an earlier leader's launch might follow them. */
-    public Baton provenFrom = Baton.NONE;
+    public FencingToken provenFrom = FencingToken.NONE;
     /** The session the launch was for, and the report that its reply answered. */
     public long sentShift;
 
     public long sentCounter;
-    public Tick since = Tick.ZERO;
+    public MonotonicTime since = MonotonicTime.ZERO;
     /** Seconds from the job's submission to this placement, by the time of day: a later leader's guess of {@link #since}. */
     public int placedS;
     /** Taken from the record: when it began to run is not known, only about when it was placed. */
     public boolean recovered;
     /** When a report first showed it running; null before. */
-    public Tick running;
+    public MonotonicTime running;
     /** A report has shown it, in whatever state. */
     public boolean seen;
 
@@ -42,7 +42,7 @@
 
     public long fetchMs;
 
-    public Placement(TaskId task, long attempt, HostId host) {
+    public Placement(TaskId task, long attempt, MachineId host) {
         this.task = task;
         this.attempt = attempt;
         this.host = host;
--- a/src/main/java/org/beechhoist/store/RecordSizes.java
+++ b/src/main/java/org/beechhoist/store/RecordSizes.java
@@ -6,7 +6,7 @@
  * only {@code window} numbers behind the first unfinished one. The window bounds the chunks that one transaction may
  * touch; without it a job whose tasks end in odd order could outgrow a transaction and would never be written again.
  */
-public record Sizes(int inline, int chunk, int window, int segmentBytes) {
+public record RecordSizes(int inline, int chunk, int window, int segmentBytes) {
     /** What a live task takes at most, in the form that limits count. */
     static final int TASK_BYTES = 32;
     /** The record without its live tasks: its description, and the finished tasks of a window. */
@@ -19,22 +19,22 @@
     private static final int MOST_INLINE = 100;
     private static final int MOST_CHUNK = 200;
     private static final int MOST_WINDOW = 1600;
-    /** A transaction's share for the record, its end and a rewritten baton. */
+    /** A transaction's share for the record, its end and a rewritten fencing token. */
     private static final int OTHER_OPS = 3;
     /** The smallest limits that everything fits without cutting smaller than usual. */
     public static final int USUAL_VALUE_BYTES = 8 * 1024;
 
     public static final int USUAL_TXN_OPS = 16;
 
-    public static final Sizes USUAL = of(USUAL_VALUE_BYTES, USUAL_TXN_OPS);
+    public static final RecordSizes USUAL = of(USUAL_VALUE_BYTES, USUAL_TXN_OPS);
 
     /** @param valueBytes what the state service takes as one value; {@code txnOps} as changes of one transaction */
-    public static Sizes of(int valueBytes, int txnOps) {
+    public static RecordSizes of(int valueBytes, int txnOps) {
         int inline = Math.min(MOST_INLINE, Math.max(4, (valueBytes - HEAD_BYTES) / TASK_BYTES));
         int chunk = Math.min(MOST_CHUNK, Math.max(8, valueBytes * 4 / 5 / TASK_BYTES));
         int finished = (int) ((valueBytes - DESCRIPTION_BYTES) / DONE_BYTES);
         int window = Math.max(8, Math.min(Math.min(MOST_WINDOW, finished), chunk * Math.max(1, txnOps - OTHER_OPS)));
-        return new Sizes(inline, chunk, window, valueBytes * 4 / 5);
+        return new RecordSizes(inline, chunk, window, valueBytes * 4 / 5);
     }
 
     /** What these limits keep from being served as usual, for the operator; null where nothing does. */
@@ -42,7 +42,7 @@
         if (valueBytes >= USUAL_VALUE_BYTES && txnOps >= USUAL_TXN_OPS) {
             return null;
         }
-        Sizes sizes = of(valueBytes, txnOps);
+        RecordSizes sizes = of(valueBytes, txnOps);
         return "deployment.state: value_kb = " + valueBytes / 1024 + " and txn_ops = " + txnOps + " are below "
                 + USUAL_VALUE_BYTES / 1024 + " and " + USUAL_TXN_OPS + ": at most " + sizes.window()
                 + " tasks of a job run at once";
--- a/src/main/java/org/beechhoist/store/ServiceShareRecord.java
+++ b/src/main/java/org/beechhoist/store/ServiceShareRecord.java
@@ -8,15 +8,15 @@
 import org.beechhoist.floor.Ledger;
 import org.beechhoist.floor.Share;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 
 /** What was asked and served lately, as the state service keeps it for the next leader: {@code served}. */
-public final class ServedRecord {
+public final class ServiceShareRecord {
     public static final String KEY = "served";
     private static final int VERSION = 1;
     private static final int ROW = 3;
 
-    private ServedRecord() {}
+    private ServiceShareRecord() {}
 
     /** @param wallMs jobs whose time was up before are in it */
     public static ObjectNode toNode(Ledger ledger, Largest largest, long wallMs, int mostBytes) {
@@ -46,11 +46,11 @@
     }
 
     /** Adds what it says to the ledger; returns when it was written. */
-    public static long read(JsonNode node, Ledger into, Largest largest) throws Malformed {
+    public static long read(JsonNode node, Ledger into, Largest largest) throws MalformedMessageException {
         if (node == null
                 || node.path("v").asInt() != VERSION
                 || !node.path("groups").isObject()) {
-            throw new Malformed("v: " + VERSION + " expected");
+            throw new MalformedMessageException("v: " + VERSION + " expected");
         }
         for (Map.Entry<String, JsonNode> entry : node.get("groups").properties()) {
             JsonNode rows = entry.getValue();
@@ -58,7 +58,7 @@
                 int asked = rows.get(i + 1).asInt();
                 int served = rows.get(i + 2).asInt();
                 if (asked < 0 || served < 0 || served > asked) {
-                    throw new Malformed("groups: " + served + " served of " + asked);
+                    throw new MalformedMessageException("groups: " + served + " served of " + asked);
                 }
                 into.add(entry.getKey(), rows.get(i).asLong(), new Share(asked, served));
             }
--- a/src/main/java/org/beechhoist/store/TaskChanges.java
+++ b/src/main/java/org/beechhoist/store/TaskChanges.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.HostId;
-import org.beechhoist.wire.JobRef;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.JobId;
+import org.beechhoist.wire.MachineId;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.TaskId;
 
 /**
@@ -17,7 +17,7 @@
  *
  * @param begins from here on the log says all that differs from the job's record; what older segments say counts no more
  */
-public record Delta(long nextAttempt, List<Placement> placed, List<Integer> gone, TaskSet done, boolean begins) {
+public record TaskChanges(long nextAttempt, List<Placement> placed, List<Integer> gone, TaskSet done, boolean begins) {
     private static final int STRIDE = 4;
 
     public boolean isEmpty() {
@@ -25,25 +25,25 @@
     }
 
     /** Bytes at most, in the form that limits count. */
-    int bytes(JobRef ref) {
+    int bytes(JobId ref) {
         int bytes = ref.text().length() + 60 + 8 * gone.size() + done.runBytes();
         for (Placement p : placed) {
-            bytes += p.host.text().length() + Sizes.TASK_BYTES - 8;
+            bytes += p.host.text().length() + RecordSizes.TASK_BYTES - 8;
         }
         return bytes;
     }
 
     /** As many parts as are needed for each to take about that many bytes; one where it does anyway. */
-    List<Delta> parts(JobRef ref, int most) {
+    List<TaskChanges> parts(JobId ref, int most) {
         if (bytes(ref) <= most || placed.size() + gone.size() <= 2) {
             return List.of(this);
         }
         int half = placed.size() / 2;
         int halfGone = gone.size() / 2;
-        List<Delta> out =
-                new ArrayList<>(new Delta(nextAttempt, placed.subList(0, half), gone.subList(0, halfGone), done, begins)
+        List<TaskChanges> out = new ArrayList<>(
+                new TaskChanges(nextAttempt, placed.subList(0, half), gone.subList(0, halfGone), done, begins)
                         .parts(ref, most));
-        out.addAll(new Delta(
+        out.addAll(new TaskChanges(
                         nextAttempt,
                         placed.subList(half, placed.size()),
                         gone.subList(halfGone, gone.size()),
@@ -80,22 +80,22 @@
         return node;
     }
 
-    static Delta parse(JobRef ref, int tasks, JsonNode node) throws Malformed {
+    static TaskChanges parse(JobId ref, int tasks, JsonNode node) throws MalformedMessageException {
         JsonNode live = node.path("live");
         JsonNode left = node.path("gone");
         if (!live.isArray() || live.size() % STRIDE != 0 || !left.isArray()) {
-            throw new Malformed("placed and gone tasks expected");
+            throw new MalformedMessageException("placed and gone tasks expected");
         }
         List<Placement> placed = new ArrayList<>();
         for (int i = 0; i < live.size(); i += STRIDE) {
             int index = index(live.get(i), tasks);
             if (!live.get(i + 1).canConvertToLong() || !live.get(i + 2).isTextual()) {
-                throw new Malformed("live: attempt and machine of task " + index + " expected");
+                throw new MalformedMessageException("live: attempt and machine of task " + index + " expected");
             }
             Placement placement = new Placement(
                     new TaskId(ref, index),
                     live.get(i + 1).longValue(),
-                    new HostId(live.get(i + 2).textValue()));
+                    new MachineId(live.get(i + 2).textValue()));
             placement.placedS = live.get(i + 3).intValue();
             placed.add(placement);
         }
@@ -103,7 +103,7 @@
         for (JsonNode g : left) {
             gone.add(index(g, tasks));
         }
-        return new Delta(
+        return new TaskChanges(
                 Codec.count(node, "next", 1, Long.MAX_VALUE),
                 placed,
                 gone,
@@ -111,9 +111,9 @@
                 node.path("begins").asBoolean());
     }
 
-    private static int index(JsonNode node, int tasks) throws Malformed {
+    private static int index(JsonNode node, int tasks) throws MalformedMessageException {
         if (!node.isInt() || node.intValue() < 0 || node.intValue() >= tasks) {
-            throw new Malformed("task " + node + " of " + tasks);
+            throw new MalformedMessageException("task " + node + " of " + tasks);
         }
         return node.intValue();
     }
--- a/src/main/java/org/beechhoist/store/TaskSet.java
+++ b/src/main/java/org/beechhoist/store/TaskSet.java
@@ -9,7 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.IntConsumer;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.roaringbitmap.RoaringBitmap;
 
 /**
@@ -96,25 +96,25 @@
         return true;
     }
 
-    static TaskSet parse(JsonNode record, int tasks) throws Malformed {
+    static TaskSet parse(JsonNode record, int tasks) throws MalformedMessageException {
         RoaringBitmap bits = new RoaringBitmap();
         if (!Codec.absent(record, "doneBits")) {
             try {
                 bits.deserialize(ByteBuffer.wrap(Base64.getDecoder().decode(Codec.text(record, "doneBits"))));
             } catch (IOException | IllegalArgumentException | java.nio.BufferUnderflowException e) {
-                throw new Malformed("doneBits: a bitmap of task numbers expected");
+                throw new MalformedMessageException("doneBits: a bitmap of task numbers expected");
             }
         } else {
             JsonNode runs = record.get("done");
             if (runs == null || !runs.isArray() || runs.size() % 2 != 0) {
-                throw new Malformed("done: runs expected");
+                throw new MalformedMessageException("done: runs expected");
             }
             for (int i = 0; i < runs.size(); i += 2) {
                 bits.add(runs.get(i).longValue(), runs.get(i + 1).longValue() + 1);
             }
         }
         if (!bits.isEmpty() && bits.last() >= tasks) {
-            throw new Malformed("done: task " + bits.last() + " of " + tasks);
+            throw new MalformedMessageException("done: task " + bits.last() + " of " + tasks);
         }
         return new TaskSet(bits);
     }
--- a/src/main/java/org/beechhoist/store/TokenBucket.java
+++ b/src/main/java/org/beechhoist/store/TokenBucket.java
@@ -1,16 +1,16 @@
 package org.beechhoist.store;
 
-import org.beechhoist.wire.Tick;
+import org.beechhoist.wire.MonotonicTime;
 
 /** A token bucket that holds a second's worth. What must not wait may overdraw it; others then wait longer. */
-public final class Budget {
+public final class TokenBucket {
     private double rate;
     private double most;
     private double tokens;
-    private Tick last = Tick.ZERO;
+    private MonotonicTime last = MonotonicTime.ZERO;
     private double wanted;
 
-    public Budget(double rate) {
+    public TokenBucket(double rate) {
         this.rate = rate;
         this.most = Math.max(1, rate);
         this.tokens = rate;
@@ -32,8 +32,8 @@
         return rate;
     }
 
-    private void refill(Tick now) {
-        if (last != Tick.ZERO) {
+    private void refill(MonotonicTime now) {
+        if (last != MonotonicTime.ZERO) {
             tokens = Math.min(most, tokens + rate * now.since(last) / 1000.0);
         }
         last = now;
@@ -52,12 +52,12 @@
     }
 
     /** How much may be taken now. */
-    public double available(Tick now) {
+    public double available(MonotonicTime now) {
         refill(now);
         return tokens;
     }
 
-    public boolean tryTake(Tick now, double amount) {
+    public boolean tryTake(MonotonicTime now, double amount) {
         refill(now);
         wanted += amount;
         if (tokens < amount) {
@@ -67,7 +67,7 @@
         return true;
     }
 
-    public void take(Tick now, double amount) {
+    public void take(MonotonicTime now, double amount) {
         refill(now);
         wanted += amount;
         tokens = Math.max(-rate, tokens - amount);
--- a/src/main/java/org/beechhoist/store/Transaction.java
+++ b/src/main/java/org/beechhoist/store/Transaction.java
@@ -7,26 +7,26 @@
 import org.beechhoist.wire.Revision;
 
 /** A transaction under construction. */
-public final class Txn {
+public final class Transaction {
     private final ArrayNode guards = Codec.list();
     private final ArrayNode then = Codec.list();
 
-    public Txn guard(String key, Revision version) {
+    public Transaction guard(String key, Revision version) {
         guards.addObject().put("path", key).put("lastTouch", version.value());
         return this;
     }
 
-    public Txn put(String key, JsonNode value) {
+    public Transaction put(String key, JsonNode value) {
         then.addObject().put("put", key).set("data", value);
         return this;
     }
 
-    public Txn put(String key, JsonNode value, long lease) {
+    public Transaction put(String key, JsonNode value, long lease) {
         ((ObjectNode) then.addObject().put("put", key).set("data", value)).put("hold", lease);
         return this;
     }
 
-    public Txn delete(String key) {
+    public Transaction delete(String key) {
         then.addObject().put("remove", key);
         return this;
     }
--- a/src/main/java/org/beechhoist/store/WidthRecord.java
+++ b/src/main/java/org/beechhoist/store/WidthRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.wire.Codec;
-import org.beechhoist.wire.Malformed;
+import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Width;
 
 /**
@@ -29,7 +29,7 @@
         return allowed.toNode().put("number", number).put("target", target);
     }
 
-    public static WidthRecord parse(JsonNode node) throws Malformed {
+    public static WidthRecord parse(JsonNode node) throws MalformedMessageException {
         return new WidthRecord(Width.parse(node, "width"), Codec.count(node, "number", 0, Long.MAX_VALUE), (int)
                 Codec.count(node, "target", 0, Integer.MAX_VALUE));
     }
--- a/src/main/java/org/beechhoist/triage/Demand.java
+++ b/src/main/java/org/beechhoist/triage/Demand.java
@@ -1,7 +1,7 @@
 package org.beechhoist.triage;
 
 import java.util.Set;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * What an open job still asks for.
@@ -15,7 +15,7 @@
  * @param keep whether it is not to be left behind: machines for it may still be had, it goes first, or it has begun
  */
 public record Demand(
-        JobRef job,
+        JobId job,
         Set<String> groups,
         int rank,
         String team,
--- a/src/main/java/org/beechhoist/triage/Triage.java
+++ b/src/main/java/org/beechhoist/triage/Triage.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
-import org.beechhoist.wire.JobRef;
+import org.beechhoist.wire.JobId;
 
 /**
  * Under overload the order by deadlines begins every job as late as it may, and nearly all of them end just too late. Here as
@@ -60,7 +60,7 @@
     private final Line gpus;
 
     private final Map<String, Line> teams = new HashMap<>();
-    private final Set<JobRef> behind = new HashSet<>();
+    private final Set<JobId> behind = new HashSet<>();
 
     /** Jobs asked for and kept, of each group, what was served lately included. */
     private final Map<String, int[]> kept = new HashMap<>();
@@ -81,7 +81,7 @@
     }
 
     /** The jobs that are left behind, so that others are in time; empty where all can be, or no machine is there. */
-    public static Set<JobRef> behind(List<Demand> demands, Means means) {
+    public static Set<JobId> behind(List<Demand> demands, Means means) {
         if (means.cpus() <= 0) {
             return Set.of();
         }
--- a/src/main/java/org/beechhoist/wire/ApiClient.java
+++ b/src/main/java/org/beechhoist/wire/ApiClient.java
@@ -30,15 +30,15 @@
         return call("POST", "/v1/jobs", Codec.encode(spec.toNode()));
     }
 
-    public Answer status(JobRef ref) throws IOException {
+    public Answer status(JobId ref) throws IOException {
         return call("GET", "/v1/jobs/" + ref, null);
     }
 
-    public Answer cancel(JobRef ref) throws IOException {
+    public Answer cancel(JobId ref) throws IOException {
         return call("POST", "/v1/jobs/" + ref + "/cancel", new byte[0]);
     }
 
-    public Answer resize(JobRef ref, Resize resize) throws IOException {
+    public Answer resize(JobId ref, ResizeRequest resize) throws IOException {
         return call("POST", "/v1/jobs/" + ref + "/width", Codec.encode(resize.toNode()));
     }
 
@@ -76,7 +76,7 @@
                 refused = answer;
             } catch (IOException e) {
                 last = e;
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 last = new IOException("an answer that is no CBOR map", e);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/src/main/java/org/beechhoist/wire/CallResult.java
+++ b/src/main/java/org/beechhoist/wire/CallResult.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** How a call to another service ended. {@code body} is null where none could be read. */
-public record Outcome(Kind kind, int status, JsonNode body) {
+public record CallResult(Kind kind, int status, JsonNode body) {
     /** What is known of the request's fate. */
     public enum Kind {
         /** An answer came. */
@@ -14,11 +14,11 @@
         UNKNOWN
     }
 
-    public static final Outcome NOT_SENT = new Outcome(Kind.NOT_SENT, 0, null);
-    public static final Outcome UNKNOWN = new Outcome(Kind.UNKNOWN, 0, null);
+    public static final CallResult NOT_SENT = new CallResult(Kind.NOT_SENT, 0, null);
+    public static final CallResult UNKNOWN = new CallResult(Kind.UNKNOWN, 0, null);
 
-    public static Outcome answered(int status, JsonNode body) {
-        return new Outcome(Kind.ANSWERED, status, body);
+    public static CallResult answered(int status, JsonNode body) {
+        return new CallResult(Kind.ANSWERED, status, body);
     }
 
     public boolean ok() {
--- a/src/main/java/org/beechhoist/wire/Codec.java
+++ b/src/main/java/org/beechhoist/wire/Codec.java
@@ -45,15 +45,15 @@
     }
 
     /** The map in {@code body}; everything else is malformed. */
-    public static JsonNode decodeMap(byte[] body) throws Malformed {
+    public static JsonNode decodeMap(byte[] body) throws MalformedMessageException {
         JsonNode node;
         try {
             node = CBOR.readTree(body);
         } catch (IOException | RuntimeException e) {
-            throw new Malformed("body is not CBOR");
+            throw new MalformedMessageException("body is not CBOR");
         }
         if (node == null || !node.isObject()) {
-            throw new Malformed("body is not a map");
+            throw new MalformedMessageException("body is not a map");
         }
         return node;
     }
@@ -63,56 +63,56 @@
         return v == null || v.isNull();
     }
 
-    public static String text(JsonNode node, String field) throws Malformed {
+    public static String text(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || !value.isTextual()) {
-            throw new Malformed(field + ": text expected");
+            throw new MalformedMessageException(field + ": text expected");
         }
         return value.textValue();
     }
 
-    public static boolean bool(JsonNode node, String field) throws Malformed {
+    public static boolean bool(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || !value.isBoolean()) {
-            throw new Malformed(field + ": true or false expected");
+            throw new MalformedMessageException(field + ": true or false expected");
         }
         return value.booleanValue();
     }
 
     /** A finite decimal number of at least {@code least}. */
-    public static double number(JsonNode node, String field, double least) throws Malformed {
+    public static double number(JsonNode node, String field, double least) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || !value.isNumber() || !Double.isFinite(value.doubleValue())) {
-            throw new Malformed(field + ": number expected");
+            throw new MalformedMessageException(field + ": number expected");
         }
         if (value.doubleValue() < least || value.doubleValue() > 1e12) {
-            throw new Malformed(field + ": out of range");
+            throw new MalformedMessageException(field + ": out of range");
         }
         return value.doubleValue();
     }
 
     /** A whole number between the bounds; counts may come as 3 or 3.0. */
-    public static long count(JsonNode node, String field, long least, long most) throws Malformed {
+    public static long count(JsonNode node, String field, long least, long most) throws MalformedMessageException {
         double number = number(node, field, 0);
         JsonNode child = node.get(field);
         if (number != Math.rint(number)) {
-            throw new Malformed(field + ": whole number expected");
+            throw new MalformedMessageException(field + ": whole number expected");
         }
         long value = child.longValue();
         if (value < least || value > most) {
-            throw new Malformed(field + ": out of range");
+            throw new MalformedMessageException(field + ": out of range");
         }
         return value;
     }
 
-    public static List<String> texts(JsonNode value, String field) throws Malformed {
+    public static List<String> texts(JsonNode value, String field) throws MalformedMessageException {
         if (value == null || !value.isArray()) {
-            throw new Malformed(field + ": list expected");
+            throw new MalformedMessageException(field + ": list expected");
         }
         List<String> out = new ArrayList<>(value.size());
         for (JsonNode element : value) {
             if (!element.isTextual()) {
-                throw new Malformed(field + ": list of texts expected");
+                throw new MalformedMessageException(field + ": list of texts expected");
             }
             out.add(element.textValue());
         }
--- a/src/main/java/org/beechhoist/wire/Heartbeat.java
+++ b/src/main/java/org/beechhoist/wire/Heartbeat.java
@@ -5,22 +5,22 @@
 import java.util.List;
 
 /** A worker's report: the body of {@code POST /checkin} and of the answers of {@code /orders} and {@code /show}. */
-public record HostReport(
-        HostId host,
+public record Heartbeat(
+        MachineId host,
         String address,
         String type,
         String zone,
         boolean spot,
         long shift,
         long counter,
-        Baton baton,
+        FencingToken baton,
         Double noticeS,
-        List<Entry> tasks) {
+        List<TaskStatus> tasks) {
     /** A task on the machine. {@code cause} is null until it exited. */
-    public record Entry(TaskId task, long attempt, State state, String cause, boolean stored) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, String cause, boolean stored) {}
 
     /** What a worker says of a task. */
-    public enum State {
+    public enum TaskState {
         FETCHING,
         RUNNING,
         SAVING,
@@ -28,27 +28,27 @@
         OTHER
     }
 
-    public static HostReport parse(JsonNode node) throws Malformed {
-        List<Entry> tasks = new ArrayList<>();
+    public static Heartbeat parse(JsonNode node) throws MalformedMessageException {
+        List<TaskStatus> tasks = new ArrayList<>();
         JsonNode pieces = node.get("pieces");
         if (pieces == null || !pieces.isArray()) {
-            throw new Malformed("pieces: list expected");
+            throw new MalformedMessageException("pieces: list expected");
         }
         for (JsonNode piece : pieces) {
             TaskId id = TaskId.parse(Codec.text(piece, "piece"));
             if (id == null) {
-                throw new Malformed("piece: not a task id");
+                throw new MalformedMessageException("piece: not a task id");
             }
-            State state =
+            TaskState state =
                     switch (Codec.text(piece, "status")) {
-                        case "fetching" -> State.FETCHING;
-                        case "running" -> State.RUNNING;
-                        case "saving" -> State.SAVING;
-                        case "exited" -> State.EXITED;
-                        default -> State.OTHER;
+                        case "fetching" -> TaskState.FETCHING;
+                        case "running" -> TaskState.RUNNING;
+                        case "saving" -> TaskState.SAVING;
+                        case "exited" -> TaskState.EXITED;
+                        default -> TaskState.OTHER;
                     };
             JsonNode stored = piece.get("stored");
-            tasks.add(new Entry(
+            tasks.add(new TaskStatus(
                     id,
                     Codec.count(piece, "try", 0, Long.MAX_VALUE),
                     state,
@@ -57,17 +57,17 @@
         }
         String host = Codec.text(node, "host");
         if (host.isEmpty() || host.length() > 200) {
-            throw new Malformed("host: 1 to 200 characters expected");
+            throw new MalformedMessageException("host: 1 to 200 characters expected");
         }
-        return new HostReport(
-                new HostId(host),
+        return new Heartbeat(
+                new MachineId(host),
                 Codec.text(node, "address"),
                 Codec.text(node, "hosttype"),
                 Codec.text(node, "yard"),
                 Codec.bool(node, "loaner"),
                 Codec.count(node, "shift", 0, Long.MAX_VALUE),
                 Codec.count(node, "counter", 0, Long.MAX_VALUE),
-                new Baton(Codec.absent(node, "baton") ? 0 : Codec.count(node, "baton", 0, Long.MAX_VALUE)),
+                new FencingToken(Codec.absent(node, "baton") ? 0 : Codec.count(node, "baton", 0, Long.MAX_VALUE)),
                 Codec.absent(node, "warningS") ? null : Codec.number(node, "warningS", 0),
                 tasks);
     }
--- a/src/main/java/org/beechhoist/wire/JobId.java
+++ b/src/main/java/org/beechhoist/wire/JobId.java
@@ -1,7 +1,7 @@
 package org.beechhoist.wire;
 
 /** A job's id, as its user chose it: {@code job-} and digits. */
-public record JobRef(String text) implements Comparable<JobRef> {
+public record JobId(String text) implements Comparable<JobId> {
     private static final int MAX_DIGITS = 40;
 
     public static boolean valid(String text) {
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public int compareTo(JobRef other) {
+    public int compareTo(JobId other) {
         return text.compareTo(other.text);
     }
 
--- a/src/main/java/org/beechhoist/wire/JobSpec.java
+++ b/src/main/java/org/beechhoist/wire/JobSpec.java
@@ -7,11 +7,11 @@
 
 /** What a user submitted: {@code POST /v1/jobs}. */
 public record JobSpec(
-        JobRef ref,
+        JobId ref,
         String jobClass,
         String team,
         Shape shape,
-        Urgency urgency,
+        Priority urgency,
         int tasks,
         double cpus,
         double gpus,
@@ -31,7 +31,7 @@
         String onceKey,
         String origin,
         String keySet,
-        KeyPin pin,
+        KeySetBinding pin,
         String release) {
     /** What binds a job's tasks together. */
     public enum Shape {
@@ -48,38 +48,38 @@
             this.text = text;
         }
 
-        private static Shape parse(String text) throws Malformed {
+        private static Shape parse(String text) throws MalformedMessageException {
             for (Shape shape : values()) {
                 if (shape.text.equals(text)) {
                     return shape;
                 }
             }
-            throw new Malformed("shape: unknown value");
+            throw new MalformedMessageException("shape: unknown value");
         }
     }
 
     public static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
 
-    public static JobSpec parse(JsonNode node) throws Malformed {
+    public static JobSpec parse(JsonNode node) throws MalformedMessageException {
         String ref = Codec.text(node, "ref");
-        if (!JobRef.valid(ref)) {
-            throw new Malformed("ref: job- and digits expected");
+        if (!JobId.valid(ref)) {
+            throw new MalformedMessageException("ref: job- and digits expected");
         }
         Shape shape = Shape.parse(Codec.text(node, "shape"));
         if (!Codec.absent(node, "width") && shape != Shape.ARRAY) {
-            throw new Malformed("width: only an array may carry one; "
+            throw new MalformedMessageException("width: only an array may carry one; "
                     + (shape == Shape.GANG
                             ? "a gang's tasks start together"
                             : "a standing job's replicas are resized once it is accepted"));
         }
         List<String> types = Codec.absent(node, "hosttypes") ? null : Codec.texts(node.get("hosttypes"), "hosttypes");
         return new JobSpec(
-                new JobRef(ref),
+                new JobId(ref),
                 name(node, "jobclass"),
                 name(node, "owner"),
                 shape,
-                Urgency.parse(Codec.text(node, "urgency")),
+                Priority.parse(Codec.text(node, "urgency")),
                 (int) Codec.count(node, "pieces", 1, MAX_TASKS),
                 Codec.number(node, "cores", 0),
                 Codec.number(node, "accelerators", 0),
@@ -99,7 +99,7 @@
                 Codec.absent(node, "onceKey") ? null : name(node, "onceKey"),
                 Codec.absent(node, "origin") ? null : name(node, "origin"),
                 Codec.absent(node, "keySet") ? null : name(node, "keySet"),
-                Codec.absent(node, "pin") ? null : KeyPin.parse(node.get("pin")),
+                Codec.absent(node, "pin") ? null : KeySetBinding.parse(node.get("pin")),
                 Codec.absent(node, "release") ? null : name(node, "release"));
     }
 
@@ -122,10 +122,10 @@
         return all;
     }
 
-    private static String name(JsonNode node, String field) throws Malformed {
+    private static String name(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
         if (text.length() > MAX_NAME) {
-            throw new Malformed(field + ": longer than " + MAX_NAME);
+            throw new MalformedMessageException(field + ": longer than " + MAX_NAME);
         }
         return text;
     }
@@ -192,7 +192,7 @@
     }
 
     /** Bound to what its key set holds, or to none. */
-    public JobSpec pinned(KeyPin to) {
+    public JobSpec pinned(KeySetBinding to) {
         return with(width, onceKey, origin, keySet, to);
     }
 
@@ -204,11 +204,11 @@
         return release == null ? this : with(width, onceKey, origin, keySet, pin, null);
     }
 
-    private JobSpec with(Width newWidth, String once, String from, String set, KeyPin to) {
+    private JobSpec with(Width newWidth, String once, String from, String set, KeySetBinding to) {
         return with(newWidth, once, from, set, to, release);
     }
 
-    private JobSpec with(Width newWidth, String once, String from, String set, KeyPin to, String ships) {
+    private JobSpec with(Width newWidth, String once, String from, String set, KeySetBinding to, String ships) {
         return new JobSpec(
                 ref,
                 jobClass,
@@ -246,7 +246,7 @@
         return shape == Shape.GANG;
     }
 
-    public boolean allows(HostType type) {
+    public boolean allows(MachineType type) {
         return (hostTypes == null || hostTypes.contains(type.name()))
                 && cpus <= type.cpus()
                 && gpus <= type.gpus()
@@ -254,13 +254,13 @@
     }
 
     /** Whether one of its tasks may run on such a machine, its other tasks left aside. */
-    public boolean mayRunOn(HostType type, String hostZone, boolean hostSpot) {
+    public boolean mayRunOn(MachineType type, String hostZone, boolean hostSpot) {
         return allows(type) && (spot || !hostSpot) && (zone == null || zone.equals(hostZone));
     }
 
     /** Whether some machine that this job allows is offered where it may run. */
-    public boolean fitsAny(Iterable<HostType> types) {
-        for (HostType type : types) {
+    public boolean fitsAny(Iterable<MachineType> types) {
+        for (MachineType type : types) {
             if (allows(type) && (zone == null || type.zones().contains(zone))) {
                 return true;
             }
--- a/src/main/java/org/beechhoist/wire/KeySetBinding.java
+++ b/src/main/java/org/beechhoist/wire/KeySetBinding.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** The key set that a job is bound to for ever: its name, its version and the digest of what that version holds. */
-public record KeyPin(String set, long version, String digest) {
-    public static KeyPin parse(JsonNode node) throws Malformed {
-        return new KeyPin(
+public record KeySetBinding(String set, long version, String digest) {
+    public static KeySetBinding parse(JsonNode node) throws MalformedMessageException {
+        return new KeySetBinding(
                 Codec.text(node, "set"),
                 Codec.count(node, "version", 1, Integer.MAX_VALUE),
                 Codec.text(node, "digest"));
--- a/src/main/java/org/beechhoist/wire/MachineId.java
+++ b/src/main/java/org/beechhoist/wire/MachineId.java
@@ -1,9 +1,9 @@
 package org.beechhoist.wire;
 
 /** A machine's name, as the cloud gave it. */
-public record HostId(String text) implements Comparable<HostId> {
+public record MachineId(String text) implements Comparable<MachineId> {
     @Override
-    public int compareTo(HostId other) {
+    public int compareTo(MachineId other) {
         return text.compareTo(other.text);
     }
 
--- a/src/main/java/org/beechhoist/wire/MachineType.java
+++ b/src/main/java/org/beechhoist/wire/MachineType.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A kind of machine the cloud rents. */
-public record HostType(
+public record MachineType(
         String name,
         double cpus,
         double gpus,
@@ -15,8 +15,8 @@
         double spotPrice,
         double startupS,
         List<String> zones) {
-    public static HostType parse(JsonNode node) throws Malformed {
-        return new HostType(
+    public static MachineType parse(JsonNode node) throws MalformedMessageException {
+        return new MachineType(
                 Codec.text(node, "sku"),
                 Codec.number(node, "cores", 0),
                 Codec.number(node, "accelerators", 0),
--- a/src/main/java/org/beechhoist/wire/MonotonicTime.java
+++ b/src/main/java/org/beechhoist/wire/MonotonicTime.java
@@ -1,23 +1,23 @@
 package org.beechhoist.wire;
 
 /** A moment on this process's steady clock, in milliseconds. Never compared across processes. */
-public record Tick(long ms) implements Comparable<Tick> {
-    public static final Tick ZERO = new Tick(0);
+public record MonotonicTime(long ms) implements Comparable<MonotonicTime> {
+    public static final MonotonicTime ZERO = new MonotonicTime(0);
 
-    public Tick plusMs(long delta) {
-        return new Tick(ms + delta);
+    public MonotonicTime plusMs(long delta) {
+        return new MonotonicTime(ms + delta);
     }
 
-    public long since(Tick earlier) {
+    public long since(MonotonicTime earlier) {
         return ms - earlier.ms;
     }
 
-    public boolean before(Tick other) {
+    public boolean before(MonotonicTime other) {
         return ms < other.ms;
     }
 
     @Override
-    public int compareTo(Tick other) {
+    public int compareTo(MonotonicTime other) {
         return Long.compare(ms, other.ms);
     }
 }
--- a/src/main/java/org/beechhoist/wire/Priority.java
+++ b/src/main/java/org/beechhoist/wire/Priority.java
@@ -1,7 +1,7 @@
 package org.beechhoist.wire;
 
 /** A job's priority class, most urgent first. */
-public enum Urgency {
+public enum Priority {
     PROD("prod"),
     URGENT("urgent"),
     NORMAL("normal"),
@@ -9,7 +9,7 @@
 
     private final String text;
 
-    Urgency(String text) {
+    Priority(String text) {
         this.text = text;
     }
 
@@ -17,12 +17,12 @@
         return text;
     }
 
-    static Urgency parse(String text) throws Malformed {
-        for (Urgency urgency : values()) {
+    static Priority parse(String text) throws MalformedMessageException {
+        for (Priority urgency : values()) {
             if (urgency.text.equals(text)) {
                 return urgency;
             }
         }
-        throw new Malformed("urgency: unknown value");
+        throw new MalformedMessageException("urgency: unknown value");
     }
 }
--- a/src/main/java/org/beechhoist/wire/ResizeRequest.java
+++ b/src/main/java/org/beechhoist/wire/ResizeRequest.java
@@ -8,16 +8,16 @@
  * newer: a retry has its request's number, and an old one that arrives late changes nothing. Without a number ({@code
  * null}) it is the newest when it arrives.
  */
-public record Resize(Width width, Long number) {
+public record ResizeRequest(Width width, Long number) {
     /** Reads {@code {"width":4}} or {@code {"least":2,"most":16,"untilS":3600.0}}, either with {@code "number":17}. */
-    public static Resize parse(JsonNode node) throws Malformed {
+    public static ResizeRequest parse(JsonNode node) throws MalformedMessageException {
         Long number = Codec.absent(node, "number") ? null : Codec.count(node, "number", 1, Long.MAX_VALUE);
         if (Codec.absent(node, "width")) {
-            return new Resize(Width.parse(node, "width"), number);
+            return new ResizeRequest(Width.parse(node, "width"), number);
         }
         Width width = Width.parse(
                 Codec.map().<ObjectNode>set("least", node.get("width")).set("most", node.get("width")), "width");
-        return new Resize(width, number);
+        return new ResizeRequest(width, number);
     }
 
     public ObjectNode toNode() {
--- a/src/main/java/org/beechhoist/wire/ServiceCalls.java
+++ b/src/main/java/org/beechhoist/wire/ServiceCalls.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Makes calls to other services; each ends with exactly one outcome. */
-public interface Calls {
+public interface ServiceCalls {
     /** Whom a call is for. */
     enum Target {
         STATE,
@@ -20,5 +20,5 @@
             String path,
             JsonNode body,
             long timeoutMs,
-            Consumer<Outcome> then);
+            Consumer<CallResult> then);
 }
--- a/src/main/java/org/beechhoist/wire/Width.java
+++ b/src/main/java/org/beechhoist/wire/Width.java
@@ -15,24 +15,24 @@
     }
 
     /** Reads {@code {"least":2,"most":16,"untilS":3600.0}}; {@code field} names it in complaints. */
-    public static Width parse(JsonNode node, String field) throws Malformed {
+    public static Width parse(JsonNode node, String field) throws MalformedMessageException {
         if (node == null || !node.isObject()) {
-            throw new Malformed(field + ": a map with least and most is expected");
+            throw new MalformedMessageException(field + ": a map with least and most is expected");
         }
         int least = count(node, "least", field);
         int most = count(node, "most", field);
         if (least > most) {
-            throw new Malformed(field + ": least = " + least + " is above most = " + most);
+            throw new MalformedMessageException(field + ": least = " + least + " is above most = " + most);
         }
         return new Width(least, most, Codec.absent(node, "untilS") ? null : Codec.number(node, "untilS", 0));
     }
 
-    private static int count(JsonNode node, String name, String field) throws Malformed {
+    private static int count(JsonNode node, String name, String field) throws MalformedMessageException {
         try {
             return (int) Codec.count(node, name, 0, JobSpec.MAX_TASKS);
-        } catch (Malformed e) {
-            throw new Malformed(field + "." + name + " = " + node.get(name) + ": a whole number from 0 to "
-                    + JobSpec.MAX_TASKS + " is expected");
+        } catch (MalformedMessageException e) {
+            throw new MalformedMessageException(field + "." + name + " = " + node.get(name)
+                    + ": a whole number from 0 to " + JobSpec.MAX_TASKS + " is expected");
         }
     }
 
--- a/src/main/java/org/beechhoist/wire/WorkerCommand.java
+++ b/src/main/java/org/beechhoist/wire/WorkerCommand.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A command to a worker. */
-public record Order(Verb verb, TaskId task, long attempt, double graceS) {
+public record WorkerCommand(Verb verb, TaskId task, long attempt, double graceS) {
     /** What a worker can be told. */
     public enum Verb {
         LAUNCH,
@@ -13,21 +13,21 @@
         FORGET
     }
 
-    public static Order launch(TaskId task, long attempt) {
-        return new Order(Verb.LAUNCH, task, attempt, 0);
+    public static WorkerCommand launch(TaskId task, long attempt) {
+        return new WorkerCommand(Verb.LAUNCH, task, attempt, 0);
     }
 
-    public static Order kill(TaskId task, long attempt, double graceS) {
-        return new Order(Verb.KILL, task, attempt, graceS);
+    public static WorkerCommand kill(TaskId task, long attempt, double graceS) {
+        return new WorkerCommand(Verb.KILL, task, attempt, graceS);
     }
 
-    public static Order forget(TaskId task, long attempt) {
-        return new Order(Verb.FORGET, task, attempt, 0);
+    public static WorkerCommand forget(TaskId task, long attempt) {
+        return new WorkerCommand(Verb.FORGET, task, attempt, 0);
     }
 
-    public static ArrayNode toNode(List<Order> orders) {
+    public static ArrayNode toNode(List<WorkerCommand> orders) {
         ArrayNode out = Codec.list();
-        for (Order command : orders) {
+        for (WorkerCommand command : orders) {
             ObjectNode node = out.addObject();
             node.put("verb", command.verb.name().toLowerCase(java.util.Locale.ROOT))
                     .put("piece", command.task.toString())
--- a/src/test/java/org/beechhoist/sim/CronSimulationTest.java
+++ b/src/test/java/org/beechhoist/sim/CronSimulationTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.beechhoist.config.Policy;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.wire.Codec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
--- a/src/test/java/org/beechhoist/sim/DrainTest.java
+++ b/src/test/java/org/beechhoist/sim/DrainTest.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.beechhoist.config.Policy;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.standin.StateService;
 import org.beechhoist.wire.Codec;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/beechhoist/sim/ElasticSimulationTest.java
+++ b/src/test/java/org/beechhoist/sim/ElasticSimulationTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.beechhoist.config.Policy;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.wire.Codec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
--- a/src/test/java/org/beechhoist/sim/FailoverTest.java
+++ b/src/test/java/org/beechhoist/sim/FailoverTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/org/beechhoist/sim/FaultsTest.java
+++ b/src/test/java/org/beechhoist/sim/FaultsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.standin.StateService;
 import org.beechhoist.standin.Worker;
 import org.beechhoist.wire.TaskId;
--- a/src/test/java/org/beechhoist/sim/FaultsTrial.java
+++ b/src/test/java/org/beechhoist/sim/FaultsTrial.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.beechhoist.core.Effect;
+import org.beechhoist.controller.context.Effect;
 import org.beechhoist.standin.StateService;
 import org.beechhoist.standin.Worker;
 import org.junit.jupiter.api.Tag;
