--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -58,7 +58,7 @@
         return usable(machine)
                 && machine.growthDamping.open(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
-                && context.now().since(clusterState.lastHeardOf(machine))
+                && context.now().since(clusterState.lastContactAt(machine))
                         < settings.workers().reportS() * WIDEN_HEARD_MS_PER_S;
     }
 
@@ -70,10 +70,10 @@
                 && !machine.isLeaving()
                 && machine.unknownTasks == 0
                 && machineTypes.get(machine.type) != null
-                && context.now().since(clusterState.lastHeardOf(machine))
+                && context.now().since(clusterState.lastContactAt(machine))
                         < settings.workers().reportS() * USABLE_HEARD_MS_PER_S
                 && machine.avoidUntil.isBefore(context.now())
-                && machine.lastHeardAt != null;
+                && machine.lastContactAt != null;
     }
 
     /** Resources free on a machine; negative where a task doesn't fit. */
--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/CalendarDays.java
@@ -4,7 +4,7 @@
 import java.util.function.Predicate;
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
-import org.beechhoist.controller.state.OptimisticUpdate;
+import org.beechhoist.controller.state.OptimisticUpdater;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.StoreClient;
@@ -37,7 +37,7 @@
         requests.takeOrOverdraw(context.now(), 1);
         store.get(ScheduleKeys.CALENDARS + name, read -> {
             if (!read.answered()) {
-                OptimisticUpdate.respondUnavailable(responder);
+                OptimisticUpdater.respondUnavailable(responder);
                 return;
             }
             try {
@@ -47,7 +47,7 @@
                 Calendar c = Calendar.parse(read.item().value(), name);
                 use(d -> c.closedReason(d) == null, responder, use);
             } catch (MalformedMessageException e) {
-                responder.respond(400, OptimisticUpdate.error(e.getMessage()));
+                responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
             }
         });
     }
@@ -56,7 +56,7 @@
         try {
             use.with(open);
         } catch (MalformedMessageException e) {
-            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -86,7 +86,7 @@
     private void placeReserved(Run run, Job job, Plan.Reservation reservation) {
         Machine machine = clusterState.findMachine(reservation.machine());
         if (run.used == null) {
-            run.used = clusterState.teamUsage();
+            run.used = clusterState.teamResourceUsage();
         }
         if (!admission.admissible(job, machine, run.used)
                 || ElasticWidths.mayPlace(job) <= 0
@@ -111,7 +111,7 @@
 
     /** Places one task on the machine if admission allows it now, whatever the plan says; returns whether it did. */
     boolean place(Job job, int index, Machine machine) {
-        if (job.spec().isGang() || !admission.admissible(job, machine, clusterState.teamUsage())) {
+        if (job.spec().isGang() || !admission.admissible(job, machine, clusterState.teamResourceUsage())) {
             return false;
         }
         recordPlacement(
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -7,7 +7,7 @@
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.controller.state.OptimisticUpdate;
+import org.beechhoist.controller.state.OptimisticUpdater;
 import org.beechhoist.drain.DisruptionBudget;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.store.StoreClient;
@@ -27,7 +27,7 @@
     private final Settings settings;
     private final MachineTypeCatalog machineTypes;
     private final DrainRegistry drains;
-    private final OptimisticUpdate amending;
+    private final OptimisticUpdater amending;
     private final CalendarDays openDays;
 
     DrainApi(
@@ -42,7 +42,7 @@
         this.context = context;
         this.settings = settings;
         this.drains = drains;
-        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
+        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
         this.openDays = new CalendarDays(context, store, requests);
     }
 
@@ -64,18 +64,18 @@
         try {
             JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
             if (!drains.read()) {
-                OptimisticUpdate.respondUnavailable(responder);
+                OptimisticUpdater.respondUnavailable(responder);
             } else if (node == null && verb.isEmpty()) {
                 show(budgets, name, desk, responder);
             } else if (node == null) {
-                responder.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             } else if (budgets) {
                 budget(name, verb, node, responder);
             } else {
                 drain(name, verb, node, desk, responder);
             }
         } catch (MalformedMessageException e) {
-            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
     }
 
@@ -90,10 +90,10 @@
 
     private void show(boolean budgets, String name, DrainController desk, ApiResponder responder) {
         if (!budgets && !name.isEmpty() && drains.known(name) == null) {
-            responder.respond(404, OptimisticUpdate.error("name = " + name + ": the name of a drain is expected"));
+            responder.respond(404, OptimisticUpdater.errorBody("name = " + name + ": the name of a drain is expected"));
         } else if (desk == null) {
             responder.respond(
-                    421, OptimisticUpdate.error("this node does not lead: how far it has come is not known here"));
+                    421, OptimisticUpdater.errorBody("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
             responder.respond(200, desk.budgets());
         } else {
@@ -110,7 +110,7 @@
             responder.respond(
                     desk == null ? 421 : 200,
                     desk == null
-                            ? OptimisticUpdate.error("this node does not lead: it knows no plan")
+                            ? OptimisticUpdater.errorBody("this node does not lead: it knows no plan")
                             : desk.foresee(described));
             return;
         }
@@ -126,12 +126,12 @@
                         DrainRegistry.DRAINS + name,
                         before -> {
                             if (before == null) {
-                                throw new OptimisticUpdate.RejectedException(
+                                throw new OptimisticUpdater.RejectedException(
                                         404, "name = " + name + ": the name of a drain is expected");
                             }
                             if (Drain.parse(before).state() != Drain.State.ABORTED
                                     && (desk == null || !desk.over(name))) {
-                                throw new OptimisticUpdate.RejectedException(
+                                throw new OptimisticUpdater.RejectedException(
                                         409,
                                         "name = " + name
                                                 + ": a drain that is over, or aborted, is expected; the leading node knows");
@@ -139,7 +139,7 @@
                             return null;
                         },
                         responder);
-            default -> responder.respond(404, OptimisticUpdate.error("no such path"));
+            default -> responder.respond(404, OptimisticUpdater.errorBody("no such path"));
         }
     }
 
@@ -148,12 +148,12 @@
                 DrainRegistry.DRAINS + name,
                 before -> {
                     if (before == null) {
-                        throw new OptimisticUpdate.RejectedException(
+                        throw new OptimisticUpdater.RejectedException(
                                 404, "name = " + name + ": the name of a drain is expected");
                     }
                     Drain drain = Drain.parse(before);
                     if (drain.state() == Drain.State.ABORTED) {
-                        throw new OptimisticUpdate.RejectedException(
+                        throw new OptimisticUpdater.RejectedException(
                                 409, "name = " + name + ": it was aborted; put it again");
                     }
                     return drain.withState(to, what, who, context.wallMs(), why).toNode();
@@ -222,7 +222,7 @@
                     DrainRegistry.BUDGETS + key,
                     before -> {
                         if (before == null) {
-                            throw new OptimisticUpdate.RejectedException(
+                            throw new OptimisticUpdater.RejectedException(
                                     404, "name = " + key + ": the team, or team~class, of a budget is expected");
                         }
                         return null;
@@ -231,7 +231,7 @@
             return;
         }
         if (!verb.equals("put")) {
-            responder.respond(404, OptimisticUpdate.error("no such path"));
+            responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             return;
         }
         DisruptionBudget described = DisruptionBudget.fromRequest(node, who, context.wallMs(), why, 1);
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -163,7 +163,7 @@
     private List<Machine> matched(Drain drain) {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (machine.isKnown() && !machine.releasing && drain.which().matches(machine(machine), drain.atMs())) {
+            if (machine.isTypeKnown() && !machine.releasing && drain.which().matches(machine(machine), drain.atMs())) {
                 out.add(machine);
             }
         }
@@ -189,7 +189,7 @@
             String now = by.get(machine.id);
             changed |= now == null ? machine.cordonedBy != null : !now.equals(machine.cordonedBy);
             machine.cordonedBy = now;
-            machine.standbyFor = null; // whose spare it is, if anybody's, is said anew below
+            machine.reservedForDrain = null; // whose spare it is, if anybody's, is said anew below
         }
         if (changed) {
             clusterState.requestReplan();
--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -153,7 +153,7 @@
     /** Whether it was not known yet. */
     private boolean enter(FleetSnapshot.Machine machine) {
         Machine known = clusterState.machine(machine.id());
-        if (known.isKnown()) {
+        if (known.isTypeKnown()) {
             return false; // it has spoken, or the list was quicker
         }
         known.type = machine.type();
@@ -195,7 +195,7 @@
     }
 
     private static boolean noted(Machine known) {
-        return known.lastHeartbeat != null && known.isKnown() && !known.releasing;
+        return known.lastHeartbeat != null && known.isTypeKnown() && !known.releasing;
     }
 
     private List<FleetSnapshot.Machine> machines(int part) {
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -77,7 +77,7 @@
             latest = earlierIfOpen(
                     latest, context.now().ms() + dueWallMs - context.wallMs() - estimates.expectedMs(job.spec()));
         }
-        return job.hasBegun()
+        return job.hasStarted()
                 ? latest
                 : earlierIfOpen(latest, job.submittedAt.ms() + StarvingJobSelector.BEGIN_WITHIN_MS - BEGIN_MARGIN_MS);
     }
@@ -111,7 +111,7 @@
                     }
                     default -> {}
                 }
-            } else if (objective.kind().equals("guarantee") && job.withinQuota) {
+            } else if (objective.kind().equals("guarantee") && job.withinGuarantee) {
                 latest = earlierIfOpen(latest, submittedMs + Math.round(1000 * objective.withinS()));
             }
         }
@@ -215,7 +215,8 @@
                 double[] sum = sums.computeIfAbsent(team.name(), k -> new double[2]);
                 sum[0] += job.spec().tasks() * job.spec().cpus();
                 sum[1] += job.spec().tasks() * job.spec().gpus();
-                job.withinQuota = sum[0] <= team.cpus() + QUOTA_TOLERANCE && sum[1] <= team.gpus() + QUOTA_TOLERANCE;
+                job.withinGuarantee =
+                        sum[0] <= team.cpus() + QUOTA_TOLERANCE && sum[1] <= team.gpus() + QUOTA_TOLERANCE;
             }
         }
     }
@@ -271,6 +272,6 @@
 
     /** Returns the rank by priority and quota alone, whether or not the job is prioritized or shed. */
     static int usualRank(Job job) {
-        return 2 * job.spec().priority().ordinal() + (job.withinQuota ? 0 : 1);
+        return 2 * job.spec().priority().ordinal() + (job.withinGuarantee ? 0 : 1);
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -11,7 +11,7 @@
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
-import org.beechhoist.controller.state.OptimisticUpdate;
+import org.beechhoist.controller.state.OptimisticUpdater;
 import org.beechhoist.keyset.KeySet;
 import org.beechhoist.keyset.KeySets;
 import org.beechhoist.store.Placement;
@@ -46,7 +46,7 @@
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final KeySetRegistry keys;
-    private final OptimisticUpdate amending;
+    private final OptimisticUpdater amending;
 
     KeySetApi(
             ControllerContext context,
@@ -61,7 +61,7 @@
         this.requests = requests;
         this.writes = writes;
         this.keys = keys;
-        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
+        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
     }
 
     /** @param clusterState of the leading node, or null: who is bound to a set is known there alone */
@@ -100,10 +100,10 @@
                 long version = Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE);
                 change(name, false, before -> known(name, before).revoke(version, by), responder);
             } else {
-                responder.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             }
         } catch (MalformedMessageException e) {
-            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
     }
 
@@ -143,17 +143,17 @@
     /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
     private void change(String name, boolean clears, Edit edit, ApiResponder responder) {
         if (!KeySet.validName(name)) {
-            responder.respond(404, OptimisticUpdate.error("no such key set"));
+            responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
             return;
         }
-        amending.updateLater(
+        amending.updateAsync(
                 KeySetRegistry.SETS + name,
                 (before, then) -> {
                     KeySet next;
                     try {
                         next = edit.of(before == null ? null : KeySet.parse(before));
                     } catch (MalformedMessageException e) {
-                        throw new OptimisticUpdate.RejectedException(
+                        throw new OptimisticUpdater.RejectedException(
                                 before == null && !e.getMessage().startsWith("fingerprints") ? 404 : 409,
                                 e.getMessage());
                     }
@@ -195,7 +195,7 @@
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 responder.respond(200, value);
             } else {
-                OptimisticUpdate.respondUnavailable(responder);
+                OptimisticUpdater.respondUnavailable(responder);
             }
         });
     }
@@ -217,7 +217,7 @@
 
     private void list(ApiResponder responder) {
         if (!keys.known()) {
-            OptimisticUpdate.respondUnavailable(responder);
+            OptimisticUpdater.respondUnavailable(responder);
             return;
         }
         ObjectNode out = Codec.map();
@@ -245,9 +245,9 @@
     private void show(String name, ApiResponder responder) {
         KeySets.Known known = keys.snapshot().sets().get(name);
         if (!keys.known()) {
-            OptimisticUpdate.respondUnavailable(responder);
+            OptimisticUpdater.respondUnavailable(responder);
         } else if (known == null || known.set() == null) {
-            responder.respond(404, OptimisticUpdate.error("no such key set"));
+            responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
         } else {
             responder.respond(200, shown(known.set()));
         }
@@ -255,7 +255,8 @@
 
     private void jobs(String name, ClusterState clusterState, ApiResponder responder) {
         if (clusterState == null) {
-            responder.respond(421, OptimisticUpdate.error("who is bound to a key set is known to the leading node"));
+            responder.respond(
+                    421, OptimisticUpdater.errorBody("who is bound to a key set is known to the leading node"));
             return;
         }
         ObjectNode out = Codec.map();
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -93,7 +93,7 @@
             clusterState.requestReplan();
         } else if (was && !job.isHeld()) {
             LOG.info("{} goes on: key set {}", job.id(), job.spec().keySetBinding());
-            job.lastProgress = context.now();
+            job.lastProgressAt = context.now();
             clusterState.requestReplan();
         }
         if (job.isHeld()) {
@@ -144,13 +144,13 @@
     }
 
     @Override
-    public void guard(Transaction transaction, Job job) {
+    public void addGuard(Transaction transaction, Job job) {
         keys.guard(transaction, job.spec().keySetBinding().keySet());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
     @Override
-    public boolean overtaken(Set<String> failed) {
+    public boolean handleGuardConflict(Set<String> failed) {
         if (keys == null || failed.isEmpty() || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS))) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -137,7 +137,7 @@
 
     /** How many jobs wait to be written. */
     int pendingWrites() {
-        return workers.committer.pendingWrites();
+        return workers.committer.pendingWriteCount();
     }
 
     /** The recovery of machines lost at once. */
@@ -245,7 +245,7 @@
         scheduling.migrations.startMoved();
         scheduling.dispatch.dispatch(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
-        Map<String, double[]> usageByTeam = workers.clusterState.teamUsage();
+        Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
         if (workers.coldStart.mayStop()) {
             scheduling.widthReduction.run(plan, usageByTeam);
             scheduling.preemption.run(plan, usageByTeam);
--- a/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
+++ b/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
@@ -41,7 +41,7 @@
     boolean stepDownIfUnreachable() {
         long window = WorkerReachability.reportingWindowMs(
                 Math.round(1000 * settings.workers().reportS()));
-        if (context.now().since(clusterState.termBeganAt()) < window + FIRST_HEARTBEATS_MS) {
+        if (context.now().since(clusterState.termStartedAt()) < window + FIRST_HEARTBEATS_MS) {
             return false;
         }
         MachineCounts counts = countMachines(window);
@@ -74,10 +74,10 @@
                 continue;
             }
             expected++;
-            if (machine.lastHeardAt != null && context.now().since(machine.lastHeardAt) < windowMs) {
+            if (machine.lastContactAt != null && context.now().since(machine.lastContactAt) < windowMs) {
                 heard++;
             }
-            if (machine.reachability.isOneWay()) {
+            if (machine.reachability.isOneWayPartitioned()) {
                 oneWay++;
             }
         }
@@ -85,7 +85,7 @@
     }
 
     private static boolean isExpectedToReport(Machine machine) {
-        return machine.isKnown()
+        return machine.isTypeKnown()
                 && machine.confirmedPresent
                 && !machine.releasing
                 && (machine.up || machine.listedRunning);
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -100,7 +100,7 @@
                 missed.add(job);
             }
             overloaded |= !more;
-            boolean begun = job.hasBegun();
+            boolean begun = job.hasStarted();
             long length = estimates.expectedMs(spec);
             demands.add(new Demand(
                     job.id(),
@@ -142,7 +142,7 @@
         double busyGpus = 0;
         Map<String, Double> busyTeams = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
-            MachineType type = machine.isKnown() && !machine.releasing ? machineTypes.get(machine.type) : null;
+            MachineType type = machine.isTypeKnown() && !machine.releasing ? machineTypes.get(machine.type) : null;
             if (type == null || machine.up && !admission.usable(machine)) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -79,7 +79,7 @@
 
     /** The first that moving is worth it for, or null. */
     Wish look(Plan plan, InHand hand, Sizes sizes) {
-        Map<String, double[]> used = clusterState.teamUsage();
+        Map<String, double[]> used = clusterState.teamResourceUsage();
         for (Job large : clusterState.jobs()) {
             if (!lacksRoom(large, plan, used, hand)) {
                 continue;
@@ -144,7 +144,7 @@
         // What can be made free counts whole: the zone with the most of it, if that is enough for all.
         Map<String, Integer> fit = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
-            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
+            MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
                 double gpus = type.gpus();
                 for (Placement placement : machine.placements.values()) {
@@ -176,7 +176,7 @@
         String only = onlyZone(large, hand);
         List<Moves.Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
+            MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             Admission.FreeResources free =
                     type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
                             ? null
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -180,7 +180,7 @@
         List<PrioritizedJobSelector.Waiting> waiting = new ArrayList<>();
         Set<String> guaranteed = new HashSet<>();
         for (Job job : clusterState.jobs()) {
-            if (job.withinQuota && job.keySetHold == null && !job.isCancelled() && job.record.waitingCount() > 0) {
+            if (job.withinGuarantee && job.keySetHold == null && !job.isCancelled() && job.record.waitingCount() > 0) {
                 guaranteed.add(job.spec().team());
             }
         }
@@ -203,7 +203,7 @@
                 }
             } else if (job.prioritized
                     || job.record.waitingCount() > 0
-                            && (job.withinQuota
+                            && (job.withinGuarantee
                                     || guaranteed.stream().allMatch(job.spec().team()::equals))) {
                 long ends = context.wallMs() + estimates.expectedMs(job.spec());
                 waiting.add(new PrioritizedJobSelector.Waiting(job.id(), groups(job), job.prioritized, ends, limit));
@@ -222,7 +222,7 @@
                         (context.wallMs() - job.record.submittedWallMs) / 1000);
             }
             job.starving = part != null;
-            job.expeditedUpTo = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
+            job.expeditedLimit = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
             job.prioritized = lifted.contains(job.id());
             if (job.prioritized && !before.contains(job.id())) {
                 LOG.info(
@@ -256,7 +256,7 @@
                     && job.keySetHold == null
                     && !job.isSuspect()
                     && job.notBefore.ms() <= context.now().ms()
-                    && (job.starving || !job.hasBegun())
+                    && (job.starving || !job.hasStarted())
                     && groups(job).stream().anyMatch(Largest::isSizeGroup)) {
                 long first = job.record.live.values().stream()
                         .mapToLong(p -> context.now().since(p.placedAt))
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -69,7 +69,9 @@
                     .put("spot", machine.spot)
                     .put("state", machineState(leader, machine))
                     .put("tasks", machine.placements.size())
-                    .put("heardS", machine.lastHeardAt == null ? null : (nowMs - machine.lastHeardAt.ms()) / 1000.0);
+                    .put(
+                            "heardS",
+                            machine.lastContactAt == null ? null : (nowMs - machine.lastContactAt.ms()) / 1000.0);
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
+++ b/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
@@ -59,7 +59,7 @@
                         limits.writeDemand(),
                         limits.requestDemand(),
                         counts,
-                        cancellations.forPeers(),
+                        cancellations.cancellationsForPeers(),
                         acknowledgements.drainForPeers()));
     }
 
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -88,7 +88,7 @@
     private List<PlanMachine> planMachines(Set<MachineId> planned) {
         List<PlanMachine> planMachines = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            MachineType type = machine.isKnown() ? machineTypes.get(machine.type) : null;
+            MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
                     || (!admission.usable(machine) && (machine.up || machine.releasing))
                     || coldStart.isDoubted(machine)) {
@@ -148,7 +148,7 @@
             for (Placement placement : job.record.live.values()) {
                 Machine machine = clusterState.findMachine(placement.machine);
                 long end = planned.contains(placement.machine)
-                                || machine != null && (machine.preemptedAt != null || machine.cordonedBy != null)
+                                || machine != null && (machine.preemptionAt != null || machine.cordonedBy != null)
                         ? preemptionNotices.expectedEnd(machine, placement).ms()
                         : now + UNKNOWN_END_MS;
                 next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -86,7 +86,7 @@
 
     /** Makes a new plan and returns it. */
     Plan plan() {
-        clusterState.replanDone();
+        clusterState.markReplanned();
         plan = builder.build(ordered(), preferred.fixed());
         return plan;
     }
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -77,7 +77,7 @@
                 continue;
             }
             if (serve(job, entry.getValue())) {
-                job.nextPreemption = context.now().plusMs(PAUSE_MS);
+                job.nextPreemptionAt = context.now().plusMs(PAUSE_MS);
             }
         }
     }
@@ -98,8 +98,8 @@
                 && !spec.sameZone()
                 && !spec.antiAffinity()
                 && job.notBefore.ms() <= context.now().ms()
-                && !context.now().isBefore(job.nextPreemption)
-                && !context.now().isBefore(job.nextWidthReduction)
+                && !context.now().isBefore(job.nextPreemptionAt)
+                && !context.now().isBefore(job.nextWidthReductionAt)
                 && outranksSome(job);
     }
 
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -178,7 +178,7 @@
             startListing(); // first, or with few calls or many lost machines the other calls would always precede it
         }
         sendReturns(true);
-        boolean mayRent = listed || context.now().since(clusterState.termBeganAt()) > FIRST_LIST_TIMEOUT_MS;
+        boolean mayRent = listed || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
         if (plan != null && mayRent) {
             scaleOut.rentFor(plan);
         }
@@ -238,7 +238,7 @@
             boolean old = requestedAt.since(knownSince(machine, requestedAt)) > listLagMs;
             if (!found.containsKey(machine.id)
                     && old
-                    && context.now().since(clusterState.lastHeardOf(machine)) > UNLISTED_UNHEARD_MS) {
+                    && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_UNHEARD_MS) {
                 releaseMachine(machine, "the cloud doesn't list it any more");
             }
         }
@@ -249,7 +249,7 @@
             return; // the list lags
         }
         Machine machine = clusterState.machine(id);
-        if (!machine.isKnown()) {
+        if (!machine.isTypeKnown()) {
             machine.type = node.path("hosttype").asText(null);
             machine.zone = node.path("yard").asText(null);
             machine.spot = node.path("loaner").asBoolean();
@@ -270,7 +270,7 @@
         if (machine.rentedAt != null) {
             return machine.rentedAt;
         }
-        return machine.placements.isEmpty() ? requestedAt : clusterState.termBeganAt();
+        return machine.placements.isEmpty() ? requestedAt : clusterState.termStartedAt();
     }
 
     // ---- releasing ----
@@ -305,12 +305,12 @@
             releaseMachine(machine, "it holds tasks and has not reported to this leader");
             return;
         }
-        MonotonicTime since = machine.rentedAt == null ? clusterState.lastHeardOf(machine) : machine.rentedAt;
+        MonotonicTime since = machine.rentedAt == null ? clusterState.lastContactAt(machine) : machine.rentedAt;
         double allowedS = type == null
                 ? UNKNOWN_TYPE_STARTUP_S
                 : Math.max(STARTUP_TIMEOUT_FACTOR * type.startupS(), type.startupS() + STARTUP_TIMEOUT_MARGIN_S);
         if (context.now().since(since) > MS_PER_S * allowedS
-                && context.now().since(clusterState.lastHeardOf(machine)) > failureDetector.heartbeatTimeoutMs()) {
+                && context.now().since(clusterState.lastContactAt(machine)) > failureDetector.heartbeatTimeoutMs()) {
             releaseMachine(machine, "it never came up");
         }
     }
@@ -321,9 +321,9 @@
             releaseMachine(machine, "it is silent");
         } else if (failureDetector.isUnreachable(machine)) {
             releaseMachine(machine, "it speaks but does not hear");
-        } else if (machine.preemptedAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
+        } else if (machine.preemptionAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
             releaseMachine(machine, "it is about to be taken and empty");
-        } else if (machine.preemptedAt != null && context.now().since(machine.preemptedAt) > PREEMPTION_RELEASE_MS) {
+        } else if (machine.preemptionAt != null && context.now().since(machine.preemptionAt) > PREEMPTION_RELEASE_MS) {
             releaseMachine(machine, "its notice has run out");
         } else if (faultTracker.isMachineFaulty(machine)) {
             releaseMachine(machine, "jobs of several users failed on it");
@@ -342,7 +342,7 @@
                 || machine.unknownTasks > 0
                 || planned.contains(machine.id)
                 || machine.cordonedBy != null
-                || machine.standbyFor != null
+                || machine.reservedForDrain != null
                 || reservedForMigration.test(machine.id);
     }
 
@@ -363,7 +363,7 @@
         ObjectNode body = Codec.map();
         ArrayNode list = body.putArray("hosts");
         for (Machine machine : machines) {
-            machine.releaseRequested = true;
+            machine.releaseInFlight = true;
             list.add(machine.id.text());
         }
         returnCalls++;
@@ -377,7 +377,7 @@
                     }
                     returnCalls--;
                     for (Machine machine : machines) {
-                        machine.releaseRequested = false;
+                        machine.releaseInFlight = false;
                         if (result.hasStatus(200)) {
                             released.add(machine.id);
                             taskRemoval.machineGone(machine.id);
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -11,7 +11,7 @@
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
-import org.beechhoist.controller.state.OptimisticUpdate;
+import org.beechhoist.controller.state.OptimisticUpdater;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
@@ -34,7 +34,7 @@
     private final StoreClient store;
     private final TokenBucket requests;
     private final ReleaseRegistry releases;
-    private final OptimisticUpdate amending;
+    private final OptimisticUpdater amending;
     private final CalendarDays openDays;
 
     ReleaseApi(
@@ -49,7 +49,7 @@
         this.store = store;
         this.requests = requests;
         this.releases = releases;
-        this.amending = new OptimisticUpdate(context, settings, store, requests, writes);
+        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
         this.openDays = new CalendarDays(context, store, requests);
     }
 
@@ -87,10 +87,10 @@
                 String why = text(node, "why");
                 change(name, null, (before, open) -> before.remove(who, context.wallMs(), why), responder);
             } else {
-                responder.respond(404, OptimisticUpdate.error("no such path"));
+                responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             }
         } catch (MalformedMessageException e) {
-            responder.respond(400, OptimisticUpdate.error(e.getMessage()));
+            responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
     }
 
@@ -139,18 +139,18 @@
 
     /** @param described what is put, or null: what stands is changed */
     private void change(String name, Release described, Edit edit, ApiResponder responder) {
-        amending.updateLater(
+        amending.updateAsync(
                 ReleaseRegistry.SETS + name,
                 (node, then) -> {
                     Release before;
                     try {
                         before = node == null ? null : Release.parse(node);
                     } catch (MalformedMessageException e) {
-                        throw new OptimisticUpdate.RejectedException(
+                        throw new OptimisticUpdater.RejectedException(
                                 409, "the record can't be read: " + e.getMessage());
                     }
                     if (described == null && (before == null || before.removed())) {
-                        throw new OptimisticUpdate.RejectedException(
+                        throw new OptimisticUpdater.RejectedException(
                                 404, "name = " + name + ": the name of a release that stands is expected");
                     }
                     openDays.of(described != null ? described.calendar() : before.calendar(), responder, open -> {
@@ -164,7 +164,7 @@
     /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
     private void list(Leader leader, boolean orderAlone, ApiResponder responder) {
         if (!releases.read()) {
-            OptimisticUpdate.respondUnavailable(responder);
+            OptimisticUpdater.respondUnavailable(responder);
             return;
         }
         ObjectNode out = Codec.map();
@@ -191,9 +191,9 @@
     private void show(String name, ApiResponder responder) {
         Release release = releases.known(name);
         if (!releases.read()) {
-            OptimisticUpdate.respondUnavailable(responder);
+            OptimisticUpdater.respondUnavailable(responder);
         } else if (release == null) {
-            responder.respond(404, OptimisticUpdate.error("no such release"));
+            responder.respond(404, OptimisticUpdater.errorBody("no such release"));
         } else {
             requests.takeOrOverdraw(context.now(), 1);
             store.get(ReleaseController.REORDERED + name, read -> {
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -332,7 +332,7 @@
         int unplanned = 0;
         boolean limited = false;
         long longest = 0;
-        Map<String, double[]> used = clusterState.teamUsage();
+        Map<String, double[]> used = clusterState.teamResourceUsage();
         for (Job job : jobs) {
             held += job.keySetHold != null ? 1 : 0;
             longest = Math.max(longest, estimates.expectedMs(job.spec()));
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -190,14 +190,14 @@
             } else if (machine.up) {
                 wasUp.add(id);
                 boolean takes = drain.replace() ? progress.released < progress.gone : !machine.placements.isEmpty();
-                machine.standbyFor = takes ? null : drain.name();
+                machine.reservedForDrain = takes ? null : drain.name();
                 if (takes) {
                     progress.released += drain.replace() ? 1 : 0;
                     progress.spares.remove(id);
                     changed = true;
                 }
             } else {
-                machine.standbyFor = drain.name();
+                machine.reservedForDrain = drain.name();
             }
         }
         return changed;
@@ -246,8 +246,8 @@
     void over(Drain drain, Progress progress) {
         progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
-                .filter(h -> h != null && drain.name().equals(h.standbyFor))
-                .forEach(h -> h.standbyFor = null);
+                .filter(h -> h != null && drain.name().equals(h.reservedForDrain))
+                .forEach(h -> h.reservedForDrain = null);
         progress.spares.clear();
     }
 }
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -175,7 +175,7 @@
     private Map<MachineId, MachineSpace> bootingSpaces() {
         Map<MachineId, MachineSpace> booting = new LinkedHashMap<>();
         for (Machine machine : clusterState.machines()) {
-            if (!machine.up && !machine.releasing && machine.isKnown() && !machine.listedRunning) {
+            if (!machine.up && !machine.releasing && machine.isTypeKnown() && !machine.listedRunning) {
                 MachineType type = machineTypes.get(machine.type);
                 if (type != null) {
                     booting.put(machine.id, new MachineSpace(new MachineOffer(type, machine.zone, machine.spot)));
--- a/src/main/java/org/beechhoist/controller/StalledJobReporter.java
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -29,8 +29,8 @@
     void report() {
         for (Job job : clusterState.jobs()) {
             boolean serves = job.spec().isService() && elastic.sure(job) == 0;
-            if (!serves && context.now().since(job.lastProgress) > STALLED_MS) {
-                job.lastProgress = context.now();
+            if (!serves && context.now().since(job.lastProgressAt) > STALLED_MS) {
+                job.lastProgressAt = context.now();
                 LOG.warn(
                         "job stalled: job={} waiting={} placed={} cause=\"{}\"",
                         job.id(),
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -98,7 +98,7 @@
                 return;
             }
             if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
-                job.nextWidthReduction = context.now().plusMs(PAUSE_MS);
+                job.nextWidthReductionAt = context.now().plusMs(PAUSE_MS);
                 scaleOut.wait(context.now());
             }
         }
@@ -114,7 +114,7 @@
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
     private boolean gives(Job giver, Job to) {
         boolean guaranteed =
-                to.withinQuota && !to.spec().team().equals(giver.spec().team());
+                to.withinGuarantee && !to.spec().team().equals(giver.spec().team());
         boolean asUrgent = to.spec().priority().compareTo(giver.spec().priority()) <= 0;
         return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.objectiveOpen(to));
     }
@@ -143,7 +143,7 @@
 
     /** Work may be thrown away for what is promised, not to save a rental. */
     private boolean atStake(Job job, long begin) {
-        return job.withinQuota
+        return job.withinGuarantee
                 || (ordering.objectiveOpen(job)
                         && begin
                                 > Math.max(
@@ -156,13 +156,13 @@
                 && !job.spec().sameZone()
                 && !job.spec().antiAffinity()
                 && job.notBefore.ms() <= context.now().ms()
-                && !context.now().isBefore(job.nextWidthReduction);
+                && !context.now().isBefore(job.nextWidthReductionAt);
         if (!asks) {
             return Long.MAX_VALUE;
         }
         long now = context.now().ms();
         long bound = Math.min(now + scaleOut.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
-        return Math.max(now + SOON_MS, job.withinQuota ? Math.min(bound, now + SOON_MS) : bound);
+        return Math.max(now + SOON_MS, job.withinGuarantee ? Math.min(bound, now + SOON_MS) : bound);
     }
 
     private long neededBy(Job job) {
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -203,7 +203,7 @@
         }
 
         @Override
-        public void jobWritten(Job job) {
+        public void jobCommitted(Job job) {
             elastic.look(job);
         }
 
--- a/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
+++ b/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
@@ -43,8 +43,8 @@
                 machine.id,
                 heartbeat.epoch(),
                 heartbeat.sequence());
-        machine.recordNewest(heartbeat, context.now());
-        machine.epochFirstHeardAt = context.now();
+        machine.recordNewestMessage(heartbeat, context.now());
+        machine.epochFirstSeenAt = context.now();
         machine.lastHeartbeat = null;
         machine.images.clear();
         machine.unacknowledgedToken = election.fencingToken();
--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -104,7 +104,7 @@
     }
 
     /** What is sent to the other nodes now: the newest cancellations, and of the others those that were committed first. */
-    public List<CancelledJob> forPeers() {
+    public List<CancelledJob> cancellationsForPeers() {
         confirmedHere.values().removeIf(at -> context.wallMs() - at > cancelMs);
         List<CancelledJob> all = new ArrayList<>();
         confirmedHere.forEach((jobId, at) -> all.add(new CancelledJob(jobId, at)));
--- a/src/main/java/org/beechhoist/controller/state/ChangeLog.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLog.java
@@ -39,7 +39,7 @@
         return lastNumber;
     }
 
-    void noteNumber(long number) {
+    void advanceLastNumber(long number) {
         lastNumber = Math.max(lastNumber, number);
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** Forgets the job's changes, for it has ended or its record holds them all. */
-    void forgetJob(JobId job) {
+    void removeJob(JobId job) {
         Deque<Segment> of = byJob.remove(job);
         if (of == null) {
             return;
@@ -92,7 +92,7 @@
     }
 
     /** Whether there are so many segments that the oldest should be consolidated. */
-    boolean isCrowded() {
+    boolean needsConsolidation() {
         return inUse.size() > CROWDED_SEGMENTS;
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** The jobs that keep the oldest segments in use: those of whole segments, until there are {@code most} or more. */
-    Set<JobId> oldestJobs(int most) {
+    Set<JobId> jobsInOldestSegments(int most) {
         Set<JobId> out = new LinkedHashSet<>();
         for (Segment segment : inUse.values()) {
             if (out.size() >= most) {
--- a/src/main/java/org/beechhoist/controller/state/ChangeLogReplay.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLogReplay.java
@@ -43,7 +43,7 @@
         Map<JobId, Long> firstNumbers = firstEffectiveNumbers(slots.keySet());
         slots.forEach((segment, slot) -> applySegment(segment, slot, firstNumbers));
         for (Job job : clusterState.jobs()) {
-            changeLog.noteNumber(job.record.foldedSegment);
+            changeLog.advanceLastNumber(job.record.foldedSegment);
             job.committedTasks = CommittedTasks.of(job.record);
         }
         return true;
@@ -89,7 +89,7 @@
 
     /** Applies the segment's changes of the jobs whose records do not hold them yet. */
     private void applySegment(ChangeLogSegment segment, int slot, Map<JobId, Long> firstNumbers) {
-        changeLog.noteNumber(segment.number());
+        changeLog.advanceLastNumber(segment.number());
         Set<JobId> applied = new HashSet<>();
         for (Map.Entry<JobId, TaskChanges> entry : segment.jobs().entrySet()) {
             JobId jobId = entry.getKey();
--- a/src/main/java/org/beechhoist/controller/state/ClusterState.java
+++ b/src/main/java/org/beechhoist/controller/state/ClusterState.java
@@ -58,7 +58,7 @@
     }
 
     /** When this term began. */
-    public MonotonicTime termBeganAt() {
+    public MonotonicTime termStartedAt() {
         return termBeganAt;
     }
 
@@ -105,12 +105,12 @@
     }
 
     /** Whether the final state of the job was lately committed by this leader. */
-    boolean hasEnded(JobId jobId) {
+    boolean hasRecentlyEnded(JobId jobId) {
         return endedJobs.contains(jobId);
     }
 
     /** Removes all jobs and forgets which were to be written, for they are read anew; returns the jobs as they were. */
-    Map<JobId, Job> takeAllJobs() {
+    Map<JobId, Job> removeAllJobs() {
         Map<JobId, Job> old = new HashMap<>(jobs);
         jobs.clear();
         unreadableJobs.clear();
@@ -166,15 +166,15 @@
         MonotonicTime last = machine.lastAnsweredAt == null || machine.lastAnsweredAt.isBefore(termBeganAt)
                 ? termBeganAt
                 : machine.lastAnsweredAt;
-        last = last.isBefore(machine.epochFirstHeardAt) ? machine.epochFirstHeardAt : last;
+        last = last.isBefore(machine.epochFirstSeenAt) ? machine.epochFirstSeenAt : last;
         return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
     }
 
     /** When the machine was last heard of in this term, or when the term began. */
-    public MonotonicTime lastHeardOf(Machine machine) {
-        return machine.lastHeardAt == null || machine.lastHeardAt.isBefore(termBeganAt)
+    public MonotonicTime lastContactAt(Machine machine) {
+        return machine.lastContactAt == null || machine.lastContactAt.isBefore(termBeganAt)
                 ? termBeganAt
-                : machine.lastHeardAt;
+                : machine.lastContactAt;
     }
 
     // ---- teams ----
@@ -190,7 +190,7 @@
     }
 
     /** The CPUs and GPUs of each team's tasks that may be on machines. */
-    public Map<String, double[]> teamUsage() {
+    public Map<String, double[]> teamResourceUsage() {
         Map<String, double[]> used = new HashMap<>();
         for (Job job : jobs.values()) {
             double[] usage = used.computeIfAbsent(job.spec().team(), k -> new double[2]);
@@ -213,7 +213,7 @@
     }
 
     /** Notes that a new plan has been made. */
-    public void replanDone() {
+    public void markReplanned() {
         replanRequested = false;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/CommitGuards.java
+++ b/src/main/java/org/beechhoist/controller/state/CommitGuards.java
@@ -6,7 +6,7 @@
 /** Conditions beyond a job's own version under which its new placements may be written. */
 public interface CommitGuards {
     /**
-     * Whether the job's placements may be written now. The decision is made on the same version that {@link #guard} names in the
+     * Whether the job's placements may be written now. The decision is made on the same version that {@link #addGuard} names in the
      * transaction.
      */
     boolean mayWrite(Job job);
@@ -15,7 +15,7 @@
     String guardKey(Job job);
 
     /** Adds the guard of {@link #guardKey} to the transaction. */
-    void guard(Transaction transaction, Job job);
+    void addGuard(Transaction transaction, Job job);
 
     /**
      * Whether a transaction failed for these guards alone.
@@ -23,5 +23,5 @@
      * @param failed all keys whose guard failed
      * @return true if none of them is a job's: the other writes can be sent again at once
      */
-    boolean overtaken(Set<String> failed);
+    boolean handleGuardConflict(Set<String> failed);
 }
--- a/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
+++ b/src/main/java/org/beechhoist/controller/state/DurationEstimates.java
@@ -24,7 +24,7 @@
     }
 
     /** Takes an observed duration of a task into account. */
-    public void observe(JobSpec spec, long ms) {
+    public void recordDuration(JobSpec spec, long ms) {
         if (spec.isService() || spec.estimateS() <= 0) {
             return;
         }
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -45,7 +45,7 @@
     /** The watched change of the record that arrived while a commit of the job was in flight, or null. */
     StoreClient.KeyValue pendingChange;
     /** The time of day at which its cancellation was committed, where that became known before the record was read; else 0. */
-    public long cancelHeardAtMs;
+    public long outOfBandCancelledAtMs;
     /** The number of placements that are not committed yet: their launches wait for that. */
     public int uncommittedPlacements;
     /** When the job was accepted, computed from the time of day in its record. */
@@ -54,9 +54,9 @@
     /** No task of it is placed before this time. */
     public MonotonicTime notBefore = MonotonicTime.ZERO;
     /** No other task is preempted for it before this time. */
-    public MonotonicTime nextPreemption = MonotonicTime.ZERO;
+    public MonotonicTime nextPreemptionAt = MonotonicTime.ZERO;
     /** No other job's width is reduced, and no other task preempted, for it before this time. */
-    public MonotonicTime nextWidthReduction = MonotonicTime.ZERO;
+    public MonotonicTime nextWidthReductionAt = MonotonicTime.ZERO;
     /** Tasks that are to be ended, and how; most are not stopped yet. */
     public final Map<Placement, Ending> endings = new LinkedHashMap<>();
     /** The width that the state service holds. */
@@ -74,16 +74,16 @@
     public int failureBackoffs;
 
     /** When it last made progress, was released from a hold or was reported as stalled, as far as is known. */
-    public MonotonicTime lastProgress;
+    public MonotonicTime lastProgressAt;
     /** Whether it fits its team's guarantee together with the team's earlier open jobs. */
-    public boolean withinQuota;
+    public boolean withinGuarantee;
     /** Whether it is prioritized, for the share of its class, its team or its class's largest jobs is below the minimum. */
     public boolean prioritized;
     /**
      * How many of its tasks are to begin before those of other jobs, for nothing of it has begun for long; none of its tasks is
      * to be stopped while it is {@link #starving}.
      */
-    public int expeditedUpTo;
+    public int expeditedLimit;
 
     /** Whether nothing of it has begun for so long that it goes first. */
     public boolean starving;
@@ -103,7 +103,7 @@
         this.record = record;
         this.version = version;
         this.submittedAt = submitted;
-        this.lastProgress = submitted;
+        this.lastProgressAt = submitted;
         this.committedWidth = width();
         this.committedFailures = record.failures;
         this.committedTasks = CommittedTasks.of(record);
@@ -132,10 +132,10 @@
             return false; // it would be prioritized again, and stopped again
         }
         int comparison = spec().priority().compareTo(other.spec().priority());
-        boolean borrowed = !other.withinQuota && !other.spec().team().equals(spec().team());
+        boolean borrowed = !other.withinGuarantee && !other.spec().team().equals(spec().team());
         // A guarantee could take back borrowed machines from jobs of higher priority too, but these suffer most from
         // waiting.
-        return comparison < 0 || (comparison == 0 && withinQuota && borrowed);
+        return comparison < 0 || (comparison == 0 && withinGuarantee && borrowed);
     }
 
     /**
@@ -155,11 +155,11 @@
 
     /** How many more of its tasks go first now. */
     public int expeditedTasks() {
-        return Math.max(0, expeditedUpTo - record.live.size() - record.done.size());
+        return Math.max(0, expeditedLimit - record.live.size() - record.done.size());
     }
 
     /** Whether a task of it is live or done. */
-    public boolean hasBegun() {
+    public boolean hasStarted() {
         return !record.live.isEmpty() || record.done.size() > 0;
     }
 
@@ -170,17 +170,17 @@
 
     /** Whether its cancellation is known to be committed, from its record or from another source. */
     public boolean isCancelled() {
-        return record.isCancelled() || cancelHeardAtMs > 0;
+        return record.isCancelled() || outOfBandCancelledAtMs > 0;
     }
 
     /** The time of day at which its cancellation was committed. */
     public long cancelledAtMs() {
-        return record.isCancelled() ? record.cancelledAtWallMs : cancelHeardAtMs;
+        return record.isCancelled() ? record.cancelledAtWallMs : outOfBandCancelledAtMs;
     }
 
     /** Whether its stored record is known to have changed since it was read: a commit under that version would fail. */
     boolean isRecordOutdated() {
-        return cancelHeardAtMs > 0 && !record.isCancelled();
+        return outOfBandCancelledAtMs > 0 && !record.isCancelled();
     }
 
     /** Its final state once no task of it is live. */
@@ -189,7 +189,7 @@
     }
 
     /** Whether the state service holds it as the leader does. */
-    public boolean isSettled() {
+    public boolean isPersisted() {
         return !dirty && !inFlight;
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/JobRecordReader.java
+++ b/src/main/java/org/beechhoist/controller/state/JobRecordReader.java
@@ -45,7 +45,7 @@
         if (record.isCancelled()) {
             cancellations.record(job.id(), record.cancelledAtWallMs);
         } else {
-            job.cancelHeardAtMs = cancellations.cancelledAtWallMs(job.id());
+            job.outOfBandCancelledAtMs = cancellations.cancelledAtWallMs(job.id());
         }
         return job;
     }
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -35,13 +35,13 @@
     /** The sequence number of the worker's newest message. */
     public long sequence;
     /** When the worker's epoch was first heard of: its lease can have begun as late as that, even if nothing was answered. */
-    public MonotonicTime epochFirstHeardAt = MonotonicTime.ZERO;
+    public MonotonicTime epochFirstSeenAt = MonotonicTime.ZERO;
     /** When the newest message of the worker arrived; a heartbeat that is older can be no more than a copy. */
-    public MonotonicTime newestAt = MonotonicTime.ZERO;
+    public MonotonicTime newestMessageAt = MonotonicTime.ZERO;
     /** Whether its newest message is a heartbeat that was answered with 200. */
-    public boolean newestAnswered;
+    public boolean newestMessageAnswered;
     /** Whether a command or probe since its newest message had no answer: the worker may have counted it all the same. */
-    public boolean callsLost;
+    public boolean callsUnanswered;
     /** Whether messages reach it; messages from it do not prove that. */
     public MachineReachability reachability;
     /** Whether it is known to exist: the cloud has listed or rented it, or it has answered in this term. A heartbeat may be a copy. */
@@ -52,15 +52,15 @@
     public Heartbeat lastHeartbeat;
 
     /** When it was last heard of, or null; an old heartbeat does not count while probes of it are unanswered. */
-    public MonotonicTime lastHeardAt;
+    public MonotonicTime lastContactAt;
     /** When this node last answered a heartbeat with 200, or null; the worker's lease can't begin later. */
     public MonotonicTime lastAnsweredAt;
     /** When the cloud takes it, by its preemption notice; null: no notice was given. */
-    public MonotonicTime preemptedAt;
+    public MonotonicTime preemptionAt;
     /** The drain that empties it, or null; nothing new is placed there. */
     public String cordonedBy;
     /** The drain for whose rolling replacement it is reserved, or null; a reserved machine is not returned for being idle. */
-    public String standbyFor;
+    public String reservedForDrain;
 
     /** Placements by which tasks may be on it, from the records. */
     public final Map<TaskId, Placement> placements = new HashMap<>();
@@ -80,9 +80,9 @@
     /** Whether it is being returned to the cloud. */
     public boolean releasing;
     /** The time of day by which a task on it must have ended. */
-    public long mustBeGoneByMs = Long.MAX_VALUE;
+    public long stopDeadlineMs = Long.MAX_VALUE;
     /** Whether the cloud was asked to end it and has not answered yet. */
-    public boolean releaseRequested;
+    public boolean releaseInFlight;
     /** Whether it was asked for its status and has not answered yet. */
     public boolean probeInFlight;
     /** How many probes in a row had no answer. */
@@ -110,7 +110,7 @@
     /** The images that it should hold, least recently used first, with their sizes in GB. */
     public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
     /** The jobs whose tasks have failed on it since a task last completed there, and how many of each. */
-    public final Map<JobId, Integer> failedJobs = new HashMap<>();
+    public final Map<JobId, Integer> failuresByJob = new HashMap<>();
 
     Machine(MachineId id, MonotonicTime now) {
         this.id = id;
@@ -118,36 +118,36 @@
     }
 
     /** Whether its machine type is known. */
-    public boolean isKnown() {
+    public boolean isTypeKnown() {
         return type != null;
     }
 
     /** Records the newest message of its worker. */
-    public void recordNewest(Heartbeat heartbeat, MonotonicTime now) {
-        epochFirstHeardAt =
-                heartbeat.epoch() == epoch && epochFirstHeardAt != MonotonicTime.ZERO ? epochFirstHeardAt : now;
+    public void recordNewestMessage(Heartbeat heartbeat, MonotonicTime now) {
+        epochFirstSeenAt =
+                heartbeat.epoch() == epoch && epochFirstSeenAt != MonotonicTime.ZERO ? epochFirstSeenAt : now;
         epoch = heartbeat.epoch();
         sequence = heartbeat.sequence();
-        newestAt = now;
-        newestAnswered = false;
-        callsLost = false;
+        newestMessageAt = now;
+        newestMessageAnswered = false;
+        callsUnanswered = false;
     }
 
     /** Records that it has answered a probe or command of this term. */
     public void recordAnswer(MonotonicTime now) {
-        reachability = reachability.proven(now);
+        reachability = reachability.afterProof(now);
         confirmedPresent = true;
     }
 
     /** Records that a probe or command had no answer; where this node itself is late, that proves nothing about the machine. */
-    public void recordMissedCall(MonotonicTime now, boolean late) {
-        reachability = late ? reachability : reachability.missed(1, now);
-        callsLost = true;
+    public void recordUnansweredCall(MonotonicTime now, boolean late) {
+        reachability = late ? reachability : reachability.afterMissedMessages(1, now);
+        callsUnanswered = true;
     }
 
     /** Whether it is about to be taken, returned or drained: no task is launched there, whatever was decided before. */
     public boolean isLeaving() {
-        return preemptedAt != null || releasing || cordonedBy != null;
+        return preemptionAt != null || releasing || cordonedBy != null;
     }
 
     /**
--- a/src/main/java/org/beechhoist/controller/state/MachineReachability.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineReachability.java
@@ -14,7 +14,7 @@
 public record MachineReachability(
         MonotonicTime lastProvenAt, int missed, MonotonicTime unreachableSince, MonotonicTime lastHeartbeatAt) {
     /** This many lost messages in a row make it unreachable: a single one may be lost, or late because this node was. */
-    public static final int MISSED_LIMIT = 2;
+    public static final int MISSED_MESSAGE_LIMIT = 2;
     /** Tasks that were launched on it and never seen there wait no longer than this. */
     private static final long SETTLE_MS = 2000;
     /** Where most of a zone is unreachable, its machines are kept for this many leases. */
@@ -26,14 +26,14 @@
     }
 
     /** Returns the state after a proof: the machine has shown what it can only know from this node, or answered a probe. */
-    public MachineReachability proven(MonotonicTime now) {
+    public MachineReachability afterProof(MonotonicTime now) {
         return initial(now);
     }
 
     /** Returns the state after {@code times} messages to it, or their answers, were lost. */
-    public MachineReachability missed(int times, MonotonicTime now) {
+    public MachineReachability afterMissedMessages(int times, MonotonicTime now) {
         int sum = missed + times;
-        MonotonicTime since = unreachableSince == null && sum >= MISSED_LIMIT ? now : unreachableSince;
+        MonotonicTime since = unreachableSince == null && sum >= MISSED_MESSAGE_LIMIT ? now : unreachableSince;
         return new MachineReachability(lastProvenAt, sum, since, lastHeartbeatAt);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Whether it is unreachable and sends heartbeats; a machine that sends none is silent, which is handled separately. */
-    public boolean isOneWay() {
+    public boolean isOneWayPartitioned() {
         return isUnreachable() && lastHeartbeatAt != null && !lastHeartbeatAt.isBefore(unreachableSince);
     }
 
@@ -56,34 +56,36 @@
      * What is known of a new heartbeat and of the messages before it.
      *
      * @param sameEpoch whether it is of the same epoch as the newest message before
-     * @param followsOurAnswer whether the newest message before was a heartbeat that this node answered with 200
+     * @param previousAnswered whether the newest message before was a heartbeat that this node answered with 200
      * @param consecutive whether no other message came between the two: the worker has turned to no other node
      * @param carriesNewToken whether the worker has seen a token of this node that it had not seen before
-     * @param callsLost whether commands or probes that had no answer may have been counted by the worker
+     * @param callsUnanswered whether commands or probes that had no answer may have been counted by the worker
      * @param answeredWithinLease whether this node answered a heartbeat of the last epoch so lately that the lease can't have
      *     ended if the answer arrived
      */
     public record MessageContext(
             boolean sameEpoch,
-            boolean followsOurAnswer,
+            boolean previousAnswered,
             boolean consecutive,
             boolean carriesNewToken,
-            boolean callsLost,
+            boolean callsUnanswered,
             boolean answeredWithinLease) {}
 
     /** Returns the state after a new heartbeat. */
     public MachineReachability afterHeartbeat(MessageContext message, MonotonicTime now) {
-        if (message.carriesNewToken || message.sameEpoch && message.followsOurAnswer && message.consecutive) {
-            return proven(now);
+        if (message.carriesNewToken || message.sameEpoch && message.previousAnswered && message.consecutive) {
+            return afterProof(now);
         }
         MachineReachability then = withHeartbeat(now);
         if (!message.sameEpoch) {
-            return message.answeredWithinLease ? then.missed(MISSED_LIMIT, now).withHeartbeat(now) : then;
+            return message.answeredWithinLease
+                    ? then.afterMissedMessages(MISSED_MESSAGE_LIMIT, now).withHeartbeat(now)
+                    : then;
         }
         // The worker has turned to another node, so our answer did not reach it. Lost calls have been counted
         // separately.
-        return message.followsOurAnswer && !message.callsLost
-                ? then.missed(1, now).withHeartbeat(now)
+        return message.previousAnswered && !message.callsUnanswered
+                ? then.afterMissedMessages(1, now).withHeartbeat(now)
                 : then;
     }
 
@@ -106,6 +108,6 @@
         if (waiting > 0 && seen == 0) {
             return now.since(unreachableSince) > SETTLE_MS;
         }
-        return isOneWay() && unheard > leaseMs + SETTLE_MS; // its worker has ended all its tasks
+        return isOneWayPartitioned() && unheard > leaseMs + SETTLE_MS; // its worker has ended all its tasks
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/OptimisticUpdate.java
+++ b/src/main/java/org/beechhoist/controller/state/OptimisticUpdater.java
@@ -18,7 +18,7 @@
  * A user's change of one record: the record is read, edited and committed under its version, and all that again where another
  * change was committed first.
  */
-public final class OptimisticUpdate {
+public final class OptimisticUpdater {
     private static final int MAX_ATTEMPTS = 6;
 
     /** Thrown by an edit that rejects the change: the HTTP status and the error text of the answer. */
@@ -74,7 +74,7 @@
      * @param requests tokens for requests to the state service
      * @param writes tokens for the changes that its transactions make
      */
-    public OptimisticUpdate(
+    public OptimisticUpdater(
             ControllerContext context, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {
         this.valueBytes = settings.stateLimits().valueBytes();
         this.context = context;
@@ -84,18 +84,18 @@
     }
 
     /** Returns the body of an answer with this error text. */
-    public static ObjectNode error(String text) {
+    public static ObjectNode errorBody(String text) {
         return Codec.map().put("error", text);
     }
 
     /** Answers that the state service does not answer or its records are not read yet. */
     public static void respondUnavailable(ApiResponder responder) {
-        responder.respond(503, error("the state service does not answer, or what it holds is not read yet"));
+        responder.respond(503, errorBody("the state service does not answer, or what it holds is not read yet"));
     }
 
     /** Makes a change that is decided at once; the answer is the record after it. */
     public void update(String key, ImmediateEdit edit, ApiResponder responder) {
-        updateLater(
+        updateAsync(
                 key,
                 (before, then) -> {
                     ObjectNode next = edit.apply(before);
@@ -105,7 +105,7 @@
     }
 
     /** Makes a change that may be decided later. */
-    public void updateLater(String key, Edit edit, ApiResponder responder) {
+    public void updateAsync(String key, Edit edit, ApiResponder responder) {
         updateLater(key, edit, responder, 0);
     }
 
@@ -127,7 +127,7 @@
                         read.item() == null ? null : read.item().value(),
                         (value, more, shown) -> commit(key, version, value, more, shown, responder, again));
             } catch (MalformedMessageException e) {
-                responder.respond(400, error(e.getMessage()));
+                responder.respond(400, errorBody(e.getMessage()));
             } catch (RejectedException e) {
                 reject(responder, e);
             }
@@ -146,7 +146,7 @@
         if (value != null && Codec.jsonBytes(value) > valueBytes) {
             String text =
                     key + ": with this change it takes more than " + valueBytes + " bytes, as much as a value may have";
-            responder.respond(400, error(text));
+            responder.respond(400, errorBody(text));
             return;
         }
         Transaction transaction = new Transaction().guard(key, version);
@@ -170,6 +170,6 @@
     }
 
     static void reject(ApiResponder responder, RejectedException refused) {
-        responder.respond(refused.status, error(refused.getMessage()));
+        responder.respond(refused.status, errorBody(refused.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
+++ b/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
@@ -81,7 +81,7 @@
             return;
         }
         for (Job job : deferred) {
-            if (writeMode(job) == WriteBatch.WriteMode.LOG && batch.costsNothing(job)) {
+            if (writeMode(job) == WriteBatch.WriteMode.LOG && batch.fitsOpenSegment(job)) {
                 addToBatch(batch, job);
             }
         }
@@ -144,7 +144,7 @@
                 : DEFERRED_RANK;
     }
 
-    boolean isFoldDue() {
+    boolean isCompactionDue() {
         return changeLog.segmentCount() > 0 && !context.now().isBefore(nextFold);
     }
 
@@ -152,15 +152,15 @@
      * Keeps the log short. Where it is crowded, what the oldest segments hold of open jobs is consolidated in new segments, one or
      * two each time; where there are changes to spare, the record of a job that has been open for long is written.
      */
-    void foldLog(WriteBatch batch, boolean plentiful) {
+    void compactLog(WriteBatch batch, boolean plentiful) {
         nextFold = context.now().plusMs(FOLD_EVERY_MS);
-        boolean consolidate = changeLog.isCrowded() && logAllowed.getAsBoolean();
+        boolean consolidate = changeLog.needsConsolidation() && logAllowed.getAsBoolean();
         if (!consolidate && !plentiful) {
             return;
         }
         int segmentsBefore = batch.segmentCount();
         int records = 0;
-        for (JobId jobId : changeLog.oldestJobs(consolidate ? MAX_CONSOLIDATED_JOBS : MAX_FOLDED_RECORDS)) {
+        for (JobId jobId : changeLog.jobsInOldestSegments(consolidate ? MAX_CONSOLIDATED_JOBS : MAX_FOLDED_RECORDS)) {
             Job job = clusterState.job(jobId);
             if (job == null || !isFoldable(job, consolidate)) {
                 continue;
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -119,13 +119,13 @@
     }
 
     /** Whether the cluster state holds all open records. */
-    public boolean isComplete() {
+    public boolean isLoaded() {
         return phase == Phase.ACTIVE;
     }
 
     /** Whether commands may be sent: the cluster state holds all open records and this node still holds the lease. */
     public boolean isActive() {
-        return isComplete() && election.holdsLease();
+        return isLoaded() && election.holdsLease();
     }
 
     /** Reads all open records anew; pages of an earlier reading that still arrive are ignored. */
@@ -206,7 +206,7 @@
             Revision start,
             MonotonicTime asked) {
         Map<TaskId, Placement> before = takeAllPlacements();
-        Map<JobId, Job> old = clusterState.takeAllJobs();
+        Map<JobId, Job> old = clusterState.removeAllJobs();
         misplacedFinalStates.clear();
         items.forEach(item -> addReadableRecord(item, old));
         if (!logReplay.replay(segments)) {
@@ -271,7 +271,7 @@
         }
         if (known == null && !job.record.live.isEmpty()) {
             // The records do not hold the last progress; without this, each new leader took all jobs for stalled.
-            job.lastProgress = context.now();
+            job.lastProgressAt = context.now();
         }
         if (job.record.isCancelled() || job.record.isComplete()) {
             clusterState.markDirty(job);
@@ -315,7 +315,7 @@
         if (known != null) {
             job.notBefore = known.notBefore;
             job.failedOnMachines.addAll(known.failedOnMachines);
-            job.lastProgress = known.lastProgress;
+            job.lastProgressAt = known.lastProgressAt;
         }
         clusterState.addJob(job);
     }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -62,7 +62,7 @@
         void placementsCommitted(List<Placement> placed);
 
         /** The job's record is committed as it was sent. */
-        void jobWritten(Job job);
+        void jobCommitted(Job job);
 
         /** The job's final state is committed. */
         void jobEnded(Job job, JsonNode state);
@@ -150,7 +150,7 @@
             return;
         }
         boolean rotating = isRotationDue();
-        boolean foldDue = selector.isFoldDue();
+        boolean foldDue = selector.isCompactionDue();
         if (clusterState.dirtyJobs().isEmpty() && !rotating && !foldDue && !isRelocationDue()) {
             return;
         }
@@ -199,7 +199,7 @@
                 new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
         selector.addDueWrites(batch, budget > RESERVED_WRITES * writes.rate(), scarce);
         if (foldDue) {
-            selector.foldLog(batch, budget > PLENTIFUL * writes.capacity());
+            selector.compactLog(batch, budget > PLENTIFUL * writes.capacity());
         }
         return batch;
     }
@@ -281,14 +281,14 @@
     }
 
     /** The number of jobs that are to be written, from which this node's demand for changes follows. */
-    public int pendingWrites() {
+    public int pendingWriteCount() {
         return loader.isActive() ? clusterState.dirtyJobs().size() : 0;
     }
 
     private void completeCommit(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
         batch.writes().forEach(w -> w.job.inFlight = false);
         applyOutcome(commit, rotating, batch, placed);
-        if (loader.isComplete()) {
+        if (loader.isLoaded()) {
             batch.writes().forEach(w -> loader.applyPendingChange(w.job));
         }
     }
@@ -330,7 +330,7 @@
             }
         }
         listener.placementsCommitted(placed);
-        batch.writes().forEach(w -> listener.jobWritten(w.job));
+        batch.writes().forEach(w -> listener.jobCommitted(w.job));
     }
 
     private void applyCommittedWrite(WriteBatch.JobWrite write, Revision revision) {
@@ -358,7 +358,7 @@
     private void resolveConflict(CommitResult commit, boolean rotating, WriteBatch batch) {
         if (commit.failedKeys().contains(LeaderElection.KEY)) {
             election.loseLeadership("the key was rewritten");
-        } else if (guards.overtaken(commit.failedKeys())) {
+        } else if (guards.handleGuardConflict(commit.failedKeys())) {
             restorePending(batch, rotating);
         } else {
             // Most likely a cancellation was committed first: read the state again and continue from there.
--- a/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
+++ b/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
@@ -57,7 +57,7 @@
         }
         JobId jobId = JobRecordReader.jobIdOf(item.key());
         Job job = clusterState.job(jobId);
-        if (job == null ? clusterState.hasEnded(jobId) : item.version().compareTo(job.version) <= 0) {
+        if (job == null ? clusterState.hasRecentlyEnded(jobId) : item.version().compareTo(job.version) <= 0) {
             return; // this leader's own commit
         }
         if (job != null && job.inFlight) {
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -111,7 +111,7 @@
         boolean added = mode == WriteMode.LOG || mode == WriteMode.CONSOLIDATE ? addToLog(part) : addRecord(part);
         String key = added && !mode.isFinal() ? guards.guardKey(job) : null;
         if (key != null && keyGuards.add(key)) {
-            guards.guard(transaction, job);
+            guards.addGuard(transaction, job);
         }
         if (added) {
             part.width = job.width();
@@ -123,7 +123,7 @@
     }
 
     /** Whether the job's changes would fit a segment that is written anyhow, at the cost of no further change. */
-    boolean costsNothing(Job job) {
+    boolean fitsOpenSegment(Job job) {
         return writer.segmentCount() > 0
                 && writes.size() + keyGuards.size() < maxGuards - 1
                 && writer.segmentCountWith(job.id(), job.committedTasks.changesTo(job.record)) == writer.segmentCount();
@@ -229,10 +229,10 @@
             if (part.mode == WriteMode.LOG) {
                 part.job.committedTasks.apply(part.changes);
             } else if (part.mode == WriteMode.CONSOLIDATE) {
-                changeLog.forgetJob(part.job.id());
+                changeLog.removeJob(part.job.id());
                 part.job.committedTasks = part.stored;
             } else {
-                changeLog.forgetJob(part.job.id());
+                changeLog.removeJob(part.job.id());
                 part.job.committedTasks = part.stored;
                 part.job.recordedTasks = part.recorded;
                 part.job.chunks = part.chunks;
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -85,7 +85,7 @@
             return;
         }
         if (!job.isCancelled()) {
-            job.cancelHeardAtMs = cancellations.cancelledAtWallMs(jobId);
+            job.outOfBandCancelledAtMs = cancellations.cancelledAtWallMs(jobId);
             LOG.info(
                     "job cancelled: job={} livePlacements={} cause=\"known before the record is read\"",
                     jobId,
@@ -187,7 +187,7 @@
         for (Placement placement : job.record.live.values()) {
             Machine machine = clusterState.machine(placement.machine);
             boolean leaseEndsInTime = clusterState.leaseExpiry(machine).since(context.now()) < leftMs - SPARE_MS
-                    && context.now().since(clusterState.lastHeardOf(machine)) > SPARE_MS;
+                    && context.now().since(clusterState.lastContactAt(machine)) > SPARE_MS;
             if (!leaseEndsInTime && !machine.releasing) {
                 LOG.info(
                         "machine released: machine={} task={} attempt={} cause=\"task of a {} job can't be reached\"",
@@ -197,7 +197,7 @@
                         jobState);
                 releases.releaseMachine(machine, "a " + jobState + " task can't be reached");
             }
-            machine.mustBeGoneByMs = Math.min(machine.mustBeGoneByMs, deadlineWallMs);
+            machine.stopDeadlineMs = Math.min(machine.stopDeadlineMs, deadlineWallMs);
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -85,10 +85,10 @@
     private boolean isReachable(Machine machine) {
         return machine.up
                 && machine.address != null
-                && machine.lastHeardAt != null
+                && machine.lastContactAt != null
                 && !machine.releasing
                 && !machine.reachability.isUnreachable()
-                && context.now().since(machine.lastHeardAt) < reachableMs();
+                && context.now().since(machine.lastContactAt) < reachableMs();
     }
 
     /**
@@ -271,7 +271,7 @@
         if (heartbeat != null) {
             machine.recordAnswer(context.now());
         } else if (result.kind() != CallResult.Kind.NOT_SENT) {
-            machine.recordMissedCall(context.now(), context.isLagging());
+            machine.recordUnansweredCall(context.now(), context.isLagging());
         }
         settleLaunches(machine, result, heartbeat != null, launches, fencingToken);
         if (heartbeat != null && heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
@@ -312,12 +312,12 @@
     /** Records a heartbeat newer than all that is known of the worker, made after it received the launches. */
     private void recordHeartbeat(Machine machine, Heartbeat heartbeat, List<Placement> launches) {
         boolean sameEpoch = heartbeat.epoch() == machine.epoch;
-        machine.recordNewest(heartbeat, context.now());
+        machine.recordNewestMessage(heartbeat, context.now());
         for (Placement placement : launches) {
             placement.launchEpoch = heartbeat.epoch();
             placement.launchSequence = heartbeat.sequence();
         }
-        if (sameEpoch && loader.isComplete()) {
+        if (sameEpoch && loader.isLoaded()) {
             listener.heartbeatReceived(machine, heartbeat);
         }
     }
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -120,7 +120,7 @@
             if (!isExpected(machine) || machine.releasing) {
                 continue;
             }
-            long silentMs = context.now().since(clusterState.lastHeardOf(machine));
+            long silentMs = context.now().since(clusterState.lastContactAt(machine));
             if (!machine.confirmedPresent && !machine.listedRunning && machine.placements.isEmpty()) {
                 probe(machine); // only a heartbeat names it, which may be a copy: it counts for no zone
                 continue;
@@ -209,7 +209,7 @@
         if (heartbeat == null || !heartbeat.machine().equals(machine.id)) { // another machine may have its address
             if (result.kind() != CallResult.Kind.NOT_SENT) {
                 machine.unansweredProbes++;
-                machine.recordMissedCall(context.now(), context.isLagging());
+                machine.recordUnansweredCall(context.now(), context.isLagging());
             }
             return;
         }
@@ -217,7 +217,7 @@
         machine.probeAnsweredAt = context.now();
         machine.recordAnswer(context.now());
         if (heartbeat.isNewerThan(machine.epoch, machine.sequence)) {
-            machine.recordNewest(heartbeat, context.now());
+            machine.recordNewestMessage(heartbeat, context.now());
         } else if (!heartbeat.isNewerThan(epoch, sequence)) {
             onRestart.accept(machine, heartbeat);
         }
@@ -241,11 +241,11 @@
 
     /** Whether the machine is to be returned because it is silent. */
     public boolean isGone(Machine machine) {
-        long silentMs = context.now().since(clusterState.lastHeardOf(machine));
+        long silentMs = context.now().since(clusterState.lastContactAt(machine));
         if (context.now().isBefore(machine.probeGraceUntil)) {
             return false;
         }
-        if (machine.reachability.isOneWay()) {
+        if (machine.reachability.isOneWayPartitioned()) {
             return silentMs > settings.workers().leaseMs(); // it tries all nodes in turn, and is heard here less often
         }
         if (isNetworkSuspect(machine)) {
--- a/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
@@ -54,7 +54,7 @@
             int doublings = Math.min(MAX_DOUBLINGS, job.failureBackoffs++);
             job.notBefore = context.now().plusMs(Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings));
         }
-        machine.failedJobs.merge(job.id(), 1, Integer::sum);
+        machine.failuresByJob.merge(job.id(), 1, Integer::sum);
         machine.avoidUntil = context.now().plusMs(AVOID_MACHINE_MS);
     }
 
@@ -69,7 +69,7 @@
      */
     public boolean isMachineFaulty(Machine machine) {
         int failures = 0;
-        for (Map.Entry<JobId, Integer> entry : machine.failedJobs.entrySet()) {
+        for (Map.Entry<JobId, Integer> entry : machine.failuresByJob.entrySet()) {
             Job job = clusterState.job(entry.getKey());
             if (job == null) {
                 failures++;
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -110,7 +110,7 @@
         }
         boolean mayRenewLeases = cancellations.mayRenewLeases();
         List<WorkerCommand> commands = new ArrayList<>();
-        if (loader.isComplete() && validity.isReconciled()) {
+        if (loader.isLoaded() && validity.isReconciled()) {
             commands.addAll(reconcile(machine, heartbeat, true));
             if (mayRenewLeases) {
                 addLaunches(machine, heartbeat, commands);
@@ -123,7 +123,7 @@
             commands.addAll(killsOfCancelled(heartbeat));
         }
         if (mayRenewLeases) {
-            machine.newestAnswered = validity.isReconciled();
+            machine.newestMessageAnswered = validity.isReconciled();
             answer(request, machine, commands);
         } else {
             refuse(request, machine, commands);
@@ -139,7 +139,7 @@
                 fresh,
                 machine.previousIncarnationToken,
                 election.firstFencingToken(),
-                context.now().since(machine.newestAt));
+                context.now().since(machine.newestMessageAt));
     }
 
     private void becameUnreachable(Machine machine) {
@@ -210,13 +210,13 @@
         if (machine.lastHeartbeat != null) {
             updateReachability(machine, heartbeat, validity);
         } else if (validity.isCurrent()) {
-            machine.reachability = machine.reachability.proven(context.now());
+            machine.reachability = machine.reachability.afterProof(context.now());
         }
-        machine.recordNewest(heartbeat, context.now());
+        machine.recordNewestMessage(heartbeat, context.now());
         machine.lastHeartbeat = heartbeat;
         machine.confirmedPresent |= validity.isCurrent();
         if (validity.isCurrent() || machine.unansweredProbes == 0) {
-            machine.lastHeardAt = context.now();
+            machine.lastContactAt = context.now();
         } else {
             // A copy ends no silence that was noticed; but it may be the machine's first heartbeat, so it is probed
             // once more.
@@ -248,24 +248,24 @@
         machine.reachability = machine.reachability.afterHeartbeat(
                 new MachineReachability.MessageContext(
                         heartbeat.epoch() == machine.epoch,
-                        machine.newestAnswered,
+                        machine.newestMessageAnswered,
                         heartbeat.sequence() == machine.sequence + 1,
                         newToken,
-                        machine.callsLost || machine.commandsInFlight > 0 || context.isLagging(),
+                        machine.callsUnanswered || machine.commandsInFlight > 0 || context.isLagging(),
                         answeredRecently),
                 context.now());
     }
 
     /** A preemption notice is never withdrawn: an old heartbeat proves it too, though not how much time is left. */
     private void recordPreemptionNotice(Machine machine, Heartbeat heartbeat, HeartbeatValidity validity) {
-        if (heartbeat.preemptionNoticeS() != null && (validity.isCurrent() || machine.preemptedAt == null)) {
-            if (machine.preemptedAt == null) {
+        if (heartbeat.preemptionNoticeS() != null && (validity.isCurrent() || machine.preemptionAt == null)) {
+            if (machine.preemptionAt == null) {
                 LOG.info("preemption notice: machine={} leftS={}", machine.id, heartbeat.preemptionNoticeS());
                 clusterState.requestReplan();
             }
-            machine.preemptedAt = context.now().plusMs(Math.round(1000 * heartbeat.preemptionNoticeS()));
+            machine.preemptionAt = context.now().plusMs(Math.round(1000 * heartbeat.preemptionNoticeS()));
         } else if (validity.isCurrent()) {
-            machine.preemptedAt = null;
+            machine.preemptionAt = null;
         }
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
@@ -87,14 +87,14 @@
     public List<Machine> machinesToRelease(boolean withTasks) {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (machine.releasing && !machine.releaseRequested && withTasks != machine.placements.isEmpty()) {
+            if (machine.releasing && !machine.releaseInFlight && withTasks != machine.placements.isEmpty()) {
                 out.add(machine);
             }
         }
         if (withTasks) {
-            out.sort(Comparator.<Machine>comparingLong(machine -> machine.mustBeGoneByMs)
+            out.sort(Comparator.<Machine>comparingLong(machine -> machine.stopDeadlineMs)
                     .thenComparingInt(this::highestPriority)
-                    .thenComparing(machine -> clusterState.lastHeardOf(machine)));
+                    .thenComparing(machine -> clusterState.lastContactAt(machine)));
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
@@ -46,7 +46,7 @@
     private List<Machine> machinesUnderNotice() {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (machine.preemptedAt != null && !machine.releasing && !machine.placements.isEmpty()) {
+            if (machine.preemptionAt != null && !machine.releasing && !machine.placements.isEmpty()) {
                 out.add(machine);
             }
         }
@@ -61,13 +61,13 @@
                 && placement.launchSent
                 && !placement.stopRequested
                 && !job.isCancelled()
-                && machine.preemptedAt.isBefore(estimates.expectedEnd(placement, context.now()));
+                && machine.preemptionAt.isBefore(estimates.expectedEnd(placement, context.now()));
     }
 
     /** Evicts the tasks that are not expected to end before their machine is taken. */
     public void enforce() {
         for (Machine machine : machinesUnderNotice()) {
-            long leftMs = machine.preemptedAt.since(context.now());
+            long leftMs = machine.preemptionAt.since(context.now());
             boolean evicted = false;
             for (Placement placement : new ArrayList<>(machine.placements.values())) {
                 if (willBeCutShort(machine, placement, clusterState.job(placement.task.job()))) {
@@ -84,6 +84,6 @@
     /** By when the task on the machine is expected to end, or to be evicted. */
     public MonotonicTime expectedEnd(Machine machine, Placement placement) {
         MonotonicTime end = estimates.expectedEnd(placement, context.now());
-        return machine.preemptedAt != null && machine.preemptedAt.isBefore(end) ? machine.preemptedAt : end;
+        return machine.preemptionAt != null && machine.preemptionAt.isBefore(end) ? machine.preemptionAt : end;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -79,7 +79,7 @@
                     recorded,
                     Reconciliation.ReportedState.of(status),
                     AbsenceEvidence.NONE,
-                    noLateLaunch && (job == null || job.isSettled()));
+                    noLateLaunch && (job == null || job.isPersisted()));
             if (isPlacedHere(recorded)) {
                 reported.add(status.task());
                 handlePlaced(machine, job, status, decision, commands);
@@ -227,7 +227,7 @@
             placement.reported = true;
             if (placement.launchSent && !placement.recovered) {
                 // The worker has carried out a launch.
-                machine.reachability = machine.reachability.proven(context.now());
+                machine.reachability = machine.reachability.afterProof(context.now());
             }
         }
         if (!placement.launchSent) {
@@ -244,7 +244,7 @@
     private void recordRunning(Machine machine, Job job, Placement placement) {
         MonotonicTime fetched = placement.placedAt.plusMs(TYPICAL_FETCH_MS);
         placement.runningSince = placement.recovered && fetched.isBefore(context.now()) ? fetched : context.now();
-        job.lastProgress = context.now();
+        job.lastProgressAt = context.now();
         MachineType type = machineTypes.get(machine.type);
         machine.cacheImage(job.spec().image(), job.spec().imageGb(), type == null ? 0 : type.cacheGb());
         clusterState.requestReplan();
@@ -262,7 +262,7 @@
                 placement.attempt,
                 machine.id,
                 status.cause() == null ? "" : status.cause());
-        job.lastProgress = context.now();
+        job.lastProgressAt = context.now();
         if (placement.runningSince != null) {
             clusterState.addTeamUsage(
                     job.spec().team(), job.spec().cpus() * context.now().since(placement.runningSince));
@@ -281,9 +281,9 @@
         if (!job.spec().isService()) {
             job.record.done.add(placement.task.index());
         }
-        machine.failedJobs.clear();
+        machine.failuresByJob.clear();
         if (placement.runningSince != null && !placement.recovered) {
-            estimates.observe(job.spec(), context.now().since(placement.runningSince));
+            estimates.recordDuration(job.spec(), context.now().since(placement.runningSince));
         }
     }
 }
