--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -106,7 +106,7 @@
         if (asking || waiting.isEmpty()) {
             return;
         }
-        if (pace.postponeIfTooSoon(this::ask)) {
+        if (pace.postponeIfNotDue(this::ask)) {
             return;
         }
         List<Poll> batch = waiting;
@@ -115,7 +115,7 @@
             batch.forEach(p -> p.then.accept(Result.REFUSED, null));
             return;
         }
-        pace.markDone();
+        pace.recordRun();
         Map<JobId, Known> asked = new LinkedHashMap<>();
         Transaction transaction = new Transaction();
         List<Poll> polls = new ArrayList<>();
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -56,7 +56,7 @@
 
     /** When {@link #time} should be called next, at the latest. */
     public MonotonicTime wakeAt() {
-        MonotonicTime deadline = context.nextDeadline();
+        MonotonicTime deadline = context.nextTimerAt();
         if (leader.wantsPlan() && (deadline == null || leader.nextPlan().isBefore(deadline))) {
             return leader.nextPlan();
         }
@@ -82,7 +82,7 @@
         peerExchange.receive(state);
     }
 
-    /** A request on the public address. Each is answered with one {@link Effect.Answer}, perhaps later. */
+    /** A request on the public address. Each is answered with one {@link Effect.Respond}, perhaps later. */
     public void request(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
         beginInput(now, wallMs);
         context.runDueTimers();
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -156,13 +156,13 @@
     /** Begins and ends the leader's terms. */
     private final class TermListener implements LeaderElection.Listener {
         @Override
-        public void won(FencingToken fencingToken) {
+        public void leadershipWon(FencingToken fencingToken) {
             limits.divide(true);
             leader.begin();
         }
 
         @Override
-        public void lost() {
+        public void leadershipLost() {
             limits.divide(false);
             progress.forgetTold();
             cancellations.reset();
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -235,7 +235,7 @@
                 }
             }
             case CONFLICT -> {
-                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
                 } else if (sameWork(commit, firings)) {
                     tick(); // the others need not wait
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -146,7 +146,7 @@
 
     /** Whether a committed placement must not be launched any more: its machine has begun to go. */
     @Override
-    public boolean withdraws(Job job, Placement placement, Machine machine) {
+    public boolean shouldWithdraw(Job job, Placement placement, Machine machine) {
         boolean going = machine.isLeaving() || (job != null && job.endings.containsKey(placement));
         if (job == null || job.record.width == null || placement.launchSent || !going) {
             return false;
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -116,7 +116,7 @@
 
     /** By when all of it must be gone, by the time of day. */
     @Override
-    public long mustBeGoneByMs(Job job) {
+    public long terminationDeadlineWallMs(Job job) {
         return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
 
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -12,7 +12,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.worker.ColdStartRecovery;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.release.Release;
 import org.beechhoist.wire.Heartbeat;
@@ -93,7 +93,7 @@
     /** A job's cancellation is committed, as another node says or this one is about to confirm to its user. */
     void jobCancelled(JobId jobId) {
         if (election.holdsLease()) {
-            workers.cancellationEnforcer.jobCancelled(jobId);
+            workers.cancellationEnforcer.enforceCancellation(jobId);
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** The recovery of machines lost at once. */
-    LossRecovery lossRecovery() {
+    MachineLossTracker lossRecovery() {
         return workers.lossRecovery;
     }
 
@@ -182,7 +182,7 @@
         if (!election.holdsLease()) {
             return;
         }
-        workers.cancellationEnforcer.enforce();
+        workers.cancellationEnforcer.enforceAll();
         if (!active()) {
             workers.provisioner.returnOverdue();
             return;
@@ -202,7 +202,7 @@
             if (!machine.placements.isEmpty()
                     && workers.clusterState.leaseExpiry(machine).isBefore(context.now())
                     && machine.placements.values().stream().allMatch(p -> p.committed)) {
-                workers.taskRemoval.removeAll(machine, "its lease ran out");
+                workers.taskRemoval.removeAllTasks(machine, "its lease ran out");
             }
             workers.dispatcher.dispatch(machine);
         }
@@ -210,7 +210,7 @@
 
     private void runTaskComponents() {
         workers.keySetHolds.tick();
-        scheduling.preemptionNotices.enforce();
+        scheduling.preemptionNotices.evictUnfinishableTasks();
         workers.elastic.tick();
         features.loadShedding.ifPresent(LoadShedding::tick);
         workers.clusterState.requestReplan();
@@ -246,7 +246,7 @@
         scheduling.dispatch.dispatch(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
-        if (workers.coldStart.mayStop()) {
+        if (workers.coldStart.mayPreempt()) {
             scheduling.widthReduction.run(plan, usageByTeam);
             scheduling.preemption.run(plan, usageByTeam);
         }
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -36,7 +36,7 @@
     /** Passes a committed end of a job on to all that keep something of it. */
     private void jobEnded(Job job, JsonNode finalState) {
         node.users().ended(job.id(), finalState);
-        workers.lossRecovery.forgetJob(job.id());
+        workers.lossRecovery.stopTrackingJob(job.id());
         features.serviceShare.ifPresent(share -> share.ended(job));
         scheduling.releases.ended(job);
     }
--- a/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
+++ b/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
@@ -39,13 +39,13 @@
 
     /** Gives the leadership up if workers do not reach this node or do not hear it; returns whether it did. */
     boolean stepDownIfUnreachable() {
-        long window = WorkerReachability.reportingWindowMs(
+        long window = WorkerReachability.heartbeatWindowMs(
                 Math.round(1000 * settings.workers().reportS()));
         if (context.now().since(clusterState.termStartedAt()) < window + FIRST_HEARTBEATS_MS) {
             return false;
         }
         MachineCounts counts = countMachines(window);
-        if (WorkerReachability.isUnheard(counts.expected(), counts.oneWay())) {
+        if (WorkerReachability.cannotReachWorkers(counts.expected(), counts.oneWay())) {
             LOG.warn(
                     "leadership handed over: oneWay={} machines={} cause=\"machines send heartbeats and do not receive calls\"",
                     counts.oneWay(),
@@ -53,8 +53,8 @@
             election.stepDown("what this node says does not reach workers", STEP_DOWN_MS);
             return true;
         }
-        if (!WorkerReachability.isUnreachable(
-                counts.expected(), counts.heard(), peers.heartbeatsAtPeers(context.now()))) {
+        if (!WorkerReachability.isUnreachableFromWorkers(
+                counts.expected(), counts.heard(), peers.peerHeartbeatCounts(context.now()))) {
             return false;
         }
         LOG.warn(
--- a/src/main/java/org/beechhoist/controller/LeaderRequests.java
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -38,7 +38,7 @@
             redirect(id);
             return;
         }
-        context.answer(id, OK, viewOf(path));
+        context.respond(id, OK, viewOf(path));
     }
 
     private ObjectNode viewOf(String path) {
@@ -60,7 +60,7 @@
         try {
             heartbeat = Heartbeat.parse(Codec.decodeMap(body));
         } catch (MalformedMessageException e) {
-            context.answer(id, BAD_REQUEST, Codec.map().put("error", e.getMessage()));
+            context.respond(id, BAD_REQUEST, Codec.map().put("error", e.getMessage()));
             return;
         }
         workerReachability.recordHeartbeat(context.now());
@@ -74,13 +74,13 @@
     /** Answers that this node does not lead, with the address of the leader as far as it is known. */
     private void redirect(long id) {
         ObjectNode answer = Codec.map();
-        String address = peers.leader(context.now());
+        String address = peers.reportedLeader(context.now());
         if (address == null) {
             address = services.election().otherLeader();
         }
         if (address != null) {
             answer.put("foreman", address);
         }
-        context.answer(id, NOT_LEADER, answer);
+        context.respond(id, NOT_LEADER, answer);
     }
 }
--- a/src/main/java/org/beechhoist/controller/NodeReadiness.java
+++ b/src/main/java/org/beechhoist/controller/NodeReadiness.java
@@ -44,7 +44,7 @@
      * users go to those that are served; in an outage that all nodes share, leaving would help nobody and cost a growing pause.
      */
     boolean isReady() {
-        boolean refusedAlone = stateService.unservedMs() > STORE_SILENT_MS && peers.isServedElsewhere(context.now());
+        boolean refusedAlone = stateService.unservedMs() > STORE_SILENT_MS && peers.isAnotherNodeServing(context.now());
         return isLoaded() && !refusedAlone && !isCutOff();
     }
 
@@ -56,6 +56,6 @@
         long quietMs = stateService.unansweredMs();
         boolean silent =
                 quietMs > STORE_SILENT_MS || stateService.unansweredCalls() >= UNANSWERED_CALLS && quietMs > CUT_OFF_MS;
-        return stateService.everServed() && silent && peers.allSilentFor(context.now(), CUT_OFF_MS);
+        return stateService.everServed() && silent && peers.hasNoMessageWithin(context.now(), CUT_OFF_MS);
     }
 }
--- a/src/main/java/org/beechhoist/controller/PeerExchange.java
+++ b/src/main/java/org/beechhoist/controller/PeerExchange.java
@@ -49,7 +49,7 @@
             boolean isNew = cancellations.record(cancelled.job(), cancelled.wallMs());
             enforceCancellation(cancelled.job(), cancelled.wallMs(), isNew);
         }
-        state.acknowledgedCancellations().forEach(acknowledgements::receive);
+        state.acknowledgedCancellations().forEach(acknowledgements::acknowledgementReceived);
         acknowledgeCancellations();
     }
 
--- a/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
+++ b/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
@@ -65,8 +65,8 @@
 
     /** Sends this node's state now, or as soon as the interval since the last urgent message is over. */
     void publishUrgently() {
-        if (!urgentPacer.postponeIfTooSoon(this::publishUrgently)) {
-            urgentPacer.markDone();
+        if (!urgentPacer.postponeIfNotDue(this::publishUrgently)) {
+            urgentPacer.recordRun();
             publish(List.of());
         }
     }
--- a/src/main/java/org/beechhoist/controller/PlacementLauncher.java
+++ b/src/main/java/org/beechhoist/controller/PlacementLauncher.java
@@ -7,7 +7,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.worker.CommandDispatcher;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.store.Placement;
 
@@ -16,14 +16,14 @@
     private final ClusterState clusterState;
     private final ElasticWidths elastic;
     private final TaskRemoval taskRemoval;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     private final CommandDispatcher dispatcher;
 
     PlacementLauncher(
             ClusterState clusterState,
             ElasticWidths elastic,
             TaskRemoval taskRemoval,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             CommandDispatcher dispatcher) {
         this.clusterState = clusterState;
         this.elastic = elastic;
@@ -34,14 +34,14 @@
 
     /** Launches the placed tasks, except those that the job's width no longer covers: these are withdrawn. */
     void launch(List<Placement> placed) {
-        placed.forEach(lossRecovery::recordPlaced);
+        placed.forEach(lossRecovery::recordTaskPlaced);
         Set<Machine> commanded = new LinkedHashSet<>();
         for (Placement placement : placed) {
             Job job = clusterState.job(placement.task.job());
-            if (elastic.withdraws(job, placement, clusterState.machine(placement.machine))) {
+            if (elastic.shouldWithdraw(job, placement, clusterState.machine(placement.machine))) {
                 taskRemoval.remove(job, placement);
             } else {
-                taskRemoval.launch(placement);
+                taskRemoval.launchOrRemove(placement);
             }
             commanded.add(clusterState.machine(placement.machine));
         }
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -14,7 +14,7 @@
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.controller.worker.ColdStartRecovery;
-import org.beechhoist.controller.worker.PreemptionNotices;
+import org.beechhoist.controller.worker.PreemptionNoticeHandler;
 import org.beechhoist.elastic.Ending;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.plan.PlanMachine;
@@ -48,7 +48,7 @@
     private final ElasticWidths elastic;
     private final ColdStartRecovery coldStart;
     private final MigrationController migrations;
-    private final PreemptionNotices preemptionNotices;
+    private final PreemptionNoticeHandler preemptionNotices;
 
     PlanBuilder(
             WorkerComponents workers,
@@ -56,7 +56,7 @@
             MachineTypeCatalog machineTypes,
             Admission admission,
             MigrationController migrations,
-            PreemptionNotices preemptionNotices) {
+            PreemptionNoticeHandler preemptionNotices) {
         this.context = workers.services.context();
         this.settings = workers.services.settings();
         this.policy = policy;
@@ -91,7 +91,7 @@
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
                     || (!admission.usable(machine) && (machine.up || machine.releasing))
-                    || coldStart.isDoubted(machine)) {
+                    || coldStart.isPresumedAbsent(machine)) {
                 continue;
             }
             planMachines.add(planMachine(machine, type));
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -23,7 +23,7 @@
 import org.beechhoist.controller.worker.ColdStartRecovery;
 import org.beechhoist.controller.worker.FailureDetector;
 import org.beechhoist.controller.worker.FaultTracker;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.controller.worker.MachineReleases;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.plan.Plan;
@@ -83,7 +83,7 @@
     private final TokenBucket calls;
     private final ScaleOutPolicy scaleOut;
     private final FailureDetector failureDetector;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     private final ColdStartRecovery coldStart;
     private final Set<MachineId> released = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_RELEASES);
     private MonotonicTime nextRunAt = MonotonicTime.ZERO;
@@ -104,7 +104,7 @@
             DurationEstimates estimates,
             FaultTracker faultTracker,
             TaskRemoval taskRemoval,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             ColdStartRecovery coldStart,
             BiConsumer<Machine, Heartbeat> workerRestarted) {
         this.coldStart = coldStart;
@@ -231,7 +231,7 @@
 
     private void applyList(Map<MachineId, JsonNode> found, MonotonicTime requestedAt) {
         listed = true;
-        coldStart.markListed();
+        coldStart.recordMachinesListed();
         found.forEach((id, node) -> applyListed(id, node, requestedAt));
         long listLagMs = Math.round(MS_PER_S * (2 * settings.cloudLimits().listLagS() + LIST_LAG_MARGIN_S));
         for (Machine machine : clusterState.machines()) {
@@ -285,7 +285,7 @@
 
     private void checkMachines(Plan plan) {
         Set<MachineId> planned = plan == null ? Set.of() : plan.plannedMachines();
-        failureDetector.check();
+        failureDetector.checkMachines();
         for (Machine machine : clusterState.machines()) {
             if (machine.releasing) {
                 continue;
@@ -301,7 +301,7 @@
     /** Releases a machine that is not up when it is given up with its tasks or did not start in time. */
     private void checkNotUp(Machine machine) {
         MachineType type = machineTypes.get(machine.type);
-        if (!machine.placements.isEmpty() && failureDetector.isGone(machine)) {
+        if (!machine.placements.isEmpty() && failureDetector.shouldReleaseSilent(machine)) {
             releaseMachine(machine, "it holds tasks and has not reported to this leader");
             return;
         }
@@ -317,9 +317,9 @@
 
     /** Releases a running machine that is lost, preempted, faulty or idle. */
     private void checkRunning(Machine machine, Set<MachineId> planned) {
-        if (failureDetector.isGone(machine)) {
+        if (failureDetector.shouldReleaseSilent(machine)) {
             releaseMachine(machine, "it is silent");
-        } else if (failureDetector.isUnreachable(machine)) {
+        } else if (failureDetector.shouldReleaseUnreachable(machine)) {
             releaseMachine(machine, "it speaks but does not hear");
         } else if (machine.preemptionAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
             releaseMachine(machine, "it is about to be taken and empty");
@@ -380,7 +380,7 @@
                         machine.releaseInFlight = false;
                         if (result.hasStatus(200)) {
                             released.add(machine.id);
-                            taskRemoval.machineGone(machine.id);
+                            taskRemoval.removeMachine(machine.id);
                         }
                     }
                 });
--- a/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
+++ b/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
@@ -43,8 +43,8 @@
     private double shareOf(double limit, double ownDemand, ToDoubleFunction<PeerState> peerDemand) {
         List<RequestShares.Demand> demands =
                 new ArrayList<>(List.of(new RequestShares.Demand(dividedAsLeader, ownDemand)));
-        demands.addAll(peers.demands(access.context().now(), peerDemand));
-        return RequestShares.shareOfFirst(SAFETY * limit, demands);
+        demands.addAll(peers.peerDemands(access.context().now(), peerDemand));
+        return RequestShares.rateOfFirstNode(SAFETY * limit, demands);
     }
 
     /** Once a second: takes up what was asked for since, and what waits to be written. */
--- a/src/main/java/org/beechhoist/controller/RequestRouter.java
+++ b/src/main/java/org/beechhoist/controller/RequestRouter.java
@@ -60,15 +60,15 @@
     void route(ApiRequest request) {
         for (FeatureApi feature : features) {
             if (feature.handles(request.path())) {
-                feature.handle(request, (status, node) -> context.answer(request.id(), status, node));
+                feature.handle(request, (status, node) -> context.respond(request.id(), status, node));
                 return;
             }
         }
         String expected = expectedMethod(request.path());
         if (expected == null) {
-            context.answer(request.id(), NOT_FOUND, Codec.map().put("error", "no such path"));
+            context.respond(request.id(), NOT_FOUND, Codec.map().put("error", "no such path"));
         } else if (!request.method().equals(expected)) {
-            context.answer(request.id(), METHOD_NOT_ALLOWED, Codec.map().put("error", expected + " expected"));
+            context.respond(request.id(), METHOD_NOT_ALLOWED, Codec.map().put("error", expected + " expected"));
         } else {
             handle(request);
         }
@@ -93,8 +93,8 @@
         switch (request.path()) {
             case JOBS -> users.submit(id, request.body());
             case HEARTBEAT -> leaderRequests.heartbeat(id, request.body());
-            case READY -> context.answer(id, readiness.isReady() ? OK : UNAVAILABLE, null);
-            case METRICS_VIEW -> context.answer(id, OK, metrics.toNode());
+            case READY -> context.respond(id, readiness.isReady() ? OK : UNAVAILABLE, null);
+            case METRICS_VIEW -> context.respond(id, OK, metrics.toNode());
             case PLAN_VIEW, HOSTS_VIEW, TEAMS_VIEW, FALLS_VIEW, START_VIEW, SERVED_VIEW ->
                 leaderRequests.view(id, request.path());
             default -> job(id, request.path().substring(JOB_PREFIX.length()), request.body());
@@ -106,7 +106,7 @@
         boolean resizes = idAndAction.endsWith(WIDTH);
         String jobId = cancels || resizes ? idAndAction.substring(0, idAndAction.lastIndexOf('/')) : idAndAction;
         if (!JobId.isValid(jobId)) {
-            context.answer(id, NOT_FOUND, Codec.map().put("error", "no such job"));
+            context.respond(id, NOT_FOUND, Codec.map().put("error", "no such job"));
         } else if (cancels) {
             users.cancel(id, new JobId(jobId), 0);
         } else if (resizes) {
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -58,11 +58,11 @@
         try {
             resize = ResizeRequest.parse(Codec.decodeMap(body));
         } catch (MalformedMessageException e) {
-            context.answer(request, 400, JobStates.reason(e.getMessage()));
+            context.respond(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
         if (!policy.elastic().on()) {
-            context.answer(
+            context.respond(
                     request,
                     409,
                     JobStates.reason(
@@ -79,7 +79,7 @@
                 return;
             }
             if (found.status() == null) {
-                context.answer(request, 404, JobStates.reason("no such job"));
+                context.respond(request, 404, JobStates.reason("no such job"));
                 return;
             }
             try {
@@ -90,11 +90,11 @@
                         ? "the job is " + found.status().get("status").asText()
                         : record.spec.isGang() ? "width: a gang's tasks start together" : older(record, resize);
                 if (never != null) {
-                    context.answer(request, 409, JobStates.reason(never));
+                    context.respond(request, 409, JobStates.reason(never));
                 } else if (record.width != null
                         && resize.number() != null
                         && resize.number() == record.width.number()) {
-                    context.answer(request, 200, found.status()); // asked again
+                    context.respond(request, 200, found.status()); // asked again
                 } else {
                     widen(request, jobId, resize, found.open(), record, races);
                 }
@@ -131,7 +131,7 @@
         String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             switch (commit.outcome()) {
-                case COMMITTED -> context.answer(request, 200, JobStates.openState(jobId, value));
+                case COMMITTED -> context.respond(request, 200, JobStates.openState(jobId, value));
                 case CONFLICT -> resize(request, jobId, resize, races + 1);
                 default -> refuse.accept(request);
             }
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -12,7 +12,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.worker.FaultTracker;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.ReplacementSteps;
@@ -37,7 +37,7 @@
     private final Provisioner provisioner;
     private final FaultTracker faultTracker;
     private final JobOrdering ordering;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     private final Supplier<Map<String, Share>> served;
     /** New machines that were asked for and not answered yet. */
     private final Map<String, Integer> asked = new HashMap<>();
@@ -50,7 +50,7 @@
             Provisioner provisioner,
             FaultTracker faultTracker,
             JobOrdering ordering,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             Supplier<Map<String, Share>> served) {
         this.context = context;
         this.clusterState = clusterState;
@@ -151,7 +151,7 @@
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
                 Job j = clusterState.job(reservation.job());
-                late += j != null && LossRecovery.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
+                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
                         ? 1
                         : 0;
             }
@@ -172,7 +172,7 @@
                 late,
                 least,
                 of,
-                lossRecovery.recentlyLostMachines(A_MINUTE_MS),
+                lossRecovery.countRecentlyLostMachines(A_MINUTE_MS),
                 machines);
     }
 
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -6,7 +6,7 @@
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.controller.worker.PreemptionNotices;
+import org.beechhoist.controller.worker.PreemptionNoticeHandler;
 
 /**
  * Wires what decides where and when tasks run: admission, releases, the plan, migration, width reduction and preemption.
@@ -18,7 +18,7 @@
     final ReleaseController releases;
     final Dispatch dispatch;
     final MigrationController migrations;
-    final PreemptionNotices preemptionNotices;
+    final PreemptionNoticeHandler preemptionNotices;
     final Planner planner;
     final WidthReduction widthReduction;
     final Preemption preemption;
@@ -49,7 +49,7 @@
                 context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
         migrations = createMigrations();
         connectMigrations();
-        preemptionNotices = new PreemptionNotices(
+        preemptionNotices = new PreemptionNoticeHandler(
                 context, workers.clusterState, workers.estimates, workers.eviction, workers.dispatcher);
         planner = createPlanner(random);
         widthReduction = createWidthReduction();
@@ -61,8 +61,8 @@
                 services.context(),
                 services.store(),
                 services.election(),
-                services.requests(),
-                services.writes(),
+                services.requestTokens(),
+                services.writeTokens(),
                 workers.clusterState,
                 workers.estimates,
                 admission,
@@ -75,8 +75,8 @@
                 policy,
                 services.store(),
                 services.election(),
-                services.requests(),
-                services.writes(),
+                services.requestTokens(),
+                services.writeTokens(),
                 machineTypes,
                 workers.clusterState,
                 admission,
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -64,10 +64,10 @@
         if (asking || waiting.isEmpty()) {
             return;
         }
-        if (pace.postponeIfTooSoon(this::ask)) {
+        if (pace.postponeIfNotDue(this::ask)) {
             return;
         }
-        pace.markDone();
+        pace.recordRun();
         asking = true;
         String first = JobRecord.openKey(waiting.get(0).ref);
         Set<Waiting> asked = new HashSet<>(waiting);
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -84,8 +84,8 @@
         this.idempotencyKeys = idempotencyKeys;
         this.leaderWrites = leaderWrites;
         this.refusal = refusal;
-        this.besideLeader = new TokenBucket(
-                Math.max(1, RequestShares.followerShare(settings.stateLimits().writeRps(), settings.nodes())));
+        this.besideLeader = new TokenBucket(Math.max(
+                1, RequestShares.guaranteedFollowerRate(settings.stateLimits().writeRps(), settings.nodes())));
     }
 
     /**
@@ -110,12 +110,12 @@
             spec = policy.releases() ? spec : spec.withoutRelease();
             spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
         } catch (MalformedMessageException e) {
-            context.answer(request, 400, JobStates.reason(e.getMessage()));
+            context.respond(request, 400, JobStates.reason(e.getMessage()));
             return;
         }
         JsonNode finalState = reader.cachedEnded(spec.id());
         if (finalState != null) {
-            context.answer(request, 200, JobStates.endedState(spec.id(), finalState));
+            context.respond(request, 200, JobStates.endedState(spec.id(), finalState));
             return;
         }
         if (reader.isCutOff()) {
@@ -142,9 +142,9 @@
                 if (found == null) {
                     refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
                 } else if (found.status() == null) {
-                    context.answer(request, 422, JobStates.reason(permanent));
+                    context.respond(request, 422, JobStates.reason(permanent));
                 } else {
-                    context.answer(request, 200, found.status());
+                    context.respond(request, 200, found.status());
                 }
             });
             return;
@@ -222,7 +222,7 @@
                 jobId,
                 commit.revision(),
                 JobStates.openState(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
-        context.answer(submission.request, 201, JobStates.state(jobId, "queued"));
+        context.respond(submission.request, 201, JobStates.state(jobId, "queued"));
     }
 
     private void resolveConflict(Submission submission, CommitResult commit) {
@@ -271,7 +271,7 @@
             if (found == null || found.status() == null) {
                 refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
             } else {
-                context.answer(request, 200, found.status());
+                context.respond(request, 200, found.status());
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -100,7 +100,7 @@
 
     private void refuse(long request, String why) {
         LOG.debug("request refused: request={} reason=\"{}\"", request, why);
-        context.answer(request, 503, JobStates.reason(why));
+        context.respond(request, 503, JobStates.reason(why));
     }
 
     /** Submits a job, or answers why not. */
@@ -141,7 +141,7 @@
             switch (result) {
                 case SAME -> {
                     statusDetails.accept(jobId, state);
-                    context.answer(request, 200, state);
+                    context.respond(request, 200, state);
                 }
                 case READ -> openReads.read(jobId, open -> answerPoll(request, jobId, open));
                 default -> refuse(request, STORE_UNAVAILABLE);
@@ -162,13 +162,13 @@
         if (found == null) {
             refuse(request, STORE_UNAVAILABLE);
         } else if (found.status() == null) {
-            context.answer(request, 404, JobStates.reason("no such job"));
+            context.respond(request, 404, JobStates.reason("no such job"));
         } else {
             if (found.open() != null) {
                 reads.remember(jobId, found.open().version(), (ObjectNode) found.status());
                 statusDetails.accept(jobId, (ObjectNode) found.status());
             }
-            context.answer(request, 200, found.status());
+            context.respond(request, 200, found.status());
         }
     }
 
@@ -178,9 +178,9 @@
             if (found == null || races > MAX_RACES) {
                 refuse(request, STORE_UNAVAILABLE);
             } else if (found.status() == null) {
-                context.answer(request, 404, JobStates.reason("no such job"));
+                context.respond(request, 404, JobStates.reason("no such job"));
             } else if (found.open() == null) {
-                context.answer(
+                context.respond(
                         request,
                         200,
                         JobStates.state(jobId, found.status().get("status").asText()));
@@ -232,7 +232,8 @@
     }
 
     private void answerCancelled(long request, JobId jobId) {
-        acknowledgements.await(jobId, () -> context.answer(request, 200, JobStates.state(jobId, "cancelled")));
+        acknowledgements.awaitAcknowledgement(
+                jobId, () -> context.respond(request, 200, JobStates.state(jobId, "cancelled")));
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -20,7 +20,7 @@
 import org.beechhoist.controller.worker.CommandDispatcher;
 import org.beechhoist.controller.worker.FaultTracker;
 import org.beechhoist.controller.worker.HeartbeatHandler;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.store.Placement;
@@ -41,7 +41,7 @@
     final StateLoader loader;
     final LeaderState state;
     final ColdStartRecovery coldStart;
-    final LossRecovery lossRecovery;
+    final MachineLossTracker lossRecovery;
     final CommandDispatcher dispatcher;
     final DisruptionAccounting disruptions;
     final TaskEviction eviction;
@@ -80,7 +80,7 @@
         loader = createLoader();
         state = new LeaderState(clusterState, loader, node.machineTypes(), estimates, node.cancellations());
         coldStart = new ColdStartRecovery(context, settings, clusterState);
-        lossRecovery = new LossRecovery(context, clusterState);
+        lossRecovery = new MachineLossTracker(context, clusterState);
         dispatcher = new CommandDispatcher(services, state, coldStart, new CommandOutcomes());
         disruptions = createDisruptions(features.drains().isPresent());
         eviction = new TaskEviction(clusterState, dispatcher, disruptions);
@@ -107,8 +107,8 @@
                 services.settings(),
                 services.store(),
                 services.election(),
-                services.requests(),
-                services.writes(),
+                services.requestTokens(),
+                services.writeTokens(),
                 clusterState,
                 withDrains);
     }
@@ -120,7 +120,7 @@
                 loader,
                 changeLog,
                 keySetHolds,
-                node.peers()::hasHeardAll,
+                node.peers()::hasMessageFromEachPeer,
                 new CommittedChanges());
     }
 
@@ -161,12 +161,12 @@
     private final class LoadedState implements StateLoader.Listener {
         @Override
         public void stateLoaded() {
-            heartbeats.stateLoaded();
+            heartbeats.reconcileAll();
         }
 
         @Override
         public void jobCancelled(JobId jobId) {
-            cancellationEnforcer.jobCancelled(jobId);
+            cancellationEnforcer.enforceCancellation(jobId);
         }
 
         @Override
@@ -190,7 +190,7 @@
         }
 
         @Override
-        public void fencingRequested() {
+        public void tokenRotationRequested() {
             committer.requestUrgentTokenRotation();
         }
     }
--- a/src/main/java/org/beechhoist/controller/context/ControllerContext.java
+++ b/src/main/java/org/beechhoist/controller/context/ControllerContext.java
@@ -55,13 +55,13 @@
     }
 
     /** Answers a request; with status 503 or 429 the client is asked to retry after a second. */
-    public void answer(long request, int status, JsonNode body) {
-        effects.add(new Effect.Answer(request, status, body, status == 503 || status == 429 ? 1 : 0));
+    public void respond(long request, int status, JsonNode body) {
+        effects.add(new Effect.Respond(request, status, body, status == 503 || status == 429 ? 1 : 0));
     }
 
     /** Answers a request with a command, or with an extension of a worker's lease: valid only before {@code until}. */
-    public void answer(long request, int status, JsonNode body, MonotonicTime until) {
-        effects.add(new Effect.Answer(request, status, body, 0, until));
+    public void respond(long request, int status, JsonNode body, MonotonicTime until) {
+        effects.add(new Effect.Respond(request, status, body, 0, until));
     }
 
     /** Sends this node's state to the other controllers. */
@@ -113,7 +113,7 @@
     }
 
     /** When the next timer is due, or null where there is none. */
-    public MonotonicTime nextDeadline() {
+    public MonotonicTime nextTimerAt() {
         return timers.isEmpty() ? null : timers.peek().at;
     }
 
--- a/src/main/java/org/beechhoist/controller/context/Effect.java
+++ b/src/main/java/org/beechhoist/controller/context/Effect.java
@@ -13,15 +13,15 @@
  */
 public sealed interface Effect {
     /** Answer a request; from {@code until} on (null: no bound) the answer is status 421 instead. */
-    record Answer(long request, int status, JsonNode body, int retryAfterS, MonotonicTime until) implements Effect {
+    record Respond(long request, int status, JsonNode body, int retryAfterS, MonotonicTime until) implements Effect {
         /** Creates an answer that is valid without a time bound. */
-        public Answer(long request, int status, JsonNode body, int retryAfterS) {
+        public Respond(long request, int status, JsonNode body, int retryAfterS) {
             this(request, status, body, retryAfterS, null);
         }
 
         /** Returns the answer to send at time {@code now}: this one, or status 421 once it has expired. */
-        public Answer asOf(MonotonicTime now) {
-            return until == null || now.isBefore(until) ? this : new Answer(request, 421, Codec.map(), 0);
+        public Respond asOf(MonotonicTime now) {
+            return until == null || now.isBefore(until) ? this : new Respond(request, 421, Codec.map(), 0);
         }
     }
 
--- a/src/main/java/org/beechhoist/controller/context/Pacer.java
+++ b/src/main/java/org/beechhoist/controller/context/Pacer.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether the next run is not due yet; {@code again} is called when it is, once for all postponed requests. */
-    public boolean postponeIfTooSoon(Runnable again) {
+    public boolean postponeIfNotDue(Runnable again) {
         if (!context.now().isBefore(next)) {
             return false;
         }
@@ -34,7 +34,7 @@
     }
 
     /** Notes that the action runs now: the interval begins anew. */
-    public void markDone() {
+    public void recordRun() {
         next = context.now().plusMs(intervalMs);
     }
 }
--- a/src/main/java/org/beechhoist/controller/leadership/ControllerServices.java
+++ b/src/main/java/org/beechhoist/controller/leadership/ControllerServices.java
@@ -12,16 +12,16 @@
  * @param context the current input: time, effects, calls and timers
  * @param settings the node's settings
  * @param store the client of the state service
- * @param requests tokens for requests to the state service
- * @param writes tokens for the changes that its transactions make
+ * @param requestTokens tokens for requests to the state service
+ * @param writeTokens tokens for the changes that its transactions make
  * @param election whether this node leads, and with which fencing token
  */
 public record ControllerServices(
         ControllerContext context,
         Settings settings,
         StoreClient store,
-        TokenBucket requests,
-        TokenBucket writes,
+        TokenBucket requestTokens,
+        TokenBucket writeTokens,
         LeaderElection election) {
     /** Returns how records are split to fit the state service's limits. */
     public RecordSizes recordSizes() {
--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -22,7 +22,7 @@
  */
 public final class LeaderElection {
     /** The key of the state service whose holder leads. */
-    public static final String KEY = "lead";
+    public static final String LEADER_KEY = "lead";
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     /** Covers the drift of two clocks, 0.05% each, and rounding. */
@@ -43,10 +43,10 @@
     /** Is notified of changes of this node's leadership. */
     public interface Listener {
         /** This node has become leader, with its first fencing token. */
-        void won(FencingToken fencingToken);
+        void leadershipWon(FencingToken fencingToken);
 
         /** This node leads no longer. */
-        void lost();
+        void leadershipLost();
     }
 
     private final ControllerContext context;
@@ -129,12 +129,12 @@
 
     /** Returns a new transaction that fails once the key has another holder or has been rewritten. */
     public Transaction guardedTransaction() {
-        return new Transaction().guard(KEY, new Revision(fencingToken.value()));
+        return new Transaction().guard(LEADER_KEY, new Revision(fencingToken.value()));
     }
 
     /** Adds a rewrite of the key to the transaction, so that the commit's revision becomes the new fencing token. */
     public void addTokenRotation(Transaction transaction) {
-        transaction.put(KEY, keyValue(), lease);
+        transaction.put(LEADER_KEY, keyValue(), lease);
     }
 
     /** Takes the revision at which the key was rewritten as the fencing token. */
@@ -153,7 +153,7 @@
     public void readKeyOwnership(Consumer<KeyOwnership> then) {
         requests.takeOrOverdraw(context.now(), 1);
         long held = lease;
-        store.get(KEY, read -> {
+        store.get(LEADER_KEY, read -> {
             if (!read.answered() || !isLeading || held != lease) {
                 then.accept(KeyOwnership.UNKNOWN);
             } else if (read.item() == null || read.item().lease() != held) {
@@ -182,7 +182,7 @@
         requests.takeOrOverdraw(context.now(), 1);
         // A listing, for it returns the store's revision too: the key's own may be older than any change the store
         // still keeps, and a watch from there would be answered with 410 at once, every time.
-        store.list(KEY, null, 10, page -> {
+        store.list(LEADER_KEY, null, 10, page -> {
             if (expectedRound != round || isLeading) {
                 return;
             }
@@ -192,7 +192,7 @@
             }
             StoreClient.KeyValue item = null;
             for (StoreClient.KeyValue i : page.items()) {
-                item = i.key().equals(KEY) ? i : item;
+                item = i.key().equals(LEADER_KEY) ? i : item;
             }
             leader = item == null ? null : LeaderRecord.parse(item.value()).node();
             leaderKnownAt = context.now();
@@ -236,7 +236,7 @@
 
     private void watchKey(long expectedRound, Revision after) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.watch(KEY, after, 4000, changes -> {
+        store.watch(LEADER_KEY, after, 4000, changes -> {
             if (expectedRound != round || isLeading) {
                 return;
             }
@@ -247,7 +247,7 @@
             leaderKnownAt = context.now();
             StoreClient.KeyValue last = null;
             for (StoreClient.KeyValue i : changes.changes()) {
-                last = i.key().equals(KEY) ? i : last;
+                last = i.key().equals(LEADER_KEY) ? i : last;
             }
             if (last == null) {
                 // No change for a while: read the key instead of trusting the watch without end.
@@ -275,7 +275,8 @@
                 return;
             }
             wonWallMs = context.wallMs();
-            Transaction transaction = new Transaction().guard(KEY, expected).put(KEY, keyValue(), hold);
+            Transaction transaction =
+                    new Transaction().guard(LEADER_KEY, expected).put(LEADER_KEY, keyValue(), hold);
             store.commit(transaction, commit -> {
                 if (expectedRound != round) {
                     return;
@@ -301,7 +302,7 @@
         LOG.info("leadership won: node={} token={}", node, fencingToken.value());
         long expectedRound = ++round;
         context.schedule(ttlMs / 5, () -> extendLease(expectedRound));
-        listener.won(fencingToken);
+        listener.leadershipWon(fencingToken);
     }
 
     private void extendValidity(MonotonicTime sent) {
@@ -352,7 +353,7 @@
         isLeading = false;
         leader = null;
         store.revokeLease(lease);
-        listener.lost();
+        listener.leadershipLost();
         start();
     }
 }
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether every other node has sent a message since this one started: all run a version that sends these messages. */
-    public boolean hasHeardAll() {
+    public boolean hasMessageFromEachPeer() {
         return lastMessages.size() == seeds.size();
     }
 
@@ -48,7 +48,7 @@
      *
      * @param demand which one: that for changes, or that for all requests
      */
-    public List<RequestShares.Demand> demands(MonotonicTime now, ToDoubleFunction<PeerState> demand) {
+    public List<RequestShares.Demand> peerDemands(MonotonicTime now, ToDoubleFunction<PeerState> demand) {
         List<RequestShares.Demand> out = new ArrayList<>();
         for (String node : seeds) {
             LastMessage message = lastMessages.get(node);
@@ -60,7 +60,7 @@
     }
 
     /** How many heartbeats have lately reached each of the other nodes that have been heard of lately. */
-    public List<Integer> heartbeatsAtPeers(MonotonicTime now) {
+    public List<Integer> peerHeartbeatCounts(MonotonicTime now) {
         List<Integer> out = new ArrayList<>();
         for (LastMessage message : lastMessages.values()) {
             if (isFresh(message, now)) {
@@ -71,7 +71,7 @@
     }
 
     /** The node that reports to lead, or null; of several the one with the newest fencing token. */
-    public String leader(MonotonicTime now) {
+    public String reportedLeader(MonotonicTime now) {
         PeerState best = null;
         for (LastMessage message : lastMessages.values()) {
             if (isFresh(message, now)
@@ -84,12 +84,12 @@
     }
 
     /** Whether there are other nodes and none has been heard of for {@code forMs} milliseconds. */
-    public boolean allSilentFor(MonotonicTime now, long forMs) {
+    public boolean hasNoMessageWithin(MonotonicTime now, long forMs) {
         return !seeds.isEmpty() && lastMessages.values().stream().allMatch(m -> now.since(m.at) > forMs);
     }
 
     /** Whether the state service answers some other node that is ready to serve users. */
-    public boolean isServedElsewhere(MonotonicTime now) {
+    public boolean isAnotherNodeServing(MonotonicTime now) {
         for (LastMessage message : lastMessages.values()) {
             if (isFresh(message, now)
                     && message.state.ready()
--- a/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
+++ b/src/main/java/org/beechhoist/controller/leadership/RequestShares.java
@@ -24,14 +24,14 @@
      * A node's demand.
      *
      * @param leading whether the node leads
-     * @param perSecond the rate that it could use; below 0: not known
+     * @param ratePerS the rate that it could use; below 0: not known
      */
-    public record Demand(boolean leading, double perSecond) {}
+    public record Demand(boolean leading, double ratePerS) {}
 
     private RequestShares() {}
 
     /** The rate that is guaranteed to the users of one node while the leader is busy. */
-    public static double followerShare(double total, int nodes) {
+    public static double guaranteedFollowerRate(double total, int nodes) {
         return (1 - LEADER_SHARE) * total / nodes;
     }
 
@@ -41,7 +41,7 @@
      * @param total the rate that all nodes together may use, a second
      * @param wants the demands of all nodes, that of the asking node first
      */
-    public static double shareOfFirst(double total, List<Demand> wants) {
+    public static double rateOfFirstNode(double total, List<Demand> wants) {
         double[] part = guaranteedParts(total, wants);
         double[] got = distribute(total, part, wants);
         double slackShare = wants.get(0).leading ? LEADER_SLACK_SHARE : FOLLOWER_SLACK_SHARE;
@@ -72,7 +72,7 @@
         double[] open = new double[nodes];
         double[] got = new double[nodes];
         for (int i = 0; i < nodes; i++) {
-            double demand = wants.get(i).perSecond;
+            double demand = wants.get(i).ratePerS;
             open[i] = demand < 0 ? part[i] : demand;
         }
         double left = total;
--- a/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
+++ b/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
@@ -30,14 +30,14 @@
      * @param reportMs how often a worker sends a heartbeat
      */
     public WorkerReachability(long reportMs) {
-        this.windowMs = reportingWindowMs(reportMs);
+        this.windowMs = heartbeatWindowMs(reportMs);
     }
 
     /**
      * The time in which a heartbeat of every worker that reaches a node has arrived: it may be sent a quarter of the interval
      * late, and the remainder is for the way.
      */
-    public static long reportingWindowMs(long reportMs) {
+    public static long heartbeatWindowMs(long reportMs) {
         return reportMs * 3 / 2 + 2000;
     }
 
@@ -63,7 +63,7 @@
      * @param up machines that have sent it heartbeats before and are not leaving
      * @param unhearing those of them that send messages and receive none
      */
-    public static boolean isUnheard(int up, int unhearing) {
+    public static boolean cannotReachWorkers(int up, int unhearing) {
         return up >= MIN_MACHINES && unhearing >= UNHEARD_SHARE * up;
     }
 
@@ -74,7 +74,7 @@
      * @param heard those of them that were heard of lately
      * @param elsewhere the heartbeats that reached each other node that is heard of; empty: none is heard of
      */
-    public static boolean isUnreachable(int up, int heard, Collection<Integer> elsewhere) {
+    public static boolean isUnreachableFromWorkers(int up, int heard, Collection<Integer> elsewhere) {
         int missing = up - heard;
         if (up < MIN_MACHINES || heard >= UNREACHABLE_SHARE * up) {
             return false;
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -93,7 +93,7 @@
         this.context = services.context();
         this.store = services.store();
         this.election = services.election();
-        this.requests = services.requests();
+        this.requests = services.requestTokens();
         this.clusterState = clusterState;
         this.estimates = estimates;
         this.changeLog = changeLog;
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -111,8 +111,8 @@
         this.settings = services.settings();
         this.store = services.store();
         this.election = services.election();
-        this.requests = services.requests();
-        this.writes = services.writes();
+        this.requests = services.requestTokens();
+        this.writes = services.writeTokens();
         this.sizes = services.recordSizes();
         this.clusterState = clusterState;
         this.loader = loader;
@@ -267,7 +267,7 @@
         switch (commit.outcome()) {
             case COMMITTED -> loader.misplacedFinalStates().removeAll(moved);
             case CONFLICT -> {
-                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
                 } else {
                     loader.reload();
@@ -356,7 +356,7 @@
     }
 
     private void resolveConflict(CommitResult commit, boolean rotating, WriteBatch batch) {
-        if (commit.failedKeys().contains(LeaderElection.KEY)) {
+        if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             election.loseLeadership("the key was rewritten");
         } else if (guards.handleGuardConflict(commit.failedKeys())) {
             restorePending(batch, rotating);
--- a/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
+++ b/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
@@ -25,8 +25,8 @@
         this.context = services.context();
         this.store = services.store();
         this.election = services.election();
-        this.requests = services.requests();
-        this.writes = services.writes();
+        this.requests = services.requestTokens();
+        this.writes = services.writeTokens();
         this.loader = loader;
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -22,12 +22,12 @@
      * A launch, as far as this term knows.
      *
      * @param maybeSent whether this term or an earlier one may have sent it
-     * @param evidenceFrom the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier
+     * @param minEvidenceToken the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier
      *     leader might arrive after a heartbeat with a lower one
      * @param epoch the worker's epoch that it was sent for; 0: another term sent it, if any did
      * @param sequence the sequence number of the worker's newest message when it was sent
      */
-    public record Launch(boolean maybeSent, FencingToken evidenceFrom, long epoch, long sequence) {}
+    public record Launch(boolean maybeSent, FencingToken minEvidenceToken, long epoch, long sequence) {}
 
     /**
      * The commands that may still reach a worker.
@@ -37,7 +37,7 @@
      */
     public record PendingCommands(boolean inFlight, FencingToken unacknowledgedToken) {
         /** Whether no command that was sent before can reach a worker any more that has seen the token. */
-        public boolean noneCanArriveAt(FencingToken seen) {
+        public boolean noneExecutableAfter(FencingToken seen) {
             return !inFlight && seen.compareTo(unacknowledgedToken) > 0;
         }
     }
@@ -53,8 +53,8 @@
         if (launch.epoch > 0 && heartbeat.epoch() > launch.epoch) {
             return NEW_EPOCH;
         }
-        boolean madeAfterAllCommands = pending.noneCanArriveAt(heartbeat.fencingToken())
-                && heartbeat.fencingToken().compareTo(launch.evidenceFrom) >= 0;
+        boolean madeAfterAllCommands = pending.noneExecutableAfter(heartbeat.fencingToken())
+                && heartbeat.fencingToken().compareTo(launch.minEvidenceToken) >= 0;
         boolean madeAfterLaunch = heartbeat.isNewerThan(launch.epoch, launch.sequence);
         return madeAfterAllCommands && madeAfterLaunch ? NEWER_HEARTBEAT : NONE;
     }
--- a/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
@@ -41,7 +41,7 @@
     }
 
     /** Runs the answer to a user once the leader has acknowledged the cancellation, or after the longest delay. */
-    public void await(JobId jobId, Runnable answer) {
+    public void awaitAcknowledgement(JobId jobId, Runnable answer) {
         List<Runnable> waiting = waitingResponses.computeIfAbsent(jobId, k -> new ArrayList<>());
         waiting.add(answer);
         if (waiting.size() == 1) {
@@ -57,7 +57,7 @@
     }
 
     /** Releases the answers about the job: the leader has acknowledged its cancellation. */
-    public void receive(JobId jobId) {
+    public void acknowledgementReceived(JobId jobId) {
         release(jobId);
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -47,7 +47,7 @@
     private final ClusterState clusterState;
     private final CommandDispatcher dispatcher;
     private final TaskRemoval taskRemoval;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     private final MachineReleases releases;
     private final JobHolds holds;
     private final CancellationRegistry cancellations;
@@ -64,7 +64,7 @@
             LeaderState state,
             CommandDispatcher dispatcher,
             TaskRemoval taskRemoval,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             MachineReleases releases,
             JobHolds holds) {
         this.context = services.context();
@@ -79,7 +79,7 @@
     }
 
     /** Ends the job, whose cancellation is committed, whether its record has been read again or not. */
-    public void jobCancelled(JobId jobId) {
+    public void enforceCancellation(JobId jobId) {
         Job job = clusterState.job(jobId);
         if (job == null) {
             return;
@@ -91,7 +91,7 @@
                     jobId,
                     job.record.live.size());
         }
-        lossRecovery.forgetJob(jobId);
+        lossRecovery.stopTrackingJob(jobId);
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             if (placement.committed && !placement.launchSent) {
                 taskRemoval.remove(job, placement);
@@ -134,10 +134,10 @@
                     "launches fenced off: job={} token={} cause=\"job cancelled while a launch has no answer\"",
                     fence.job,
                     dispatcher.fencingToken().value());
-            dispatcher.killUnacknowledged(job);
+            dispatcher.killUnacknowledgedLaunches(job);
             context.schedule(KILL_TIMEOUT_MS, () -> fenceLaunches(fence));
         } else {
-            dispatcher.requestFencing();
+            dispatcher.requestTokenRotation();
             context.schedule(TOKEN_MS, () -> fenceLaunches(fence));
         }
     }
@@ -155,7 +155,7 @@
      * Enforces all cancellations and holds; called periodically while this node holds the lease, whether or not all
      * records are read.
      */
-    public void enforce() {
+    public void enforceAll() {
         boolean killsDue = !context.now().isBefore(nextKills);
         if (killsDue) {
             nextKills = context.now().plusMs(KILL_RETRY_MS);
@@ -170,7 +170,7 @@
                         job.cancelledAtMs() + settings.workers().cancelMs() - (long) settings.clockErrorMs(),
                         "cancelled");
             } else if (job.isHeld()) {
-                releaseUnreachable(job, holds.mustBeGoneByMs(job), "held");
+                releaseUnreachable(job, holds.terminationDeadlineWallMs(job), "held");
             }
         }
     }
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -28,7 +28,7 @@
     private RecoveryPacer pacer;
     private boolean machinesListed;
     /** What was counted last, for the operators' view. */
-    private RecoveryProgress.Facts facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
+    private RecoveryProgress.Snapshot facts = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
 
     /** Creates it at the beginning of a term. */
     public ColdStartRecovery(ControllerContext context, Settings settings, ClusterState clusterState) {
@@ -45,11 +45,11 @@
                 context.now(), heartbeatIntervalMs, settings.workers().leaseMs());
         pacer = new RecoveryPacer(settings.maxSockets());
         machinesListed = false;
-        facts = new RecoveryProgress.Facts(false, false, 0, 0, 0, 0);
+        facts = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
     }
 
     /** Records that the cloud has listed all its machines. */
-    public void markListed() {
+    public void recordMachinesListed() {
         machinesListed = true;
     }
 
@@ -59,8 +59,8 @@
     }
 
     /** Whether tasks may be preempted: not before most of the machines with free capacity could have reported it. */
-    public boolean mayStop() {
-        return progress.phase().compareTo(RecoveryProgress.Phase.LISTENING) > 0;
+    public boolean mayPreempt() {
+        return progress.phase().compareTo(RecoveryProgress.Phase.AWAITING_HEARTBEATS) > 0;
     }
 
     /** Updates the progress once all records are read; the end of each phase is logged. */
@@ -78,14 +78,14 @@
                     context.now().since(progress.beganAt()) / 1000.0,
                     facts.heard(),
                     facts.expected(),
-                    facts.unconfirmed(),
+                    facts.unconfirmedPlacements(),
                     facts.waitingCommands());
             before = progress.phase();
             clusterState.requestReplan();
         }
     }
 
-    private RecoveryProgress.Facts countFacts() {
+    private RecoveryProgress.Snapshot countFacts() {
         int expected = 0;
         int heard = 0;
         int unconfirmed = 0;
@@ -94,48 +94,48 @@
             boolean hasReported = machine.lastHeartbeat != null;
             if (hasReported
                     || (machine.listedRunning || !machine.placements.isEmpty())
-                            && presence(machine) != MachinePresence.Assessment.DOUBTED) {
+                            && presence(machine) != MachinePresence.Assessment.PRESUMED_ABSENT) {
                 expected++;
                 heard += hasReported ? 1 : 0;
             }
             unconfirmed += hasReported ? machine.unconfirmedPlacements : machine.placements.size();
             waitingCommands += machine.outbox.size();
         }
-        return new RecoveryProgress.Facts(true, machinesListed, expected, heard, unconfirmed, waitingCommands);
+        return new RecoveryProgress.Snapshot(true, machinesListed, expected, heard, unconfirmed, waitingCommands);
     }
 
     // ---- machines that have not reported yet ----
 
     private MachinePresence.Assessment presence(Machine machine) {
         return MachinePresence.assess(
-                new MachinePresence.SilentMachine(
+                new MachinePresence.UnreportedMachine(
                         !machine.placements.isEmpty(),
                         machine.listedRunning,
                         machine.unansweredProbes,
                         machine.probeAnsweredAt != MonotonicTime.ZERO),
                 context.now().since(progress.beganAt()),
-                RecoveryProgress.allReportedMs(heartbeatIntervalMs));
+                RecoveryProgress.firstHeartbeatDeadlineMs(heartbeatIntervalMs));
     }
 
     /**
      * Whether the plan should not count on the machine: it should have reported but has not, or it does not answer
      * probes.
      */
-    public boolean isDoubted(Machine machine) {
-        return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.DOUBTED;
+    public boolean isPresumedAbsent(Machine machine) {
+        return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.PRESUMED_ABSENT;
     }
 
     /** Whether the machine is to be probed though its heartbeat is not late yet. */
-    boolean probesEarly(Machine machine) {
+    boolean needsEarlyProbe(Machine machine) {
         return machine.lastHeartbeat == null
-                && progress.isGathering(context.now())
-                && presence(machine) != MachinePresence.Assessment.ASSUMED_PRESENT;
+                && progress.isAwaitingFirstHeartbeats(context.now())
+                && presence(machine) != MachinePresence.Assessment.PRESUMED_PRESENT;
     }
 
     // ---- what may be sent ----
 
     /** Whether a probe may be sent to the machine now; the call then counts until {@link #callFinished}. */
-    boolean mayProbe(Machine machine) {
+    boolean tryAcquireProbe(Machine machine) {
         return isComplete() || pacer.tryAcquire(RecoveryPacer.CallKind.PROBE, machine.zone, context.now());
     }
 
@@ -143,7 +143,7 @@
      * Whether the commands that wait for the machine may be sent straight to it now; otherwise they go with the answer
      * to its next heartbeat. The call then counts until {@link #callFinished}.
      */
-    boolean mayCommand(Machine machine) {
+    boolean tryAcquireCommand(Machine machine) {
         return isComplete() || pacer.tryAcquire(callKind(machine), machine.zone, context.now());
     }
 
@@ -155,7 +155,7 @@
     private RecoveryPacer.CallKind callKind(Machine machine) {
         for (Placement placement : machine.placements.values()) {
             Job job = clusterState.job(placement.task.job());
-            if (job != null && (job.isCancelled() || LossRecovery.isUrgent(job))) {
+            if (job != null && (job.isCancelled() || MachineLossTracker.isUrgent(job))) {
                 return RecoveryPacer.CallKind.URGENT;
             }
         }
@@ -169,7 +169,7 @@
                 .put("agoS", context.now().since(progress.beganAt()) / 1000.0)
                 .put("heard", facts.heard())
                 .put("expected", facts.expected())
-                .put("inDoubt", facts.unconfirmed())
+                .put("inDoubt", facts.unconfirmedPlacements())
                 .put("ordersWaiting", facts.waitingCommands())
                 .put("ordersHeldBack", pacer.deferred())
                 .put("ordersSent", pacer.sent())
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -33,7 +33,7 @@
 public final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
     /** The most commands in one message to a worker. */
-    static final int MAX_COMMANDS = 200;
+    static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
     /** For so many heartbeat intervals after it was heard, or has answered a probe, a machine may be sent commands. */
     private static final double REACHABLE_INTERVALS = 2.5;
@@ -51,7 +51,7 @@
         void launchUnacknowledged(FencingToken fencingToken);
 
         /** A new fencing token is needed, so that workers refuse all that was sent so far. */
-        void fencingRequested();
+        void tokenRotationRequested();
     }
 
     private final ControllerContext context;
@@ -135,22 +135,22 @@
     }
 
     /** Asks for a new fencing token at once: a worker that has seen it refuses what was sent before. */
-    void requestFencing() {
-        listener.fencingRequested();
+    void requestTokenRotation() {
+        listener.tokenRotationRequested();
     }
 
     /**
      * Kills the job's tasks whose launch has no answer yet; unlike other commands these kills do not wait for that
      * answer.
      */
-    void killUnacknowledged(Job job) {
+    void killUnacknowledgedLaunches(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             Machine machine = clusterState.machine(placement.machine);
             if (hasUnacknowledgedLaunch(placement)
                     && machine.commandsInFlight <= MAX_UNACKNOWLEDGED
                     && acceptsKills(machine)
                     && election.holdsLease()
-                    && coldStart.mayCommand(machine)) {
+                    && coldStart.tryAcquireCommand(machine)) {
                 send(machine, List.of(WorkerCommand.kill(placement.task, placement.attempt, 0)), List.of());
             }
         }
@@ -167,7 +167,7 @@
             dropUndeliverable(machine);
         }
         List<WorkerCommand> commands = sendableCommands(machine);
-        if (commands.isEmpty() || !coldStart.mayCommand(machine)) {
+        if (commands.isEmpty() || !coldStart.tryAcquireCommand(machine)) {
             return; // they wait for a moment, or go with the answer to the next heartbeat
         }
         machine.outbox.removeAll(commands);
@@ -195,7 +195,7 @@
         boolean mayLaunch = loader.isActive() && cancellations.mayRenewLeases();
         return new ArrayList<>(machine.outbox.stream()
                 .filter(c -> mayLaunch || c.verb() == WorkerCommand.Verb.KILL)
-                .limit(MAX_COMMANDS)
+                .limit(MAX_COMMANDS_PER_MESSAGE)
                 .toList());
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -38,7 +38,7 @@
     /** What the network may add to a heartbeat's delay. */
     private static final long NETWORK_MS = 1500;
     /** So many unanswered probes count as much as a second missed heartbeat; no more are sent. */
-    static final int PROBE_LIMIT = 2;
+    static final int MAX_UNANSWERED_PROBES = 2;
     /** A zone is suspect only if at least so many of its machines are. */
     private static final int MIN_ZONE_MACHINES = 5;
 
@@ -59,7 +59,7 @@
     private final LeaderElection election;
     private final ClusterState clusterState;
     private final ColdStartRecovery coldStart;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     /** Called when a worker answers a probe with no newer message than was known before: it has begun anew. */
     private final BiConsumer<Machine, Heartbeat> onRestart;
 
@@ -78,7 +78,7 @@
             Policy policy,
             ClusterState clusterState,
             ColdStartRecovery coldStart,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             BiConsumer<Machine, Heartbeat> onRestart) {
         this.context = services.context();
         this.settings = services.settings();
@@ -111,7 +111,7 @@
     }
 
     /** Counts the suspect machines of each zone, and probes those whose heartbeat is late. */
-    public void check() {
+    public void checkMachines() {
         zones.clear();
         int expected = 0;
         int suspect = 0;
@@ -130,7 +130,7 @@
             probeIfNeeded(machine, silentMs, probedEarly);
         }
         // First come machines whose urgent work would wait for the answer.
-        probedEarly.sort(Comparator.comparingInt(lossRecovery::highestPriority));
+        probedEarly.sort(Comparator.comparingInt(lossRecovery::highestPriorityOrdinal));
         probedEarly.forEach(this::probe);
         mostMachinesSuspect = suspect > 2 && suspect * 2 > expected;
     }
@@ -150,7 +150,7 @@
         }
         if (silentMs > heartbeatLateMs()) {
             probe(machine);
-        } else if (coldStart.probesEarly(machine)) {
+        } else if (coldStart.needsEarlyProbe(machine)) {
             probedEarly.add(machine);
         } else if (machine.lastHeartbeat != null) {
             machine.unansweredProbes = 0;
@@ -169,9 +169,9 @@
     private void probe(Machine machine) {
         if (machine.probeInFlight
                 || probesInFlight >= MAX_PROBES
-                || machine.unansweredProbes >= PROBE_LIMIT
+                || machine.unansweredProbes >= MAX_UNANSWERED_PROBES
                 || machine.address == null
-                || !coldStart.mayProbe(machine)) {
+                || !coldStart.tryAcquireProbe(machine)) {
             return;
         }
         machine.probeInFlight = true;
@@ -224,7 +224,7 @@
     }
 
     /** Whether the machine is to be returned because messages don't reach it. */
-    public boolean isUnreachable(Machine machine) {
+    public boolean shouldReleaseUnreachable(Machine machine) {
         return machine.reachability.shouldRelease(
                 machine.countLaunched(false),
                 machine.countLaunched(true),
@@ -240,7 +240,7 @@
     }
 
     /** Whether the machine is to be returned because it is silent. */
-    public boolean isGone(Machine machine) {
+    public boolean shouldReleaseSilent(Machine machine) {
         long silentMs = context.now().since(clusterState.lastContactAt(machine));
         if (context.now().isBefore(machine.probeGraceUntil)) {
             return false;
@@ -255,6 +255,6 @@
                 || context.now().since(machine.probeAnsweredAt) < heartbeatLateMs()) {
             return false;
         }
-        return silentMs > heartbeatTimeoutMs() || machine.unansweredProbes >= PROBE_LIMIT;
+        return silentMs > heartbeatTimeoutMs() || machine.unansweredProbes >= MAX_UNANSWERED_PROBES;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -74,7 +74,7 @@
     }
 
     /** Reconciles the last heartbeat of each machine with the records, which have been read anew. */
-    public void stateLoaded() {
+    public void reconcileAll() {
         for (Machine machine : clusterState.machines()) {
             if (machine.lastHeartbeat != null) {
                 reconcile(machine, machine.lastHeartbeat, true);
@@ -94,23 +94,23 @@
     /** Handles a worker's heartbeat and answers it. */
     public void handle(long request, Heartbeat heartbeat) {
         if (releases.isReleased(heartbeat.machine())) {
-            context.answer(request, 503, null); // a late heartbeat: the machine has been returned
+            context.respond(request, 503, null); // a late heartbeat: the machine has been returned
             return;
         }
         Machine machine = clusterState.machine(heartbeat.machine());
         HeartbeatValidity validity = assessValidity(machine, heartbeat);
         if (!validity.mayRenewLease()) {
             // Until it is probed (FailureDetector), a worker that began anew looks like this, too.
-            context.answer(request, 503, null);
+            context.respond(request, 503, null);
             return;
         }
         boolean wasReachable = !machine.reachability.isUnreachable();
-        if (validity.isReconciled()) {
+        if (validity.shouldReconcile()) {
             recordHeartbeat(machine, heartbeat, validity);
         }
         boolean mayRenewLeases = cancellations.mayRenewLeases();
         List<WorkerCommand> commands = new ArrayList<>();
-        if (loader.isLoaded() && validity.isReconciled()) {
+        if (loader.isLoaded() && validity.shouldReconcile()) {
             commands.addAll(reconcile(machine, heartbeat, true));
             if (mayRenewLeases) {
                 addLaunches(machine, heartbeat, commands);
@@ -118,12 +118,12 @@
             if (wasReachable && machine.reachability.isUnreachable()) {
                 becameUnreachable(machine);
             }
-        } else if (validity.isReconciled()) {
+        } else if (validity.shouldReconcile()) {
             // These hold whatever the records say once they are read.
             commands.addAll(killsOfCancelled(heartbeat));
         }
         if (mayRenewLeases) {
-            machine.newestMessageAnswered = validity.isReconciled();
+            machine.newestMessageAnswered = validity.shouldReconcile();
             answer(request, machine, commands);
         } else {
             refuse(request, machine, commands);
@@ -156,7 +156,7 @@
         ObjectNode body = Codec.map().put("baton", election.fencingToken().value());
         body.set("orders", WorkerCommand.toNode(commands));
         MonotonicTime until = cancellations.leasesRenewableUntil();
-        context.answer(
+        context.respond(
                 request, 200, body, until.isBefore(election.leaseValidUntil()) ? until : election.leaseValidUntil());
     }
 
@@ -164,7 +164,7 @@
     private void refuse(long request, Machine machine, List<WorkerCommand> commands) {
         LOG.debug("lease not renewed: machine={} cause=\"knowledge of cancellations is too old\"", machine.id);
         sendKills(machine, commands);
-        context.answer(request, 503, null);
+        context.respond(request, 503, null);
     }
 
     /** Kills of tasks whose jobs are known to be cancelled; nothing else is known of the records now. */
@@ -284,7 +284,7 @@
             if (isTakenBack(machine, job, placement)) {
                 taskRemoval.remove(job, placement);
             } else if (isToBeLaunched(machine, heartbeat, job, placement)
-                    && commands.size() < CommandDispatcher.MAX_COMMANDS) {
+                    && commands.size() < CommandDispatcher.MAX_COMMANDS_PER_MESSAGE) {
                 commands.add(WorkerCommand.launch(placement.task, placement.attempt));
                 placement.launchSent = true;
                 placement.launchEpoch = heartbeat.epoch();
@@ -297,7 +297,7 @@
         if (!placement.committed) {
             return false;
         }
-        return withdrawal.withdraws(job, placement, machine)
+        return withdrawal.shouldWithdraw(job, placement, machine)
                 || (machine.isLeaving() || machine.reachability.isUnreachable() || job.isHeld())
                         && !placement.launchSent;
     }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
@@ -67,7 +67,7 @@
     }
 
     /** Whether it is reconciled with the records. */
-    public boolean isReconciled() {
+    public boolean shouldReconcile() {
         return this == CURRENT_TERM || this == UNVERIFIED;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/LaunchWithdrawal.java
+++ b/src/main/java/org/beechhoist/controller/worker/LaunchWithdrawal.java
@@ -7,5 +7,5 @@
 /** Decides whether a committed placement that was not launched yet is taken back. */
 public interface LaunchWithdrawal {
     /** Whether the placement must not be launched any more. */
-    boolean withdraws(Job job, Placement placement, Machine machine);
+    boolean shouldWithdraw(Job job, Placement placement, Machine machine);
 }
--- a/src/main/java/org/beechhoist/controller/worker/LossRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineLossTracker.java
@@ -29,8 +29,8 @@
  * work first; then new machines; then the list of machines; then the release of machines that only cost money. What is
  * known of a loss is known for this term alone, and decides nothing by itself.
  */
-public final class LossRecovery {
-    private static final Logger LOG = LoggerFactory.getLogger(LossRecovery.class);
+public final class MachineLossTracker {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineLossTracker.class);
     /** Losses belong to one event while they follow one another this closely. */
     private static final long SAME_EVENT_MS = 20_000;
     /** An event of fewer lost tasks is neither logged nor shown. */
@@ -61,7 +61,7 @@
     private final Deque<LossEvent> losses = new ArrayDeque<>();
 
     /** Creates it without any losses. */
-    public LossRecovery(ControllerContext context, ClusterState clusterState) {
+    public MachineLossTracker(ControllerContext context, ClusterState clusterState) {
         this.context = context;
         this.clusterState = clusterState;
     }
@@ -93,14 +93,14 @@
         }
         if (withTasks) {
             out.sort(Comparator.<Machine>comparingLong(machine -> machine.stopDeadlineMs)
-                    .thenComparingInt(this::highestPriority)
+                    .thenComparingInt(this::highestPriorityOrdinal)
                     .thenComparing(machine -> clusterState.lastContactAt(machine)));
         }
         return out;
     }
 
     /** The ordinal of the highest priority of the tasks on the machine; beyond all priorities if there are none. */
-    int highestPriority(Machine machine) {
+    int highestPriorityOrdinal(Machine machine) {
         int least = Priority.values().length;
         for (Placement placement : machine.placements.values()) {
             Job job = clusterState.job(placement.task.job());
@@ -112,7 +112,7 @@
     // ---- progress ----
 
     /** Records that the task was lost with its machine. */
-    void recordLost(Job job, Placement placement) {
+    void recordTaskLost(Job job, Placement placement) {
         if (job.isCancelled() || job.record.done.contains(placement.task.index())) {
             return;
         }
@@ -147,12 +147,12 @@
     }
 
     /** Records that the task is placed again, which is committed. */
-    public void recordPlaced(Placement placement) {
+    public void recordTaskPlaced(Placement placement) {
         losses.forEach(loss -> recordRecovered(loss, placement.task));
     }
 
     /** Stops waiting for tasks of the job: it is cancelled. */
-    public void forgetJob(JobId job) {
+    public void stopTrackingJob(JobId job) {
         for (LossEvent loss : losses) {
             List<TaskId> tasksOfJob =
                     loss.waiting.stream().filter(task -> task.job().equals(job)).toList();
@@ -187,7 +187,7 @@
     }
 
     /** The number of machines with tasks lost in the events whose last loss was within the last so many ms. */
-    public int recentlyLostMachines(long withinMs) {
+    public int countRecentlyLostMachines(long withinMs) {
         return losses.stream()
                 .filter(loss -> context.now().since(loss.last) <= withinMs)
                 .mapToInt(loss -> loss.machines.size())
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -9,11 +9,11 @@
     /** What is done about a machine that has been silent so far. */
     public enum Assessment {
         /** The plan counts on it: it is expected to find this node. */
-        ASSUMED_PRESENT,
+        PRESUMED_PRESENT,
         /** The plan counts on it, and it is probed. */
-        PROBED,
+        NEEDS_PROBE,
         /** The plan does not count on it; that alone does not make it given up. */
-        DOUBTED
+        PRESUMED_ABSENT
     }
 
     /**
@@ -24,14 +24,14 @@
      * @param unansweredProbes how many probes of it in a row have had no answer
      * @param answeredProbe whether it has answered a probe
      */
-    public record SilentMachine(
+    public record UnreportedMachine(
             boolean holdsTasks, boolean listedRunning, int unansweredProbes, boolean answeredProbe) {}
 
     /**
      * How long after a term began the first probes are sent. Workers without a leader try node after node, for a second
      * each; most of those that were probed sooner would be about to report anyway.
      */
-    static final long FIRST_PROBE_MS = 1000;
+    static final long FIRST_PROBE_DELAY_MS = 1000;
 
     private MachinePresence() {}
 
@@ -41,16 +41,16 @@
      * @param sinceMs how long ago this term began
      * @param allReportedMs by when, after the term began, every living machine should have found this node
      */
-    public static Assessment assess(SilentMachine machine, long sinceMs, long allReportedMs) {
+    public static Assessment assess(UnreportedMachine machine, long sinceMs, long allReportedMs) {
         if (!machine.holdsTasks && !machine.listedRunning) {
-            return Assessment.ASSUMED_PRESENT; // it is booting
+            return Assessment.PRESUMED_PRESENT; // it is booting
         }
         if (machine.answeredProbe) {
-            return Assessment.ASSUMED_PRESENT;
+            return Assessment.PRESUMED_PRESENT;
         }
         if (machine.unansweredProbes > 0 || sinceMs > allReportedMs) {
-            return Assessment.DOUBTED;
+            return Assessment.PRESUMED_ABSENT;
         }
-        return sinceMs < FIRST_PROBE_MS ? Assessment.ASSUMED_PRESENT : Assessment.PROBED;
+        return sinceMs < FIRST_PROBE_DELAY_MS ? Assessment.PRESUMED_PRESENT : Assessment.NEEDS_PROBE;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNotices.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNoticeHandler.java
@@ -16,7 +16,7 @@
  * evicted at once, so that it begins elsewhere. (Tried: let it continue to the last moment where there is no capacity
  * elsewhere; docs/design/drains.md.)
  */
-public final class PreemptionNotices {
+public final class PreemptionNoticeHandler {
     /**
      * Subtracted from the time left: a checkpoint that can't be saved before the machine is taken is not waited for.
      */
@@ -29,7 +29,7 @@
     private final CommandDispatcher dispatcher;
 
     /** Creates the handler of preemption notices. */
-    public PreemptionNotices(
+    public PreemptionNoticeHandler(
             ControllerContext context,
             ClusterState clusterState,
             DurationEstimates estimates,
@@ -65,7 +65,7 @@
     }
 
     /** Evicts the tasks that are not expected to end before their machine is taken. */
-    public void enforce() {
+    public void evictUnfinishableTasks() {
         for (Machine machine : machinesUnderNotice()) {
             long leftMs = machine.preemptionAt.since(context.now());
             boolean evicted = false;
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -11,13 +11,13 @@
     /** What the records and the change log say of a task and this machine. */
     public enum RecordedState {
         /** The job is open; the task is neither done nor placed anywhere. */
-        NOTHING,
+        NOT_PLACED,
         /** The task is placed on this machine, with the attempt that the machine names. */
         PLACED,
         /** The task is placed on this machine, with the attempt that the machine names, and its job is cancelled. */
         CANCELLED,
         /** The task is placed, here or elsewhere, with a later attempt than the machine names. */
-        PLACED_LATER,
+        PLACED_NEWER_ATTEMPT,
         /**
          * The task is placed with an older attempt than the machine names, or with this very attempt elsewhere: no
          * commit allows that.
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -14,7 +14,7 @@
         /**
          * Machines are finding this node. Nothing is preempted, for machines with free capacity may be about to report.
          */
-        LISTENING("listening"),
+        AWAITING_HEARTBEATS("listening"),
         /** Heartbeats are reconciled with what is stored; some placements are still unconfirmed. */
         RECONCILING("squaring"),
         /** Work that waited for evidence is placed again. */
@@ -38,14 +38,19 @@
      * What is known at one moment.
      *
      * @param stateRead whether all open records are read
-     * @param listed whether the cloud has listed its machines
+     * @param machinesListed whether the cloud has listed its machines
      * @param expected the machines that must be there by the records and the cloud's list
      * @param heard how many of those expected have reported
-     * @param unconfirmed placements of earlier terms that no heartbeat has confirmed or refuted
+     * @param unconfirmedPlacements placements of earlier terms that no heartbeat has confirmed or refuted
      * @param waitingCommands commands that the pacer holds back
      */
-    public record Facts(
-            boolean stateRead, boolean listed, int expected, int heard, int unconfirmed, int waitingCommands) {}
+    public record Snapshot(
+            boolean stateRead,
+            boolean machinesListed,
+            int expected,
+            int heard,
+            int unconfirmedPlacements,
+            int waitingCommands) {}
 
     /** The share of the expected machines that is waited for: the rest has hardly any capacity worth waiting for. */
     private static final double HEARD_SHARE = 0.9;
@@ -57,7 +62,7 @@
     /** The longest resuming, in which the pacer still holds commands back. */
     private static final long MAX_RESUMING_MS = 10_000;
 
-    private final long allReportedMs;
+    private final long firstHeartbeatDeadlineMs;
     private final long listeningMs;
     private final long leaseMs;
     private Phase phase = Phase.READING;
@@ -74,7 +79,7 @@
     public RecoveryProgress(MonotonicTime now, long heartbeatIntervalMs, long leaseMs) {
         this.beganAt = now;
         this.phaseBeganAt = now;
-        this.allReportedMs = allReportedMs(heartbeatIntervalMs);
+        this.firstHeartbeatDeadlineMs = firstHeartbeatDeadlineMs(heartbeatIntervalMs);
         this.listeningMs = Math.min(MAX_LISTENING_MS, 1000 + 2 * heartbeatIntervalMs);
         this.leaseMs = leaseMs;
     }
@@ -83,7 +88,7 @@
      * By when every living machine should have found a new leader: a heartbeat may be a quarter late and be refused
      * once.
      */
-    public static long allReportedMs(long heartbeatIntervalMs) {
+    public static long firstHeartbeatDeadlineMs(long heartbeatIntervalMs) {
         return heartbeatIntervalMs * 5 / 4 + 2000;
     }
 
@@ -106,7 +111,7 @@
      * Enters the next phase if the current one is over; returns whether it was. At most one phase a call, so that each
      * is seen.
      */
-    public boolean advance(MonotonicTime now, Facts facts) {
+    public boolean advance(MonotonicTime now, Snapshot facts) {
         Phase next = nextPhase(now, facts);
         if (next == phase) {
             return false;
@@ -119,33 +124,35 @@
         return true;
     }
 
-    private Phase nextPhase(MonotonicTime now, Facts facts) {
+    private Phase nextPhase(MonotonicTime now, Snapshot facts) {
         long inPhaseMs = now.since(phaseBeganAt);
         return switch (phase) {
             // Nothing is certain before all records are read: no deadline may end this phase.
-            case READING -> facts.stateRead ? Phase.LISTENING : phase;
-            case LISTENING -> hasHeardEnough(facts) || inPhaseMs >= listeningMs ? Phase.RECONCILING : phase;
-            case RECONCILING -> facts.unconfirmed == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
+            case READING -> facts.stateRead ? Phase.AWAITING_HEARTBEATS : phase;
+            case AWAITING_HEARTBEATS -> hasHeardEnough(facts) || inPhaseMs >= listeningMs ? Phase.RECONCILING : phase;
+            case RECONCILING ->
+                facts.unconfirmedPlacements == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
             case RESUMING -> facts.waitingCommands == 0 || inPhaseMs >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
             case COMPLETE -> Phase.COMPLETE;
         };
     }
 
-    private static boolean hasHeardEnough(Facts facts) {
-        return facts.listed && facts.heard >= HEARD_SHARE * facts.expected;
+    private static boolean hasHeardEnough(Snapshot facts) {
+        return facts.machinesListed && facts.heard >= HEARD_SHARE * facts.expected;
     }
 
     /** In how many ms the recovery is over at the latest, if the records are read by now. */
     public long maxRemainingMs(MonotonicTime now) {
         return switch (phase) {
-            case READING, LISTENING, RECONCILING -> Math.max(0, leaseMs - now.since(beganAt)) + MAX_RESUMING_MS;
+            case READING, AWAITING_HEARTBEATS, RECONCILING ->
+                Math.max(0, leaseMs - now.since(beganAt)) + MAX_RESUMING_MS;
             case RESUMING -> Math.max(0, MAX_RESUMING_MS - now.since(phaseBeganAt));
             case COMPLETE -> 0;
         };
     }
 
     /** Whether living machines may still be on their way to this node for the first time. */
-    public boolean isGathering(MonotonicTime now) {
-        return phase != Phase.COMPLETE && now.since(beganAt) <= allReportedMs;
+    public boolean isAwaitingFirstHeartbeats(MonotonicTime now) {
+        return phase != Phase.COMPLETE && now.since(beganAt) <= firstHeartbeatDeadlineMs;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -62,14 +62,14 @@
      * Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and starts anew
      * as a whole.
      */
-    void evictWithGang(Placement placement) {
+    void evictGangMember(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
             evict(placement, Cause.GANG);
         }
     }
 
     /** Records that a task is lost with its machine. */
-    void recordLost(Placement placement) {
+    void recordTaskLost(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
             disruptions.recordDisruption(placement, Cause.MACHINE);
         }
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -18,10 +18,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(TaskRemoval.class);
     private final ClusterState clusterState;
     private final TaskEviction eviction;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
 
     /** Creates it; losses with machines are reported to the loss recovery, tasks of broken gangs are evicted. */
-    public TaskRemoval(ClusterState clusterState, TaskEviction eviction, LossRecovery lossRecovery) {
+    public TaskRemoval(ClusterState clusterState, TaskEviction eviction, MachineLossTracker lossRecovery) {
         this.lossRecovery = lossRecovery;
         this.clusterState = clusterState;
         this.eviction = eviction;
@@ -31,7 +31,7 @@
      * Launches a committed placement, or removes it if its job was cancelled or held meanwhile or its machine is about
      * to go.
      */
-    public void launch(Placement placement) {
+    public void launchOrRemove(Placement placement) {
         Job job = clusterState.job(placement.task.job());
         if (job == null || job.record.live.get(placement.task.index()) != placement) {
             return;
@@ -54,7 +54,7 @@
             job.uncommittedPlacements--;
         }
         if (job.spec().isGang() && !job.record.done.contains(placement.task.index())) {
-            job.record.live.values().forEach(eviction::evictWithGang);
+            job.record.live.values().forEach(eviction::evictGangMember);
         }
         clusterState.machine(placement.machine).placements.remove(placement.task, placement);
         clusterState.markDirty(job);
@@ -62,10 +62,10 @@
     }
 
     /** Removes a machine with all its tasks: the cloud has confirmed that it is gone. */
-    public void machineGone(MachineId id) {
+    public void removeMachine(MachineId id) {
         Machine machine = clusterState.removeMachine(id);
         if (machine != null) {
-            removeAll(machine, "the machine is gone");
+            removeAllTasks(machine, "the machine is gone");
         }
     }
 
@@ -74,7 +74,7 @@
      *
      * @param cause for the log
      */
-    public void removeAll(Machine machine, String cause) {
+    public void removeAllTasks(Machine machine, String cause) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = clusterState.job(placement.task.job());
             machine.placements.remove(placement.task);
@@ -86,12 +86,12 @@
                         machine.id,
                         cause);
                 job.record.live.remove(placement.task.index());
-                lossRecovery.recordLost(job, placement);
-                eviction.recordLost(placement);
+                lossRecovery.recordTaskLost(job, placement);
+                eviction.recordTaskLost(placement);
                 job.endings.remove(placement);
                 job.uncommittedPlacements -= placement.committed ? 0 : 1;
                 if (job.spec().isGang()) {
-                    job.record.live.values().forEach(eviction::evictWithGang);
+                    job.record.live.values().forEach(eviction::evictGangMember);
                 }
                 clusterState.markDirty(job);
             }
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -69,7 +69,7 @@
                 new AbsenceEvidence.PendingCommands(machine.commandsInFlight > 0, machine.unacknowledgedToken);
         // An unacknowledged launch finds its exited attempt and does nothing; once forgotten, it would start it once
         // more.
-        boolean noLateLaunch = pending.noneCanArriveAt(heartbeat.fencingToken());
+        boolean noLateLaunch = pending.noneExecutableAfter(heartbeat.fencingToken());
         int unknownTasks = 0;
         Set<TaskId> reported = new HashSet<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -91,8 +91,8 @@
         int unconfirmed = removeAbsent(machine, heartbeat, reported, pending, unsolicited);
         machine.unconfirmedPlacements =
                 unsolicited ? unconfirmed : Math.min(machine.unconfirmedPlacements, unconfirmed);
-        return commands.size() > CommandDispatcher.MAX_COMMANDS
-                ? commands.subList(0, CommandDispatcher.MAX_COMMANDS)
+        return commands.size() > CommandDispatcher.MAX_COMMANDS_PER_MESSAGE
+                ? commands.subList(0, CommandDispatcher.MAX_COMMANDS_PER_MESSAGE)
                 : commands;
     }
 
@@ -112,10 +112,10 @@
         if (placement == null) {
             return job.record.done.contains(status.task().index())
                     ? Reconciliation.RecordedState.DONE
-                    : Reconciliation.RecordedState.NOTHING;
+                    : Reconciliation.RecordedState.NOT_PLACED;
         }
         if (placement.attempt > status.attempt()) {
-            return Reconciliation.RecordedState.PLACED_LATER;
+            return Reconciliation.RecordedState.PLACED_NEWER_ATTEMPT;
         }
         if (placement.attempt < status.attempt() || !placement.machine.equals(machine.id)) {
             return Reconciliation.RecordedState.PLACED_INCONSISTENT;
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -164,8 +164,8 @@
         var effects = core.drain();
         while (!effects.isEmpty()) {
             for (Effect effect : effects) {
-                if (effect instanceof Effect.Answer decided) {
-                    Effect.Answer answer = decided.asOf(loop.now());
+                if (effect instanceof Effect.Respond decided) {
+                    Effect.Respond answer = decided.asOf(loop.now());
                     open.remove(answer.request())
                             .answer(
                                     answer.status(),
--- a/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
+++ b/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
@@ -34,14 +34,14 @@
                         mine.add(wants.get(k));
                     }
                 }
-                double share = RequestShares.shareOfFirst(total, mine);
+                double share = RequestShares.rateOfFirstNode(total, mine);
                 assertTrue(share > 0 && share <= total + 1e-6, "seed " + seed + ": " + share + " of " + total);
                 if (sum <= total) {
                     assertTrue(
-                            share >= wants.get(i).perSecond() - 1e-6, "seed " + seed + ": wanted and there, not given");
+                            share >= wants.get(i).ratePerS() - 1e-6, "seed " + seed + ": wanted and there, not given");
                 }
                 given += share;
-                beyondSlack += Math.min(share, wants.get(i).perSecond());
+                beyondSlack += Math.min(share, wants.get(i).ratePerS());
             }
             // Those that want more than their part share what is left; a sure part that is not wanted may be used all
             // the same.
@@ -59,22 +59,22 @@
                 new RequestShares.Demand(true, -1),
                 new RequestShares.Demand(false, -1));
         assertEquals(
-                RequestShares.shareOfFirst(
+                RequestShares.rateOfFirstNode(
                         40,
                         List.of(all.get(0), new RequestShares.Demand(true, 100), new RequestShares.Demand(false, 100))),
-                RequestShares.shareOfFirst(40, all),
+                RequestShares.rateOfFirstNode(40, all),
                 1e-6);
     }
 
     @Test
     void whoIsDeaf() {
         List<Integer> turned = List.of(200, 300);
-        assertTrue(WorkerReachability.isUnreachable(1000, 100, turned));
-        assertTrue(WorkerReachability.isUnreachable(1000, 0, List.of()), "nobody is heard of");
+        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 100, turned));
+        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 0, List.of()), "nobody is heard of");
         assertFalse(
-                WorkerReachability.isUnreachable(1000, 100, List.of(0, 3)),
+                WorkerReachability.isUnreachableFromWorkers(1000, 100, List.of(0, 3)),
                 "the machines are gone: they turn to nobody");
-        assertFalse(WorkerReachability.isUnreachable(1000, 500, turned));
-        assertFalse(WorkerReachability.isUnreachable(3, 0, turned), "too few to tell");
+        assertFalse(WorkerReachability.isUnreachableFromWorkers(1000, 500, turned));
+        assertFalse(WorkerReachability.isUnreachableFromWorkers(3, 0, turned), "too few to tell");
     }
 }
--- a/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
@@ -217,14 +217,14 @@
         s.knownCounter[h] = r.counter;
         AbsenceEvidence.PendingCommands inFlight =
                 new AbsenceEvidence.PendingCommands(s.out[h], new FencingToken(s.limbo[h]));
-        boolean mayForget = inFlight.noneCanArriveAt(new FencingToken(r.token));
+        boolean mayForget = inFlight.noneExecutableAfter(new FencingToken(r.token));
         r.tasks.forEach((attempt, state) -> {
             int task = state.charAt(0) - '0';
             Place p = s.book[task];
             RecordedState stored = p == null
-                    ? s.done[task] ? RecordedState.DONE : RecordedState.NOTHING
+                    ? s.done[task] ? RecordedState.DONE : RecordedState.NOT_PLACED
                     : p.attempt > attempt
-                            ? RecordedState.PLACED_LATER
+                            ? RecordedState.PLACED_NEWER_ATTEMPT
                             : p.attempt < attempt || p.host != h
                                     ? RecordedState.PLACED_INCONSISTENT
                                     : RecordedState.PLACED;
--- a/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
@@ -61,9 +61,9 @@
     @Test
     void everyPhaseEnds() {
         RecoveryProgress p = new RecoveryProgress(new MonotonicTime(1), 6000, 26_000);
-        RecoveryProgress.Facts nothing = new RecoveryProgress.Facts(false, false, 100, 0, 50, 9);
+        RecoveryProgress.Snapshot nothing = new RecoveryProgress.Snapshot(false, false, 100, 0, 50, 9);
         assertFalse(p.advance(new MonotonicTime(500_000), nothing), "nothing may be commanded before all is read");
-        RecoveryProgress.Facts stuck = new RecoveryProgress.Facts(true, false, 100, 0, 50, 9);
+        RecoveryProgress.Snapshot stuck = new RecoveryProgress.Snapshot(true, false, 100, 0, 50, 9);
         assertTrue(p.advance(new MonotonicTime(500_001), stuck));
         assertFalse(p.advance(new MonotonicTime(503_000), stuck));
         assertTrue(p.advance(new MonotonicTime(504_001), stuck), "listening holds stops back for 4 s at the most");
--- a/src/test/java/org/beechhoist/sim/CronSimulationTest.java
+++ b/src/test/java/org/beechhoist/sim/CronSimulationTest.java
@@ -49,7 +49,7 @@
     }
 
     private static JsonNode get(World w, String path) {
-        List<Effect.Answer> out = new ArrayList<>();
+        List<Effect.Respond> out = new ArrayList<>();
         w.request("GET", path, null, out::add);
         w.runUntil(w.now + 2000);
         return out.get(0).body();
--- a/src/test/java/org/beechhoist/sim/ElasticSimulationTest.java
+++ b/src/test/java/org/beechhoist/sim/ElasticSimulationTest.java
@@ -188,7 +188,7 @@
         assertEquals(List.of(200, 200, 409, 409, 400, 400, 400, 400, 200), answers);
         JsonNode width = w.status(ref).path("width");
         assertEquals("6 6 11", width.path("least") + " " + width.path("most") + " " + width.path("number"));
-        List<Effect.Answer> other = new ArrayList<>();
+        List<Effect.Respond> other = new ArrayList<>();
         w.resize("job-990001", to(4), other::add);
         w.runUntil(w.now + 1000);
         assertEquals(404, other.get(0).status());
@@ -206,7 +206,7 @@
         w.runUntil(30_000);
         assertTrue(w.onMachines(ref) > 2
                 || "done".equals(w.status(ref).path("status").asText()));
-        List<Effect.Answer> answers = new ArrayList<>();
+        List<Effect.Respond> answers = new ArrayList<>();
         w.resize(ref, to(1), answers::add);
         w.runUntil(w.now + 1000);
         assertEquals(409, answers.get(0).status());
--- a/src/test/java/org/beechhoist/sim/FailoverTest.java
+++ b/src/test/java/org/beechhoist/sim/FailoverTest.java
@@ -133,7 +133,7 @@
     }
 
     private static boolean forgets(Effect e) {
-        return e instanceof Effect.Answer a
+        return e instanceof Effect.Respond a
                 && a.body() != null
                 && a.body().path("orders").findValuesAsText("verb").contains("forget");
     }
--- a/src/test/java/org/beechhoist/sim/FallTest.java
+++ b/src/test/java/org/beechhoist/sim/FallTest.java
@@ -26,7 +26,7 @@
                 && c.target() == ServiceCalls.Target.HOST
                 && c.body().toString().contains("kill")),
         REPORT_ANSWER(e ->
-                e instanceof Effect.Answer a && a.body() != null && a.body().has("orders")),
+                e instanceof Effect.Respond a && a.body() != null && a.body().has("orders")),
         RENTAL(e -> e instanceof Effect.Call c && c.path().equals("/machines")),
         RETURN(e -> e instanceof Effect.Call c && c.path().equals("/machines/return")),
         READING(e -> e instanceof Effect.Call c && c.path().startsWith("/store?prefix=jo/")),
@@ -99,7 +99,7 @@
     }
 
     private static boolean command(Effect e) {
-        return e instanceof Effect.Answer a
+        return e instanceof Effect.Respond a
                 ? a.status() == 200 && a.body() != null && a.body().has("orders")
                 : e instanceof Effect.Call c
                         && (c.target() == ServiceCalls.Target.HOST
--- a/src/test/java/org/beechhoist/sim/KeySetTest.java
+++ b/src/test/java/org/beechhoist/sim/KeySetTest.java
@@ -44,7 +44,7 @@
 
     /** Between which steps of a job's life its set is revoked. */
     enum Moment {
-        ACCEPTED(e -> e instanceof Effect.Answer a && a.status() == 201),
+        ACCEPTED(e -> e instanceof Effect.Respond a && a.status() == 201),
         PLANNED(e -> e instanceof Effect.Call c
                 && c.path().equals("/commit")
                 && c.body().toString().contains("\"log/")),
--- a/src/test/java/org/beechhoist/sim/Meetings.java
+++ b/src/test/java/org/beechhoist/sim/Meetings.java
@@ -123,12 +123,12 @@
     }
 
     /** What a worker is told, as it hears it. */
-    Effect.Answer heard(Effect.Answer a, LongSupplier token) {
+    Effect.Respond heard(Effect.Respond a, LongSupplier token) {
         if (planted == Planted.RENEWS_BLINDLY && a.status() == 503) {
-            return new Effect.Answer(0, 200, Codec.map().put("baton", token.getAsLong()), 0);
+            return new Effect.Respond(0, 200, Codec.map().put("baton", token.getAsLong()), 0);
         }
         return planted == Planted.PURSUIT_WAITS && a.body() != null
-                ? new Effect.Answer(0, a.status(), withoutKills(a.body()), 0)
+                ? new Effect.Respond(0, a.status(), withoutKills(a.body()), 0)
                 : a;
     }
 
--- a/src/test/java/org/beechhoist/sim/SimulatedController.java
+++ b/src/test/java/org/beechhoist/sim/SimulatedController.java
@@ -27,7 +27,7 @@
     /** The state service refuses it alone until then; its open watches wait. */
     long refusedUntil;
 
-    final Map<Long, Consumer<Effect.Answer>> open = new HashMap<>();
+    final Map<Long, Consumer<Effect.Respond>> open = new HashMap<>();
     long nextRequest = 1;
     long wakeAt = Long.MAX_VALUE;
     /** It stands still until then, while its clocks run on; what comes meanwhile is waiting for it. */
@@ -162,10 +162,10 @@
                 world.fingerprint =
                         31 * (31 * world.fingerprint + world.now) + values(e).hashCode();
             }
-            if (e instanceof Effect.Answer decided) {
-                Effect.Answer a = decided.asOf(clock());
+            if (e instanceof Effect.Respond decided) {
+                Effect.Respond a = decided.asOf(clock());
                 world.performed.accept(world.now - decidedAt, a);
-                Consumer<Effect.Answer> then = open.remove(a.request());
+                Consumer<Effect.Respond> then = open.remove(a.request());
                 if (then == null) {
                     throw new AssertionError("a request was answered twice, or nobody asked");
                 }
@@ -220,7 +220,7 @@
         carryOut();
     }
 
-    void request(String method, String path, byte[] body, Consumer<Effect.Answer> then) {
+    void request(String method, String path, byte[] body, Consumer<Effect.Respond> then) {
         input(() -> {
             long id = nextRequest++;
             open.put(id, then);
--- a/src/test/java/org/beechhoist/sim/Users.java
+++ b/src/test/java/org/beechhoist/sim/Users.java
@@ -101,11 +101,11 @@
     String oldAnswerFor;
 
     /** One question more about a job; its answer is held against the rules, too. */
-    void pollOnce(UserJob j, Consumer<Effect.Answer> then) {
+    void pollOnce(UserJob j, Consumer<Effect.Respond> then) {
         pollAt(w.anyNode(), j, then);
     }
 
-    void pollAt(int node, UserJob j, Consumer<Effect.Answer> then) {
+    void pollAt(int node, UserJob j, Consumer<Effect.Respond> then) {
         long asked = w.now;
         w.askAt(node, "GET", "/v1/jobs/" + j.spec.id(), new byte[0], a -> {
             if (a != null
@@ -121,7 +121,7 @@
     }
 
     /** Nobody is forgotten: once all troubles are over, some question about each job is answered within 75 s, however others fare. */
-    private void answered(UserJob j, Effect.Answer a, long asked) {
+    private void answered(UserJob j, Effect.Respond a, long asked) {
         if (w.stateTrouble > 0 || w.orderTrouble > 0 || w.cloudTrouble > 0) {
             w.trouble(0);
         }
@@ -185,7 +185,7 @@
     }
 
     /** Questions asked before the user was told may be answered with what was true in between. */
-    private void judge(UserJob j, Effect.Answer a, long asked) {
+    private void judge(UserJob j, Effect.Respond a, long asked) {
         if (a == null || a.body() == null || a.status() != 200 && a.status() != 404) {
             return;
         }
--- a/src/test/java/org/beechhoist/sim/World.java
+++ b/src/test/java/org/beechhoist/sim/World.java
@@ -271,7 +271,7 @@
     }
 
     /** Asks any node until one answers with anything but 503. */
-    void request(String method, String path, ObjectNode body, Consumer<Effect.Answer> then) {
+    void request(String method, String path, ObjectNode body, Consumer<Effect.Respond> then) {
         ask(method, path, body == null ? new byte[0] : Codec.encode(body), a -> {
             if (a == null || a.status() == 503) {
                 later(1000, () -> request(method, path, body, then));
@@ -710,7 +710,7 @@
         boolean heldBack = meetings.reported(body, m.worker);
         int life = m.life;
         boolean[] over = new boolean[1];
-        Consumer<Effect.Answer> answer = a -> {
+        Consumer<Effect.Respond> answer = a -> {
             if (over[0] || m.gone || life != m.life) {
                 return;
             }
@@ -734,7 +734,7 @@
                 counted.checkins++;
                 node.request("POST", "/checkin", body, a -> {
                     JsonNode copied = copy(a.body());
-                    Effect.Answer back = meetings.heard(new Effect.Answer(0, a.status(), copied, 0), this::token);
+                    Effect.Respond back = meetings.heard(new Effect.Respond(0, a.status(), copied, 0), this::token);
                     // An answer that meets a cut comes after it; the worker has given up by then or takes it.
                     copies.answered(m.deaf(), copied);
                     later(1 + draw(3) + slowLink(), () -> {
@@ -924,7 +924,7 @@
     }
 
     /** Asks for another width until there is an answer, which is handed over. */
-    void resize(String ref, ObjectNode body, Consumer<Effect.Answer> then) {
+    void resize(String ref, ObjectNode body, Consumer<Effect.Respond> then) {
         UserJob j = jobs.get(ref);
         ask("POST", "/v1/jobs/" + ref + "/width", Codec.encode(body), a -> {
             if (a == null || a.status() == 503) {
@@ -991,7 +991,7 @@
     }
 
     /** One question more about a job; its answer is held against the rules, too. */
-    void pollOnce(UserJob j, Consumer<Effect.Answer> then) {
+    void pollOnce(UserJob j, Consumer<Effect.Respond> then) {
         users.pollOnce(j, then);
     }
 
@@ -1011,15 +1011,15 @@
         return steady ? (leader + 1) % nodes.length : draw(nodes.length);
     }
 
-    void ask(String method, String path, byte[] body, Consumer<Effect.Answer> then) {
+    void ask(String method, String path, byte[] body, Consumer<Effect.Respond> then) {
         askAt(anyNode(), method, path, body, then);
     }
 
     /** A user's request to one node; null: no answer came. */
-    void askAt(int at, String method, String path, byte[] body, Consumer<Effect.Answer> then) {
+    void askAt(int at, String method, String path, byte[] body, Consumer<Effect.Respond> then) {
         SimulatedController node = nodes[at];
         boolean[] over = new boolean[1];
-        Consumer<Effect.Answer> once = a -> {
+        Consumer<Effect.Respond> once = a -> {
             if (!over[0]) {
                 over[0] = true;
                 then.accept(a);
@@ -1164,7 +1164,7 @@
     }
 
     /** A request to one node. */
-    void at(int node, String method, String path, byte[] body, Consumer<Effect.Answer> then) {
+    void at(int node, String method, String path, byte[] body, Consumer<Effect.Respond> then) {
         nodes[node].request(method, path, body, then);
     }
 
