--- a/src/main/java/org/beechhoist/config/Settings.java
+++ b/src/main/java/org/beechhoist/config/Settings.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.cancel.Freshness;
+import org.beechhoist.cancel.CancellationFreshness;
 import org.beechhoist.store.RecordSizes;
 
 /** The platform's settings file, checked. */
@@ -67,8 +67,8 @@
     public record Cloud(double rps, double listLagS) {}
 
     /** How fresh a leader's knowledge of cancellations must be. */
-    public Freshness freshness() {
-        return new Freshness(workers.cancelMs(), workers.leaseMs());
+    public CancellationFreshness freshness() {
+        return new CancellationFreshness(workers.cancelMs(), workers.leaseMs());
     }
 
     /** A setting that can't be used: its name, its value and what is allowed. */
@@ -178,13 +178,13 @@
                 workerSection.number("report_s", 0.1, 3600, null),
                 workerSection.number("lease_s", 1, 86400, null),
                 workerSection.number("cancel_s", 1, 86400, null));
-        Freshness freshness = new Freshness(workers.cancelMs(), workers.leaseMs());
-        if (!freshness.allowsLeading()) {
+        CancellationFreshness freshness = new CancellationFreshness(workers.cancelMs(), workers.leaseMs());
+        if (!freshness.allowsLeadership()) {
             throw new Bad(
                     "deployment.workers.cancel_s",
                     Section.plain(workers.cancelS),
                     "at least "
-                            + Section.plain(freshness.leastCancelMs() / 1000.0) + " is expected beside lease_s = "
+                            + Section.plain(freshness.minCancelMs() / 1000.0) + " is expected beside lease_s = "
                             + Section.plain(workers.leaseS)
                             + ": leases are renewed on knowledge of cancellations that is younger than what is left");
         }
--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -56,7 +56,7 @@
      */
     boolean mayWiden(Machine machine) {
         return usable(machine)
-                && machine.growthDamping.open(context.now().ms())
+                && machine.growthDamping.allowsGrowth(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
                 && context.now().since(clusterState.lastContactAt(machine))
                         < settings.workers().reportS() * WIDEN_HEARD_MS_PER_S;
--- a/src/main/java/org/beechhoist/controller/Arrangement.java
+++ b/src/main/java/org/beechhoist/controller/Arrangement.java
@@ -30,7 +30,7 @@
         int places = order.size() < 2 ? 0 : order.size();
         int index = random.nextInt(places + elastic.size());
         if (index < places) {
-            return new Arrangement(RandomSearch.moved(order, index, random), elastic, widest, fixed);
+            return new Arrangement(RandomSearch.withRandomPosition(order, index, random), elastic, widest, fixed);
         }
         JobId job = elastic.get(index - places);
         Map<JobId, Integer> widths = new HashMap<>(fixed);
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/Dispatch.java
@@ -90,7 +90,7 @@
         }
         if (!admission.admissible(job, machine, run.used)
                 || ElasticWidths.mayPlace(job) <= 0
-                || (reservation.wide() && !admission.mayWiden(machine))) {
+                || (reservation.beyondGuarantee() && !admission.mayWiden(machine))) {
             return;
         }
         ArrayDeque<Integer> free = run.waiting.computeIfAbsent(
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -25,7 +25,7 @@
 import org.beechhoist.drain.Evictions;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.Selector;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
@@ -346,10 +346,10 @@
 
     // ---- which tasks ----
 
-    private Ending.Need need(Drain drain, long sinceMs) {
+    private TaskTermination.CapacityNeed need(Drain drain, long sinceMs) {
         long by = sinceMs + 1000 * drain.limits().waitS();
         by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
-        return new Ending.Need(context.now().ms() + by - context.wallMs(), true);
+        return new TaskTermination.CapacityNeed(context.now().ms() + by - context.wallMs(), true);
     }
 
     /** Tasks that may leave; whether one of them has no place to go to. */
@@ -389,9 +389,9 @@
             Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
         long since = drain.replace() ? run.begun.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        Ending ending = elastic.ending(job, placement, need(drain, since));
-        boolean due = ending.way() != Ending.Way.AT_END
-                && ending.way() != Ending.Way.WITHDRAW
+        TaskTermination ending = elastic.ending(job, placement, need(drain, since));
+        boolean due = ending.method() != TaskTermination.Method.AT_END
+                && ending.method() != TaskTermination.Method.WITHDRAW
                 && ending.atMs() <= context.now().ms() + EVERY_MS;
         boolean placed = true;
         if (spec.isService() && due) {
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -11,7 +11,7 @@
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.ReplacementSteps;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.MachineType;
 
@@ -39,7 +39,7 @@
             List<Machine> machines,
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
-            BiFunction<Job, Placement, Ending> ending,
+            BiFunction<Job, Placement, TaskTermination> ending,
             long nowMs) {
         int tasks = 0;
         double cpuS = 0;
@@ -56,9 +56,9 @@
                 if (job == null) {
                     continue;
                 }
-                Ending how = ending.apply(job, placement);
-                frees = Math.max(frees, how.freesAtMs() - nowMs);
-                if (how.way() != Ending.Way.AT_END && how.way() != Ending.Way.WITHDRAW) {
+                TaskTermination how = ending.apply(job, placement);
+                frees = Math.max(frees, how.freedAtMs() - nowMs);
+                if (how.method() != TaskTermination.Method.AT_END && how.method() != TaskTermination.Method.WITHDRAW) {
                     tasks++;
                     cpuS += how.lostCpuS();
                     double[] gains = groups.computeIfAbsent(
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -15,9 +15,9 @@
 import org.beechhoist.controller.worker.TaskEviction;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.drain.Cause;
-import org.beechhoist.elastic.Ending;
 import org.beechhoist.elastic.GuaranteedWidth;
-import org.beechhoist.elastic.Surplus;
+import org.beechhoist.elastic.SurplusTaskSelector;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.plan.WidthOptions;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.WidthRecord;
@@ -45,7 +45,7 @@
     private final DurationEstimates estimates;
     private final TaskEviction eviction;
     private final TaskRemoval taskRemoval;
-    private final Map<Ending.Way, Integer> ended = new HashMap<>();
+    private final Map<TaskTermination.Method, Integer> ended = new HashMap<>();
     private int widened;
     private int narrowed;
     private int withdrawn;
@@ -98,7 +98,7 @@
     /** When an elastic job should be done. */
     long untilMs(Job job) {
         Double until = job.record.width.allowed().deadlineS();
-        return until == null ? Ending.NEVER : job.submittedAt.ms() + Math.round(1000 * until);
+        return until == null ? TaskTermination.NEVER : job.submittedAt.ms() + Math.round(1000 * until);
     }
 
     /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
@@ -162,17 +162,17 @@
 
     // ---- narrowing ----
 
-    Ending ending(Job job, Placement placement, Ending.Need need) {
+    TaskTermination ending(Job job, Placement placement, TaskTermination.CapacityNeed need) {
         JobSpec spec = job.spec();
         // Reports come late: what should have its image by now, or soon, may be running when the stop arrives.
         boolean running = placement.runningSince != null
                 || context.now().since(placement.placedAt) > placement.fetchMs - REPORT_LATE_MS;
         long ran = placement.runningSince != null ? Math.max(0, context.now().since(placement.runningSince)) : 0;
         long left = spec.isService()
-                ? Ending.NEVER
+                ? TaskTermination.NEVER
                 : Math.max(0, estimates.expectedEnd(placement, context.now()).since(context.now()));
-        return Ending.choose(
-                new Ending.Task(
+        return TaskTermination.choose(
+                new TaskTermination.LiveTask(
                         placement.launchSent,
                         running,
                         ran,
@@ -190,12 +190,12 @@
     }
 
     /** The task is to go. Nothing is sent before the narrower width is committed. */
-    void leave(Job job, Placement placement, Ending ending, String why) {
+    void leave(Job job, Placement placement, TaskTermination ending, String why) {
         if (job.endings.isEmpty() || staying(job) == job.record.width.target()) {
             narrowed++;
         }
         job.endings.put(placement, ending);
-        placement.expectedGoneAtMs = ending.freesAtMs();
+        placement.expectedGoneAtMs = ending.freedAtMs();
         WidthRecord width = job.record.width;
         job.record.width = width.withTarget(Math.min(width.target(), staying(job)));
         LOG.info(
@@ -204,7 +204,7 @@
                 job.record.width.target(),
                 placement.task,
                 placement.attempt,
-                ending.way(),
+                ending.method(),
                 why);
         clusterState.markDirty(job);
     }
@@ -217,15 +217,17 @@
         }
         int surplus = staying(job) - width.target();
         if (surplus > 0) {
-            Ending.Need need = new Ending.Need(context.now().ms() + NEAR_MS, false);
+            TaskTermination.CapacityNeed need =
+                    new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
             List<Placement> live = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 if (mayGo(job, placement)) {
                     live.add(placement);
                 }
             }
-            for (Surplus.Choice<Placement> c : Surplus.choose(live, surplus, p -> ending(job, p, need))) {
-                leave(job, c.task(), c.ending(), "its width is " + width.target());
+            for (SurplusTaskSelector.Candidate<Placement> c :
+                    SurplusTaskSelector.select(live, surplus, p -> ending(job, p, need))) {
+                leave(job, c.task(), c.termination(), "its width is " + width.target());
             }
         }
         carryOut(job);
@@ -233,27 +235,32 @@
 
     /** Stops what is to go and due, as far as the committed width leaves tasks over. */
     private void carryOut(Job job) {
-        for (Map.Entry<Placement, Ending> entry : new ArrayList<>(job.endings.entrySet())) {
+        for (Map.Entry<Placement, TaskTermination> entry : new ArrayList<>(job.endings.entrySet())) {
             Placement placement = entry.getKey();
-            Ending end = entry.getValue();
+            TaskTermination end = entry.getValue();
             if (job.record.live.size() - stopped(job) <= job.committedWidth
                     || placement.stopRequested
                     || end.atMs() > context.now().ms()) {
                 continue;
             }
             if (!placement.launchSent) {
-                ended.merge(Ending.Way.WITHDRAW, 1, Integer::sum);
+                ended.merge(TaskTermination.Method.WITHDRAW, 1, Integer::sum);
                 taskRemoval.remove(job, placement);
-            } else if (end.way() == Ending.Way.AT_END) {
+            } else if (end.method() == TaskTermination.Method.AT_END) {
                 // It runs longer than expected: where it can save, it does so now.
-                Ending.Need need = new Ending.Need(context.now().ms() + NEAR_MS, false);
-                Ending again = ending(job, placement, need);
+                TaskTermination.CapacityNeed need =
+                        new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
+                TaskTermination again = ending(job, placement, need);
                 job.endings.put(placement, again);
-                placement.expectedGoneAtMs = again.freesAtMs();
+                placement.expectedGoneAtMs = again.freedAtMs();
             } else {
-                ended.merge(end.way(), 1, Integer::sum);
+                ended.merge(end.method(), 1, Integer::sum);
                 eviction.evict(
-                        placement, end.way() == Ending.Way.KILL ? 0 : job.spec().checkpointCostS(), Cause.NARROWING);
+                        placement,
+                        end.method() == TaskTermination.Method.KILL
+                                ? 0
+                                : job.spec().checkpointCostS(),
+                        Cause.NARROWING);
             }
         }
     }
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -79,7 +79,8 @@
         }
         return job.hasStarted()
                 ? latest
-                : earlierIfOpen(latest, job.submittedAt.ms() + StarvingJobSelector.BEGIN_WITHIN_MS - BEGIN_MARGIN_MS);
+                : earlierIfOpen(
+                        latest, job.submittedAt.ms() + StarvingJobSelector.MAX_TIME_TO_START_MS - BEGIN_MARGIN_MS);
     }
 
     /** Returns the latest start for the deadline, class objectives and quota guarantee, or the default wait without any. */
--- a/src/main/java/org/beechhoist/controller/LeaderFeatures.java
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -8,7 +8,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
 
 /**
  * Wires the leader's features that a policy may switch off, and drains, which reads them. Nothing of a feature that is off is
@@ -136,7 +136,7 @@
                 : machineTypes.get(machine.type).cpus();
     }
 
-    private Map<String, Share> serviceShares() {
+    private Map<String, ServiceShare> serviceShares() {
         return serviceShare.map(MinimumServiceShare::shares).orElse(Map.of());
     }
 
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -15,7 +15,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
 import org.beechhoist.release.ShipOrder;
 import org.beechhoist.store.Placement;
 import org.beechhoist.triage.Capacity;
@@ -43,7 +43,7 @@
     private final JobOrdering ordering;
     private final Admission admission;
     private final ScaleOutPolicy scaleOut;
-    private final Supplier<Map<String, Share>> lately;
+    private final Supplier<Map<String, ServiceShare>> lately;
     private final Function<Job, Set<String>> groups;
     private long next;
     private Set<JobId> behind = Set.of();
@@ -57,7 +57,7 @@
             JobOrdering ordering,
             Admission admission,
             ScaleOutPolicy scaleOut,
-            Supplier<Map<String, Share>> lately,
+            Supplier<Map<String, ServiceShare>> lately,
             Function<Job, Set<String>> groups) {
         this.groups = groups;
         this.lately = lately;
@@ -110,7 +110,7 @@
                     spec.cpus() * length * job.record.waitingCount(),
                     spec.gpus() * length * job.record.waitingCount(),
                     length,
-                    due == null ? Demand.NO_DUE : due,
+                    due == null ? Demand.NO_DEADLINE : due,
                     late,
                     more || begun || job.prioritized || ordering.shipKey(job) != ShipOrder.NONE));
         }
@@ -162,10 +162,11 @@
                 }
             }
         }
-        Map<String, Capacity.Team> teams = new HashMap<>();
+        Map<String, Capacity.TeamQuota> teams = new HashMap<>();
         for (Settings.Team team : settings.teams().values()) {
             if (team.cpusMax() < Double.POSITIVE_INFINITY && team.cpusMax() > 0) {
-                teams.put(team.name(), new Capacity.Team(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
+                teams.put(
+                        team.name(), new Capacity.TeamQuota(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
             }
         }
         return new Capacity(context.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -26,8 +26,8 @@
 import org.beechhoist.drain.Budgets;
 import org.beechhoist.drain.Cause;
 import org.beechhoist.drain.DisruptionBudget;
-import org.beechhoist.packing.Moves;
-import org.beechhoist.packing.Sizes;
+import org.beechhoist.packing.DefragmentationSearch;
+import org.beechhoist.packing.GpuSizeDistribution;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
@@ -257,9 +257,9 @@
     // ---- what the plan must know ----
 
     /** How often which size is asked for, by tasks that are open; what asked before fades. */
-    Sizes sizes() {
+    GpuSizeDistribution sizes() {
         if (!policy.packing() || !gpus()) {
-            return Sizes.NONE;
+            return GpuSizeDistribution.NONE;
         }
         Map<Double, Double> now = new HashMap<>();
         for (Job job : clusterState.jobs()) {
@@ -272,7 +272,7 @@
         }
         asked.replaceAll((g, n) -> n * 0.999);
         now.forEach((g, n) -> asked.merge(g, n, Math::max));
-        return new Sizes(asked);
+        return new GpuSizeDistribution(asked);
     }
 
     /** For how many tasks of the job room is being made: they come first, and hold what comes free for them. */
@@ -492,7 +492,7 @@
         return !job.spec().isService() || MigrationSearch.allThere(job);
     }
 
-    private void make(Job large, Moves.Found found) {
+    private void make(Job large, DefragmentationSearch.Result found) {
         Making move = new Making(found.machine(), large.id(), null, context.wallMs());
         found.moves().forEach(o -> move.to.put(o.task(), o.to()));
         Transaction transaction = election.guardedTransaction().put(PREFIX + move.machine.text(), move.toNode());
@@ -508,7 +508,7 @@
                         move.machine,
                         move.forJob,
                         move.to.size(),
-                        Math.round(found.cost()));
+                        Math.round(found.costGpuS()));
                 clusterState.requestReplan();
             }
         });
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -13,8 +13,8 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.packing.Moves;
-import org.beechhoist.packing.Sizes;
+import org.beechhoist.packing.DefragmentationSearch;
+import org.beechhoist.packing.GpuSizeDistribution;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobSpec;
@@ -55,7 +55,7 @@
             Function<Job, String> zoneOfRooms) {}
 
     /** Whom to make room for, and how. */
-    record Wish(Job large, Moves.Found found) {}
+    record Wish(Job large, DefragmentationSearch.Result found) {}
 
     private final ControllerContext context;
     private final MachineTypeCatalog machineTypes;
@@ -78,19 +78,20 @@
     }
 
     /** The first that moving is worth it for, or null. */
-    Wish look(Plan plan, InHand hand, Sizes sizes) {
+    Wish look(Plan plan, InHand hand, GpuSizeDistribution sizes) {
         Map<String, double[]> used = clusterState.teamResourceUsage();
         for (Job large : clusterState.jobs()) {
             if (!lacksRoom(large, plan, used, hand)) {
                 continue;
             }
-            Moves.Found found = Moves.cheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
+            DefragmentationSearch.Result found =
+                    DefragmentationSearch.findCheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
             long waits = plan.plannedStart(large.id()) == null
                     ? LONGEST_GAIN_MS
                     : Math.min(
                             LONGEST_GAIN_MS,
                             plan.plannedStart(large.id()) - context.now().ms());
-            if (found != null && found.cost() <= WORTH * large.spec().gpus() * waits / 1000) {
+            if (found != null && found.costGpuS() <= WORTH * large.spec().gpus() * waits / 1000) {
                 return new Wish(large, found);
             }
         }
@@ -112,11 +113,13 @@
             return false;
         }
         Long start = plan.plannedStart(job.id());
-        return start == null || start > context.now().ms() + SOON_MS || spec.sameZone() && plan.unplaced(job.id()) > 0;
+        return start == null
+                || start > context.now().ms() + SOON_MS
+                || spec.sameZone() && plan.unplacedCount(job.id()) > 0;
     }
 
-    private static Moves.Resources room(JobSpec spec) {
-        return new Moves.Resources(spec.cpus(), spec.gpus(), spec.memGb());
+    private static DefragmentationSearch.Resources room(JobSpec spec) {
+        return new DefragmentationSearch.Resources(spec.cpus(), spec.gpus(), spec.memGb());
     }
 
     private boolean allowed(TaskId task, MachineId id) {
@@ -165,7 +168,7 @@
                 .orElse(NOWHERE);
     }
 
-    private List<Moves.Machine> machines(Job large, InHand hand) {
+    private List<DefragmentationSearch.MachineSnapshot> machines(Job large, InHand hand) {
         Map<String, Integer> ofTeam = new HashMap<>();
         hand.tasks.forEach(t -> ofTeam.merge(
                 clusterState.job(t.job()) == null
@@ -174,7 +177,7 @@
                 1,
                 Integer::sum));
         String only = onlyZone(large, hand);
-        List<Moves.Machine> out = new ArrayList<>();
+        List<DefragmentationSearch.MachineSnapshot> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             Admission.FreeResources free =
@@ -184,7 +187,7 @@
             if (free == null) {
                 continue;
             }
-            List<Moves.Movable> movable = new ArrayList<>();
+            List<DefragmentationSearch.MovableTask> movable = new ArrayList<>();
             boolean may = large.spec().mayRunOn(type, machine.zone, machine.spot)
                     && (only == null || only.equals(machine.zone));
             for (Placement placement : may ? machine.placements.values() : List.<Placement>of()) {
@@ -193,11 +196,15 @@
                         && job != large
                         && !hand.tasks.contains(placement.task)
                         && mayMove(job, placement, large, ofTeam, hand)) {
-                    movable.add(new Moves.Movable(placement.task, room(job.spec()), cost(job, placement)));
+                    movable.add(new DefragmentationSearch.MovableTask(
+                            placement.task, room(job.spec()), cost(job, placement)));
                 }
             }
-            out.add(new Moves.Machine(
-                    machine.id, new Moves.Resources(free.cpus(), free.gpus(), free.memGb()), may, movable));
+            out.add(new DefragmentationSearch.MachineSnapshot(
+                    machine.id,
+                    new DefragmentationSearch.Resources(free.cpus(), free.gpus(), free.memGb()),
+                    may,
+                    movable));
         }
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -15,10 +15,10 @@
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
-import org.beechhoist.floor.Largest;
-import org.beechhoist.floor.Ledger;
+import org.beechhoist.floor.LargestJobGroups;
 import org.beechhoist.floor.PrioritizedJobSelector;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
+import org.beechhoist.floor.ServiceShareWindow;
 import org.beechhoist.floor.StarvingJobSelector;
 import org.beechhoist.store.ServiceShareRecord;
 import org.beechhoist.store.StoreClient;
@@ -49,8 +49,8 @@
     private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
-    private final Ledger ledger = new Ledger();
-    private final Largest largest = new Largest();
+    private final ServiceShareWindow ledger = new ServiceShareWindow();
+    private final LargestJobGroups largest = new LargestJobGroups();
     private final ToDoubleFunction<Machine> cpus;
     private final Set<JobId> counted = new HashSet<>();
     private Set<JobId> lifted = Set.of();
@@ -154,7 +154,7 @@
             if (job.release != null) {
                 all.add("maker:" + job.release.maker());
             }
-            all.addAll(largest.record(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
+            all.addAll(largest.recordJob(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
             job.shareGroups = Set.copyOf(all);
         }
         return job.shareGroups;
@@ -169,7 +169,7 @@
     }
 
     private void count(Job job, boolean served) {
-        groups(job).forEach(g -> ledger.count(g, context.wallMs(), served));
+        groups(job).forEach(g -> ledger.recordOutcome(g, context.wallMs(), served));
     }
 
     /** Counts whose time is up, decides who goes first, and stores the counts now and then. */
@@ -177,7 +177,7 @@
         if (!known) {
             return;
         }
-        List<PrioritizedJobSelector.Waiting> waiting = new ArrayList<>();
+        List<PrioritizedJobSelector.OpenJob> waiting = new ArrayList<>();
         Set<String> guaranteed = new HashSet<>();
         for (Job job : clusterState.jobs()) {
             if (job.withinGuarantee && job.keySetHold == null && !job.isCancelled() && job.record.waitingCount() > 0) {
@@ -206,7 +206,7 @@
                             && (job.withinGuarantee
                                     || guaranteed.stream().allMatch(job.spec().team()::equals))) {
                 long ends = context.wallMs() + estimates.expectedMs(job.spec());
-                waiting.add(new PrioritizedJobSelector.Waiting(job.id(), groups(job), job.prioritized, ends, limit));
+                waiting.add(new PrioritizedJobSelector.OpenJob(job.id(), groups(job), job.prioritized, ends, limit));
             }
         }
         Set<JobId> before = lifted;
@@ -246,7 +246,7 @@
     }
 
     private Map<JobId, Integer> aged() {
-        List<StarvingJobSelector.Waiting> waiting = new ArrayList<>();
+        List<StarvingJobSelector.OpenJob> waiting = new ArrayList<>();
         double all = 0;
         for (Machine h : clusterState.machines()) {
             all += h.up && !h.releasing ? cpus.applyAsDouble(h) : 0;
@@ -257,14 +257,14 @@
                     && !job.isSuspect()
                     && job.notBefore.ms() <= context.now().ms()
                     && (job.starving || !job.hasStarted())
-                    && groups(job).stream().anyMatch(Largest::isSizeGroup)) {
+                    && groups(job).stream().anyMatch(LargestJobGroups::isSizeGroup)) {
                 long first = job.record.live.values().stream()
                         .mapToLong(p -> context.now().since(p.placedAt))
                         .max()
                         .orElse(0);
                 JobSpec spec = job.spec();
                 boolean whole = spec.isGang() || spec.isService() || spec.sameZone() || spec.antiAffinity();
-                waiting.add(new StarvingJobSelector.Waiting(
+                waiting.add(new StarvingJobSelector.OpenJob(
                         job.id(),
                         job.record.submittedWallMs,
                         whole,
@@ -297,7 +297,7 @@
     }
 
     /** What was asked and served lately, by class and by team. */
-    Map<String, Share> shares() {
+    Map<String, ServiceShare> shares() {
         return ledger.shares(context.wallMs());
     }
 
@@ -312,7 +312,7 @@
                     .put("name", group.substring(colon + 1))
                     .put("asked", share.asked())
                     .put("served", share.served())
-                    .put("share", share.value());
+                    .put("share", share.fraction());
         });
         ArrayNode first = out.putArray("lifted");
         lifted.forEach(r -> first.add(r.text()));
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -15,7 +15,7 @@
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.controller.worker.ColdStartRecovery;
 import org.beechhoist.controller.worker.PreemptionNoticeHandler;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.plan.PlanMachine;
 import org.beechhoist.plan.WidthOptions;
@@ -77,7 +77,7 @@
         long now = context.now().ms();
         Set<MachineId> planned = new HashSet<>();
         Plan next = new Plan(now, planMachines(planned));
-        next.sizes(migrations.sizes());
+        next.setGpuSizes(migrations.sizes());
         addTeamUsage(next, planned);
         placeWaiting(next, order);
         widen(next, order, widths);
@@ -109,13 +109,13 @@
                 machine.spot,
                 machine.up,
                 machine.up ? now : provisioner.readyAt(machine, type));
-        planMachine.holds(machine.images.keySet());
+        planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
         for (JobSpec kept : migrations.keptOn(machine.id)) {
             planMachine.occupy(now + UNKNOWN_END_MS, kept.cpus(), kept.gpus(), kept.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
-            planMachine.mayWiden();
+            planMachine.allowElasticGrowth();
         }
         return planMachine;
     }
@@ -129,7 +129,7 @@
                 JobSpec spec = job.spec();
                 planMachine.occupy(
                         estimates.expectedEnd(placement, context.now()).ms(), spec.cpus(), spec.gpus(), spec.memGb());
-                planMachine.image(
+                planMachine.addExpectedImage(
                         spec.image(),
                         placement.runningSince != null
                                 ? now
@@ -142,7 +142,7 @@
     private void addTeamUsage(Plan next, Set<MachineId> planned) {
         long now = context.now().ms();
         for (Settings.Team team : settings.teams().values()) {
-            next.limit(team.name(), team.cpusMax(), team.gpusMax());
+            next.setTeamQuota(team.name(), team.cpusMax(), team.gpusMax());
         }
         for (Job job : clusterState.jobs()) {
             for (Placement placement : job.record.live.values()) {
@@ -151,7 +151,8 @@
                                 || machine != null && (machine.preemptionAt != null || machine.cordonedBy != null)
                         ? preemptionNotices.expectedEnd(machine, placement).ms()
                         : now + UNKNOWN_END_MS;
-                next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
+                next.addTeamUsage(
+                        job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
             }
         }
     }
@@ -202,17 +203,17 @@
             if (options == null) {
                 continue;
             }
-            if (options.fixed() == null && chosen++ >= MAX_CHOSEN_WIDTHS) {
-                options = options.fixedAt(job.width()); // it stays as wide as it is
+            if (options.fixedWidth() == null && chosen++ >= MAX_CHOSEN_WIDTHS) {
+                options = options.withFixedWidth(job.width()); // it stays as wide as it is
             }
             List<Long> busyUntil = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 busyUntil.add(estimates.expectedEnd(placement, context.now()).ms());
             }
-            long slack = options.untilMs() == Ending.NEVER
+            long slack = options.deadlineMs() == TaskTermination.NEVER
                     ? NO_HURRY_MS
-                    : Math.max(0, options.untilMs() - context.now().ms());
-            next.widen(
+                    : Math.max(0, options.deadlineMs() - context.now().ms());
+            next.placeElastic(
                     entry(job, job.record.waitingCount() - unwidened, Math.round(policy.patience() * slack)),
                     busyUntil,
                     options);
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -98,7 +98,7 @@
 
     /** Returns when the newest plan has all of the job's tasks ended, or null if it doesn't place them all or has no end. */
     Long plannedEnd(Job job) {
-        if (plan == null || job.spec().isService() || plan.unplaced(job.id()) > 0) {
+        if (plan == null || job.spec().isService() || plan.unplacedCount(job.id()) > 0) {
             return null;
         }
         long end = 0;
@@ -173,12 +173,12 @@
     }
 
     private void finishSearch() {
-        searchSteps += search.steps();
-        searchKept += search.kept();
-        if (search.kept() > 0) {
+        searchSteps += search.triedCount();
+        searchKept += search.acceptedCount();
+        if (search.acceptedCount() > 0) {
             preferred = search.best();
             clusterState.requestReplan();
-            LOG.debug("search kept {} of {} moves", search.kept(), search.steps());
+            LOG.debug("search kept {} of {} moves", search.acceptedCount(), search.triedCount());
         } else if (!preferred.fixed().isEmpty()) {
             preferred = preferred.unfixed(); // the plan chooses the widths again
             clusterState.requestReplan();
@@ -204,11 +204,11 @@
     /** Builds a plan for the arrangement and evaluates it. */
     private Evaluation evaluate(Arrangement arrangement) {
         List<Job> list = JobOrdering.withPreferredOrder(ordering.byObjective(), arrangement.order());
-        Map<JobId, Evaluation.Facts> facts = new HashMap<>();
+        Map<JobId, Evaluation.JobTiming> facts = new HashMap<>();
         for (Job job : list) {
             facts.put(
                     job.id(),
-                    new Evaluation.Facts(
+                    new Evaluation.JobTiming(
                             job.spec().team(),
                             job.submittedAt.ms(),
                             ordering.latestStart(job),
@@ -228,7 +228,7 @@
 
     /** Returns the pause after a plan: the larger the plan, and the later this node processes its inputs, the longer. */
     private long pause(Plan plan) {
-        return MIN_PAUSE_MS + plan.fits() / FITS_PER_MS + Math.min(MAX_LAG_PAUSE_MS, context.lagMs());
+        return MIN_PAUSE_MS + plan.gapSearches() / FITS_PER_MS + Math.min(MAX_LAG_PAUSE_MS, context.lagMs());
     }
 
     /** Returns the newest plan, or null. */
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -66,7 +66,7 @@
         Map<JobId, Long> bounds = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
             Long bound = bounds.computeIfAbsent(reservation.job(), this::lateFrom);
-            if (!reservation.wide() && reservation.beginMs() > bound) {
+            if (!reservation.beyondGuarantee() && reservation.beginMs() > bound) {
                 late.computeIfAbsent(reservation.job(), k -> new ArrayList<>()).add(reservation.beginMs());
             }
         }
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -345,7 +345,7 @@
                                 1,
                                 planner.current() == null
                                         ? job.record.waitingCount()
-                                        : planner.current().unplaced(job.id()));
+                                        : planner.current().unplacedCount(job.id()));
             }
         }
         long said = plannedEnd(jobs, planner);
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -16,7 +16,7 @@
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.ReplacementSteps;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.MachineId;
@@ -38,7 +38,7 @@
     private final FaultTracker faultTracker;
     private final JobOrdering ordering;
     private final MachineLossTracker lossRecovery;
-    private final Supplier<Map<String, Share>> served;
+    private final Supplier<Map<String, ServiceShare>> served;
     /** New machines that were asked for and not answered yet. */
     private final Map<String, Integer> asked = new HashMap<>();
 
@@ -51,7 +51,7 @@
             FaultTracker faultTracker,
             JobOrdering ordering,
             MachineLossTracker lossRecovery,
-            Supplier<Map<String, Share>> served) {
+            Supplier<Map<String, ServiceShare>> served) {
         this.context = context;
         this.clusterState = clusterState;
         this.provisioner = provisioner;
@@ -158,9 +158,9 @@
         }
         double least = 1;
         String of = "";
-        for (Map.Entry<String, Share> entry : served.get().entrySet()) {
-            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().value() < least) {
-                least = entry.getValue().value();
+        for (Map.Entry<String, ServiceShare> entry : served.get().entrySet()) {
+            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().fraction() < least) {
+                least = entry.getValue().fraction();
                 of = entry.getKey();
             }
         }
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -142,7 +142,7 @@
 
     /** Rents what the plan needs. A plan older than the last rental's answer does not know those machines: ignored. */
     void rentFor(Plan plan) {
-        if (plan.madeAtMs() <= lastRented.ms()) {
+        if (plan.createdAtMs() <= lastRented.ms()) {
             return;
         }
         List<MachineOffer> all = offers();
@@ -200,7 +200,7 @@
                 }
             }
             if (job != null
-                    && !reservation.wide()
+                    && !reservation.beyondGuarantee()
                     && !job.isSuspect()
                     && begin - now >= toleratedDelays.computeIfAbsent(job, this::rentAfterMs)) {
                 late.computeIfAbsent(job, key -> new ArrayList<>()).add(begin);
@@ -213,7 +213,7 @@
         for (Job job : clusterState.jobs()) {
             int unplaced = job.isCancelled() || job.isSuspect() || !job.notBefore.isBefore(context.now())
                     ? 0
-                    : plan.unplaced(job.id());
+                    : plan.unplacedCount(job.id());
             if (unplaced > 0) {
                 List<Long> never = Collections.nCopies(Math.min(MAX_UNPLACED, unplaced), Long.MAX_VALUE);
                 requestMachines(job, never, all, spaces);
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -12,8 +12,8 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.elastic.Ending;
-import org.beechhoist.elastic.Surplus;
+import org.beechhoist.elastic.SurplusTaskSelector;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobId;
@@ -43,7 +43,11 @@
 
     /** Tasks on one machine that could go, and how many tasks that makes room for by when. */
     private record Offer(
-            Machine host, List<Surplus.Choice<Placement>> going, int tasks, long freesAtMs, double lostCpuS) {
+            Machine host,
+            List<SurplusTaskSelector.Candidate<Placement>> going,
+            int tasks,
+            long freesAtMs,
+            double lostCpuS) {
         double lostEach() {
             return lostCpuS / tasks;
         }
@@ -125,16 +129,16 @@
         Map<Job, Late> out = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
             long bound = bounds.computeIfAbsent(reservation.job(), jobId -> bound(clusterState.job(jobId)));
-            if (!reservation.wide() && reservation.beginMs() > bound) {
+            if (!reservation.beyondGuarantee() && reservation.beginMs() > bound) {
                 Job j = clusterState.job(reservation.job());
                 out.merge(j, new Late(1, reservation.beginMs(), atStake(j, reservation.beginMs())), Late::and);
             }
         }
         for (Job job : clusterState.jobs()) {
-            if (plan.unplaced(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
+            if (plan.unplacedCount(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
                 out.merge(
                         job,
-                        new Late(plan.unplaced(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
+                        new Late(plan.unplacedCount(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
                         Late::and);
             }
         }
@@ -196,11 +200,14 @@
             if (wanted.entrySet().stream().anyMatch(w -> spare(w.getKey()) < w.getValue())) {
                 continue; // given away to an earlier offer
             }
-            for (Surplus.Choice<Placement> c : offer.going) {
+            for (SurplusTaskSelector.Candidate<Placement> c : offer.going) {
                 elastic.leave(
-                        clusterState.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + job.id());
+                        clusterState.job(c.task().task.job()),
+                        c.task(),
+                        c.termination(),
+                        "its room is for " + job.id());
             }
-            offer.host.growthDamping = offer.host.growthDamping.narrowed(
+            offer.host.growthDamping = offer.host.growthDamping.afterNarrowing(
                     context.now().ms(), policy.elastic().settleMs());
             served += offer.tasks;
         }
@@ -218,24 +225,24 @@
             return null;
         }
         long fetch = machine.fetchMs(spec, type);
-        Ending.Need need = new Ending.Need(neededBy(job) - fetch, late.atStake);
-        List<Surplus.Choice<Placement>> could = new ArrayList<>();
+        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededBy(job) - fetch, late.atStake);
+        List<SurplusTaskSelector.Candidate<Placement>> could = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
             Job giver = clusterState.job(placement.task.job());
             boolean counts =
                     givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
             if (counts && ElasticWidths.mayGo(giver, placement)) {
-                could.add(new Surplus.Choice<>(placement, elastic.ending(giver, placement, need)));
+                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.ending(giver, placement, need)));
             }
         }
-        could.sort(Surplus.LEAST_LOSS);
-        List<Surplus.Choice<Placement>> going = new ArrayList<>();
+        could.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
+        List<SurplusTaskSelector.Candidate<Placement>> going = new ArrayList<>();
         int fits = limited ? 0 : fits(room, spec, tasks);
         if (fits > 0) {
             return null; // there is room already; something else keeps it waiting
         }
         double given = 0;
-        for (Surplus.Choice<Placement> choice : could) {
+        for (SurplusTaskSelector.Candidate<Placement> choice : could) {
             if (fits >= tasks) {
                 break;
             }
@@ -249,8 +256,10 @@
         if (fits == 0) {
             return null;
         }
-        long frees = going.stream().mapToLong(c -> c.ending().freesAtMs()).max().orElse(0);
-        double lost = going.stream().mapToDouble(c -> c.ending().lostCpuS()).sum();
+        long frees =
+                going.stream().mapToLong(c -> c.termination().freedAtMs()).max().orElse(0);
+        double lost =
+                going.stream().mapToDouble(c -> c.termination().lostCpuS()).sum();
         boolean gains = late.lastBegin == Long.MAX_VALUE || frees + fetch + SOON_MS < late.lastBegin;
         return gains ? new Offer(machine, going, fits, frees, lost) : null;
     }
--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.cancel.Freshness;
+import org.beechhoist.cancel.CancellationFreshness;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.peer.CancelledJob;
@@ -28,7 +28,7 @@
     private static final int MAX_NEWEST_IN_MESSAGE = 100;
 
     private final ControllerContext context;
-    private final Freshness freshness;
+    private final CancellationFreshness freshness;
     private final long cancelMs;
     /** The time of day at which each was committed, in the order in which this node learned of them. */
     private final Map<JobId, Long> known = new LinkedHashMap<>();
@@ -66,8 +66,8 @@
 
     /** How long the next watch request may stay open; 0, for an answer at once, where the last answer is long ago, as after an outage. */
     long watchHoldMs() {
-        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.holdMs()
-                ? freshness.holdMs()
+        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.watchHoldMs()
+                ? freshness.watchHoldMs()
                 : 0;
     }
 
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.keyset.Verdict;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.CommittedTasks;
@@ -58,7 +58,7 @@
     /** No other job's width is reduced, and no other task preempted, for it before this time. */
     public MonotonicTime nextWidthReductionAt = MonotonicTime.ZERO;
     /** Tasks that are to be ended, and how; most are not stopped yet. */
-    public final Map<Placement, Ending> endings = new LinkedHashMap<>();
+    public final Map<Placement, TaskTermination> endings = new LinkedHashMap<>();
     /** The width that the state service holds. */
     public int committedWidth;
     /** The number of failures in the stored record. */
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.elastic.Damping;
+import org.beechhoist.elastic.GrowthBackoff;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.FencingToken;
 import org.beechhoist.wire.Heartbeat;
@@ -104,7 +104,7 @@
     /** Nothing is placed on it before this time, for tasks have lately failed there. */
     public MonotonicTime avoidUntil = MonotonicTime.ZERO;
     /** Decides when elastic jobs may grow onto it again. */
-    public Damping growthDamping = Damping.NONE;
+    public GrowthBackoff growthDamping = GrowthBackoff.NONE;
     /** The epoch that the images are of, where an earlier leader noted them; 0: none did. */
     public long imagesEpoch;
     /** The images that it should hold, least recently used first, with their sizes in GB. */
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -12,7 +12,7 @@
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.leadership.LeaderElection;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.store.ChangeLogSegment;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Placement;
@@ -264,7 +264,7 @@
                 markRecovered(job, placement);
             }
             clusterState.machine(placement.machine).placements.put(placement.task, placement);
-            Ending ending = known == null ? null : known.endings.get(placement);
+            TaskTermination ending = known == null ? null : known.endings.get(placement);
             if (ending != null) {
                 job.endings.put(placement, ending);
             }
--- a/src/main/java/org/beechhoist/elastic/Damping.java
+++ b/src/main/java/org/beechhoist/elastic/GrowthBackoff.java
@@ -5,9 +5,9 @@
  * that goes idle and busy every few seconds is soon left to those that make it busy; after a long quiet the count begins
  * anew.
  */
-public record Damping(int times, long untilMs) {
+public record GrowthBackoff(int times, long blockedUntilMs) {
     /** Nothing had to leave the machine so far. */
-    public static final Damping NONE = new Damping(0, 0);
+    public static final GrowthBackoff NONE = new GrowthBackoff(0, 0);
 
     private static final int MOST_DOUBLINGS = 6;
     /** Quiet of so many of the last waits makes it forget. */
@@ -18,14 +18,14 @@
      *
      * @param settleMs the first wait
      */
-    public Damping narrowed(long nowMs, long settleMs) {
+    public GrowthBackoff afterNarrowing(long nowMs, long settleMs) {
         long last = settleMs << Math.max(0, Math.min(MOST_DOUBLINGS, times - 1));
-        int n = times > 0 && nowMs - untilMs > QUIET * last ? 0 : times;
-        return new Damping(n + 1, nowMs + (settleMs << Math.min(MOST_DOUBLINGS, n)));
+        int n = times > 0 && nowMs - blockedUntilMs > QUIET * last ? 0 : times;
+        return new GrowthBackoff(n + 1, nowMs + (settleMs << Math.min(MOST_DOUBLINGS, n)));
     }
 
     /** Whether the machine may be widened onto now. */
-    public boolean open(long nowMs) {
-        return nowMs >= untilMs;
+    public boolean allowsGrowth(long nowMs) {
+        return nowMs >= blockedUntilMs;
     }
 }
--- a/src/main/java/org/beechhoist/elastic/GuaranteedWidth.java
+++ b/src/main/java/org/beechhoist/elastic/GuaranteedWidth.java
@@ -15,11 +15,11 @@
      * @param allowed the width that the user allows
      * @param unfinished the job's tasks that are not done
      * @param lengthMs how long one of them takes
-     * @param untilMs when the job should be done; {@link Ending#NEVER}: no hurry
+     * @param untilMs when the job should be done; {@link TaskTermination#NEVER}: no hurry
      */
     public static int width(Width allowed, int unfinished, long lengthMs, long untilMs, long nowMs) {
         int wanted = allowed.min();
-        if (untilMs != Ending.NEVER && untilMs - nowMs >= lengthMs && unfinished > 0) {
+        if (untilMs != TaskTermination.NEVER && untilMs - nowMs >= lengthMs && unfinished > 0) {
             // Whole rounds of tasks that still fit; a moment that can't be met any more is not chased with machines.
             long rounds = (untilMs - nowMs) / Math.max(1, lengthMs);
             wanted = (int) Math.max(wanted, (unfinished + rounds - 1) / rounds);
--- a/src/main/java/org/beechhoist/floor/Largest.java
+++ b/src/main/java/org/beechhoist/floor/LargestJobGroups.java
@@ -13,7 +13,7 @@
  * groups beside class and team. A job's groups are fixed when it is recorded. The sizes that an earlier leader knew of a class are
  * used until this one has recorded enough jobs of it.
  */
-public final class Largest {
+public final class LargestJobGroups {
     /** The parts, and how many jobs of a class must have been recorded before a part is used. */
     private enum Part {
         HALF(50, 8),
@@ -50,7 +50,7 @@
     }
 
     /** Records a job's size and returns the groups that it belongs to for it; none if too few jobs of its class are known. */
-    public Set<String> record(String jobClass, double cpuS) {
+    public Set<String> recordJob(String jobClass, double cpuS) {
         long size = Math.max(1, Math.min(MAX_CPU_S, Math.round(cpuS)));
         if (!sizes.containsKey(jobClass) && sizes.size() == MAX_CLASSES) {
             return Set.of();
@@ -92,7 +92,7 @@
     }
 
     /** Sets the least size of each part as an earlier leader knew it. */
-    public void restore(String jobClass, long[] minSizes) {
+    public void restoreMinSizes(String jobClass, long[] minSizes) {
         if (before.size() < MAX_CLASSES) {
             before.put(jobClass, minSizes.clone());
         }
--- a/src/main/java/org/beechhoist/floor/StarvingJobSelector.java
+++ b/src/main/java/org/beechhoist/floor/StarvingJobSelector.java
@@ -15,7 +15,7 @@
  */
 public final class StarvingJobSelector {
     /** The time from its submission by which a job is to have begun. */
-    public static final long BEGIN_WITHIN_MS = 240_000;
+    public static final long MAX_TIME_TO_START_MS = 240_000;
     /** The time from its submission after which a job's first part goes first. */
     private static final long STARVING_AFTER_MS = 140_000;
     /** So long after its start a job stays selected: a start counts only if nothing stops it for half a minute. */
@@ -28,23 +28,30 @@
     /**
      * A job of its class's largest half of which nothing has begun, or only what went first for this reason.
      *
-     * @param sinceMs when it was submitted
-     * @param whole whether its tasks need one another or a zone together: all of it goes first, or nothing
+     * @param submittedMs when it was submitted
+     * @param allOrNothing whether its tasks need one another or a zone together: all of it goes first, or nothing
      * @param tasks all its tasks
      * @param begun tasks on machines or done
-     * @param begunMs how long ago the first of them was placed
+     * @param sinceFirstPlacedMs how long ago the first of them was placed
      * @param waiting its waiting tasks
      * @param cpus CPUs of one task
      */
-    public record Waiting(
-            JobId job, long sinceMs, boolean whole, int tasks, int begun, long begunMs, int waiting, double cpus) {
+    public record OpenJob(
+            JobId job,
+            long submittedMs,
+            boolean allOrNothing,
+            int tasks,
+            int begun,
+            long sinceFirstPlacedMs,
+            int waiting,
+            double cpus) {
         private long starvingFromMs() {
-            return sinceMs + STARVING_AFTER_MS;
+            return submittedMs + STARVING_AFTER_MS;
         }
 
         /** Returns how many tasks of it still have to go first. */
         private int part() {
-            int first = whole ? tasks : Math.max(1, tasks / TASKS_PER_FIRST);
+            int first = allOrNothing ? tasks : Math.max(1, tasks / TASKS_PER_FIRST);
             return Math.max(0, Math.min(waiting, first - begun));
         }
     }
@@ -55,20 +62,20 @@
      * Returns the starving jobs and how many further tasks of each go first, none for a job that has enough; no task of a job in it may
      * be stopped for another job's sake.
      */
-    public static Map<JobId, Integer> select(List<Waiting> waiting, double allCpus, long nowMs) {
+    public static Map<JobId, Integer> select(List<OpenJob> waiting, double allCpus, long nowMs) {
         Map<JobId, Integer> out = new LinkedHashMap<>();
-        List<Waiting> old = new ArrayList<>();
-        for (Waiting claim : waiting) {
-            if (nowMs >= claim.starvingFromMs() && (claim.part() > 0 || claim.begunMs < BEGUN_FOR_MS)) {
+        List<OpenJob> old = new ArrayList<>();
+        for (OpenJob claim : waiting) {
+            if (nowMs >= claim.starvingFromMs() && (claim.part() > 0 || claim.sinceFirstPlacedMs < BEGUN_FOR_MS)) {
                 old.add(claim);
             }
         }
         // Jobs that have begun keep what they have; then the oldest come first.
-        old.sort(Comparator.comparing((Waiting claim) -> claim.begun == 0)
-                .thenComparingLong(Waiting::starvingFromMs)
-                .thenComparing(Waiting::job));
+        old.sort(Comparator.comparing((OpenJob claim) -> claim.begun == 0)
+                .thenComparingLong(OpenJob::starvingFromMs)
+                .thenComparing(OpenJob::job));
         double taken = 0;
-        for (Waiting claim : old) {
+        for (OpenJob claim : old) {
             double cpus = claim.part() * claim.cpus;
             if (taken > 0 && cpus > 0 && taken + cpus > MAX_CPU_PART * allCpus) {
                 break; // smaller jobs that still fit would keep this one waiting for ever
--- a/src/main/java/org/beechhoist/packing/Moves.java
+++ b/src/main/java/org/beechhoist/packing/DefragmentationSearch.java
@@ -13,7 +13,7 @@
  * compared; each task of a set must find a place on another machine, but on none that the large task fits on as it is. Machines that
  * lack the fewest GPUs are tried first.
  */
-public final class Moves {
+public final class DefragmentationSearch {
     /** How many tasks of a machine are compared in all their sets: the cheapest ones. */
     private static final int MAX_TASKS = 10;
     /** How many machines are tried: those that lack the fewest GPUs. */
@@ -31,7 +31,7 @@
             return new Resources(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
         }
 
-        boolean fits(Resources need) {
+        boolean canHold(Resources need) {
             return cpus + EPSILON >= need.cpus && gpus + EPSILON >= need.gpus && memGb + EPSILON >= need.memGb;
         }
     }
@@ -45,17 +45,17 @@
     /**
      * A task that may be moved.
      *
-     * @param cost of moving it, in GPU seconds: its time out of service, while it saves a checkpoint, is proved gone and fetches its
+     * @param costGpuS of moving it, in GPU seconds: its time out of service, while it saves a checkpoint, is proved gone and fetches its
      *     image, and the work that it loses
      */
-    public record Movable(TaskId task, Resources takes, double cost) {}
+    public record MovableTask(TaskId task, Resources resources, double costGpuS) {}
 
     /**
      * A machine and the tasks on it that may be moved.
      *
-     * @param mayTake whether the large task may run there at all
+     * @param allowsLargeTask whether the large task may run there at all
      */
-    public record Machine(MachineId id, Resources free, boolean mayTake, List<Movable> movable) {}
+    public record MachineSnapshot(MachineId id, Resources free, boolean allowsLargeTask, List<MovableTask> movable) {}
 
     /** The move of one task to a machine. */
     public record Move(TaskId task, MachineId to) {}
@@ -63,16 +63,17 @@
     /**
      * The moves after which the large task fits on a machine.
      *
-     * @param cost of all moves, in GPU seconds
+     * @param costGpuS of all moves, in GPU seconds
      */
-    public record Found(MachineId machine, List<Move> moves, double cost) {}
+    public record Result(MachineId machine, List<Move> moves, double costGpuS) {}
 
     private final Resources need;
-    private final List<Machine> machines;
+    private final List<MachineSnapshot> machines;
     private final PlacementRule rule;
-    private final Sizes sizes;
+    private final GpuSizeDistribution sizes;
 
-    private Moves(Resources need, List<Machine> machines, PlacementRule rule, Sizes sizes) {
+    private DefragmentationSearch(
+            Resources need, List<MachineSnapshot> machines, PlacementRule rule, GpuSizeDistribution sizes) {
         this.need = need;
         this.machines = machines;
         this.rule = rule;
@@ -80,52 +81,54 @@
     }
 
     /** Returns the cheapest moves, or null if no moves are enough or the large task fits somewhere already. */
-    public static Found cheapest(Resources need, List<Machine> machines, PlacementRule rule, Sizes sizes) {
-        return new Moves(need, machines, rule, sizes).cheapest();
+    public static Result findCheapest(
+            Resources need, List<MachineSnapshot> machines, PlacementRule rule, GpuSizeDistribution sizes) {
+        return new DefragmentationSearch(need, machines, rule, sizes).findCheapest();
     }
 
-    private Found cheapest() {
-        List<Machine> lacking = new ArrayList<>();
-        for (Machine machine : machines) {
-            if (machine.mayTake && machine.free.fits(need)) {
+    private Result findCheapest() {
+        List<MachineSnapshot> lacking = new ArrayList<>();
+        for (MachineSnapshot machine : machines) {
+            if (machine.allowsLargeTask && machine.free.canHold(need)) {
                 return null;
             }
-            if (machine.mayTake && !machine.movable.isEmpty()) {
+            if (machine.allowsLargeTask && !machine.movable.isEmpty()) {
                 lacking.add(machine);
             }
         }
-        lacking.sort(Comparator.comparingDouble((Machine machine) -> need.gpus - machine.free.gpus)
-                .thenComparing(Machine::id));
-        Found best = null;
-        for (Machine machine : lacking.subList(0, Math.min(MAX_MACHINES, lacking.size()))) {
-            Found found = cheapestFor(machine, best == null ? Double.MAX_VALUE : best.cost);
+        lacking.sort(Comparator.comparingDouble((MachineSnapshot machine) -> need.gpus - machine.free.gpus)
+                .thenComparing(MachineSnapshot::id));
+        Result best = null;
+        for (MachineSnapshot machine : lacking.subList(0, Math.min(MAX_MACHINES, lacking.size()))) {
+            Result found = cheapestFor(machine, best == null ? Double.MAX_VALUE : best.costGpuS);
             best = found == null ? best : found;
         }
         return best;
     }
 
     /** Returns the cheapest moves off the machine that cost less than {@code below}, or null. */
-    private Found cheapestFor(Machine machine, double below) {
-        List<Movable> tasks = machine.movable.stream()
-                .sorted(Comparator.comparingDouble(Movable::cost).thenComparing(movable -> movable.task.toString()))
+    private Result cheapestFor(MachineSnapshot machine, double below) {
+        List<MovableTask> tasks = machine.movable.stream()
+                .sorted(Comparator.comparingDouble(MovableTask::costGpuS)
+                        .thenComparing(movable -> movable.task.toString()))
                 .limit(MAX_TASKS)
                 .toList();
-        Found best = null;
+        Result best = null;
         for (int set = 1; set < 1 << tasks.size(); set++) {
             Resources free = machine.free;
             double cost = 0;
             for (int i = 0; i < tasks.size(); i++) {
                 if (contains(set, i)) {
-                    free = free.plus(tasks.get(i).takes);
-                    cost += tasks.get(i).cost;
+                    free = free.plus(tasks.get(i).resources);
+                    cost += tasks.get(i).costGpuS;
                 }
             }
-            if (cost >= (best == null ? below : best.cost) || !free.fits(need)) {
+            if (cost >= (best == null ? below : best.costGpuS) || !free.canHold(need)) {
                 continue;
             }
             List<Move> moves = moves(machine, tasks, set);
             if (moves != null) {
-                best = new Found(machine.id, moves, cost);
+                best = new Result(machine.id, moves, cost);
             }
         }
         return best;
@@ -137,22 +140,22 @@
     }
 
     /** Returns a place for each task of the set, the largest first, or null if one has none. */
-    private List<Move> moves(Machine from, List<Movable> tasks, int set) {
-        List<Movable> moving = new ArrayList<>();
+    private List<Move> moves(MachineSnapshot from, List<MovableTask> tasks, int set) {
+        List<MovableTask> moving = new ArrayList<>();
         for (int i = 0; i < tasks.size(); i++) {
             if (contains(set, i)) {
                 moving.add(tasks.get(i));
             }
         }
-        moving.sort(Comparator.comparingDouble((Movable movable) -> -movable.takes.gpus));
+        moving.sort(Comparator.comparingDouble((MovableTask movable) -> -movable.resources.gpus));
         Map<MachineId, Resources> left = new HashMap<>();
         List<Move> moves = new ArrayList<>();
-        for (Movable movable : moving) {
-            Machine target = target(from, movable, left);
+        for (MovableTask movable : moving) {
+            MachineSnapshot target = target(from, movable, left);
             if (target == null) {
                 return null;
             }
-            left.put(target.id, left.getOrDefault(target.id, target.free).minus(movable.takes));
+            left.put(target.id, left.getOrDefault(target.id, target.free).minus(movable.resources));
             moves.add(new Move(movable.task, target.id));
         }
         return moves;
@@ -163,18 +166,18 @@
      *
      * @param left what is free on the machines that tasks of the set go to already
      */
-    private Machine target(Machine from, Movable movable, Map<MachineId, Resources> left) {
-        Machine best = null;
+    private MachineSnapshot target(MachineSnapshot from, MovableTask movable, Map<MachineId, Resources> left) {
+        MachineSnapshot best = null;
         double least = 0;
-        for (Machine machine : machines) {
+        for (MachineSnapshot machine : machines) {
             Resources free = left.getOrDefault(machine.id, machine.free);
             if (machine == from
-                    || !free.fits(movable.takes)
+                    || !free.canHold(movable.resources)
                     || !rule.allows(movable.task, machine.id)
-                    || machine.mayTake && free.fits(need)) {
+                    || machine.allowsLargeTask && free.canHold(need)) {
                 continue;
             }
-            double fragmented = sizes.fragmentationChange(free.gpus, movable.takes.gpus);
+            double fragmented = sizes.fragmentationChange(free.gpus, movable.resources.gpus);
             if (best == null
                     || fragmented < least - EPSILON
                     || fragmented < least + EPSILON
--- a/src/main/java/org/beechhoist/packing/Sizes.java
+++ b/src/main/java/org/beechhoist/packing/GpuSizeDistribution.java
@@ -8,9 +8,9 @@
  * asks for more than that; a task goes where it adds the least to such fragments (the fragmentation gradient of Weng et al., "Beware of
  * Fragmentation: Scheduling GPU-Sharing Workloads with Fragmentation Gradient Descent", USENIX ATC 2023, over sizes alone).
  */
-public final class Sizes {
+public final class GpuSizeDistribution {
     /** No sizes are known: nothing counts as a fragment. */
-    public static final Sizes NONE = new Sizes(Map.of());
+    public static final GpuSizeDistribution NONE = new GpuSizeDistribution(Map.of());
 
     private static final double EPSILON = 1e-6;
 
@@ -23,7 +23,7 @@
      *
      * @param asked how often each size is asked for
      */
-    public Sizes(Map<Double, Double> asked) {
+    public GpuSizeDistribution(Map<Double, Double> asked) {
         TreeMap<Double, Double> sorted = new TreeMap<>(asked);
         sizes = new double[sorted.size()];
         atLeast = new double[sorted.size()];
@@ -39,7 +39,7 @@
     }
 
     /** Returns the free GPUs of a machine, times the part of all tasks for which they are too few. */
-    double fragment(double free) {
+    double fragmentedGpus(double free) {
         for (int i = 0; i < sizes.length; i++) {
             if (sizes[i] > free + EPSILON) {
                 return free * atLeast[i];
@@ -53,6 +53,6 @@
      * task uses up a fragment.
      */
     public double fragmentationChange(double free, double takes) {
-        return fragment(free - takes) - fragment(free);
+        return fragmentedGpus(free - takes) - fragmentedGpus(free);
     }
 }
--- a/src/main/java/org/beechhoist/plan/Profile.java
+++ b/src/main/java/org/beechhoist/plan/AvailabilityProfile.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** What is free over time, as a step function: on one machine, or under one limit. Times are in milliseconds. */
-final class Profile {
+final class AvailabilityProfile {
     /** The answer where there is no gap. */
     static final long NEVER = Long.MAX_VALUE;
 
@@ -19,7 +19,7 @@
     /** Whether everything was taken from the beginning on, so that what is free only grows and a gap never ends. */
     private boolean grows = true;
 
-    Profile(long start, double cpus, double gpus, double mem) {
+    AvailabilityProfile(long start, double cpus, double gpus, double mem) {
         from[0] = start;
         this.cpus[0] = cpus;
         this.gpus[0] = gpus;
@@ -27,7 +27,7 @@
         steps = 1;
     }
 
-    Profile(Profile profile) {
+    AvailabilityProfile(AvailabilityProfile profile) {
         from = profile.from.clone();
         cpus = profile.cpus.clone();
         gpus = profile.gpus.clone();
@@ -60,7 +60,7 @@
     }
 
     /** Takes so much from what is free between the two times. */
-    void take(long start, long end, double neededCpus, double neededGpus, double neededMemGb) {
+    void reserve(long start, long end, double neededCpus, double neededGpus, double neededMemGb) {
         if (end <= start) {
             return;
         }
@@ -76,17 +76,17 @@
     }
 
     /** Returns how often something was taken. */
-    int changes() {
+    int changeCount() {
         return changes;
     }
 
     /** Returns whether what is free only grows, so that what fits at one time fits ever after. */
-    boolean grows() {
+    boolean isNonDecreasing() {
         return grows;
     }
 
     /** Returns the time from which on everything is free that ever will be. */
-    long lastChange() {
+    long lastStepMs() {
         return from[steps - 1];
     }
 
--- a/src/main/java/org/beechhoist/plan/CandidateMachines.java
+++ b/src/main/java/org/beechhoist/plan/CandidateMachines.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.packing.Sizes;
+import org.beechhoist.packing.GpuSizeDistribution;
 import org.beechhoist.wire.JobSpec;
 
 /**
@@ -21,25 +21,25 @@
 
     private final long nowMs;
     private final double lowestCost;
-    private Sizes sizes = Sizes.NONE;
+    private GpuSizeDistribution sizes = GpuSizeDistribution.NONE;
     private PlanMachine[] heap = new PlanMachine[INITIAL_CAPACITY];
     private int count;
     private long searches;
     private Plan.Entry entry;
-    private Profile teamProfile;
-    private Profile widthProfile;
+    private AvailabilityProfile teamProfile;
+    private AvailabilityProfile widthProfile;
 
     CandidateMachines(long nowMs, double lowestCost) {
         this.nowMs = nowMs;
         this.lowestCost = lowestCost;
     }
 
-    void sizes(Sizes asked) {
+    void setGpuSizes(GpuSizeDistribution asked) {
         sizes = asked;
     }
 
     /** Returns how many gaps were looked for. */
-    long searches() {
+    long gapSearches() {
         return searches;
     }
 
@@ -58,8 +58,12 @@
      * @param team what the team's limit leaves free, or null if it does not bind
      * @param width what the job's width limit leaves free, or null if it has none
      */
-    void gather(
-            Map<String, List<PlanMachine>> zones, Plan.Entry forEntry, String onlyZone, Profile team, Profile width) {
+    void fill(
+            Map<String, List<PlanMachine>> zones,
+            Plan.Entry forEntry,
+            String onlyZone,
+            AvailabilityProfile team,
+            AvailabilityProfile width) {
         entry = forEntry;
         teamProfile = team;
         widthProfile = width;
@@ -69,7 +73,7 @@
                 continue;
             }
             for (PlanMachine machine : zone.getValue()) {
-                if ((!entry.wide() || machine.widens)
+                if ((!entry.hasWidthLimit() || machine.allowsElasticGrowth)
                         && entry.spec().mayRunOn(machine.type, machine.zone, machine.spot)
                         && findPlace(machine)) {
                     add(machine);
@@ -92,17 +96,17 @@
      * Looks for the first machine's place again if a limit may have changed it. Returns false if it is no longer the place that put
      * the machine first, because other tasks have taken that moment of the limit meanwhile; the machine is then moved back or dropped.
      */
-    boolean confirmFirst() {
+    boolean recheckFirst() {
         if (teamProfile == null && widthProfile == null) {
             return true;
         }
         PlanMachine machine = heap[0];
-        long before = machine.score;
+        long before = machine.candidateScoreMs;
         if (!findPlace(machine)) {
             dropFirst();
             return false;
         }
-        if (machine.score > before) {
+        if (machine.candidateScoreMs > before) {
             siftDown(0);
             return false;
         }
@@ -151,14 +155,14 @@
         long at = Math.max(nowMs, Math.max(machine.readyMs, entry.notBeforeMs()));
         long length = entry.lengthMs() + machine.fetchMs(spec.image(), spec.imageGb(), at);
         long start = earliestStart(machine, at, length, spec);
-        if (start == Profile.NEVER) {
+        if (start == AvailabilityProfile.NEVER) {
             return false;
         }
-        machine.start = start;
-        machine.fetch = machine.fetchMs(spec.image(), spec.imageGb(), start);
-        machine.score = start + machine.fetch + priceInMs(machine);
-        machine.free = machine.profile.freeCpusAt(start);
-        machine.fragmentation = fragmentation(machine, start, spec);
+        machine.candidateStartMs = start;
+        machine.candidateFetchMs = machine.fetchMs(spec.image(), spec.imageGb(), start);
+        machine.candidateScoreMs = start + machine.candidateFetchMs + priceInMs(machine);
+        machine.candidateFreeCpus = machine.profile.freeCpusAt(start);
+        machine.candidateFragmentation = fragmentation(machine, start, spec);
         return true;
     }
 
@@ -173,19 +177,19 @@
         return sizes.fragmentationChange(machine.profile.freeGpusAt(start), spec.gpus());
     }
 
-    /** Returns the earliest start that the machine, the team's limit and the width limit all allow, or {@link Profile#NEVER}. */
+    /** Returns the earliest start that the machine, the team's limit and the width limit all allow, or {@link AvailabilityProfile#NEVER}. */
     private long earliestStart(PlanMachine machine, long at, long length, JobSpec spec) {
         long start = at;
         while (true) {
             start = machine.earliest(start, length, spec.cpus(), spec.gpus(), spec.memGb());
             long allowed = start;
-            if (teamProfile != null && allowed != Profile.NEVER) {
+            if (teamProfile != null && allowed != AvailabilityProfile.NEVER) {
                 allowed = teamProfile.earliest(allowed, length, spec.cpus(), spec.gpus(), 0);
             }
-            if (widthProfile != null && allowed != Profile.NEVER) {
+            if (widthProfile != null && allowed != AvailabilityProfile.NEVER) {
                 allowed = widthProfile.earliest(allowed, length, 1, 0, 0);
             }
-            if (allowed == start || allowed == Profile.NEVER) {
+            if (allowed == start || allowed == AvailabilityProfile.NEVER) {
                 return allowed;
             }
             start = allowed;
@@ -200,17 +204,19 @@
 
     /** Whether the place on one machine is better: by begin, fragmentation, price, and then what is free. */
     private boolean better(PlanMachine machine, PlanMachine than) {
-        long step = (machine.score - nowMs) / TIE_MS;
-        long other = (than.score - nowMs) / TIE_MS;
+        long step = (machine.candidateScoreMs - nowMs) / TIE_MS;
+        long other = (than.candidateScoreMs - nowMs) / TIE_MS;
         if (step != other) {
             return step < other;
         }
-        if (Math.abs(machine.fragmentation - than.fragmentation) > EPSILON) {
-            return machine.fragmentation < than.fragmentation;
+        if (Math.abs(machine.candidateFragmentation - than.candidateFragmentation) > EPSILON) {
+            return machine.candidateFragmentation < than.candidateFragmentation;
         }
         if (machine.costPerCpu() != than.costPerCpu()) {
             return machine.costPerCpu() < than.costPerCpu();
         }
-        return machine.free != than.free ? machine.free < than.free : machine.score < than.score;
+        return machine.candidateFreeCpus != than.candidateFreeCpus
+                ? machine.candidateFreeCpus < than.candidateFreeCpus
+                : machine.candidateScoreMs < than.candidateScoreMs;
     }
 }
--- a/src/main/java/org/beechhoist/plan/Plan.java
+++ b/src/main/java/org/beechhoist/plan/Plan.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.beechhoist.packing.Sizes;
+import org.beechhoist.packing.GpuSizeDistribution;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineId;
@@ -22,7 +22,7 @@
  */
 public final class Plan {
     /** Tasks planned one by one for one entry; the rest of a run of tasks is beyond the horizon. */
-    static final int MAX_PER_ENTRY = 700;
+    static final int MAX_TASKS_PER_ENTRY = 700;
 
     /** Tasks planned one by one for the whole plan. */
     private static final int MAX_TASKS = 6000;
@@ -63,15 +63,15 @@
             this(job, spec, waiting, lengthMs, liveByZone, notBeforeMs, patienceMs, null);
         }
 
-        Entry notBefore(long ms) {
+        Entry withNotBefore(long ms) {
             return new Entry(job, spec, waiting, lengthMs, liveByZone, ms, patienceMs, widthLimit);
         }
 
-        Entry limitedTo(WidthLimit limit) {
+        Entry withWidthLimit(WidthLimit limit) {
             return new Entry(job, spec, waiting, lengthMs, liveByZone, notBeforeMs, patienceMs, limit);
         }
 
-        boolean wide() {
+        boolean hasWidthLimit() {
             return widthLimit != null;
         }
     }
@@ -82,7 +82,7 @@
      * @param machineUp whether the machine is up already
      * @param startMs when the task is launched
      * @param fetchMs how long it then waits for its image
-     * @param wide whether it is beyond an elastic job's guaranteed tasks; nothing is rented or stopped for it
+     * @param beyondGuarantee whether it is beyond an elastic job's guaranteed tasks; nothing is rented or stopped for it
      */
     public record Reservation(
             JobId job,
@@ -93,7 +93,7 @@
             long startMs,
             long fetchMs,
             long endMs,
-            boolean wide) {
+            boolean beyondGuarantee) {
         /** Returns when its work begins: after the start and the transfer of its image. */
         public long beginMs() {
             return startMs + fetchMs;
@@ -102,15 +102,15 @@
 
     private final long nowMs;
     private final Map<String, List<PlanMachine>> zones = new TreeMap<>();
-    private final Map<String, TeamLimit> limits = new HashMap<>();
+    private final Map<String, TeamQuotaProfile> limits = new HashMap<>();
     private final List<Reservation> reservations = new ArrayList<>();
     private final Map<JobId, Integer> unplaced = new HashMap<>();
     private final Map<JobId, Long> firstStart = new HashMap<>();
     private final CandidateMachines candidates;
     /** What it costs to keep machines for the elastic jobs' chosen widths, with what lateness costs. */
-    private double money;
+    private double elasticCost;
 
-    private int lateWide;
+    private int lateElasticJobs;
 
     /** Makes an empty plan on these machines, which it changes as it places tasks. */
     public Plan(long nowMs, Collection<PlanMachine> machines) {
@@ -124,31 +124,31 @@
     }
 
     /** Sets the sizes of GPU requests: of places equal in time, the one that fragments fewer free GPUs for these is better. */
-    public void sizes(Sizes asked) {
-        candidates.sizes(asked);
+    public void setGpuSizes(GpuSizeDistribution asked) {
+        candidates.setGpuSizes(asked);
     }
 
-    /** Sets a team's limit, before {@link #use}. */
-    public void limit(String team, double cpus, double gpus) {
-        limits.put(team, new TeamLimit(nowMs, cpus, gpus));
+    /** Sets a team's limit, before {@link #addTeamUsage}. */
+    public void setTeamQuota(String team, double cpus, double gpus) {
+        limits.put(team, new TeamQuotaProfile(nowMs, cpus, gpus));
     }
 
     /** Enters what a team uses until a given time; ignored for a team without a limit. */
-    public void use(String team, long endMs, double cpus, double gpus) {
-        TeamLimit limit = limits.get(team);
+    public void addTeamUsage(String team, long endMs, double cpus, double gpus) {
+        TeamQuotaProfile limit = limits.get(team);
         if (limit != null) {
-            limit.take(nowMs, endMs, cpus, gpus);
+            limit.reserve(nowMs, endMs, cpus, gpus);
         }
     }
 
     /** Returns the time for which the plan was made. */
-    public long madeAtMs() {
+    public long createdAtMs() {
         return nowMs;
     }
 
     /** Returns how many gaps were looked for, a measure of what this plan has cost to make. */
-    public long fits() {
-        return candidates.searches();
+    public long gapSearches() {
+        return candidates.gapSearches();
     }
 
     /** Returns the places of all planned tasks, in the order in which they were planned. */
@@ -157,7 +157,7 @@
     }
 
     /** Returns how many tasks of the job found no place within the plan's bounds. */
-    public int unplaced(JobId job) {
+    public int unplacedCount(JobId job) {
         return unplaced.getOrDefault(job, 0);
     }
 
@@ -184,7 +184,7 @@
     }
 
     private int plannable(Entry entry) {
-        return Math.min(entry.waiting(), Math.min(MAX_PER_ENTRY, MAX_TASKS - reservations.size()));
+        return Math.min(entry.waiting(), Math.min(MAX_TASKS_PER_ENTRY, MAX_TASKS - reservations.size()));
     }
 
     /**
@@ -193,13 +193,13 @@
      *
      * @param busyUntil when its live tasks end
      */
-    public int widen(Entry entry, List<Long> busyUntil, WidthOptions options) {
+    public int placeElastic(Entry entry, List<Long> busyUntil, WidthOptions options) {
         Map<MachineId, Long> busyByOthers = new HashMap<>();
         Map<MachineId, PlanMachine> byId = new HashMap<>();
         zones.values()
                 .forEach(list -> list.forEach(machine -> {
                     byId.put(machine.id, machine);
-                    busyByOthers.put(machine.id, machine.profile.lastChange());
+                    busyByOthers.put(machine.id, machine.profile.lastStepMs());
                 }));
         List<Long> inUse = new ArrayList<>(busyUntil);
         for (Reservation reservation : reservations) {
@@ -207,19 +207,19 @@
                 inUse.add(reservation.endMs());
             }
         }
-        List<Widening.WidthCost> costs = new ArrayList<>();
-        for (int width : Widening.candidates(options)) {
+        List<WidthComparison.WidthCost> costs = new ArrayList<>();
+        for (int width : WidthComparison.candidateWidths(options)) {
             costs.add(trial(entry, () -> {
                 int first = reservations.size();
-                placeWide(entry.limitedTo(new WidthLimit(width, inUse)));
+                placeWide(entry.withWidthLimit(new WidthLimit(width, inUse)));
                 List<Reservation> made = reservations.subList(first, reservations.size());
-                return Widening.costOf(entry, options, width, made, byId, busyByOthers, nowMs);
+                return WidthComparison.costOf(entry, options, width, made, byId, busyByOthers, nowMs);
             }));
         }
-        Widening.WidthCost best = Widening.best(costs);
-        placeWide(entry.limitedTo(new WidthLimit(best.width(), inUse)));
-        money += Math.max(0, best.cost() + best.work());
-        lateWide += best.finishMs() > options.untilMs() ? 1 : 0;
+        WidthComparison.WidthCost best = WidthComparison.cheapest(costs);
+        placeWide(entry.withWidthLimit(new WidthLimit(best.width(), inUse)));
+        elasticCost += Math.max(0, best.netCost() + best.workValue());
+        lateElasticJobs += best.finishMs() > options.deadlineMs() ? 1 : 0;
         return best.width();
     }
 
@@ -229,13 +229,13 @@
     }
 
     /** Returns what it costs to keep machines for the elastic jobs' widths, with what lateness costs. */
-    public double money() {
-        return money;
+    public double elasticCost() {
+        return elasticCost;
     }
 
     /** Returns how many elastic jobs would be done later than they should. */
-    public int lateWide() {
-        return lateWide;
+    public int lateElasticJobs() {
+        return lateElasticJobs;
     }
 
     /**
@@ -247,12 +247,13 @@
             return 0;
         }
         JobSpec spec = entry.spec();
-        TeamLimit team = limits.get(spec.team());
-        Profile teamProfile =
-                team == null ? null : team.within(entry.waiting() * spec.cpus(), entry.waiting() * spec.gpus());
-        Profile widthProfile =
-                entry.widthLimit() == null ? null : entry.widthLimit().profile(nowMs);
-        candidates.gather(zones, entry, onlyZone, teamProfile, widthProfile);
+        TeamQuotaProfile team = limits.get(spec.team());
+        AvailabilityProfile teamProfile = team == null
+                ? null
+                : team.availabilityIfLimiting(entry.waiting() * spec.cpus(), entry.waiting() * spec.gpus());
+        AvailabilityProfile widthProfile =
+                entry.widthLimit() == null ? null : entry.widthLimit().toProfile(nowMs);
+        candidates.fill(zones, entry, onlyZone, teamProfile, widthProfile);
         int perZone = spec.antiAffinity() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
         Map<String, Integer> inZone = new HashMap<>(entry.liveByZone());
         int placed = 0;
@@ -262,13 +263,13 @@
                 candidates.dropFirst();
                 continue;
             }
-            if (!candidates.confirmFirst()) {
+            if (!candidates.recheckFirst()) {
                 continue;
             }
             commit(machine, entry, team);
             if (widthProfile != null) {
-                long endMs = machine.start + machine.fetch + entry.lengthMs();
-                WidthLimit.takeOne(widthProfile, nowMs, machine.start, endMs);
+                long endMs = machine.candidateStartMs + machine.candidateFetchMs + entry.lengthMs();
+                WidthLimit.reserveTask(widthProfile, nowMs, machine.candidateStartMs, endMs);
             }
             inZone.merge(machine.zone, 1, Integer::sum);
             placed++;
@@ -284,7 +285,7 @@
         }
         long at = Math.max(nowMs, entry.notBeforeMs());
         for (int i = 0; i < MAX_GANG_MOVES; i++) {
-            Entry moved = entry.notBefore(at);
+            Entry moved = entry.withNotBefore(at);
             long[] latest = {at};
             int placed = trial(entry, () -> {
                 int first = reservations.size();
@@ -310,9 +311,9 @@
         Map<String, List<PlanMachine>> kept = new HashMap<>(zones);
         zones.replaceAll(
                 (zone, machines) -> machines.stream().map(PlanMachine::copy).collect(Collectors.toList()));
-        TeamLimit keptLimit = limits.get(entry.spec().team());
+        TeamQuotaProfile keptLimit = limits.get(entry.spec().team());
         if (keptLimit != null) {
-            limits.put(entry.spec().team(), new TeamLimit(keptLimit));
+            limits.put(entry.spec().team(), new TeamQuotaProfile(keptLimit));
         }
         int before = reservations.size();
         Long first = firstStart.get(entry.job());
@@ -331,7 +332,7 @@
     }
 
     /** Reserves the place that was found on the machine for one task of the entry. */
-    private void commit(PlanMachine machine, Entry entry, TeamLimit team) {
+    private void commit(PlanMachine machine, Entry entry, TeamQuotaProfile team) {
         JobSpec spec = entry.spec();
         Reservation reservation = new Reservation(
                 entry.job(),
@@ -339,15 +340,15 @@
                 machine.id,
                 machine.up,
                 machine.zone,
-                machine.start,
-                machine.fetch,
-                machine.start + machine.fetch + entry.lengthMs(),
-                entry.wide());
-        machine.profile.take(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus(), spec.memGb());
-        machine.image(spec.image(), reservation.beginMs());
+                machine.candidateStartMs,
+                machine.candidateFetchMs,
+                machine.candidateStartMs + machine.candidateFetchMs + entry.lengthMs(),
+                entry.hasWidthLimit());
+        machine.profile.reserve(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus(), spec.memGb());
+        machine.addExpectedImage(spec.image(), reservation.beginMs());
         machine.planned = true;
         if (team != null) {
-            team.take(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus());
+            team.reserve(reservation.startMs(), reservation.endMs(), spec.cpus(), spec.gpus());
         }
         reservations.add(reservation);
         firstStart.merge(entry.job(), reservation.startMs(), Math::min);
--- a/src/main/java/org/beechhoist/plan/PlanMachine.java
+++ b/src/main/java/org/beechhoist/plan/PlanMachine.java
@@ -21,7 +21,7 @@
     final boolean spot;
     final boolean up;
     final long readyMs;
-    Profile profile;
+    AvailabilityProfile profile;
     /** The last answer of {@link #earliest}, the request it answered, and how often the profile had been changed then. */
     private long found;
 
@@ -39,20 +39,20 @@
 
     private final double costPerCpu;
     /** Whether elastic jobs may grow onto it. */
-    boolean widens;
+    boolean allowsElasticGrowth;
     /** Whether this plan puts anything new on it. */
     boolean planned;
     /** The start of the best place for the next task of the entry that is being placed; see {@link CandidateMachines}. */
-    long start;
+    long candidateStartMs;
 
     /** How long the task would wait there for its image. */
-    long fetch;
+    long candidateFetchMs;
     /** When its work would begin, with the price as a delay added. */
-    long score;
+    long candidateScoreMs;
     /** The CPUs that are free there at the start. */
-    double free;
+    double candidateFreeCpus;
     /** Free GPUs that the task would make useless for larger ones; for a task without GPUs, all of the machine's. */
-    double fragmentation;
+    double candidateFragmentation;
 
     /**
      * Makes a machine with nothing on it.
@@ -67,26 +67,26 @@
         this.up = up;
         this.readyMs = readyMs;
         this.costPerCpu = type.priceOf(spot) / Math.max(MIN_CPUS, type.cpus());
-        this.profile = new Profile(readyMs, type.cpus(), type.gpus(), type.memGb());
+        this.profile = new AvailabilityProfile(readyMs, type.cpus(), type.gpus(), type.memGb());
     }
 
     /** Allows elastic jobs to grow onto it: it is up, healthy, and stays. */
-    public void mayWiden() {
-        widens = true;
+    public void allowElasticGrowth() {
+        allowsElasticGrowth = true;
     }
 
     /** Enters something that is on it until {@code endMs}. */
     public void occupy(long endMs, double cpus, double gpus, double memGb) {
-        profile.take(readyMs, endMs, cpus, gpus, memGb);
+        profile.reserve(readyMs, endMs, cpus, gpus, memGb);
     }
 
     /** Sets the images that it holds now; the set is not changed here. */
-    public void holds(Set<String> images) {
+    public void setCachedImages(Set<String> images) {
         heldImages = images;
     }
 
     /** Enters that it will hold the image from {@code atMs} on. */
-    public void image(String image, long atMs) {
+    public void addExpectedImage(String image, long atMs) {
         imageReady.merge(image, atMs, Math::min);
     }
 
@@ -95,8 +95,8 @@
      * after the other.
      */
     long earliest(long at, long length, double cpus, double gpus, double memGb) {
-        boolean grows = profile.grows();
-        if (foundChanges == profile.changes()
+        boolean grows = profile.isNonDecreasing();
+        if (foundChanges == profile.changeCount()
                 && foundAt == at
                 && cpus == foundCpus
                 && gpus == foundGpus
@@ -110,7 +110,7 @@
         foundCpus = cpus;
         foundGpus = gpus;
         foundMem = memGb;
-        foundChanges = profile.changes();
+        foundChanges = profile.changeCount();
         return found;
     }
 
@@ -130,8 +130,8 @@
     /** Returns a copy to try placements on; what was found for the next task is not copied. */
     PlanMachine copy() {
         PlanMachine machine = new PlanMachine(id, type, zone, spot, up, readyMs);
-        machine.widens = widens;
-        machine.profile = new Profile(profile);
+        machine.allowsElasticGrowth = allowsElasticGrowth;
+        machine.profile = new AvailabilityProfile(profile);
         machine.heldImages = heldImages;
         machine.imageReady = new HashMap<>(imageReady);
         return machine;
--- a/src/main/java/org/beechhoist/plan/RandomSearch.java
+++ b/src/main/java/org/beechhoist/plan/RandomSearch.java
@@ -22,7 +22,7 @@
     private C best;
     private Evaluation bestValue;
     private int done;
-    private int kept;
+    private int acceptedCount;
 
     /**
      * Makes a search that has not begun.
@@ -47,7 +47,7 @@
     }
 
     /** Returns a copy of the order in which the entry at {@code from} has a random place. */
-    public static <T> List<T> moved(List<T> order, int from, SplittableRandom random) {
+    public static <T> List<T> withRandomPosition(List<T> order, int from, SplittableRandom random) {
         List<T> candidate = new ArrayList<>(order);
         T entry = candidate.remove(from);
         candidate.add(random.nextInt(candidate.size() + 1), entry);
@@ -70,10 +70,10 @@
         C candidate = move.apply(best, random);
         Evaluation value = evaluate.apply(candidate);
         done++;
-        if (value.betterThan(bestValue, weights)) {
+        if (value.isBetterThan(bestValue, weights)) {
             best = candidate;
             bestValue = value;
-            kept++;
+            acceptedCount++;
         }
     }
 
@@ -83,12 +83,12 @@
     }
 
     /** Returns how many candidates were tried. */
-    public int steps() {
+    public int triedCount() {
         return done;
     }
 
     /** Returns how many candidates were better than the best before them. */
-    public int kept() {
-        return kept;
+    public int acceptedCount() {
+        return acceptedCount;
     }
 }
--- a/src/main/java/org/beechhoist/plan/TeamLimit.java
+++ b/src/main/java/org/beechhoist/plan/TeamQuotaProfile.java
@@ -7,7 +7,7 @@
  * What a team's limit leaves free over time. Starts are rounded down to whole seconds and ends up, so that it errs on the safe side
  * and its steps stay few however many tasks there are.
  */
-final class TeamLimit {
+final class TeamQuotaProfile {
     private static final long STEP_MS = 1000;
     private static final double EPSILON = 1e-6;
 
@@ -23,27 +23,27 @@
     /** What is not in the profile yet, which is made only for a team that may reach its limit. */
     private final List<Use> pending;
 
-    private Profile profile;
+    private AvailabilityProfile profile;
 
-    TeamLimit(long nowMs, double cpus, double gpus) {
+    TeamQuotaProfile(long nowMs, double cpus, double gpus) {
         this.nowMs = nowMs;
         this.cpus = cpus;
         this.gpus = gpus;
         this.pending = new ArrayList<>();
     }
 
-    TeamLimit(TeamLimit other) {
+    TeamQuotaProfile(TeamQuotaProfile other) {
         nowMs = other.nowMs;
         cpus = other.cpus;
         gpus = other.gpus;
         cpusEver = other.cpusEver;
         gpusEver = other.gpusEver;
         pending = new ArrayList<>(other.pending);
-        profile = other.profile == null ? null : new Profile(other.profile);
+        profile = other.profile == null ? null : new AvailabilityProfile(other.profile);
     }
 
     /** Enters what the team uses between two times. */
-    void take(long from, long to, double cpus, double gpus) {
+    void reserve(long from, long to, double cpus, double gpus) {
         cpusEver += cpus;
         gpusEver += gpus;
         Use use = new Use(
@@ -56,7 +56,7 @@
                 pending.add(use);
             }
         } else {
-            profile.take(use.from, use.to, use.cpus, use.gpus, 0);
+            profile.reserve(use.from, use.to, use.cpus, use.gpus, 0);
         }
     }
 
@@ -65,13 +65,13 @@
     }
 
     /** Returns what is free over time, or null if everything at once, and that much more, stays within the limit. */
-    Profile within(double moreCpus, double moreGpus) {
+    AvailabilityProfile availabilityIfLimiting(double moreCpus, double moreGpus) {
         if (cpusEver + moreCpus <= cpus + EPSILON && gpusEver + moreGpus <= gpus + EPSILON) {
             return null;
         }
         if (profile == null) {
-            profile = new Profile(nowMs, cpus, gpus, Double.POSITIVE_INFINITY);
-            pending.forEach(use -> profile.take(use.from, use.to, use.cpus, use.gpus, 0));
+            profile = new AvailabilityProfile(nowMs, cpus, gpus, Double.POSITIVE_INFINITY);
+            pending.forEach(use -> profile.reserve(use.from, use.to, use.cpus, use.gpus, 0));
             pending.clear();
         }
         return profile;
--- a/src/main/java/org/beechhoist/plan/Widening.java
+++ b/src/main/java/org/beechhoist/plan/WidthComparison.java
@@ -10,7 +10,7 @@
  * Weighs the widths of an elastic job in one plan. A width costs the money for keeping machines that would otherwise be returned,
  * less what the work done there would cost at the lowest price, plus what being late costs.
  */
-final class Widening {
+final class WidthComparison {
     /** Widths tried for one job in one plan. */
     private static final int MAX_TRIED = 5;
     /** Costs closer than this part of the work are taken as equal: the last round of tasks seldom fills a machine. */
@@ -21,17 +21,17 @@
     /**
      * What one width costs.
      *
-     * @param cost the whole cost, the value of the work subtracted
-     * @param work the value of the work that was placed
+     * @param netCost the whole cost, the value of the work subtracted
+     * @param workValue the value of the work that was placed
      */
-    record WidthCost(int width, double cost, double work, long finishMs) {}
+    record WidthCost(int width, double netCost, double workValue, long finishMs) {}
 
-    private Widening() {}
+    private WidthComparison() {}
 
     /** Returns the widths to compare: the smallest, then from the largest down by halves. */
-    static List<Integer> candidates(WidthOptions options) {
-        if (options.fixed() != null) {
-            return List.of(Math.max(options.from(), Math.min(options.most(), options.fixed())));
+    static List<Integer> candidateWidths(WidthOptions options) {
+        if (options.fixedWidth() != null) {
+            return List.of(Math.max(options.from(), Math.min(options.most(), options.fixedWidth())));
         }
         List<Integer> widths = new ArrayList<>();
         widths.add(options.from());
@@ -75,11 +75,14 @@
         double work = cpuMs * options.lowestCostPerCpu() / MS_PER_HOUR;
         int left = entry.waiting() - made.size();
         long finish = finishMs(end, left, width, entry.lengthMs());
-        double late = options.untilMs() == Long.MAX_VALUE
+        double late = options.deadlineMs() == Long.MAX_VALUE
                 ? 0
-                : Math.max(0, Math.min(finish - options.untilMs(), MS_PER_HOUR));
-        double perMs =
-                options.worth() * options.most() * entry.spec().cpus() * options.lowestCostPerCpu() / MS_PER_HOUR;
+                : Math.max(0, Math.min(finish - options.deadlineMs(), MS_PER_HOUR));
+        double perMs = options.latenessWeight()
+                * options.most()
+                * entry.spec().cpus()
+                * options.lowestCostPerCpu()
+                / MS_PER_HOUR;
         return new WidthCost(width, keeping - work + late * perMs, work, finish);
     }
 
@@ -92,12 +95,12 @@
     }
 
     /** Returns the cheapest; where several cost about the same, the one that is done first. */
-    static WidthCost best(List<WidthCost> all) {
+    static WidthCost cheapest(List<WidthCost> all) {
         WidthCost best = all.get(0);
         for (WidthCost result : all) {
-            double tie = EQUAL_WITHIN * Math.max(result.work(), best.work());
-            boolean alike = Math.abs(result.cost() - best.cost()) <= tie;
-            if (alike ? result.finishMs() < best.finishMs() : result.cost() < best.cost()) {
+            double tie = EQUAL_WITHIN * Math.max(result.workValue(), best.workValue());
+            boolean alike = Math.abs(result.netCost() - best.netCost()) <= tie;
+            if (alike ? result.finishMs() < best.finishMs() : result.netCost() < best.netCost()) {
                 best = result;
             }
         }
--- a/src/main/java/org/beechhoist/plan/WidthOptions.java
+++ b/src/main/java/org/beechhoist/plan/WidthOptions.java
@@ -5,14 +5,15 @@
  *
  * @param from how many of its tasks are live or placed already
  * @param most how many may be
- * @param untilMs when it should be done; Long.MAX_VALUE: no hurry
- * @param worth what a second of lateness costs, in seconds of the whole wide job at the lowest price
+ * @param deadlineMs when it should be done; Long.MAX_VALUE: no hurry
+ * @param latenessWeight what a second of lateness costs, in seconds of the whole wide job at the lowest price
  * @param lowestCostPerCpu an hour of one CPU at the lowest price that the job may use
- * @param fixed the width to use without comparing others, or null
+ * @param fixedWidth the width to use without comparing others, or null
  */
-public record WidthOptions(int from, int most, long untilMs, double worth, double lowestCostPerCpu, Integer fixed) {
+public record WidthOptions(
+        int from, int most, long deadlineMs, double latenessWeight, double lowestCostPerCpu, Integer fixedWidth) {
     /** Returns the same options with the width given. */
-    public WidthOptions fixedAt(int width) {
-        return new WidthOptions(from, most, untilMs, worth, lowestCostPerCpu, width);
+    public WidthOptions withFixedWidth(int width) {
+        return new WidthOptions(from, most, deadlineMs, latenessWeight, lowestCostPerCpu, width);
     }
 }
--- a/src/main/java/org/beechhoist/store/ServiceShareRecord.java
+++ b/src/main/java/org/beechhoist/store/ServiceShareRecord.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
-import org.beechhoist.floor.Largest;
-import org.beechhoist.floor.Ledger;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.LargestJobGroups;
+import org.beechhoist.floor.ServiceShare;
+import org.beechhoist.floor.ServiceShareWindow;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
@@ -19,7 +19,7 @@
     private ServiceShareRecord() {}
 
     /** @param wallMs jobs whose time was up before are in it */
-    public static ObjectNode toNode(Ledger ledger, Largest largest, long wallMs, int mostBytes) {
+    public static ObjectNode toNode(ServiceShareWindow ledger, LargestJobGroups largest, long wallMs, int mostBytes) {
         ObjectNode node = Codec.map().put("v", VERSION).put("at", wallMs);
         int bytes = 40;
         ObjectNode sizes = node.putObject("sizes");
@@ -34,7 +34,8 @@
             }
         }
         ObjectNode groups = node.putObject("groups");
-        for (Map.Entry<String, Map<Long, Share>> entry : ledger.steps(wallMs).entrySet()) {
+        for (Map.Entry<String, Map<Long, ServiceShare>> entry :
+                ledger.stepsByGroup(wallMs).entrySet()) {
             bytes += entry.getKey().length() + 8 + 24 * entry.getValue().size();
             if (bytes > mostBytes) {
                 break; // what is left out is counted anew
@@ -46,7 +47,8 @@
     }
 
     /** Adds what it says to the ledger; returns when it was written. */
-    public static long read(JsonNode node, Ledger into, Largest largest) throws MalformedMessageException {
+    public static long read(JsonNode node, ServiceShareWindow into, LargestJobGroups largest)
+            throws MalformedMessageException {
         if (node == null
                 || node.path("v").asInt() != VERSION
                 || !node.path("groups").isObject()) {
@@ -60,7 +62,7 @@
                 if (asked < 0 || served < 0 || served > asked) {
                     throw new MalformedMessageException("groups: " + served + " served of " + asked);
                 }
-                into.add(entry.getKey(), rows.get(i).asLong(), new Share(asked, served));
+                into.addCounts(entry.getKey(), rows.get(i).asLong(), new ServiceShare(asked, served));
             }
         }
         for (Map.Entry<String, JsonNode> entry : node.path("sizes").properties()) {
@@ -68,7 +70,7 @@
             for (int i = 0; i < from.length; i++) {
                 from[i] = Math.max(0, entry.getValue().get(i).asLong());
             }
-            largest.restore(entry.getKey(), from);
+            largest.restoreMinSizes(entry.getKey(), from);
         }
         return node.path("at").asLong();
     }
--- a/src/main/java/org/beechhoist/triage/Capacity.java
+++ b/src/main/java/org/beechhoist/triage/Capacity.java
@@ -1,7 +1,7 @@
 package org.beechhoist.triage;
 
 import java.util.Map;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
 
 /**
  * What the machines can do, and what was served before.
@@ -11,7 +11,7 @@
  * @param gpus GPUs of all machines
  * @param busyGpuMs GPU time of running tasks
  * @param teams limit and running work of each team that has a limit
- * @param lately what each group asked for and was served before; a group that is missing has asked for nothing
+ * @param recentShares what each group asked for and was served before; a group that is missing has asked for nothing
  */
 public record Capacity(
         long nowMs,
@@ -19,13 +19,13 @@
         double busyCpuMs,
         double gpus,
         double busyGpuMs,
-        Map<String, Team> teams,
-        Map<String, Share> lately) {
+        Map<String, TeamQuota> teams,
+        Map<String, ServiceShare> recentShares) {
     /**
      * A team's limit and running work.
      *
      * @param cpus the most CPUs that it may use
      * @param busyCpuMs CPU time of its running tasks
      */
-    public record Team(double cpus, double busyCpuMs) {}
+    public record TeamQuota(double cpus, double busyCpuMs) {}
 }
--- a/src/main/java/org/beechhoist/triage/Demand.java
+++ b/src/main/java/org/beechhoist/triage/Demand.java
@@ -12,7 +12,7 @@
  * @param cpuMs CPU time of its waiting tasks
  * @param gpuMs GPU time of its waiting tasks
  * @param lengthMs duration of one task, fetching its image included
- * @param dueMs its deadline; {@link #NO_DUE} if it has none, or none that can still be missed
+ * @param deadlineMs its deadline; {@link #NO_DEADLINE} if it has none, or none that can still be missed
  * @param missed whether it is late already
  * @param keep whether it must not be shed: machines for it may still be rented, it is prioritized, or it has begun
  */
@@ -24,9 +24,9 @@
         double cpuMs,
         double gpuMs,
         long lengthMs,
-        long dueMs,
+        long deadlineMs,
         boolean missed,
         boolean keep) {
     /** The value of {@code dueMs} for a job without a deadline that can be missed. */
-    public static final long NO_DUE = Long.MAX_VALUE;
+    public static final long NO_DEADLINE = Long.MAX_VALUE;
 }
--- a/src/main/java/org/beechhoist/triage/ShedJobSelector.java
+++ b/src/main/java/org/beechhoist/triage/ShedJobSelector.java
@@ -48,7 +48,7 @@
             this.demanded = demanded;
             this.largestFirst = Comparator.comparingDouble(demanded)
                     .reversed()
-                    .thenComparing(Comparator.comparingLong(Demand::dueMs).reversed())
+                    .thenComparing(Comparator.comparingLong(Demand::deadlineMs).reversed())
                     .thenComparing(Demand::job);
         }
 
@@ -62,7 +62,7 @@
 
         boolean inTime(Demand demand, long nowMs) {
             double through = queuedMs / (USABLE_PART * width) + LONGEST_TASK_FACTOR * demand.lengthMs() / 2;
-            return nowMs + Math.max(LONGEST_TASK_FACTOR * demand.lengthMs(), through) <= demand.dueMs();
+            return nowMs + Math.max(LONGEST_TASK_FACTOR * demand.lengthMs(), through) <= demand.deadlineMs();
         }
     }
 
@@ -90,7 +90,8 @@
         this.capacity = capacity;
         this.machines = new Resource(capacity.cpus(), capacity.busyCpuMs(), Demand::cpuMs);
         this.gpus = capacity.gpus() > 0 ? new Resource(capacity.gpus(), capacity.busyGpuMs(), Demand::gpuMs) : null;
-        capacity.lately().forEach((group, share) -> counts.put(group, new GroupCount(share.asked(), share.served())));
+        capacity.recentShares()
+                .forEach((group, share) -> counts.put(group, new GroupCount(share.asked(), share.served())));
         for (Demand demand : demands) {
             demand.groups().forEach(group -> {
                 GroupCount count = counts.computeIfAbsent(group, name -> new GroupCount(0, 0));
@@ -117,14 +118,14 @@
 
     /** Takes the jobs of one rank; what is kept of it goes before the next rank's. */
     private void selectOfRank(List<Demand> demands) {
-        demands.sort(Comparator.comparingLong(Demand::dueMs).thenComparing(Demand::job));
+        demands.sort(Comparator.comparingLong(Demand::deadlineMs).thenComparing(Demand::job));
         machines.taken.clear();
         if (gpus != null) {
             gpus.taken.clear();
         }
         teams.values().forEach(team -> team.taken.clear());
         for (Demand demand : demands) {
-            if (demand.dueMs() == Demand.NO_DUE) {
+            if (demand.deadlineMs() == Demand.NO_DEADLINE) {
                 continue; // it waits for all that can be late, and delays none of them
             }
             List<Resource> needed = resources(demand);
--- a/src/test/java/org/beechhoist/cancel/FreshnessModelTest.java
+++ b/src/test/java/org/beechhoist/cancel/FreshnessModelTest.java
@@ -21,7 +21,8 @@
 
     /** Until when leases are renewed by the leader's clock; a question was answered, and a later one is still open. */
     private interface Decision {
-        MonotonicTime renewUntil(Freshness f, MonotonicTime sent, MonotonicTime received, MonotonicTime open);
+        MonotonicTime renewUntil(
+                CancellationFreshness f, MonotonicTime sent, MonotonicTime received, MonotonicTime open);
     }
 
     private static MonotonicTime clock(double drift, double trueMs) {
@@ -29,13 +30,13 @@
     }
 
     /** How long at the most, in ms, a task was on a machine after its cancellation, which the leader does not know, was committed. */
-    private static double longest(Freshness f, Decision d) {
+    private static double longest(CancellationFreshness f, Decision d) {
         double longest = 0;
         double[] drifts = {-DRIFT, 0, DRIFT};
         for (double leader : drifts) {
             for (double worker : drifts) {
                 for (long decided = 0;
-                        decided <= f.holdMs();
+                        decided <= f.watchHoldMs();
                         decided += STEP_MS) { // the state service looks this long after the sending
                     for (long way : new long[] {0, 100, 3000}) {
                         MonotonicTime sent = clock(leader, 0);
@@ -70,8 +71,8 @@
     @ParameterizedTest
     @CsvSource({"62, 32", "51, 26", "45, 20", "20, 5", "45, 32", "3600, 1800"})
     void nothingGoesOnLongerThanAllowed(int cancelS, int leaseS) {
-        Freshness f = new Freshness(1000L * cancelS, 1000L * leaseS);
-        assertTrue(f.allowsLeading());
+        CancellationFreshness f = new CancellationFreshness(1000L * cancelS, 1000L * leaseS);
+        assertTrue(f.allowsLeadership());
         double longest = longest(f, (x, sent, received, open) -> x.renewUntil(sent));
         assertTrue(longest <= f.cancelMs(), longest + " ms of " + f.cancelMs());
         assertTrue(
@@ -82,7 +83,7 @@
     @ParameterizedTest
     @CsvSource({"62, 32", "51, 26", "3600, 1800"})
     void plantedDefectsAreFound(int cancelS, int leaseS) {
-        Freshness f = new Freshness(1000L * cancelS, 1000L * leaseS);
+        CancellationFreshness f = new CancellationFreshness(1000L * cancelS, 1000L * leaseS);
         assertTrue(
                 longest(f, (x, sent, received, open) -> x.renewUntil(received)) > f.cancelMs(),
                 "age counted from the receipt");
@@ -100,13 +101,13 @@
 
     @Test
     void withoutAnAnswerNoLeaseIsRenewed() {
-        assertEquals(MonotonicTime.ZERO, new Freshness(62_000, 32_000).renewUntil(null));
+        assertEquals(MonotonicTime.ZERO, new CancellationFreshness(62_000, 32_000).renewUntil(null));
     }
 
     @Test
     void tooLittleTimeIsNamed() {
-        Freshness f = new Freshness(34_000, 32_000);
-        assertTrue(!f.allowsLeading() && new Freshness(f.leastCancelMs(), 32_000).allowsLeading());
-        assertTrue(!new Freshness(f.leastCancelMs() - 100, 32_000).allowsLeading());
+        CancellationFreshness f = new CancellationFreshness(34_000, 32_000);
+        assertTrue(!f.allowsLeadership() && new CancellationFreshness(f.minCancelMs(), 32_000).allowsLeadership());
+        assertTrue(!new CancellationFreshness(f.minCancelMs() - 100, 32_000).allowsLeadership());
     }
 }
--- a/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
+++ b/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
@@ -17,8 +17,8 @@
 import org.beechhoist.drain.DisruptionBudget;
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
-import org.beechhoist.floor.Largest;
-import org.beechhoist.floor.Ledger;
+import org.beechhoist.floor.LargestJobGroups;
+import org.beechhoist.floor.ServiceShareWindow;
 import org.beechhoist.keyset.KeySet;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.ChangeLogSegment;
@@ -120,8 +120,8 @@
     }
 
     private static JsonNode serviceShares(JsonNode stored) throws MalformedMessageException {
-        Ledger ledger = new Ledger();
-        Largest largest = new Largest();
+        ServiceShareWindow ledger = new ServiceShareWindow();
+        LargestJobGroups largest = new LargestJobGroups();
         long writtenAt = ServiceShareRecord.read(stored, ledger, largest);
         return ServiceShareRecord.toNode(ledger, largest, writtenAt, Integer.MAX_VALUE);
     }
--- a/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
+++ b/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
@@ -6,74 +6,76 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import org.beechhoist.elastic.Ending.Need;
-import org.beechhoist.elastic.Ending.Task;
-import org.beechhoist.elastic.Ending.Way;
+import org.beechhoist.elastic.TaskTermination.CapacityNeed;
+import org.beechhoist.elastic.TaskTermination.LiveTask;
+import org.beechhoist.elastic.TaskTermination.Method;
 import org.beechhoist.wire.Width;
 import org.junit.jupiter.api.Test;
 
 class ElasticDecisionsTest {
     private static final long NOW = 1_000_000;
 
-    private static Way way(Task t, long inMs, boolean mayKill) {
-        return Ending.choose(t, NOW, new Need(NOW + inMs, mayKill)).way();
+    private static Method way(LiveTask t, long inMs, boolean mayKill) {
+        return TaskTermination.choose(t, NOW, new CapacityNeed(NOW + inMs, mayKill))
+                .method();
     }
 
-    private static Task task(long ranMs, long leftMs, long everyMs, long saveMs) {
-        return new Task(true, true, ranMs, leftMs, 4, everyMs, saveMs);
+    private static LiveTask task(long ranMs, long leftMs, long everyMs, long saveMs) {
+        return new LiveTask(true, true, ranMs, leftMs, 4, everyMs, saveMs);
     }
 
     @Test
     void theWayThatLosesLeastAmongThoseInTime() {
-        assertEquals(Way.WITHDRAW, way(new Task(false, false, 0, 60_000, 4, 0, 0), 1000, true));
-        assertEquals(Way.UNSTARTED, way(new Task(true, false, 0, 60_000, 4, 0, 0), 1000, true));
-        assertEquals(Way.AT_END, way(task(50_000, 9000, 0, 0), 10_000, true));
-        assertEquals(Way.KILL, way(task(50_000, 11_000, 0, 0), 10_000, true));
-        assertEquals(Way.AT_END, way(task(50_000, 11_000, 0, 0), 10_000, false));
-        assertEquals(Way.SAVE, way(task(50_000, 11_000, 30_000, 3000), 10_000, true));
+        assertEquals(Method.WITHDRAW, way(new LiveTask(false, false, 0, 60_000, 4, 0, 0), 1000, true));
+        assertEquals(Method.UNSTARTED, way(new LiveTask(true, false, 0, 60_000, 4, 0, 0), 1000, true));
+        assertEquals(Method.AT_END, way(task(50_000, 9000, 0, 0), 10_000, true));
+        assertEquals(Method.KILL, way(task(50_000, 11_000, 0, 0), 10_000, true));
+        assertEquals(Method.AT_END, way(task(50_000, 11_000, 0, 0), 10_000, false));
+        assertEquals(Method.SAVE, way(task(50_000, 11_000, 30_000, 3000), 10_000, true));
         // The next snapshot is near and saving is slow: stopped just after it.
-        assertEquals(Way.AT_SNAPSHOT, way(task(8000, 60_000, 10_000, 9000), 10_000, true));
-        assertEquals(Way.KILL, way(task(8000, 60_000, 10_000, 9000), 1000, true));
+        assertEquals(Method.AT_SNAPSHOT, way(task(8000, 60_000, 10_000, 9000), 10_000, true));
+        assertEquals(Method.KILL, way(task(8000, 60_000, 10_000, 9000), 1000, true));
         // Not even a kill is in time: nothing is thrown away for it.
-        assertEquals(Way.AT_END, way(task(50_000, 11_000, 0, 0), 100, true));
+        assertEquals(Method.AT_END, way(task(50_000, 11_000, 0, 0), 100, true));
         // A replica has no end of its own.
-        assertEquals(Way.KILL, way(new Task(true, true, 9000, Ending.NEVER, 4, 0, 0), 100, false));
+        assertEquals(Method.KILL, way(new LiveTask(true, true, 9000, TaskTermination.NEVER, 4, 0, 0), 100, false));
     }
 
     @Test
     void noWayInTimeLosesLessAndAKillIsTheLast() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Task t = task(
+            LiveTask t = task(
                     r.nextInt(100_000),
                     r.nextInt(100_000),
                     r.nextBoolean() ? 1000 + r.nextInt(40_000) : 0,
                     r.nextInt(10_000));
-            Need need = new Need(NOW + r.nextInt(60_000), r.nextBoolean());
-            Ending e = Ending.choose(t, NOW, need);
-            boolean ends = NOW + t.leftMs() <= need.byMs();
-            boolean saves = t.saves() && NOW + t.saveMs() + 500 <= need.byMs();
+            CapacityNeed need = new CapacityNeed(NOW + r.nextInt(60_000), r.nextBoolean());
+            TaskTermination e = TaskTermination.choose(t, NOW, need);
+            boolean ends = NOW + t.remainingMs() <= need.byMs();
+            boolean saves = t.hasCheckpoints() && NOW + t.checkpointCostMs() + 500 <= need.byMs();
             assertTrue(!ends || e.lostCpuS() == 0, "seed " + seed);
             assertTrue(
-                    e.way() != Way.KILL || (need.mayKill() && !ends && !saves && e.freesAtMs() <= need.byMs()),
+                    e.method() != Method.KILL || (need.mayKill() && !ends && !saves && e.freedAtMs() <= need.byMs()),
                     "seed " + seed);
-            assertTrue(!saves || e.freesAtMs() <= need.byMs(), "seed " + seed);
+            assertTrue(!saves || e.freedAtMs() <= need.byMs(), "seed " + seed);
         }
     }
 
     @Test
     void thoseThatLoseLeastGoFirst() {
         List<Long> ran = List.of(9000L, 100L, 50_000L, 3000L);
-        var chosen =
-                Surplus.choose(ran, 2, ms -> Ending.choose(task(ms, 90_000, 0, 0), NOW, new Need(NOW + 1000, true)));
+        var chosen = SurplusTaskSelector.select(
+                ran, 2, ms -> TaskTermination.choose(task(ms, 90_000, 0, 0), NOW, new CapacityNeed(NOW + 1000, true)));
         assertEquals(
-                List.of(100L, 3000L), chosen.stream().map(Surplus.Choice::task).toList());
+                List.of(100L, 3000L),
+                chosen.stream().map(SurplusTaskSelector.Candidate::task).toList());
     }
 
     @Test
     void theSureWidthIsWhatItTakes() {
         Width w = new Width(2, 16, 100.0);
-        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, Ending.NEVER, NOW));
+        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, TaskTermination.NEVER, NOW));
         assertEquals(10, GuaranteedWidth.width(w, 100, 10_000, NOW + 100_000, NOW));
         assertEquals(16, GuaranteedWidth.width(w, 100, 10_000, NOW + 30_000, NOW));
         assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, NOW + 5000, NOW), "too late to be chased");
@@ -83,18 +85,18 @@
 
     @Test
     void aMachineThatFlapsIsLeftAloneLongerAndLonger() {
-        Damping d = Damping.NONE;
+        GrowthBackoff d = GrowthBackoff.NONE;
         long at = NOW;
         long last = 0;
         for (int i = 0; i < 6; i++) {
-            d = d.narrowed(at, 10_000);
-            long wait = d.untilMs() - at;
+            d = d.afterNarrowing(at, 10_000);
+            long wait = d.blockedUntilMs() - at;
             assertEquals(10_000L << i, wait);
-            assertFalse(d.open(d.untilMs() - 1));
-            at = d.untilMs() + 500;
+            assertFalse(d.allowsGrowth(d.blockedUntilMs() - 1));
+            at = d.blockedUntilMs() + 500;
             last = wait;
         }
-        Damping quiet = d.narrowed(d.untilMs() + 5 * last, 10_000);
+        GrowthBackoff quiet = d.afterNarrowing(d.blockedUntilMs() + 5 * last, 10_000);
         assertEquals(1, quiet.times());
     }
 }
--- a/src/test/java/org/beechhoist/floor/FloorTest.java
+++ b/src/test/java/org/beechhoist/floor/FloorTest.java
@@ -10,39 +10,44 @@
 import org.junit.jupiter.api.Test;
 
 class FloorTest {
-    private static PrioritizedJobSelector.Waiting waiting(int n, String group, long ends, long limit) {
-        return new PrioritizedJobSelector.Waiting(new JobId("job-" + n), Set.of(group, "team:t"), false, ends, limit);
+    private static PrioritizedJobSelector.OpenJob waiting(int n, String group, long ends, long limit) {
+        return new PrioritizedJobSelector.OpenJob(new JobId("job-" + n), Set.of(group, "team:t"), false, ends, limit);
     }
 
     @Test
     void nobodyIsLiftedWhileAllHaveTheirHalf() {
-        List<PrioritizedJobSelector.Waiting> all = List.of(waiting(1, "class:a", 10, 20));
+        List<PrioritizedJobSelector.OpenJob> all = List.of(waiting(1, "class:a", 10, 20));
         assertEquals(
                 Set.of(),
-                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 6), "class:b", new Share(10, 10)), all));
+                PrioritizedJobSelector.select(
+                        Map.of("class:a", new ServiceShare(10, 6), "class:b", new ServiceShare(10, 10)), all));
         assertEquals(
                 Set.of(),
-                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 2), "class:b", new Share(100, 69)), all),
+                PrioritizedJobSelector.select(
+                        Map.of("class:a", new ServiceShare(10, 2), "class:b", new ServiceShare(100, 69)), all),
                 "nobody is far above");
         assertEquals(
                 Set.of(),
-                PrioritizedJobSelector.select(Map.of("class:a", new Share(3, 0), "class:b", new Share(10, 10)), all),
+                PrioritizedJobSelector.select(
+                        Map.of("class:a", new ServiceShare(3, 0), "class:b", new ServiceShare(10, 10)), all),
                 "too few to say");
         assertEquals(
                 Set.of(),
-                PrioritizedJobSelector.select(Map.of("class:a", new Share(10, 2), "team:b", new Share(10, 10)), all),
+                PrioritizedJobSelector.select(
+                        Map.of("class:a", new ServiceShare(10, 2), "team:b", new ServiceShare(10, 10)), all),
                 "another kind");
     }
 
     @Test
     void noMoreAreLiftedThanItTakesAndOnlyThoseThatCanBeInTime() {
-        List<PrioritizedJobSelector.Waiting> all = new ArrayList<>();
+        List<PrioritizedJobSelector.OpenJob> all = new ArrayList<>();
         for (int i = 1; i <= 20; i++) {
             all.add(waiting(i, "class:a", i <= 2 ? 1000 : 10, 100 + 20 - i));
         }
         all.add(waiting(99, "class:b", 10, 20));
-        Map<String, Share> shares = Map.of("class:a", new Share(10, 5), "class:b", new Share(10, 10));
-        assertEquals(3, PrioritizedJobSelector.needed(new Share(10, 5)), "8 of 13 are above 0.6");
+        Map<String, ServiceShare> shares =
+                Map.of("class:a", new ServiceShare(10, 5), "class:b", new ServiceShare(10, 10));
+        assertEquals(3, PrioritizedJobSelector.neededJobs(new ServiceShare(10, 5)), "8 of 13 are above 0.6");
         assertEquals(
                 Set.of(new JobId("job-18"), new JobId("job-19"), new JobId("job-20")),
                 PrioritizedJobSelector.select(shares, all),
@@ -51,11 +56,12 @@
 
     @Test
     void whatIsLiftedStaysSoAndCountsAgainstWhatItTakes() {
-        PrioritizedJobSelector.Waiting running =
-                new PrioritizedJobSelector.Waiting(new JobId("job-50"), Set.of("class:a"), true, 900, 100);
-        List<PrioritizedJobSelector.Waiting> all = List.of(
+        PrioritizedJobSelector.OpenJob running =
+                new PrioritizedJobSelector.OpenJob(new JobId("job-50"), Set.of("class:a"), true, 900, 100);
+        List<PrioritizedJobSelector.OpenJob> all = List.of(
                 running, waiting(1, "class:a", 10, 30), waiting(2, "class:a", 10, 20), waiting(3, "class:a", 10, 40));
-        Map<String, Share> shares = Map.of("class:a", new Share(10, 5), "class:b", new Share(10, 10));
+        Map<String, ServiceShare> shares =
+                Map.of("class:a", new ServiceShare(10, 5), "class:b", new ServiceShare(10, 10));
         assertEquals(
                 Set.of(new JobId("job-50"), new JobId("job-1"), new JobId("job-2")),
                 PrioritizedJobSelector.select(shares, all));
@@ -64,15 +70,16 @@
 
     @Test
     void theLedgerForgetsWhatIsOldAndIsBounded() {
-        Ledger l = new Ledger();
-        l.count("class:a", 1_000_000, true);
-        l.count("class:a", 1_000_000 + 100_000, false);
-        assertEquals(new Share(2, 1), l.shares(1_110_000).get("class:a"));
+        ServiceShareWindow l = new ServiceShareWindow();
+        l.recordOutcome("class:a", 1_000_000, true);
+        l.recordOutcome("class:a", 1_000_000 + 100_000, false);
+        assertEquals(new ServiceShare(2, 1), l.shares(1_110_000).get("class:a"));
         assertEquals(
-                new Share(1, 0),
-                l.shares(1_000_000 + Ledger.STEP_MS * (Ledger.STEPS + 1)).get("class:a"));
+                new ServiceShare(1, 0),
+                l.shares(1_000_000 + ServiceShareWindow.STEP_MS * (ServiceShareWindow.STEP_COUNT + 1))
+                        .get("class:a"));
         for (int i = 0; i < 1000; i++) {
-            l.count("class:" + i, 2_000_000, true);
+            l.recordOutcome("class:" + i, 2_000_000, true);
         }
         assertEquals(256, l.shares(2_000_000).size() + 1, "class:a was one of them, and is forgotten by now");
         assertEquals(Map.of(), l.shares(9_000_000));
--- a/src/test/java/org/beechhoist/plan/PlanTest.java
+++ b/src/test/java/org/beechhoist/plan/PlanTest.java
@@ -69,8 +69,8 @@
             }
         }
         Plan plan = new Plan(NOW, hosts);
-        plan.limit("red", 10, 0);
-        plan.limit("blue", Double.POSITIVE_INFINITY, 0);
+        plan.setTeamQuota("red", 10, 0);
+        plan.setTeamQuota("blue", Double.POSITIVE_INFINITY, 0);
         List<Plan.Entry> entries = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             JobSpec s = spec(
@@ -144,7 +144,7 @@
     void earliestFitIsTheEarliest() {
         for (long seed = 0; seed < 500; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Profile p = new Profile(0, 4, 0, 100);
+            AvailabilityProfile p = new AvailabilityProfile(0, 4, 0, 100);
             double[] free = new double[200];
             java.util.Arrays.fill(free, 4);
             for (int i = 0; i < 8; i++) {
@@ -156,7 +156,7 @@
                     room &= free[t] >= c;
                 }
                 if (room) {
-                    p.take(from, to, c, 0, 0);
+                    p.reserve(from, to, c, 0, 0);
                     for (int t = from; t < to; t++) {
                         free[t] -= c;
                     }
@@ -224,8 +224,8 @@
         Plan plan = new Plan(NOW, List.of(h));
         JobSpec s = spec(1, "array", 100_000, 1, 0, false, false);
         plan.place(entry(s, 1000));
-        assertTrue(plan.reservations().size() <= Plan.MAX_PER_ENTRY);
-        assertEquals(100_000 - plan.reservations().size(), plan.unplaced(s.id()));
+        assertTrue(plan.reservations().size() <= Plan.MAX_TASKS_PER_ENTRY);
+        assertEquals(100_000 - plan.reservations().size(), plan.unplacedCount(s.id()));
     }
 
     private static WidthOptions wish(int from, int most, long until) {
@@ -237,19 +237,19 @@
     void aWidthIsWorthItsMoney() {
         JobSpec s = spec(1, "array", 200, 1, 0, false, false);
         PlanMachine idle = new PlanMachine(new MachineId("m-1"), BIG, "a", true, true, NOW);
-        idle.mayWiden();
+        idle.allowElasticGrowth();
         Plan full = new Plan(NOW, List.of(idle));
-        assertEquals(16, full.widen(entry(s, 20_000), List.of(), wish(0, 16, Long.MAX_VALUE)));
+        assertEquals(16, full.placeElastic(entry(s, 20_000), List.of(), wish(0, 16, Long.MAX_VALUE)));
         assertEquals(
                 16, full.reservations().stream().filter(r -> r.startMs() == NOW).count());
-        assertTrue(full.reservations().stream().allMatch(Plan.Reservation::wide));
+        assertTrue(full.reservations().stream().allMatch(Plan.Reservation::beyondGuarantee));
 
         PlanMachine other = new PlanMachine(new MachineId("m-2"), BIG, "a", true, true, NOW);
-        other.mayWiden();
+        other.allowElasticGrowth();
         Plan corner = new Plan(NOW, List.of(other));
-        assertEquals(0, corner.widen(entry(s, 20_000), List.of(), wish(0, 3, Long.MAX_VALUE)));
+        assertEquals(0, corner.placeElastic(entry(s, 20_000), List.of(), wish(0, 3, Long.MAX_VALUE)));
         assertTrue(corner.reservations().isEmpty());
-        assertEquals(3, corner.widen(entry(s, 20_000), List.of(), wish(0, 3, NOW + 600_000)), "late otherwise");
+        assertEquals(3, corner.placeElastic(entry(s, 20_000), List.of(), wish(0, 3, NOW + 600_000)), "late otherwise");
     }
 
     @Test
@@ -261,12 +261,12 @@
                 boolean up = r.nextInt(3) > 0;
                 hosts.add(new PlanMachine(new MachineId("m-" + i), BIG, "a", true, up, up ? NOW : NOW + 9000));
                 if (up && r.nextInt(4) > 0) {
-                    hosts.get(i).mayWiden();
+                    hosts.get(i).allowElasticGrowth();
                 }
             }
             Plan p = new Plan(NOW, hosts);
             List<Long> live = List.of(NOW + 5000L, NOW + 40_000L);
-            int width = p.widen(
+            int width = p.placeElastic(
                     entry(spec(1, "array", 60, 2, 0, false, false), 12_000),
                     live,
                     wish(2, 2 + r.nextInt(20), NOW + 60_000));
@@ -276,7 +276,9 @@
                                 .count()
                         + live.stream().filter(end -> end > at.startMs()).count();
                 assertTrue(busy <= width, "seed " + seed + ": " + busy + " of " + width);
-                assertTrue(hosts.stream().anyMatch(h -> h.id.equals(at.machine()) && h.up && h.widens), "seed " + seed);
+                assertTrue(
+                        hosts.stream().anyMatch(h -> h.id.equals(at.machine()) && h.up && h.allowsElasticGrowth),
+                        "seed " + seed);
             }
         }
     }
@@ -285,20 +287,20 @@
     void searchKeepsOnlyWhatIsBetterAndRepeats() {
         for (long seed = 0; seed < 30; seed++) {
             List<Plan.Entry> entries = random(seed).entries;
-            Map<JobId, Evaluation.Facts> facts = new java.util.HashMap<>();
-            entries.forEach(e ->
-                    facts.put(e.job(), new Evaluation.Facts(e.spec().team(), NOW - 5000, NOW + 60_000, e.lengthMs())));
+            Map<JobId, Evaluation.JobTiming> facts = new java.util.HashMap<>();
+            entries.forEach(e -> facts.put(
+                    e.job(), new Evaluation.JobTiming(e.spec().team(), NOW - 5000, NOW + 60_000, e.lengthMs())));
             List<Plan.Entry> first = null;
             for (int run = 0; run < 2; run++) {
                 java.util.function.Function<List<Plan.Entry>, Evaluation> value = order -> {
                     Plan p = new Plan(NOW, List.of(new PlanMachine(new MachineId("m-1"), BIG, "a", false, true, NOW)));
-                    p.limit("red", 10, 0);
+                    p.setTeamQuota("red", 10, 0);
                     order.forEach(p::place);
                     return Evaluation.of(p, facts, Map.of());
                 };
                 RandomSearch<List<Plan.Entry>> s = new RandomSearch<>(
                         entries,
-                        (order, r) -> RandomSearch.moved(order, r.nextInt(order.size()), r),
+                        (order, r) -> RandomSearch.withRandomPosition(order, r.nextInt(order.size()), r),
                         value,
                         Evaluation.Weights.DEFAULT,
                         40,
@@ -308,8 +310,10 @@
                 }
                 Evaluation before = value.apply(entries);
                 Evaluation after = value.apply(s.best());
-                assertTrue(s.kept() == 0 || !before.betterThan(after, Evaluation.Weights.DEFAULT), "seed " + seed);
-                assertTrue(after.late() <= before.late(), "seed " + seed);
+                assertTrue(
+                        s.acceptedCount() == 0 || !before.isBetterThan(after, Evaluation.Weights.DEFAULT),
+                        "seed " + seed);
+                assertTrue(after.lateCount() <= before.lateCount(), "seed " + seed);
                 if (run == 0) {
                     first = s.best();
                 } else {
--- a/src/test/java/org/beechhoist/sim/PackingTest.java
+++ b/src/test/java/org/beechhoist/sim/PackingTest.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 import org.beechhoist.config.Policy;
 import org.beechhoist.controller.context.Effect;
-import org.beechhoist.packing.Moves;
-import org.beechhoist.packing.Sizes;
+import org.beechhoist.packing.DefragmentationSearch;
+import org.beechhoist.packing.GpuSizeDistribution;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.MachineId;
@@ -228,32 +228,35 @@
     /** The fragmentation gradient: small tasks fill what is broken already, and whole machines stay whole. */
     @Test
     void whatAPlacementBreaks() {
-        Sizes s = new Sizes(Map.of(1.0, 6.0, 2.0, 3.0, 8.0, 1.0));
+        GpuSizeDistribution s = new GpuSizeDistribution(Map.of(1.0, 6.0, 2.0, 3.0, 8.0, 1.0));
         assertTrue(s.fragmentationChange(8, 1) > 0);
         assertTrue(s.fragmentationChange(3, 1) < s.fragmentationChange(8, 1));
         assertTrue(s.fragmentationChange(1, 1) < s.fragmentationChange(2, 1) + 1e-9);
         assertTrue(s.fragmentationChange(8, 8) <= 0);
-        assertEquals(0, Sizes.NONE.fragmentationChange(8, 1));
+        assertEquals(0, GpuSizeDistribution.NONE.fragmentationChange(8, 1));
     }
 
     private static TaskId task(int i) {
         return new TaskId(new JobId("job-" + i), 0);
     }
 
-    private static Moves.Movable movable(int i, int gpus, double cost) {
-        return new Moves.Movable(task(i), new Moves.Resources(gpus, gpus, gpus), cost);
+    private static DefragmentationSearch.MovableTask movable(int i, int gpus, double cost) {
+        return new DefragmentationSearch.MovableTask(
+                task(i), new DefragmentationSearch.Resources(gpus, gpus, gpus), cost);
     }
 
-    private static Moves.Machine machine(String id, int free, Moves.Movable... tasks) {
-        return new Moves.Machine(new MachineId(id), new Moves.Resources(free, free, free), true, List.of(tasks));
+    private static DefragmentationSearch.MachineSnapshot machine(
+            String id, int free, DefragmentationSearch.MovableTask... tasks) {
+        return new DefragmentationSearch.MachineSnapshot(
+                new MachineId(id), new DefragmentationSearch.Resources(free, free, free), true, List.of(tasks));
     }
 
     /** The cheapest set on one machine, each with a place elsewhere; none where there is room, or no place for what must go. */
     @Test
     void theCheapestMoves() {
-        Moves.Resources need = new Moves.Resources(8, 8, 8);
-        Sizes s = new Sizes(Map.of(1.0, 1.0, 8.0, 1.0));
-        Moves.Found f = Moves.cheapest(
+        DefragmentationSearch.Resources need = new DefragmentationSearch.Resources(8, 8, 8);
+        GpuSizeDistribution s = new GpuSizeDistribution(Map.of(1.0, 1.0, 8.0, 1.0));
+        DefragmentationSearch.Result f = DefragmentationSearch.findCheapest(
                 need,
                 List.of(
                         machine("a", 4, movable(1, 4, 50)),
@@ -262,16 +265,19 @@
                 (t, h) -> true,
                 s);
         assertEquals(new MachineId("b"), f.machine(), f.toString());
-        assertEquals(5, f.cost());
+        assertEquals(5, f.costGpuS());
         assertEquals(2, f.moves().size());
         assertNull(
-                Moves.cheapest(need, List.of(machine("a", 8), machine("b", 4, movable(1, 4, 1))), (t, h) -> true, s),
+                DefragmentationSearch.findCheapest(
+                        need, List.of(machine("a", 8), machine("b", 4, movable(1, 4, 1))), (t, h) -> true, s),
                 "there is room");
         assertNull(
-                Moves.cheapest(need, List.of(machine("a", 7, movable(1, 1, 1)), machine("b", 0)), (t, h) -> true, s),
+                DefragmentationSearch.findCheapest(
+                        need, List.of(machine("a", 7, movable(1, 1, 1)), machine("b", 0)), (t, h) -> true, s),
                 "no place elsewhere");
         assertNull(
-                Moves.cheapest(need, List.of(machine("a", 7, movable(1, 1, 1)), machine("b", 1)), (t, h) -> false, s),
+                DefragmentationSearch.findCheapest(
+                        need, List.of(machine("a", 7, movable(1, 1, 1)), machine("b", 1)), (t, h) -> false, s),
                 "not allowed elsewhere");
     }
 }
--- a/src/test/java/org/beechhoist/sim/ServedFloorTest.java
+++ b/src/test/java/org/beechhoist/sim/ServedFloorTest.java
@@ -65,7 +65,7 @@
         assertTrue(with.get("class slow").value() >= 0.5, "with the floor: " + with + "; without: " + without);
         // It gives up what the other needs for its half, and stays far above its own.
         assertTrue(
-                with.get("class fast").value() >= PrioritizedJobSelector.FAR_ABOVE,
+                with.get("class fast").value() >= PrioritizedJobSelector.WELL_SERVED_SHARE,
                 "urgent work gave up too much: " + with + "; without: " + without);
     }
 
--- a/src/test/java/org/beechhoist/triage/TriageTest.java
+++ b/src/test/java/org/beechhoist/triage/TriageTest.java
@@ -66,10 +66,10 @@
     private static boolean inTime(List<Demand> some, double cpus) {
         double sum = 0;
         List<Demand> byDue = new ArrayList<>(some);
-        byDue.sort((a, b) -> Long.compare(a.dueMs(), b.dueMs()));
+        byDue.sort((a, b) -> Long.compare(a.deadlineMs(), b.deadlineMs()));
         for (Demand d : byDue) {
             sum += d.cpuMs();
-            if (NOW + Math.max(1250, sum / (0.9 * cpus) + 625) > d.dueMs() + 1e-6) {
+            if (NOW + Math.max(1250, sum / (0.9 * cpus) + 625) > d.deadlineMs() + 1e-6) {
                 return false;
             }
         }
@@ -130,7 +130,7 @@
                     false));
         }
         Set<JobId> behind = ShedJobSelector.select(
-                all, new Capacity(NOW, 1000, 0, 0, 0, Map.of("red", new Capacity.Team(5, 0)), Map.of()));
+                all, new Capacity(NOW, 1000, 0, 0, 0, Map.of("red", new Capacity.TeamQuota(5, 0)), Map.of()));
         Set<JobId> reds = new HashSet<>();
         all.stream().filter(d -> d.team().equals("red")).forEach(d -> reds.add(d.job()));
         assertTrue(!behind.isEmpty() && reds.containsAll(behind), behind.toString());
