--- a/src/main/java/org/beechhoist/plan/CandidateMachines.java
+++ b/src/main/java/org/beechhoist/plan/CandidateMachines.java
@@ -37,8 +37,8 @@
         this.lowestCost = lowestCost;
     }
 
-    void setGpuSizes(GpuSizeDistribution asked) {
-        gpuSizes = asked;
+    void setGpuSizes(GpuSizeDistribution requested) {
+        gpuSizes = requested;
     }
 
     /** Returns the number of gap searches. */
@@ -97,7 +97,7 @@
 
     /**
      * Searches the first machine's gap again if a limit may have changed it. Returns false if the machine is no
-     * longer first, because other tasks have meanwhile used up the limit at that time; the machine is then moved
+     * longer first, because tasks placed since then use up the limit at that time; the machine is then moved
      * back or dropped.
      */
     boolean recheckFirst() {
@@ -216,20 +216,20 @@
      * Returns whether the placement on the first machine is better than on the second: by start, fragmentation,
      * price, and then by free CPUs.
      */
-    private boolean isBetter(PlanMachine machine, PlanMachine than) {
-        long step = (machine.candidateScoreMs - nowMs) / TIE_MS;
-        long other = (than.candidateScoreMs - nowMs) / TIE_MS;
-        if (step != other) {
-            return step < other;
+    private boolean isBetter(PlanMachine first, PlanMachine second) {
+        long firstStep = (first.candidateScoreMs - nowMs) / TIE_MS;
+        long secondStep = (second.candidateScoreMs - nowMs) / TIE_MS;
+        if (firstStep != secondStep) {
+            return firstStep < secondStep;
         }
-        if (Math.abs(machine.candidateFragmentation - than.candidateFragmentation) > EPSILON) {
-            return machine.candidateFragmentation < than.candidateFragmentation;
+        if (Math.abs(first.candidateFragmentation - second.candidateFragmentation) > EPSILON) {
+            return first.candidateFragmentation < second.candidateFragmentation;
         }
-        if (machine.costPerCpu() != than.costPerCpu()) {
-            return machine.costPerCpu() < than.costPerCpu();
+        if (first.costPerCpu() != second.costPerCpu()) {
+            return first.costPerCpu() < second.costPerCpu();
         }
-        return machine.candidateFreeCpus != than.candidateFreeCpus
-                ? machine.candidateFreeCpus < than.candidateFreeCpus
-                : machine.candidateScoreMs < than.candidateScoreMs;
+        return first.candidateFreeCpus != second.candidateFreeCpus
+                ? first.candidateFreeCpus < second.candidateFreeCpus
+                : first.candidateScoreMs < second.candidateScoreMs;
     }
 }
--- a/src/main/java/org/beechhoist/plan/Evaluation.java
+++ b/src/main/java/org/beechhoist/plan/Evaluation.java
@@ -35,25 +35,25 @@
     /**
      * Evaluates a plan; jobs without timing data are left out.
      *
-     * @param usage each team's past usage as a share of the fleet, plus a minimum
+     * @param usage each team's fraction of all past CPU time, plus a minimum
      */
-    public static Evaluation of(Plan plan, Map<JobId, JobTiming> facts, Map<String, Double> usage) {
+    public static Evaluation of(Plan plan, Map<JobId, JobTiming> timings, Map<String, Double> usage) {
         int late = 0;
         int count = 0;
         double wait = 0;
         double slowdown = 0;
         Map<String, Double> waits = new HashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
-            JobTiming fact = facts.get(reservation.job());
-            if (fact == null) {
+            JobTiming timing = timings.get(reservation.job());
+            if (timing == null) {
                 continue;
             }
-            double waited = Math.max(0, reservation.beginMs() - fact.submittedMs());
+            double waited = Math.max(0, reservation.beginMs() - timing.submittedMs());
             count++;
-            late += !reservation.beyondGuarantee() && reservation.beginMs() > fact.latestStartMs() ? 1 : 0;
+            late += !reservation.beyondGuarantee() && reservation.beginMs() > timing.latestStartMs() ? 1 : 0;
             wait += waited;
-            slowdown += Math.max(1, (waited + fact.lengthMs()) / Math.max(fact.lengthMs(), MIN_RUN_MS));
-            waits.merge(fact.team(), waited, Double::sum);
+            slowdown += Math.max(1, (waited + timing.lengthMs()) / Math.max(timing.lengthMs(), MIN_RUN_MS));
+            waits.merge(timing.team(), waited, Double::sum);
         }
         if (count == 0) {
             return new Evaluation(plan.lateElasticJobs(), 0, 0, 0, plan.elasticCost());
--- a/src/main/java/org/beechhoist/plan/Plan.java
+++ b/src/main/java/org/beechhoist/plan/Plan.java
@@ -109,7 +109,7 @@
     private final Map<JobId, Integer> unplacedCounts = new HashMap<>();
     private final Map<JobId, Long> firstStart = new HashMap<>();
     private final CandidateMachines candidates;
-    /** Cost of keeping machines for the chosen widths of elastic jobs, including the cost of lateness. */
+    /** Cost of keeping machines for the selected widths of elastic jobs, including the cost of lateness. */
     private double elasticCost;
 
     private int lateElasticJobs;
@@ -129,8 +129,8 @@
      * Sets the distribution of GPU requests. Of machines with equal start times, the one where a task fragments fewer
      * free GPUs is preferred.
      */
-    public void setGpuSizes(GpuSizeDistribution asked) {
-        candidates.setGpuSizes(asked);
+    public void setGpuSizes(GpuSizeDistribution requested) {
+        candidates.setGpuSizes(requested);
     }
 
     /** Sets a team's maximum quota; called before {@link #addTeamUsage}. */
@@ -140,9 +140,9 @@
 
     /** Adds what a team uses until a given time; ignored for a team without a quota. */
     public void addTeamUsage(String team, long endMs, double cpus, double gpus) {
-        TeamQuotaProfile limit = teamQuotas.get(team);
-        if (limit != null) {
-            limit.reserve(nowMs, endMs, cpus, gpus);
+        TeamQuotaProfile quota = teamQuotas.get(team);
+        if (quota != null) {
+            quota.reserve(nowMs, endMs, cpus, gpus);
         }
     }
 
@@ -180,9 +180,10 @@
 
     /** Places an entry's tasks, each in its earliest gap; those of a gang at the earliest time at which all fit. */
     public void place(Entry entry) {
-        int most = plannableCount(entry);
-        String onlyZone = entry.spec().sameZone() ? chooseZone(entry, most) : null;
-        int placed = entry.spec().isGang() ? placeGang(entry, most, onlyZone) : placeEach(entry, most, onlyZone);
+        int maxTasks = plannableCount(entry);
+        String onlyZone = entry.spec().sameZone() ? chooseZone(entry, maxTasks) : null;
+        int placed =
+                entry.spec().isGang() ? placeGang(entry, maxTasks, onlyZone) : placeEach(entry, maxTasks, onlyZone);
         if (placed < entry.waiting()) {
             unplacedCounts.merge(entry.job(), entry.waiting() - placed, Integer::sum);
         }
@@ -229,8 +230,8 @@
     }
 
     private void placeBeyondGuarantee(Entry entry) {
-        int most = plannableCount(entry);
-        placeEach(entry, most, entry.spec().sameZone() ? chooseZone(entry, most) : null);
+        int maxTasks = plannableCount(entry);
+        placeEach(entry, maxTasks, entry.spec().sameZone() ? chooseZone(entry, maxTasks) : null);
     }
 
     /** Returns the cost of keeping machines for the widths of elastic jobs, including the cost of lateness. */
@@ -248,8 +249,8 @@
      * which a task was placed, so that the time is proportional to the sum of machines and tasks, not to their
      * product.
      */
-    private int placeEach(Entry entry, int most, String onlyZone) {
-        if (most <= 0) {
+    private int placeEach(Entry entry, int maxTasks, String onlyZone) {
+        if (maxTasks <= 0) {
             return 0;
         }
         JobSpec spec = entry.spec();
@@ -263,7 +264,7 @@
         int perZone = spec.antiAffinity() ? (spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
         Map<String, Integer> inZone = new HashMap<>(entry.liveByZone());
         int placed = 0;
-        while (placed < most && !candidates.isEmpty()) {
+        while (placed < maxTasks && !candidates.isEmpty()) {
             PlanMachine machine = candidates.first();
             if (perZone < Integer.MAX_VALUE && inZone.getOrDefault(machine.zone, 0) >= perZone) {
                 candidates.dropFirst();
@@ -285,8 +286,8 @@
     }
 
     /** Places a gang: all tasks start at the same time, or none is placed. */
-    private int placeGang(Entry entry, int most, String onlyZone) {
-        if (most < entry.waiting()) {
+    private int placeGang(Entry entry, int maxTasks, String onlyZone) {
+        if (maxTasks < entry.waiting()) {
             return 0; // the gang as a whole is beyond the planning horizon
         }
         long at = Math.max(nowMs, entry.notBeforeMs());
@@ -295,17 +296,17 @@
             long[] latest = {at};
             int placed = runTrial(entry, () -> {
                 int first = reservations.size();
-                int count = placeEach(moved, most, onlyZone);
+                int count = placeEach(moved, maxTasks, onlyZone);
                 reservations
                         .subList(first, reservations.size())
                         .forEach(reservation -> latest[0] = Math.max(latest[0], reservation.startMs()));
                 return count;
             });
-            if (placed < most) {
+            if (placed < maxTasks) {
                 return 0;
             }
             if (latest[0] <= at) {
-                return placeEach(moved, most, onlyZone);
+                return placeEach(moved, maxTasks, onlyZone);
             }
             at = latest[0];
         }
@@ -314,12 +315,12 @@
 
     /** Runs {@code attempt} on copies, restores the plan, and returns the result. */
     private <T> T runTrial(Entry entry, Supplier<T> attempt) {
-        Map<String, List<PlanMachine>> kept = new HashMap<>(zones);
+        Map<String, List<PlanMachine>> savedZones = new HashMap<>(zones);
         zones.replaceAll(
                 (zone, machines) -> machines.stream().map(PlanMachine::copy).collect(Collectors.toList()));
-        TeamQuotaProfile keptLimit = teamQuotas.get(entry.spec().team());
-        if (keptLimit != null) {
-            teamQuotas.put(entry.spec().team(), new TeamQuotaProfile(keptLimit));
+        TeamQuotaProfile savedQuota = teamQuotas.get(entry.spec().team());
+        if (savedQuota != null) {
+            teamQuotas.put(entry.spec().team(), new TeamQuotaProfile(savedQuota));
         }
         int before = reservations.size();
         Long first = firstStart.get(entry.job());
@@ -330,9 +331,9 @@
         } else {
             firstStart.put(entry.job(), first);
         }
-        zones.putAll(kept);
-        if (keptLimit != null) {
-            teamQuotas.put(entry.spec().team(), keptLimit);
+        zones.putAll(savedZones);
+        if (savedQuota != null) {
+            teamQuotas.put(entry.spec().team(), savedQuota);
         }
         return result;
     }
--- a/src/main/java/org/beechhoist/plan/PlanMachine.java
+++ b/src/main/java/org/beechhoist/plan/PlanMachine.java
@@ -101,13 +101,13 @@
      * same request one after the other.
      */
     long earliest(long at, long length, double cpus, double gpus, double memGb) {
-        boolean grows = profile.isNonDecreasing();
+        boolean nonDecreasing = profile.isNonDecreasing();
         if (cachedChangeCount == profile.changeCount()
                 && cachedFromMs == at
                 && cpus == cachedCpus
                 && gpus == cachedGpus
                 && memGb == cachedMemGb
-                && (grows || length == cachedLengthMs)) {
+                && (nonDecreasing || length == cachedLengthMs)) {
             return cachedStartMs;
         }
         cachedStartMs = profile.earliest(at, length, cpus, gpus, memGb);
--- a/src/main/java/org/beechhoist/plan/WidthComparison.java
+++ b/src/main/java/org/beechhoist/plan/WidthComparison.java
@@ -102,8 +102,8 @@
         WidthCost best = all.get(0);
         for (WidthCost result : all) {
             double tie = COST_TOLERANCE * Math.max(result.workValue(), best.workValue());
-            boolean alike = Math.abs(result.netCost() - best.netCost()) <= tie;
-            if (alike ? result.finishMs() < best.finishMs() : result.netCost() < best.netCost()) {
+            boolean aboutEqual = Math.abs(result.netCost() - best.netCost()) <= tie;
+            if (aboutEqual ? result.finishMs() < best.finishMs() : result.netCost() < best.netCost()) {
                 best = result;
             }
         }
--- a/src/main/java/org/beechhoist/triage/ShedJobSelector.java
+++ b/src/main/java/org/beechhoist/triage/ShedJobSelector.java
@@ -61,8 +61,8 @@
         }
 
         boolean isInTime(Demand demand, long nowMs) {
-            double finishMs = queuedMs / (USABLE_CPU_FRACTION * width) + LONGEST_TASK_FACTOR * demand.lengthMs() / 2;
-            return nowMs + Math.max(LONGEST_TASK_FACTOR * demand.lengthMs(), finishMs) <= demand.deadlineMs();
+            double queueTimeMs = queuedMs / (USABLE_CPU_FRACTION * width) + LONGEST_TASK_FACTOR * demand.lengthMs() / 2;
+            return nowMs + Math.max(LONGEST_TASK_FACTOR * demand.lengthMs(), queueTimeMs) <= demand.deadlineMs();
         }
     }
 
--- a/src/test/java/org/beechhoist/cancel/FreshnessModelTest.java
+++ b/src/test/java/org/beechhoist/cancel/FreshnessModelTest.java
@@ -9,17 +9,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every order of sending, deciding, answering, cancelling and reporting on a grid, with clocks that drift either way, over the real
- * decision: a task whose cancellation the leader does not know is gone in time. Planted: three ways to be wrong about it.
+ * Enumerates the times of sending, processing, answering, cancelling and reporting on a grid, with clocks that drift
+ * in both directions, and applies the production decision: a task whose cancellation the leader does not know ends
+ * within the allowed time. Planted faults show that the model detects wrong decisions.
  */
 class FreshnessModelTest {
     private static final double DRIFT = 0.0005;
-    /** What a worker's timers, and ending what it has, may take beyond its lease. */
+    /** Time that a worker's timers and the termination of its tasks may take after its lease. */
     private static final long ENDING_MS = 1000;
 
     private static final long STEP_MS = 250;
 
-    /** Until when leases are renewed by the leader's clock; a question was answered, and a later one is still open. */
+    /**
+     * Returns the time until which leases are renewed, by the leader's clock. One request has been answered, and a
+     * later one is still open.
+     */
     private interface Decision {
         MonotonicTime renewUntil(
                 CancellationFreshness f, MonotonicTime sent, MonotonicTime received, MonotonicTime open);
@@ -29,7 +33,10 @@
         return new MonotonicTime((long) (1_000_000 + trueMs * (1 + drift)));
     }
 
-    /** How long at the most, in ms, a task was on a machine after its cancellation, which the leader does not know, was committed. */
+    /**
+     * Returns the longest time in ms for which a task stays on a machine after the commit of its cancellation, which
+     * the leader does not know.
+     */
     private static double longest(CancellationFreshness f, Decision d) {
         double longest = 0;
         double[] drifts = {-DRIFT, 0, DRIFT};
@@ -37,7 +44,7 @@
             for (double worker : drifts) {
                 for (long decided = 0;
                         decided <= f.watchHoldMs();
-                        decided += STEP_MS) { // the state service looks this long after the sending
+                        decided += STEP_MS) { // time from sending the request until the state service reads its data
                     for (long way : new long[] {0, 100, 3000}) {
                         MonotonicTime sent = clock(leader, 0);
                         MonotonicTime received = clock(leader, decided + way);
@@ -48,11 +55,11 @@
                             if (at < decided + way) {
                                 continue;
                             }
-                            for (long reportWay :
-                                    new long[] {0, 4000}) { // the lease counts from the sending of the report
+                            for (long reportWay : new long[] {0, 4000}) { // the lease starts when the report is sent
                                 double lapse = at - reportWay + f.leaseMs() / (1 + worker) + ENDING_MS;
                                 longest = Math.max(
-                                        longest, lapse - decided); // cancelled just after the state service looked
+                                        longest,
+                                        lapse - decided); // cancelled just after the state service read its data
                             }
                         }
                     }
@@ -62,7 +69,7 @@
         return longest;
     }
 
-    /** The true time of the last answer that is allowed up to then; -1: none is. */
+    /** Returns the true time of the last renewal allowed before {@code until}; -1 if there is none. */
     private static double lastBefore(double drift, long answered, MonotonicTime until) {
         double end = (until.ms() - 1_000_000) / (1 + drift);
         return answered < end ? answered : answered - STEP_MS < end ? end - 1 : -1;
@@ -70,33 +77,31 @@
 
     @ParameterizedTest
     @CsvSource({"62, 32", "51, 26", "45, 20", "20, 5", "45, 32", "3600, 1800"})
-    void nothingGoesOnLongerThanAllowed(int cancelS, int leaseS) {
+    void cancelledTasksEndWithinTheAllowedTime(int cancelS, int leaseS) {
         CancellationFreshness f = new CancellationFreshness(1000L * cancelS, 1000L * leaseS);
         assertTrue(f.allowsLeadership());
         double longest = longest(f, (x, sent, received, open) -> x.renewUntil(sent));
         assertTrue(longest <= f.cancelMs(), longest + " ms of " + f.cancelMs());
         assertTrue(
                 longest > f.cancelMs() * 0.99 - 500,
-                "no more is given away than drift and margin ask: " + longest + " ms of " + f.cancelMs());
+                "no more time is lost than drift and margin require: " + longest + " ms of " + f.cancelMs());
     }
 
     @ParameterizedTest
     @CsvSource({"62, 32", "51, 26", "3600, 1800"})
-    void plantedDefectsAreFound(int cancelS, int leaseS) {
+    void plantedFaultsAreDetected(int cancelS, int leaseS) {
         CancellationFreshness f = new CancellationFreshness(1000L * cancelS, 1000L * leaseS);
         assertTrue(
                 longest(f, (x, sent, received, open) -> x.renewUntil(received)) > f.cancelMs(),
-                "age counted from the receipt");
+                "age counted from the receipt of the answer");
         assertTrue(
                 longest(f, (x, sent, received, open) -> x.renewUntil(open)) > f.cancelMs(),
-                "a question that is still open believed");
+                "an open request counted as answered");
         assertTrue(
                 longest(f, (x, sent, received, open) -> sent.plusMs(x.cancelMs() - x.leaseMs() - ENDING_MS))
                         > f.cancelMs(),
-                "drift forgotten");
-        assertTrue(
-                longest(f, (x, sent, received, open) -> sent.plusMs(x.cancelMs())) > f.cancelMs(),
-                "the lease forgotten");
+                "drift ignored");
+        assertTrue(longest(f, (x, sent, received, open) -> sent.plusMs(x.cancelMs())) > f.cancelMs(), "lease ignored");
     }
 
     @Test
@@ -105,7 +110,7 @@
     }
 
     @Test
-    void tooLittleTimeIsNamed() {
+    void tooShortCancelTimeIsRejectedAndTheMinimumIsReported() {
         CancellationFreshness f = new CancellationFreshness(34_000, 32_000);
         assertTrue(!f.allowsLeadership() && new CancellationFreshness(f.minCancelMs(), 32_000).allowsLeadership());
         assertTrue(!new CancellationFreshness(f.minCancelMs() - 100, 32_000).allowsLeadership());
--- a/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
+++ b/src/test/java/org/beechhoist/elastic/ElasticDecisionsTest.java
@@ -15,7 +15,7 @@
 class ElasticDecisionsTest {
     private static final long NOW = 1_000_000;
 
-    private static Method way(LiveTask t, long inMs, boolean mayKill) {
+    private static Method method(LiveTask t, long inMs, boolean mayKill) {
         return TaskTermination.choose(t, NOW, new CapacityNeed(NOW + inMs, mayKill))
                 .method();
     }
@@ -25,24 +25,24 @@
     }
 
     @Test
-    void theWayThatLosesLeastAmongThoseInTime() {
-        assertEquals(Method.WITHDRAW, way(new LiveTask(false, false, 0, 60_000, 4, 0, 0), 1000, true));
-        assertEquals(Method.UNSTARTED, way(new LiveTask(true, false, 0, 60_000, 4, 0, 0), 1000, true));
-        assertEquals(Method.AT_END, way(task(50_000, 9000, 0, 0), 10_000, true));
-        assertEquals(Method.KILL, way(task(50_000, 11_000, 0, 0), 10_000, true));
-        assertEquals(Method.AT_END, way(task(50_000, 11_000, 0, 0), 10_000, false));
-        assertEquals(Method.SAVE, way(task(50_000, 11_000, 30_000, 3000), 10_000, true));
-        // The next snapshot is near and saving is slow: stopped just after it.
-        assertEquals(Method.AT_SNAPSHOT, way(task(8000, 60_000, 10_000, 9000), 10_000, true));
-        assertEquals(Method.KILL, way(task(8000, 60_000, 10_000, 9000), 1000, true));
-        // Not even a kill is in time: nothing is thrown away for it.
-        assertEquals(Method.AT_END, way(task(50_000, 11_000, 0, 0), 100, true));
-        // A replica has no end of its own.
-        assertEquals(Method.KILL, way(new LiveTask(true, true, 9000, TaskTermination.NEVER, 4, 0, 0), 100, false));
+    void methodInTimeWithLeastLostWorkIsChosen() {
+        assertEquals(Method.WITHDRAW, method(new LiveTask(false, false, 0, 60_000, 4, 0, 0), 1000, true));
+        assertEquals(Method.UNSTARTED, method(new LiveTask(true, false, 0, 60_000, 4, 0, 0), 1000, true));
+        assertEquals(Method.AT_END, method(task(50_000, 9000, 0, 0), 10_000, true));
+        assertEquals(Method.KILL, method(task(50_000, 11_000, 0, 0), 10_000, true));
+        assertEquals(Method.AT_END, method(task(50_000, 11_000, 0, 0), 10_000, false));
+        assertEquals(Method.SAVE, method(task(50_000, 11_000, 30_000, 3000), 10_000, true));
+        // The next periodic checkpoint is near and saving is slow: stopped just after it.
+        assertEquals(Method.AT_SNAPSHOT, method(task(8000, 60_000, 10_000, 9000), 10_000, true));
+        assertEquals(Method.KILL, method(task(8000, 60_000, 10_000, 9000), 1000, true));
+        // Not even a kill is in time, so no work is lost for it.
+        assertEquals(Method.AT_END, method(task(50_000, 11_000, 0, 0), 100, true));
+        // A service replica does not finish by itself.
+        assertEquals(Method.KILL, method(new LiveTask(true, true, 9000, TaskTermination.NEVER, 4, 0, 0), 100, false));
     }
 
     @Test
-    void noWayInTimeLosesLessAndAKillIsTheLast() {
+    void noMethodInTimeLosesLessAndKillIsTheLastResort() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             LiveTask t = task(
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void thoseThatLoseLeastGoFirst() {
+    void tasksWithLeastLostWorkAreSelectedFirst() {
         List<Long> ran = List.of(9000L, 100L, 50_000L, 3000L);
         var chosen = SurplusTaskSelector.select(
                 ran, 2, ms -> TaskTermination.choose(task(ms, 90_000, 0, 0), NOW, new CapacityNeed(NOW + 1000, true)));
@@ -73,18 +73,18 @@
     }
 
     @Test
-    void theSureWidthIsWhatItTakes() {
+    void guaranteedWidthIsMinimumOrWhatTheDeadlineNeeds() {
         Width w = new Width(2, 16, 100.0);
         assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, TaskTermination.NEVER, NOW));
         assertEquals(10, GuaranteedWidth.width(w, 100, 10_000, NOW + 100_000, NOW));
         assertEquals(16, GuaranteedWidth.width(w, 100, 10_000, NOW + 30_000, NOW));
-        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, NOW + 5000, NOW), "too late to be chased");
+        assertEquals(2, GuaranteedWidth.width(w, 100, 10_000, NOW + 5000, NOW), "deadline can no longer be met");
         assertEquals(2, GuaranteedWidth.width(w, 3, 10_000, NOW + 100_000, NOW));
         assertEquals(0, GuaranteedWidth.width(new Width(0, 0, 100.0), 100, 10_000, NOW + 100_000, NOW));
     }
 
     @Test
-    void aMachineThatFlapsIsLeftAloneLongerAndLonger() {
+    void backoffDoublesOnRepeatedNarrowingAndResetsAfterAQuietPeriod() {
         GrowthBackoff d = GrowthBackoff.NONE;
         long at = NOW;
         long last = 0;
--- a/src/test/java/org/beechhoist/floor/FloorTest.java
+++ b/src/test/java/org/beechhoist/floor/FloorTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void nobodyIsLiftedWhileAllHaveTheirHalf() {
+    void noJobIsPrioritizedUnlessAGroupIsBelowTheMinimumAndAnotherFarAbove() {
         List<PrioritizedJobSelector.OpenJob> all = List.of(waiting(1, "class:a", 10, 20));
         assertEquals(
                 Set.of(),
@@ -25,21 +25,21 @@
                 Set.of(),
                 PrioritizedJobSelector.select(
                         Map.of("class:a", new ServiceShare(10, 2), "class:b", new ServiceShare(100, 69)), all),
-                "nobody is far above");
+                "no group is far above");
         assertEquals(
                 Set.of(),
                 PrioritizedJobSelector.select(
                         Map.of("class:a", new ServiceShare(3, 0), "class:b", new ServiceShare(10, 10)), all),
-                "too few to say");
+                "too few due jobs");
         assertEquals(
                 Set.of(),
                 PrioritizedJobSelector.select(
                         Map.of("class:a", new ServiceShare(10, 2), "team:b", new ServiceShare(10, 10)), all),
-                "another kind");
+                "different kinds of groups are not compared");
     }
 
     @Test
-    void noMoreAreLiftedThanItTakesAndOnlyThoseThatCanBeInTime() {
+    void onlyAsManyJobsAsNeededThatCanFinishInTimeArePrioritized() {
         List<PrioritizedJobSelector.OpenJob> all = new ArrayList<>();
         for (int i = 1; i <= 20; i++) {
             all.add(waiting(i, "class:a", i <= 2 ? 1000 : 10, 100 + 20 - i));
@@ -51,11 +51,11 @@
         assertEquals(
                 Set.of(new JobId("job-18"), new JobId("job-19"), new JobId("job-20")),
                 PrioritizedJobSelector.select(shares, all),
-                "the first to be due");
+                "the jobs that are due first");
     }
 
     @Test
-    void whatIsLiftedStaysSoAndCountsAgainstWhatItTakes() {
+    void prioritizedJobsStaySoAndCountTowardsTheNeededJobs() {
         PrioritizedJobSelector.OpenJob running =
                 new PrioritizedJobSelector.OpenJob(new JobId("job-50"), Set.of("class:a"), true, 900, 100);
         List<PrioritizedJobSelector.OpenJob> all = List.of(
@@ -69,19 +69,19 @@
     }
 
     @Test
-    void theLedgerForgetsWhatIsOldAndIsBounded() {
-        ServiceShareWindow l = new ServiceShareWindow();
-        l.recordOutcome("class:a", 1_000_000, true);
-        l.recordOutcome("class:a", 1_000_000 + 100_000, false);
-        assertEquals(new ServiceShare(2, 1), l.shares(1_110_000).get("class:a"));
+    void windowDropsOldCountsAndIsBounded() {
+        ServiceShareWindow window = new ServiceShareWindow();
+        window.recordOutcome("class:a", 1_000_000, true);
+        window.recordOutcome("class:a", 1_000_000 + 100_000, false);
+        assertEquals(new ServiceShare(2, 1), window.shares(1_110_000).get("class:a"));
         assertEquals(
                 new ServiceShare(1, 0),
-                l.shares(1_000_000 + ServiceShareWindow.STEP_MS * (ServiceShareWindow.STEP_COUNT + 1))
+                window.shares(1_000_000 + ServiceShareWindow.STEP_MS * (ServiceShareWindow.STEP_COUNT + 1))
                         .get("class:a"));
         for (int i = 0; i < 1000; i++) {
-            l.recordOutcome("class:" + i, 2_000_000, true);
+            window.recordOutcome("class:" + i, 2_000_000, true);
         }
-        assertEquals(256, l.shares(2_000_000).size() + 1, "class:a was one of them, and is forgotten by now");
-        assertEquals(Map.of(), l.shares(9_000_000));
+        assertEquals(256, window.shares(2_000_000).size() + 1, "class:a was one of the groups and has been dropped");
+        assertEquals(Map.of(), window.shares(9_000_000));
     }
 }
--- a/src/test/java/org/beechhoist/plan/PlanTest.java
+++ b/src/test/java/org/beechhoist/plan/PlanTest.java
@@ -50,14 +50,14 @@
         return new Plan.Entry(s.id(), s, s.tasks(), length, Map.of(), 0, 0);
     }
 
-    private record Made(Plan plan, List<PlanMachine> hosts, List<Plan.Entry> entries) {}
+    private record RandomPlan(Plan plan, List<PlanMachine> machines, List<Plan.Entry> entries) {}
 
-    private static Made random(long seed) {
+    private static RandomPlan random(long seed) {
         SplittableRandom r = new SplittableRandom(seed);
-        List<PlanMachine> hosts = new ArrayList<>();
+        List<PlanMachine> machines = new ArrayList<>();
         for (int i = 0; i < 2 + r.nextInt(6); i++) {
             boolean up = r.nextInt(4) > 0;
-            hosts.add(new PlanMachine(
+            machines.add(new PlanMachine(
                     new MachineId("m-" + i),
                     r.nextBoolean() ? SMALL : BIG,
                     r.nextBoolean() ? "a" : "b",
@@ -65,10 +65,10 @@
                     up,
                     up ? NOW : NOW + r.nextInt(30_000)));
             if (r.nextBoolean()) {
-                hosts.get(i).occupy(NOW + r.nextInt(60_000), 2, 0, 2);
+                machines.get(i).occupy(NOW + r.nextInt(60_000), 2, 0, 2);
             }
         }
-        Plan plan = new Plan(NOW, hosts);
+        Plan plan = new Plan(NOW, machines);
         plan.setTeamQuota("red", 10, 0);
         plan.setTeamQuota("blue", Double.POSITIVE_INFINITY, 0);
         List<Plan.Entry> entries = new ArrayList<>();
@@ -84,14 +84,14 @@
             entries.add(entry(s, 1000 + r.nextInt(50_000)));
             plan.place(entries.get(i));
         }
-        return new Made(plan, hosts, entries);
+        return new RandomPlan(plan, machines, entries);
     }
 
     @Test
-    void noCapacityLimitOrPlacementRuleIsBrokenAtAnyPlannedInstant() {
+    void plansNeverExceedCapacityOrBreakPlacementRules() {
         int planned = 0;
         for (long seed = 0; seed < 300; seed++) {
-            Made m = random(seed);
+            RandomPlan m = random(seed);
             planned += m.plan.reservations().size();
             for (Plan.Reservation at : m.plan.reservations()) {
                 long t = at.startMs();
@@ -102,7 +102,7 @@
                         used.merge(r.machine(), r.spec().cpus(), Double::sum);
                         red += r.spec().team().equals("red") ? r.spec().cpus() : 0;
                     }
-                    PlanMachine h = m.hosts.stream()
+                    PlanMachine h = m.machines.stream()
                             .filter(x -> x.id.equals(r.machine()))
                             .findFirst()
                             .orElseThrow();
@@ -110,7 +110,7 @@
                     assertTrue(r.startMs() >= h.readyMs, "seed " + seed);
                 }
                 assertTrue(red <= 10 + 1e-6, "seed " + seed + ": red has " + red);
-                for (PlanMachine h : m.hosts) {
+                for (PlanMachine h : m.machines) {
                     assertTrue(used.getOrDefault(h.id, 0.0) <= h.type.cpus() + 1e-6, "seed " + seed + " on " + h.id);
                 }
             }
@@ -136,12 +136,12 @@
                 }
             }
         }
-        assertTrue(planned > 3000, "only " + planned + " planned");
+        assertTrue(planned > 3000, "only " + planned + " reservations planned");
     }
 
-    /** Earliest fit against a walk over every millisecond step of a small machine. */
+    /** Compares the earliest fit with a search over every millisecond on a small machine. */
     @Test
-    void earliestFitIsTheEarliest() {
+    void earliestFitMatchesExhaustiveSearch() {
         for (long seed = 0; seed < 500; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             AvailabilityProfile p = new AvailabilityProfile(0, 4, 0, 100);
@@ -151,11 +151,11 @@
                 int from = r.nextInt(100);
                 int to = from + 1 + r.nextInt(30);
                 double c = 1 + r.nextInt(2);
-                boolean room = true;
+                boolean fits = true;
                 for (int t = from; t < to; t++) {
-                    room &= free[t] >= c;
+                    fits &= free[t] >= c;
                 }
-                if (room) {
+                if (fits) {
                     p.reserve(from, to, c, 0, 0);
                     for (int t = from; t < to; t++) {
                         free[t] -= c;
@@ -167,27 +167,27 @@
             double c = 1 + r.nextInt(4);
             int expected = at;
             for (int run = 0, t = at; run < length; t++) {
-                boolean room = t >= 200 || free[t] >= c;
-                run = room ? run + 1 : 0;
-                expected = room ? expected : t + 1;
+                boolean fits = t >= 200 || free[t] >= c;
+                run = fits ? run + 1 : 0;
+                expected = fits ? expected : t + 1;
             }
             assertEquals(expected, p.earliest(at, length, c, 0, 0), "seed " + seed);
         }
     }
 
     @Test
-    void placingMoreNeverMovesWhatWasPlaced() {
+    void placingAnEntryKeepsEarlierReservations() {
         for (long seed = 0; seed < 100; seed++) {
-            Made m = random(seed);
+            RandomPlan m = random(seed);
             List<Plan.Reservation> before = new ArrayList<>(m.plan.reservations());
             m.plan.place(entry(spec(99, "array", 8, 2, 1, false, false), 20_000));
             assertEquals(before, m.plan.reservations().subList(0, before.size()), "seed " + seed);
         }
     }
 
-    /** When what runs ends sooner than planned, building anew in start order moves no entry's first start back. */
+    /** If running tasks end earlier than planned, rebuilding the plan in start order delays no entry's first start. */
     @Test
-    void compressionMovesNothingLater() {
+    void earlierEndsDelayNoFirstStart() {
         for (long seed = 0; seed < 100; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             long busy = NOW + 20_000 + r.nextInt(20_000);
@@ -214,12 +214,12 @@
     }
 
     @Test
-    void sameInputSamePlan() {
+    void equalInputsGiveEqualPlans() {
         assertEquals(random(5).plan.reservations(), random(5).plan.reservations());
     }
 
     @Test
-    void aHugeArrayCostsNoMoreThanItsHorizon() {
+    void hugeArrayIsPlannedUpToTheTaskLimit() {
         PlanMachine h = new PlanMachine(new MachineId("m-1"), BIG, "a", false, true, NOW);
         Plan plan = new Plan(NOW, List.of(h));
         JobSpec s = spec(1, "array", 100_000, 1, 0, false, false);
@@ -228,18 +228,21 @@
         assertEquals(100_000 - plan.reservations().size(), plan.unplacedCount(s.id()));
     }
 
-    private static WidthOptions wish(int from, int most, long until) {
+    private static WidthOptions widthOptions(int from, int most, long until) {
         return new WidthOptions(from, most, until, 4, BIG.priceOf(true) / 16, null);
     }
 
-    /** An elastic job fills what is there, but keeps no machine for a corner of it unless it would be late. */
+    /**
+     * An elastic job uses a whole idle machine, but does not keep a machine for a small part of it unless it would be
+     * late.
+     */
     @Test
-    void aWidthIsWorthItsMoney() {
+    void widthWithLowestCostIsSelected() {
         JobSpec s = spec(1, "array", 200, 1, 0, false, false);
         PlanMachine idle = new PlanMachine(new MachineId("m-1"), BIG, "a", true, true, NOW);
         idle.allowElasticGrowth();
         Plan full = new Plan(NOW, List.of(idle));
-        assertEquals(16, full.placeElastic(entry(s, 20_000), List.of(), wish(0, 16, Long.MAX_VALUE)));
+        assertEquals(16, full.placeElastic(entry(s, 20_000), List.of(), widthOptions(0, 16, Long.MAX_VALUE)));
         assertEquals(
                 16, full.reservations().stream().filter(r -> r.startMs() == NOW).count());
         assertTrue(full.reservations().stream().allMatch(Plan.Reservation::beyondGuarantee));
@@ -247,29 +250,32 @@
         PlanMachine other = new PlanMachine(new MachineId("m-2"), BIG, "a", true, true, NOW);
         other.allowElasticGrowth();
         Plan corner = new Plan(NOW, List.of(other));
-        assertEquals(0, corner.placeElastic(entry(s, 20_000), List.of(), wish(0, 3, Long.MAX_VALUE)));
+        assertEquals(0, corner.placeElastic(entry(s, 20_000), List.of(), widthOptions(0, 3, Long.MAX_VALUE)));
         assertTrue(corner.reservations().isEmpty());
-        assertEquals(3, corner.placeElastic(entry(s, 20_000), List.of(), wish(0, 3, NOW + 600_000)), "late otherwise");
+        assertEquals(
+                3,
+                corner.placeElastic(entry(s, 20_000), List.of(), widthOptions(0, 3, NOW + 600_000)),
+                "a smaller width would be late");
     }
 
     @Test
-    void aWidthIsALimitOverTimeAndNeverOntoMachinesThatAreNotThere() {
+    void widthLimitHoldsOverTimeAndOnlyMachinesThatAllowGrowthAreUsed() {
         for (long seed = 0; seed < 40; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            List<PlanMachine> hosts = new ArrayList<>();
+            List<PlanMachine> machines = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 boolean up = r.nextInt(3) > 0;
-                hosts.add(new PlanMachine(new MachineId("m-" + i), BIG, "a", true, up, up ? NOW : NOW + 9000));
+                machines.add(new PlanMachine(new MachineId("m-" + i), BIG, "a", true, up, up ? NOW : NOW + 9000));
                 if (up && r.nextInt(4) > 0) {
-                    hosts.get(i).allowElasticGrowth();
+                    machines.get(i).allowElasticGrowth();
                 }
             }
-            Plan p = new Plan(NOW, hosts);
+            Plan p = new Plan(NOW, machines);
             List<Long> live = List.of(NOW + 5000L, NOW + 40_000L);
             int width = p.placeElastic(
                     entry(spec(1, "array", 60, 2, 0, false, false), 12_000),
                     live,
-                    wish(2, 2 + r.nextInt(20), NOW + 60_000));
+                    widthOptions(2, 2 + r.nextInt(20), NOW + 60_000));
             for (Plan.Reservation at : p.reservations()) {
                 long busy = p.reservations().stream()
                                 .filter(o -> o.startMs() <= at.startMs() && o.endMs() > at.startMs())
@@ -277,14 +283,14 @@
                         + live.stream().filter(end -> end > at.startMs()).count();
                 assertTrue(busy <= width, "seed " + seed + ": " + busy + " of " + width);
                 assertTrue(
-                        hosts.stream().anyMatch(h -> h.id.equals(at.machine()) && h.up && h.allowsElasticGrowth),
+                        machines.stream().anyMatch(h -> h.id.equals(at.machine()) && h.up && h.allowsElasticGrowth),
                         "seed " + seed);
             }
         }
     }
 
     @Test
-    void searchKeepsOnlyWhatIsBetterAndRepeats() {
+    void searchAcceptsOnlyBetterPlansAndIsDeterministic() {
         for (long seed = 0; seed < 30; seed++) {
             List<Plan.Entry> entries = random(seed).entries;
             Map<JobId, Evaluation.JobTiming> facts = new java.util.HashMap<>();
--- a/src/test/java/org/beechhoist/triage/TriageTest.java
+++ b/src/test/java/org/beechhoist/triage/TriageTest.java
@@ -13,7 +13,7 @@
 import org.beechhoist.wire.JobId;
 import org.junit.jupiter.api.Test;
 
-/** Seeded draws against what trying every set of jobs finds. */
+/** Compares the selection for seeded random jobs with the best of all sets of jobs. */
 class TriageTest {
     private static final long NOW = 1_000_000;
 
@@ -35,21 +35,21 @@
         return new Capacity(NOW, cpus, 0, 0, 0, Map.of(), Map.of());
     }
 
-    /** With one class as many are kept as any choice of jobs could have in time, give or take the one by which lines are coarse. */
+    /** With one class, as many jobs are kept as the largest set of jobs that can finish in time. */
     @Test
-    void asManyAreKeptAsCanBeInTime() {
+    void asManyJobsAreKeptAsCanFinishInTime() {
         SplittableRandom random = new SplittableRandom(7);
-        int left = 0;
+        int shedCount = 0;
         for (int round = 0; round < 300; round++) {
             List<Demand> all = new ArrayList<>();
             int n = random.nextInt(1, 11);
             for (int i = 0; i < n; i++) {
                 all.add(demand(i, "one", 1000 * random.nextInt(1, 40), random.nextInt(2000, 12_000), false));
             }
-            Set<JobId> behind = ShedJobSelector.select(all, capacity(10));
+            Set<JobId> shed = ShedJobSelector.select(all, capacity(10));
             List<Demand> kept =
-                    all.stream().filter(d -> !behind.contains(d.job())).toList();
-            assertTrue(inTime(kept, 10), "round " + round + ": not all that are kept can be in time");
+                    all.stream().filter(d -> !shed.contains(d.job())).toList();
+            assertTrue(inTime(kept, 10), "round " + round + ": not all kept jobs can finish in time");
             int best = 0;
             for (int set = 0; set < 1 << n; set++) {
                 int s = set;
@@ -58,9 +58,9 @@
                 best = some.size() > best && inTime(some, 10) ? some.size() : best;
             }
             assertEquals(best, kept.size(), "round " + round);
-            left += behind.size();
+            shedCount += shed.size();
         }
-        assertTrue(left > 100, left + " were left behind in all");
+        assertTrue(shedCount > 100, shedCount + " jobs were shed in total");
     }
 
     private static boolean inTime(List<Demand> some, double cpus) {
@@ -76,9 +76,12 @@
         return true;
     }
 
-    /** The largest go first, but not all of them: each class keeps its half where the machines suffice for that. */
+    /**
+     * The largest jobs are shed first, but not all of them: each class keeps half of its jobs if the machines suffice
+     * for that.
+     */
     @Test
-    void noClassIsTheOneAlwaysLeftBehind() {
+    void everyClassKeepsHalfOfItsJobsIfTheMachinesSuffice() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 100; round++) {
             List<Demand> all = new ArrayList<>();
@@ -88,33 +91,32 @@
                 sum += cpuMs;
                 all.add(demand(i, "class" + i % 3, cpuMs, 20_000 + random.nextInt(4000), false));
             }
-            Set<JobId> behind = ShedJobSelector.select(all, capacity(sum * 0.7 / 20_000));
+            Set<JobId> shed = ShedJobSelector.select(all, capacity(sum * 0.7 / 20_000));
             Map<String, Integer> kept = new HashMap<>();
             all.stream()
-                    .filter(d -> !behind.contains(d.job()))
+                    .filter(d -> !shed.contains(d.job()))
                     .forEach(d -> kept.merge(d.groups().toString(), 1, Integer::sum));
-            assertTrue(!behind.isEmpty(), "there is more than the machines can do");
+            assertTrue(!shed.isEmpty(), "the demand exceeds the capacity");
             assertEquals(3, kept.size(), kept.toString());
             assertTrue(kept.values().stream().allMatch(k -> k >= 10), "round " + round + ": " + kept + " of 20 each");
         }
     }
 
-    /** What has begun, may have more machines, or is not late is not left behind; nor is anybody without overload. */
+    /** A job that has started, may get more machines, or is not late is not shed, and no job is shed without overload. */
     @Test
-    void whoIsKept() {
+    void jobsThatMustBeKeptAreNotShedAndNoneIsShedWithoutOverload() {
         List<Demand> all = new ArrayList<>(List.of(
                 demand(0, "one", 90_000, 5000, true),
                 demand(1, "one", 90_000, 5000, false),
                 demand(2, "one", 1000, 5000, false)));
         assertEquals(Set.of(new JobId("job-1"), new JobId("job-2")), ShedJobSelector.select(all, capacity(10)));
         assertEquals(Set.of(), ShedJobSelector.select(all, capacity(1000)));
-        assertEquals(
-                Set.of(), ShedJobSelector.select(all, capacity(0)), "no machine is no reason to leave anybody behind");
+        assertEquals(Set.of(), ShedJobSelector.select(all, capacity(0)), "without machines no job is shed");
     }
 
-    /** A team's own limit leaves its jobs behind, and nobody else's. */
+    /** A team's quota sheds jobs of that team only. */
     @Test
-    void aTeamsLimitIsItsOwn() {
+    void teamQuotaShedsOnlyJobsOfThatTeam() {
         List<Demand> all = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             all.add(new Demand(
@@ -129,16 +131,16 @@
                     false,
                     false));
         }
-        Set<JobId> behind = ShedJobSelector.select(
+        Set<JobId> shed = ShedJobSelector.select(
                 all, new Capacity(NOW, 1000, 0, 0, 0, Map.of("red", new Capacity.TeamQuota(5, 0)), Map.of()));
         Set<JobId> reds = new HashSet<>();
         all.stream().filter(d -> d.team().equals("red")).forEach(d -> reds.add(d.job()));
-        assertTrue(!behind.isEmpty() && reds.containsAll(behind), behind.toString());
+        assertTrue(!shed.isEmpty() && reds.containsAll(shed), shed.toString());
     }
 
-    /** GPUs run short though CPUs are plenty: of what needs them, and nothing else, the largest is left behind. */
+    /** If GPUs are short but CPUs are not, the largest jobs that need GPUs are shed, and no other jobs. */
     @Test
-    void gpusAreALineOfTheirOwn() {
+    void gpuShortageShedsOnlyJobsThatNeedGpus() {
         List<Demand> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             all.add(new Demand(
@@ -153,9 +155,9 @@
                     false,
                     false));
         }
-        Set<JobId> behind = ShedJobSelector.select(all, new Capacity(NOW, 1000, 0, 4, 0, Map.of(), Map.of()));
-        assertTrue(behind.size() >= 2 && behind.size() <= 4, behind.toString());
-        assertTrue(behind.stream().allMatch(j -> Integer.parseInt(j.text().substring(4)) % 2 == 0), behind.toString());
-        assertTrue(behind.contains(new JobId("job-10")), "the largest by GPUs: " + behind);
+        Set<JobId> shed = ShedJobSelector.select(all, new Capacity(NOW, 1000, 0, 4, 0, Map.of(), Map.of()));
+        assertTrue(shed.size() >= 2 && shed.size() <= 4, shed.toString());
+        assertTrue(shed.stream().allMatch(j -> Integer.parseInt(j.text().substring(4)) % 2 == 0), shed.toString());
+        assertTrue(shed.contains(new JobId("job-10")), "the largest by GPUs: " + shed);
     }
 }
