--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -100,7 +100,7 @@
             }
             free = free.plus(other.spec(), -1);
         }
-        for (JobSpec kept : migrations == null ? List.<JobSpec>of() : migrations.keptOn(machine.id)) {
+        for (JobSpec kept : migrations == null ? List.<JobSpec>of() : migrations.reservedOn(machine.id)) {
             free = free.plus(kept, -1);
         }
         return free;
@@ -154,7 +154,7 @@
         if (free == null
                 || !free.enough()
                 || overLimit(job, used)
-                || migrations != null && migrations.keptFromOthers(machine.id, job.id())) {
+                || migrations != null && migrations.isReservedForAnotherJob(machine.id, job.id())) {
             return false;
         }
         if (spec.sameZone() || spec.antiAffinity()) {
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -210,7 +210,7 @@
         }
         idle = none;
         cordon();
-        if (!read || !disruptions.known() || !migrations.known()) {
+        if (!read || !disruptions.known() || !migrations.isLoaded()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
@@ -300,7 +300,7 @@
             left |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
                 provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && works && progress.paused == null && !migrations.moves(machine.id)) {
+            } else if (!empty && works && progress.paused == null && !migrations.isMigrating(machine.id)) {
                 if (candidates(drain, progress, machine, rooms, out, places)) {
                     lacking.merge(RollingReplacement.kind(machine), 1, Integer::sum);
                 }
@@ -309,7 +309,7 @@
         if (!lacking.isEmpty()) {
             rollouts.makePlace(drain, progress, lacking);
         }
-        boolean told = provisioner.listed()
+        boolean told = provisioner.isListComplete()
                 && context.wallMs() - drain.atMs()
                         > Math.round(1000 * LAGS * settings.cloudLimits().listLagS());
         if (!left && !drain.keep() && progress.begun.isEmpty() && told) {
@@ -473,14 +473,14 @@
         names.forEach(n ->
                 transaction.put(RUNS + n, counted(runs.get(n), taken.get(n), 1).toNode()));
         moving.forEach((machine, to) ->
-                migrations.relocate(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
+                migrations.addDrainMigration(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
         commit(transaction, done -> {
             if (done) {
                 teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
                 moving.forEach((machineId, to) -> {
                     Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
-                        migrations.relocated(machineId, machine.cordonedBy, to);
+                        migrations.applyDrainMigration(machineId, machine.cordonedBy, to);
                     }
                 });
                 stopped.forEach(this::stop);
--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -30,20 +30,20 @@
 final class FleetSnapshots {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSnapshots.class);
     /** Written only where this much of a full budget of changes is left. */
-    private static final double PLENTY = 0.6;
+    private static final double MIN_FREE_WRITE_SHARE = 0.6;
     /** Of the allowed changes, what the notes may take. */
-    private static final double SHARE = 0.02;
+    private static final double MAX_WRITE_SHARE = 0.02;
     /** A part that has not changed is written again after this long, so that its age tells that somebody led. */
-    private static final long RENEW_MS = 120_000;
+    private static final long REFRESH_INTERVAL_MS = 120_000;
 
-    private static final long TOO_OLD_MS = 600_000;
-    private static final long FIRST_MS = 15_000;
-    private static final long AGAIN_MS = 500;
-    private static final int MOST_TRIES = 6;
-    private static final int MOST_IMAGES = 8;
-    private static final int USUAL_BYTES = 80;
+    private static final long MAX_AGE_MS = 600_000;
+    private static final long FIRST_WRITE_DELAY_MS = 15_000;
+    private static final long READ_RETRY_DELAY_MS = 500;
+    private static final int MAX_READ_RETRIES = 6;
+    private static final int MAX_IMAGES_PER_MACHINE = 8;
+    private static final int TYPICAL_MACHINE_BYTES = 80;
 
-    private record Written(long content, MonotonicTime at) {}
+    private record WrittenPart(long contentHash, MonotonicTime at) {}
 
     private final ControllerContext context;
     private final Settings settings;
@@ -52,14 +52,14 @@
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final ClusterState clusterState;
-    private final Map<Integer, Written> written = new HashMap<>();
-    private final Set<Integer> beyond = new HashSet<>();
-    private MonotonicTime next = MonotonicTime.ZERO;
-    private boolean inFlight;
-    private int cursor;
-    private int parts = 1;
+    private final Map<Integer, WrittenPart> writtenParts = new HashMap<>();
+    private final Set<Integer> storedParts = new HashSet<>();
+    private MonotonicTime nextWriteAt = MonotonicTime.ZERO;
+    private boolean writeInFlight;
+    private int nextPart;
+    private int partCount = 1;
     /** The largest machine that was met, in bytes. */
-    private int largest = USUAL_BYTES;
+    private int maxMachineBytes = TYPICAL_MACHINE_BYTES;
 
     FleetSnapshots(
             ControllerContext context,
@@ -79,19 +79,19 @@
     }
 
     /** A new leadership begins: what the last one noted is read. */
-    void begin() {
-        written.clear();
-        beyond.clear();
-        inFlight = false;
-        cursor = 0;
-        parts = 1;
-        next = context.now().plusMs(FIRST_MS);
-        read(null, new ArrayList<>(), 0, 0);
+    void startTerm() {
+        writtenParts.clear();
+        storedParts.clear();
+        writeInFlight = false;
+        nextPart = 0;
+        partCount = 1;
+        nextWriteAt = context.now().plusMs(FIRST_WRITE_DELAY_MS);
+        readSnapshots(null, new ArrayList<>(), 0, 0);
     }
 
     // ---- reading ----
 
-    private void read(String after, List<FleetSnapshot> whole, int unread, int tries) {
+    private void readSnapshots(String after, List<FleetSnapshot> whole, int unread, int tries) {
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
         store.list(FleetSnapshot.PREFIX, after, 100, page -> {
@@ -99,10 +99,10 @@
                 return;
             }
             if (!page.isOk()) {
-                if (tries < MOST_TRIES) {
-                    context.schedule(AGAIN_MS, () -> {
+                if (tries < MAX_READ_RETRIES) {
+                    context.schedule(READ_RETRY_DELAY_MS, () -> {
                         if (term == clusterState.term()) {
-                            read(after, whole, unread, tries + 1);
+                            readSnapshots(after, whole, unread, tries + 1);
                         }
                     });
                 }
@@ -116,23 +116,23 @@
                         throw new MalformedMessageException("part: it stands at " + item.key());
                     }
                     whole.add(snapshot);
-                    beyond.add(snapshot.part());
+                    storedParts.add(snapshot.part());
                 } catch (MalformedMessageException e) {
                     LOG.debug("{}: {}", item.key(), e.getMessage());
                     bad++;
                 }
             }
             if (page.more() && !page.items().isEmpty()) {
-                read(page.items().get(page.items().size() - 1).key(), whole, bad, 0);
+                readSnapshots(page.items().get(page.items().size() - 1).key(), whole, bad, 0);
             } else {
-                take(whole, bad);
+                applySnapshots(whole, bad);
             }
         });
     }
 
-    private void take(List<FleetSnapshot> whole, int bad) {
+    private void applySnapshots(List<FleetSnapshot> whole, int bad) {
         List<FleetSnapshot> usable = whole.stream()
-                .filter(s -> Math.abs(context.wallMs() - s.wallMs()) < TOO_OLD_MS)
+                .filter(s -> Math.abs(context.wallMs() - s.wallMs()) < MAX_AGE_MS)
                 .toList();
         if (bad > 0 || usable.size() < whole.size()) {
             LOG.warn(
@@ -142,7 +142,7 @@
                     bad);
         }
         long taken = FleetSnapshot.merged(usable).values().stream()
-                .filter(this::enter)
+                .filter(this::addIfUnknown)
                 .count();
         if (taken > 0) {
             LOG.info("notes on the fleet: {} machines known before they speak", taken);
@@ -151,7 +151,7 @@
     }
 
     /** Whether it was not known yet. */
-    private boolean enter(FleetSnapshot.Machine machine) {
+    private boolean addIfUnknown(FleetSnapshot.Machine machine) {
         Machine known = clusterState.machine(machine.id());
         if (known.isTypeKnown()) {
             return false; // it has spoken, or the list was quicker
@@ -172,47 +172,51 @@
     // ---- writing ----
 
     /** Looks at one part, and writes it if it has changed and writes are to spare. */
-    void tick() {
-        if (inFlight || context.now().isBefore(next) || writes.available(context.now()) < PLENTY * writes.capacity()) {
+    void writeNextPart() {
+        if (writeInFlight
+                || context.now().isBefore(nextWriteAt)
+                || writes.available(context.now()) < MIN_FREE_WRITE_SHARE * writes.capacity()) {
             return;
         }
-        int count = (int)
-                clusterState.machines().stream().filter(FleetSnapshots::noted).count();
-        parts = FleetSnapshot.parts(count, largest, settings.stateLimits().valueBytes());
-        int part = cursor++ % parts;
-        FleetSnapshot snapshot = new FleetSnapshot(part, parts, context.wallMs(), machines(part));
-        Written old = written.get(part);
+        int count = (int) clusterState.machines().stream()
+                .filter(FleetSnapshots::isIncluded)
+                .count();
+        partCount = FleetSnapshot.parts(
+                count, maxMachineBytes, settings.stateLimits().valueBytes());
+        int part = nextPart++ % partCount;
+        FleetSnapshot snapshot = new FleetSnapshot(part, partCount, context.wallMs(), machinesInPart(part));
+        WrittenPart old = writtenParts.get(part);
         long content = snapshot.contentHash();
-        if (old == null || old.content != content || context.now().since(old.at) > RENEW_MS) {
+        if (old == null || old.contentHash != content || context.now().since(old.at) > REFRESH_INTERVAL_MS) {
             ObjectNode value = snapshot.toNode();
             if (Codec.jsonBytes(value) <= settings.stateLimits().valueBytes()) {
-                write(part, value, new Written(content, context.now()));
+                write(part, value, new WrittenPart(content, context.now()));
             }
             return;
         }
         // The fleet was larger once: what it was cut into then is in the way of nobody, but stale.
-        beyond.stream().filter(p -> p >= parts).findFirst().ifPresent(p -> write(p, null, null));
+        storedParts.stream().filter(p -> p >= partCount).findFirst().ifPresent(p -> write(p, null, null));
     }
 
-    private static boolean noted(Machine known) {
+    private static boolean isIncluded(Machine known) {
         return known.lastHeartbeat != null && known.isTypeKnown() && !known.releasing;
     }
 
-    private List<FleetSnapshot.Machine> machines(int part) {
+    private List<FleetSnapshot.Machine> machinesInPart(int part) {
         List<FleetSnapshot.Machine> out = new ArrayList<>();
         for (Machine known : clusterState.machines()) {
-            if (noted(known) && FleetSnapshot.partOf(known.id, parts) == part) {
-                FleetSnapshot.Machine machine = machine(known);
-                largest = Math.max(largest, FleetSnapshot.bytes(machine));
+            if (isIncluded(known) && FleetSnapshot.partOf(known.id, partCount) == part) {
+                FleetSnapshot.Machine machine = snapshotOf(known);
+                maxMachineBytes = Math.max(maxMachineBytes, FleetSnapshot.bytes(machine));
                 out.add(machine);
             }
         }
         return out;
     }
 
-    private FleetSnapshot.Machine machine(Machine known) {
+    private FleetSnapshot.Machine snapshotOf(Machine known) {
         Map<String, Double> images = new LinkedHashMap<>();
-        int skip = Math.max(0, known.images.size() - MOST_IMAGES); // the least recently used come first
+        int skip = Math.max(0, known.images.size() - MAX_IMAGES_PER_MACHINE); // the least recently used come first
         for (Map.Entry<String, Double> entry : known.images.entrySet()) {
             if (skip-- <= 0) {
                 images.put(entry.getKey(), entry.getValue());
@@ -232,17 +236,18 @@
                 images);
     }
 
-    private void write(int part, ObjectNode value, Written now) {
+    private void write(int part, ObjectNode value, WrittenPart now) {
         Transaction transaction = election.guardedTransaction();
         if (value == null) {
             transaction.delete(FleetSnapshot.key(part));
         } else {
             transaction.put(FleetSnapshot.key(part), value);
         }
-        inFlight = true;
-        next = context.now()
-                .plusMs(Math.round(
-                        1000 / Math.max(0.02, SHARE * settings.stateLimits().writeRps())));
+        writeInFlight = true;
+        nextWriteAt = context.now()
+                .plusMs(Math.round(1000
+                        / Math.max(
+                                0.02, MAX_WRITE_SHARE * settings.stateLimits().writeRps())));
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
         long term = clusterState.term();
@@ -250,13 +255,13 @@
             if (term != clusterState.term()) {
                 return;
             }
-            inFlight = false;
+            writeInFlight = false;
             if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED && now != null) {
-                written.put(part, now);
-                beyond.add(part);
+                writtenParts.put(part, now);
+                storedParts.add(part);
             } else if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED) {
-                written.remove(part);
-                beyond.remove(part);
+                writtenParts.remove(part);
+                storedParts.remove(part);
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -62,10 +62,10 @@
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
         scheduling.releases.begin();
-        scheduling.migrations.begin();
+        scheduling.migrations.startTerm();
         features.drains.begin();
         workers.loader.reload();
-        features.fleetSnapshots.ifPresent(FleetSnapshots::begin);
+        features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
         features.serviceShare.ifPresent(MinimumServiceShare::begin);
         features.schedules.ifPresent(CronController::begin);
     }
@@ -184,7 +184,7 @@
         }
         workers.cancellationEnforcer.enforceAll();
         if (!active()) {
-            workers.provisioner.returnOverdue();
+            workers.provisioner.sendReleasesWithTasks();
             return;
         }
         if (reachabilityCheck.stepDownIfUnreachable()) {
@@ -214,15 +214,15 @@
         workers.elastic.tick();
         features.loadShedding.ifPresent(LoadShedding::tick);
         workers.clusterState.requestReplan();
-        workers.provisioner.tick(scheduling.planner.current());
+        workers.provisioner.updateMachines(scheduling.planner.current());
         stalledJobs.report();
     }
 
     private void runLongTermComponents() {
         scheduling.releases.tick(scheduling.planner);
-        scheduling.migrations.tick(scheduling.planner.current());
+        scheduling.migrations.updateMigrations(scheduling.planner.current());
         features.drains.tick(scheduling.planner);
-        features.fleetSnapshots.ifPresent(FleetSnapshots::tick);
+        features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
         features.serviceShare.ifPresent(MinimumServiceShare::tick);
         features.schedules.ifPresent(CronController::tick);
     }
@@ -242,7 +242,7 @@
         workers.keySetHolds.look();
         scheduling.releases.look();
         Plan plan = scheduling.planner.plan();
-        scheduling.migrations.startMoved();
+        scheduling.migrations.startMovedTasks();
         scheduling.dispatch.dispatch(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
--- a/src/main/java/org/beechhoist/controller/LeaderFeatures.java
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -125,7 +125,7 @@
                 workers.estimates,
                 workers.jobOrdering,
                 scheduling.admission,
-                workers.provisioner.renting(),
+                workers.provisioner.scaleOutPolicy(),
                 this::serviceShares,
                 this::serviceGroups);
     }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -93,7 +93,7 @@
             boolean more = grows.computeIfAbsent(
                     spec.machineTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
                             + "/" + spec.memGb(),
-                    k -> scaleOut.mayGrow(spec));
+                    k -> scaleOut.mayHaveCapacityFor(spec));
             Long due = ordering.earliestOpenDueMs(job);
             boolean late = due == null && ordering.hasCompletionLimit(spec);
             if (late && !more && ordering.shipKey(job) == ShipOrder.NONE) {
--- a/src/main/java/org/beechhoist/controller/MachineSpace.java
+++ b/src/main/java/org/beechhoist/controller/MachineCapacity.java
@@ -3,13 +3,13 @@
 import org.beechhoist.wire.JobSpec;
 
 /** The free capacity of a machine that boots or is about to be rented. */
-final class MachineSpace {
+final class MachineCapacity {
     final MachineOffer offer;
     private double cpus;
     private double gpus;
     private double memGb;
 
-    MachineSpace(MachineOffer offer) {
+    MachineCapacity(MachineOffer offer) {
         this.offer = offer;
         cpus = offer.type.cpus();
         gpus = offer.type.gpus();
@@ -17,7 +17,7 @@
     }
 
     /** Takes what one task needs, and returns false where it does not fit. */
-    boolean take(JobSpec spec) {
+    boolean tryTake(JobSpec spec) {
         if (cpus < spec.cpus() || gpus < spec.gpus() || memGb < spec.memGb()) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/MachineOffer.java
+++ b/src/main/java/org/beechhoist/controller/MachineOffer.java
@@ -12,13 +12,13 @@
     final String zone;
     final boolean spot;
     /** Machines requested and not answered yet. */
-    int pending;
+    int pendingCount;
 
     MonotonicTime refusedUntil = MonotonicTime.ZERO;
     /** When it was last refused or granted in part only; null: not since it was granted in full. */
     MonotonicTime shortageAt;
     /** Machines that the current plan needs. */
-    int wanted;
+    int neededCount;
 
     MachineOffer(MachineType type, String zone, boolean spot) {
         this.type = type;
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -50,47 +50,47 @@
  */
 final class MigrationController {
     static final String PREFIX = "mv/";
-    private static final String RECENT = "mv-recent";
+    private static final String RECENT_KEY = "mv-recent";
     private static final Logger LOG = LoggerFactory.getLogger(MigrationController.class);
-    private static final long LOOK_EVERY_MS = 2000;
-    private static final long LONGEST_MS = 150_000;
+    private static final long SEARCH_INTERVAL_MS = 2000;
+    private static final long MAX_MIGRATION_MS = 150_000;
     /** A task is not moved again so soon. */
-    private static final long AGAIN_MS = 300_000;
+    private static final long MIN_MOVE_INTERVAL_MS = 300_000;
 
-    private static final int MOST_ROOMS = 4;
-    private static final long AGAIN_READ_MS = 700;
+    private static final int MAX_JOB_MIGRATIONS = 4;
+    private static final long READ_RETRY_DELAY_MS = 700;
 
     /** Tasks that leave a machine, each with a place kept: for a large one's sake, or because the machine is emptied. */
-    private static final class Making {
-        private final MachineId machine;
+    private static final class Migration {
+        private final MachineId source;
         /** Null where the machine is emptied. */
         private final JobId forJob;
         /** Whose machine it is, where it is emptied; else null. */
         private final String drain;
 
-        private final long sinceMs;
-        private final Map<TaskId, MachineId> to =
+        private final long startedWallMs;
+        private final Map<TaskId, MachineId> targets =
                 new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
 
-        private Making(MachineId machine, JobId forJob, String drain, long sinceMs) {
-            this.machine = machine;
+        private Migration(MachineId machine, JobId forJob, String drain, long sinceMs) {
+            this.source = machine;
             this.forJob = forJob;
             this.drain = drain;
-            this.sinceMs = sinceMs;
+            this.startedWallMs = sinceMs;
         }
 
         private ObjectNode toNode() {
             ObjectNode node = Codec.map()
                     .put("for", forJob == null ? null : forJob.text())
                     .put("drain", drain)
-                    .put("at", sinceMs);
+                    .put("at", startedWallMs);
             ArrayNode rows = node.putArray("moves");
-            to.forEach((t, h) -> rows.add(t.toString()).add(h.text()));
+            targets.forEach((t, h) -> rows.add(t.toString()).add(h.text()));
             return node;
         }
 
-        private static Making parse(String key, JsonNode node) {
-            Making making = new Making(
+        private static Migration parse(String key, JsonNode node) {
+            Migration making = new Migration(
                     new MachineId(key.substring(PREFIX.length())),
                     node.hasNonNull("for") ? new JobId(node.path("for").asText()) : null,
                     node.hasNonNull("drain") ? node.path("drain").asText() : null,
@@ -98,14 +98,14 @@
             for (int i = 0; i + 1 < node.path("moves").size(); i += 2) {
                 TaskId task = TaskId.parse(node.get("moves").get(i).asText());
                 if (task != null) {
-                    making.to.put(
+                    making.targets.put(
                             task, new MachineId(node.get("moves").get(i + 1).asText()));
                 }
             }
             return making;
         }
 
-        private String why() {
+        private String reason() {
             return drain != null ? "drain " + drain : "room for " + forJob;
         }
     }
@@ -123,19 +123,19 @@
     private final CommandDispatcher dispatcher;
     private final Dispatch dispatch;
     private final MigrationSearch search;
-    private final PrefixReader reading;
+    private final PrefixReader prefixReader;
     private final DisruptionAccounting disruptions;
-    private final Map<MachineId, Making> making = new TreeMap<>();
+    private final Map<MachineId, Migration> migrations = new TreeMap<>();
     /** By the time of day when a task was last moved. */
-    private final Map<TaskId, Long> moved = new HashMap<>();
+    private final Map<TaskId, Long> movedAtWallMs = new HashMap<>();
 
-    private final Map<Double, Double> asked = new HashMap<>();
-    private boolean read;
+    private final Map<Double, Double> sizeDemand = new HashMap<>();
+    private boolean loaded;
     /** Whether what the last leader had in hand is being read, or was. */
-    private boolean asking;
+    private boolean loadStarted;
 
-    private boolean writing;
-    private long nextLook;
+    private boolean writeInFlight;
+    private long nextSearchAtMs;
 
     MigrationController(
             ControllerContext context,
@@ -165,17 +165,17 @@
         this.dispatcher = dispatcher;
         this.dispatch = dispatch;
         this.disruptions = disruptions;
-        this.reading = new PrefixReader(context, store, requests, clusterState);
+        this.prefixReader = new PrefixReader(context, store, requests, clusterState);
         this.search = new MigrationSearch(
                 context,
                 machineTypes,
                 clusterState,
                 admission,
-                (j, p) -> !policy.drains() || mayDisturb(budgets.get(), j, p));
+                (j, p) -> !policy.drains() || isAllowedByBudgets(budgets.get(), j, p));
     }
 
     /** Whether the budgets that somebody declared for its team and class allow that it is moved. */
-    private boolean mayDisturb(Budgets budgets, Job job, Placement placement) {
+    private boolean isAllowedByBudgets(Budgets budgets, Job job, Placement placement) {
         JobSpec spec = job.spec();
         if (!budgets.isDeclared(spec.team(), spec.jobClass())) {
             return true;
@@ -194,62 +194,62 @@
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is moved. */
-    void begin() {
-        making.clear();
-        moved.clear();
-        asked.clear();
-        read = false;
-        asking = false;
-        writing = false;
-        nextLook = 0;
-        if (on()) {
-            read();
+    void startTerm() {
+        migrations.clear();
+        movedAtWallMs.clear();
+        sizeDemand.clear();
+        loaded = false;
+        loadStarted = false;
+        writeInFlight = false;
+        nextSearchAtMs = 0;
+        if (isEnabled()) {
+            loadMigrations();
         }
     }
 
-    private boolean on() {
-        return policy.moves() && gpus() || policy.drains();
+    private boolean isEnabled() {
+        return policy.moves() && hasGpuTypes() || policy.drains();
     }
 
-    private boolean gpus() {
+    private boolean hasGpuTypes() {
         return machineTypes.isLoaded() && machineTypes.all().stream().anyMatch(t -> t.gpus() > 0);
     }
 
-    private void read() {
+    private void loadMigrations() {
         long term = clusterState.term();
-        asking = true;
-        reading.read(
+        loadStarted = true;
+        prefixReader.read(
                 PREFIX,
                 item -> {
-                    Making move = Making.parse(item.key(), item.value());
-                    making.put(move.machine, move);
-                    LOG.info("{}, {}: it is gone on with, {} moves", move.machine, move.why(), move.to.size());
+                    Migration move = Migration.parse(item.key(), item.value());
+                    migrations.put(move.source, move);
+                    LOG.info("{}, {}: it is gone on with, {} moves", move.source, move.reason(), move.targets.size());
                 },
-                () -> recent(term));
+                () -> loadRecentMoves(term));
     }
 
-    private void recent(long term) {
+    private void loadRecentMoves(long term) {
         if (term != clusterState.term()) {
             return;
         }
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(RECENT, recent -> {
+        store.get(RECENT_KEY, recent -> {
             if (term != clusterState.term()) {
                 return;
             }
             if (!recent.answered()) {
-                context.schedule(AGAIN_READ_MS, () -> recent(term));
+                context.schedule(READ_RETRY_DELAY_MS, () -> loadRecentMoves(term));
                 return;
             }
             if (recent.item() != null) {
                 recent.item().value().properties().forEach(entry -> {
                     TaskId task = TaskId.parse(entry.getKey());
                     if (task != null) {
-                        moved.put(task, entry.getValue().asLong());
+                        movedAtWallMs.put(task, entry.getValue().asLong());
                     }
                 });
             }
-            read = true;
+            loaded = true;
             clusterState.requestReplan();
         });
     }
@@ -257,8 +257,8 @@
     // ---- what the plan must know ----
 
     /** How often which size is asked for, by tasks that are open; what asked before fades. */
-    GpuSizeDistribution sizes() {
-        if (!policy.packing() || !gpus()) {
+    GpuSizeDistribution requestedSizes() {
+        if (!policy.packing() || !hasGpuTypes()) {
             return GpuSizeDistribution.NONE;
         }
         Map<Double, Double> now = new HashMap<>();
@@ -270,42 +270,42 @@
                         Double::sum);
             }
         }
-        asked.replaceAll((g, n) -> n * 0.999);
-        now.forEach((g, n) -> asked.merge(g, n, Math::max));
-        return new GpuSizeDistribution(asked);
+        sizeDemand.replaceAll((g, n) -> n * 0.999);
+        now.forEach((g, n) -> sizeDemand.merge(g, n, Math::max));
+        return new GpuSizeDistribution(sizeDemand);
     }
 
     /** For how many tasks of the job room is being made: they come first, and hold what comes free for them. */
-    int roomsFor(Job job) {
+    int pendingMigrationCount(Job job) {
         int count = 0;
-        for (Making m : making.values()) {
-            count += job.id().equals(m.forJob) && !there(m) ? 1 : 0;
+        for (Migration m : migrations.values()) {
+            count += job.id().equals(m.forJob) && !isUsedByJob(m) ? 1 : 0;
         }
         return count;
     }
 
     /** Tasks of the job that wait for the place that is kept for them: no other is planned. */
-    int underWay(Job job) {
+    int migratingTaskCount(Job job) {
         int count = 0;
-        for (Making move : making.values()) {
-            for (TaskId t : move.to.keySet()) {
-                count += t.job().equals(job.id()) && waits(t) ? 1 : 0;
+        for (Migration move : migrations.values()) {
+            for (TaskId t : move.targets.keySet()) {
+                count += t.job().equals(job.id()) && awaitsPlacement(t) ? 1 : 0;
             }
         }
         return count;
     }
 
     /** Places that are kept on the machine for tasks on their way to it. */
-    List<JobSpec> keptOn(MachineId machine) {
-        if (making.isEmpty()) {
+    List<JobSpec> reservedOn(MachineId machine) {
+        if (migrations.isEmpty()) {
             return List.of();
         }
         List<JobSpec> out = new ArrayList<>();
-        for (Making move : making.values()) {
-            move.to.forEach((task, to) -> {
+        for (Migration move : migrations.values()) {
+            move.targets.forEach((task, to) -> {
                 Job job = clusterState.job(task.job());
                 if (to.equals(machine) && job != null && !job.record.live.containsKey(task.index())
-                        || to.equals(machine) && onItsWay(move, task)) {
+                        || to.equals(machine) && isOnSource(move, task)) {
                     out.add(job.spec());
                 }
             });
@@ -314,18 +314,18 @@
     }
 
     /** Whether the room on the machine is kept for another job than this one. */
-    boolean keptFromOthers(MachineId machine, JobId job) {
-        Making m = making.get(machine);
+    boolean isReservedForAnotherJob(MachineId machine, JobId job) {
+        Migration m = migrations.get(machine);
         return m != null && !job.equals(m.forJob);
     }
 
-    private boolean onItsWay(Making making, TaskId task) {
+    private boolean isOnSource(Migration making, TaskId task) {
         Job job = clusterState.job(task.job());
         Placement p = job == null ? null : job.record.live.get(task.index());
-        return p != null && p.machine.equals(making.machine);
+        return p != null && p.machine.equals(making.source);
     }
 
-    private boolean waits(TaskId task) {
+    private boolean awaitsPlacement(TaskId task) {
         Job job = clusterState.job(task.job());
         return job != null
                 && !job.isCancelled()
@@ -335,95 +335,95 @@
     }
 
     /** Whether the one that room was made for is there. */
-    private boolean there(Making making) {
+    private boolean isUsedByJob(Migration making) {
         Job j = making.forJob == null ? null : clusterState.job(making.forJob);
-        return j != null && j.record.live.values().stream().anyMatch(p -> p.machine.equals(making.machine));
+        return j != null && j.record.live.values().stream().anyMatch(p -> p.machine.equals(making.source));
     }
 
     // ---- going on ----
 
     /** Before a plan is carried out: what is gone from the old machine begins in its place. */
-    void startMoved() {
-        for (Making move : making.values()) {
-            for (Map.Entry<TaskId, MachineId> entry : move.to.entrySet()) {
+    void startMovedTasks() {
+        for (Migration move : migrations.values()) {
+            for (Map.Entry<TaskId, MachineId> entry : move.targets.entrySet()) {
                 Machine to = clusterState.findMachine(entry.getValue());
-                if (waits(entry.getKey()) && to != null) {
+                if (awaitsPlacement(entry.getKey()) && to != null) {
                     Job job = clusterState.job(entry.getKey().job());
                     if (dispatch.place(job, entry.getKey().index(), to)) {
-                        moved.put(entry.getKey(), context.wallMs());
-                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.machine);
+                        movedAtWallMs.put(entry.getKey(), context.wallMs());
+                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.source);
                     }
                 }
             }
         }
     }
 
-    void tick(Plan plan) {
-        if (!on() || !read) {
-            if (on() && !asking) {
-                read(); // machine types came to be known only now
+    void updateMigrations(Plan plan) {
+        if (!isEnabled() || !loaded) {
+            if (isEnabled() && !loadStarted) {
+                loadMigrations(); // machine types came to be known only now
             }
             return;
         }
-        moved.values().removeIf(at -> context.wallMs() - at > AGAIN_MS);
-        for (Making m : List.copyOf(making.values())) {
-            goOn(m);
+        movedAtWallMs.values().removeIf(at -> context.wallMs() - at > MIN_MOVE_INTERVAL_MS);
+        for (Migration m : List.copyOf(migrations.values())) {
+            advance(m);
         }
-        long rooms = making.values().stream().filter(m -> m.forJob != null).count();
+        long rooms = migrations.values().stream().filter(m -> m.forJob != null).count();
         if (plan != null
                 && policy.moves()
-                && gpus()
-                && context.now().ms() >= nextLook
-                && !writing
-                && rooms < MOST_ROOMS) {
-            nextLook = context.now().ms() + LOOK_EVERY_MS;
-            look(plan);
+                && hasGpuTypes()
+                && context.now().ms() >= nextSearchAtMs
+                && !writeInFlight
+                && rooms < MAX_JOB_MIGRATIONS) {
+            nextSearchAtMs = context.now().ms() + SEARCH_INTERVAL_MS;
+            startBestMigration(plan);
         }
     }
 
-    private void goOn(Making making) {
+    private void advance(Migration making) {
         Job large = making.forJob == null ? null : clusterState.job(making.forJob);
-        Machine from = clusterState.findMachine(making.machine);
+        Machine from = clusterState.findMachine(making.source);
         boolean senseless = making.drain != null
                 ? from == null
                         || !making.drain.equals(from.cordonedBy)
-                        || context.wallMs() - making.sinceMs > LONGEST_MS
+                        || context.wallMs() - making.startedWallMs > MAX_MIGRATION_MS
                 : large == null
                         || large.isCancelled()
                         || large.keySetHold != null
-                        || context.wallMs() - making.sinceMs > LONGEST_MS
-                        || large.record.waitingCount() == 0 && !there(making);
+                        || context.wallMs() - making.startedWallMs > MAX_MIGRATION_MS
+                        || large.record.waitingCount() == 0 && !isUsedByJob(making);
         boolean over = true;
-        for (Map.Entry<TaskId, MachineId> entry : List.copyOf(making.to.entrySet())) {
+        for (Map.Entry<TaskId, MachineId> entry : List.copyOf(making.targets.entrySet())) {
             Job job = clusterState.job(entry.getKey().job());
             Placement placement =
                     job == null ? null : job.record.live.get(entry.getKey().index());
-            if (placement != null && placement.machine.equals(making.machine)) {
+            if (placement != null && placement.machine.equals(making.source)) {
                 if (senseless && !placement.stopRequested) {
-                    making.to.remove(entry.getKey()); // it stays where it is
-                } else if (!placement.stopRequested && placement.launchSent && mayLeave(job)) {
+                    making.targets.remove(entry.getKey()); // it stays where it is
+                } else if (!placement.stopRequested && placement.launchSent && mayStop(job)) {
                     LOG.info(
                             "{} is moved from {} to {}: {}",
                             entry.getKey(),
-                            making.machine,
+                            making.source,
                             entry.getValue(),
-                            making.why());
+                            making.reason());
                     eviction.evict(placement, making.drain != null ? Cause.DRAIN : Cause.MOVE);
-                    dispatcher.dispatch(clusterState.machine(making.machine));
+                    dispatcher.dispatch(clusterState.machine(making.source));
                     over = false;
                 } else {
                     over = false;
                 }
-            } else if (waits(entry.getKey())) {
+            } else if (awaitsPlacement(entry.getKey())) {
                 Machine to = clusterState.findMachine(entry.getValue());
                 if (to == null || !admission.usable(to)) {
-                    making.to.remove(entry.getKey()); // its place is lost: it is planned like any other
+                    making.targets.remove(entry.getKey()); // its place is lost: it is planned like any other
                 } else {
                     over = false;
                 }
             }
         }
-        boolean taken = there(making);
+        boolean taken = isUsedByJob(making);
         if (over && (taken || senseless || making.drain != null)) {
             finish(
                     making,
@@ -431,16 +431,16 @@
         }
     }
 
-    private void finish(Making move, String why) {
-        if (writing) {
+    private void finish(Migration move, String why) {
+        if (writeInFlight) {
             return;
         }
-        LOG.info("{}, {}: {}", move.machine, move.why(), why);
+        LOG.info("{}, {}: {}", move.source, move.reason(), why);
         ObjectNode recent = Codec.map();
-        moved.forEach((t, at) -> recent.put(t.toString(), at));
-        write(election.guardedTransaction().delete(PREFIX + move.machine.text()).put(RECENT, recent), commit -> {
+        movedAtWallMs.forEach((t, at) -> recent.put(t.toString(), at));
+        write(election.guardedTransaction().delete(PREFIX + move.source.text()).put(RECENT_KEY, recent), commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                making.remove(move.machine, move);
+                migrations.remove(move.source, move);
                 clusterState.requestReplan();
             }
         });
@@ -448,12 +448,12 @@
 
     private void write(Transaction transaction, Consumer<CommitResult> then) {
         long term = clusterState.term();
-        writing = true;
+        writeInFlight = true;
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         store.commit(transaction, commit -> {
             if (term == clusterState.term()) {
-                writing = false;
+                writeInFlight = false;
                 then.accept(commit);
             }
         });
@@ -461,53 +461,57 @@
 
     // ---- looking ----
 
-    private void look(Plan plan) {
-        MigrationSearch.Wish wish = search.look(
+    private void startBestMigration(Plan plan) {
+        MigrationSearch.Proposal wish = search.findMigration(
                 plan,
-                new MigrationSearch.InHand(
-                        tasksInHand(), making.keySet(), moved.keySet(), this::roomsFor, this::zoneOfRooms),
-                sizes());
+                new MigrationSearch.ActiveMigrations(
+                        migratingTasks(),
+                        migrations.keySet(),
+                        movedAtWallMs.keySet(),
+                        this::pendingMigrationCount,
+                        this::zoneOfMigrations),
+                requestedSizes());
         if (wish != null) {
-            make(wish.large(), wish.found());
+            startMigration(wish.large(), wish.moves());
         }
     }
 
-    private Set<TaskId> tasksInHand() {
+    private Set<TaskId> migratingTasks() {
         Set<TaskId> out = new HashSet<>();
-        making.values().forEach(m -> out.addAll(m.to.keySet()));
+        migrations.values().forEach(m -> out.addAll(m.targets.keySet()));
         return out;
     }
 
     /** Where room is being made for the job, or null. */
-    private String zoneOfRooms(Job job) {
-        return making.values().stream()
-                .filter(m -> m.forJob.equals(job.id()) && clusterState.findMachine(m.machine) != null)
-                .map(m -> clusterState.findMachine(m.machine).zone)
+    private String zoneOfMigrations(Job job) {
+        return migrations.values().stream()
+                .filter(m -> m.forJob.equals(job.id()) && clusterState.findMachine(m.source) != null)
+                .map(m -> clusterState.findMachine(m.source).zone)
                 .findFirst()
                 .orElse(null);
     }
 
     /** Of a service one replica leaves at a time: the next once that one runs in its place. */
-    private static boolean mayLeave(Job job) {
-        return !job.spec().isService() || MigrationSearch.allThere(job);
+    private static boolean mayStop(Job job) {
+        return !job.spec().isService() || MigrationSearch.allReplicasRunning(job);
     }
 
-    private void make(Job large, DefragmentationSearch.Result found) {
-        Making move = new Making(found.machine(), large.id(), null, context.wallMs());
-        found.moves().forEach(o -> move.to.put(o.task(), o.to()));
-        Transaction transaction = election.guardedTransaction().put(PREFIX + move.machine.text(), move.toNode());
-        Map<String, Account> charged = charge(move);
+    private void startMigration(Job large, DefragmentationSearch.Result found) {
+        Migration move = new Migration(found.machine(), large.id(), null, context.wallMs());
+        found.moves().forEach(o -> move.targets.put(o.task(), o.to()));
+        Transaction transaction = election.guardedTransaction().put(PREFIX + move.source.text(), move.toNode());
+        Map<String, Account> charged = chargeTeams(move);
         charged.forEach((team, a) -> disruptions.into(transaction, team, a));
         // Nothing is stopped before it is written.
         write(transaction, commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 charged.forEach(disruptions::adopt);
-                making.put(move.machine, move);
+                migrations.put(move.source, move);
                 LOG.info(
                         "room on {} for {}: {} tasks are moved, {} GPU s",
-                        move.machine,
+                        move.source,
                         move.forJob,
-                        move.to.size(),
+                        move.targets.size(),
                         Math.round(found.costGpuS()));
                 clusterState.requestReplan();
             }
@@ -515,13 +519,13 @@
     }
 
     /** What moving costs their teams, where accounts are kept. */
-    private Map<String, Account> charge(Making making) {
+    private Map<String, Account> chargeTeams(Migration making) {
         Map<String, Account> out = new TreeMap<>();
         if (!policy.drains()) {
             return out;
         }
         Map<String, Account> all = disruptions.copies();
-        for (TaskId task : making.to.keySet()) {
+        for (TaskId task : making.targets.keySet()) {
             Job job = clusterState.job(task.job());
             Placement placement = job == null ? null : job.record.live.get(task.index());
             if (placement != null) {
@@ -543,27 +547,27 @@
     // ---- machines that are emptied ----
 
     /** Whether tasks of the machine are on their way, or about to be. */
-    boolean moves(MachineId machine) {
-        return making.containsKey(machine);
+    boolean isMigrating(MachineId machine) {
+        return migrations.containsKey(machine);
     }
 
     /** Whether what earlier leaders had in hand is known. */
-    boolean known() {
-        return read;
+    boolean isLoaded() {
+        return loaded;
     }
 
     /** Tasks leave a machine that is emptied, each for a place that is kept: written with the rest of the transaction. */
-    void relocate(Transaction transaction, MachineId machine, String drain, Map<TaskId, MachineId> to) {
-        Making making = new Making(machine, null, drain, context.wallMs());
-        making.to.putAll(to);
+    void addDrainMigration(Transaction transaction, MachineId machine, String drain, Map<TaskId, MachineId> to) {
+        Migration making = new Migration(machine, null, drain, context.wallMs());
+        making.targets.putAll(to);
         transaction.put(PREFIX + machine.text(), making.toNode());
     }
 
     /** That transaction is made. */
-    void relocated(MachineId machine, String drain, Map<TaskId, MachineId> to) {
-        Making move = new Making(machine, null, drain, context.wallMs());
-        move.to.putAll(to);
-        making.put(machine, move);
+    void applyDrainMigration(MachineId machine, String drain, Map<TaskId, MachineId> to) {
+        Migration move = new Migration(machine, null, drain, context.wallMs());
+        move.targets.putAll(to);
+        migrations.put(machine, move);
         clusterState.requestReplan();
     }
 }
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -28,41 +28,41 @@
  */
 final class MigrationSearch {
     /** Who begins this soon by the plan needs no room made. */
-    private static final long SOON_MS = 10_000;
+    private static final long IMMINENT_START_MS = 10_000;
     /** A job that has just come is planned first. */
-    private static final long LEAST_WAIT_MS = 2000;
+    private static final long MIN_JOB_AGE_MS = 2000;
 
-    private static final long LONGEST_GAIN_MS = 240_000;
+    private static final long MAX_GAIN_MS = 240_000;
     /** What moving costs, in GPU seconds, against what the large task gains. */
-    private static final double WORTH = 0.5;
+    private static final double MAX_COST_PER_GAIN = 0.5;
 
-    private static final double PROVED_GONE_S = 3;
-    private static final double HARDLY_BEGUN_S = 15;
-    private static final int MOST_OF_TEAM = 3;
+    private static final double STOP_CONFIRMATION_S = 3;
+    private static final double MAX_UNSAVED_RUN_S = 15;
+    private static final int MAX_MOVES_PER_TEAM = 3;
     private static final double EPSILON = 1e-6;
-    private static final String NOWHERE = "";
+    private static final String NO_ZONE = "";
 
     /**
      * What is under way already.
      *
      * @param tasks that are on their way, {@code rooms} machines on which room is made, {@code lately} tasks that were moved and rest now
      */
-    record InHand(
+    record ActiveMigrations(
             Set<TaskId> tasks,
-            Set<MachineId> rooms,
-            Set<TaskId> lately,
-            ToIntFunction<Job> roomsFor,
-            Function<Job, String> zoneOfRooms) {}
+            Set<MachineId> machines,
+            Set<TaskId> recentlyMoved,
+            ToIntFunction<Job> pendingCount,
+            Function<Job, String> zoneFor) {}
 
     /** Whom to make room for, and how. */
-    record Wish(Job large, DefragmentationSearch.Result found) {}
+    record Proposal(Job large, DefragmentationSearch.Result moves) {}
 
     private final ControllerContext context;
     private final MachineTypeCatalog machineTypes;
     private final ClusterState clusterState;
     private final Admission admission;
     /** Whether its team's budget allows that a task is moved. */
-    private final BiPredicate<Job, Placement> allowed;
+    private final BiPredicate<Job, Placement> withinBudget;
 
     MigrationSearch(
             ControllerContext context,
@@ -70,7 +70,7 @@
             ClusterState clusterState,
             Admission admission,
             BiPredicate<Job, Placement> allowed) {
-        this.allowed = allowed;
+        this.withinBudget = allowed;
         this.context = context;
         this.machineTypes = machineTypes;
         this.clusterState = clusterState;
@@ -78,27 +78,28 @@
     }
 
     /** The first that moving is worth it for, or null. */
-    Wish look(Plan plan, InHand hand, GpuSizeDistribution sizes) {
+    Proposal findMigration(Plan plan, ActiveMigrations hand, GpuSizeDistribution sizes) {
         Map<String, double[]> used = clusterState.teamResourceUsage();
         for (Job large : clusterState.jobs()) {
-            if (!lacksRoom(large, plan, used, hand)) {
+            if (!needsMigration(large, plan, used, hand)) {
                 continue;
             }
-            DefragmentationSearch.Result found =
-                    DefragmentationSearch.findCheapest(room(large.spec()), machines(large, hand), this::allowed, sizes);
+            DefragmentationSearch.Result found = DefragmentationSearch.findCheapest(
+                    requestedResources(large.spec()), candidateMachines(large, hand), this::mayRunOn, sizes);
             long waits = plan.plannedStart(large.id()) == null
-                    ? LONGEST_GAIN_MS
+                    ? MAX_GAIN_MS
                     : Math.min(
-                            LONGEST_GAIN_MS,
+                            MAX_GAIN_MS,
                             plan.plannedStart(large.id()) - context.now().ms());
-            if (found != null && found.costGpuS() <= WORTH * large.spec().gpus() * waits / 1000) {
-                return new Wish(large, found);
+            if (found != null
+                    && found.costGpuS() <= MAX_COST_PER_GAIN * large.spec().gpus() * waits / 1000) {
+                return new Proposal(large, found);
             }
         }
         return null;
     }
 
-    private boolean lacksRoom(Job job, Plan plan, Map<String, double[]> used, InHand hand) {
+    private boolean needsMigration(Job job, Plan plan, Map<String, double[]> used, ActiveMigrations hand) {
         JobSpec spec = job.spec();
         boolean plain = spec.gpus() > 1 && !spec.isGang() && !spec.antiAffinity();
         if (!plain
@@ -106,30 +107,30 @@
                 || job.keySetHold != null
                 || job.isSuspect()
                 || job.shed
-                || job.record.waitingCount() <= hand.roomsFor.applyAsInt(job)
+                || job.record.waitingCount() <= hand.pendingCount.applyAsInt(job)
                 || job.notBefore.ms() > context.now().ms()
-                || context.now().since(job.submittedAt) < LEAST_WAIT_MS
+                || context.now().since(job.submittedAt) < MIN_JOB_AGE_MS
                 || admission.overLimit(job, used)) {
             return false;
         }
         Long start = plan.plannedStart(job.id());
         return start == null
-                || start > context.now().ms() + SOON_MS
+                || start > context.now().ms() + IMMINENT_START_MS
                 || spec.sameZone() && plan.unplacedCount(job.id()) > 0;
     }
 
-    private static DefragmentationSearch.Resources room(JobSpec spec) {
+    private static DefragmentationSearch.Resources requestedResources(JobSpec spec) {
         return new DefragmentationSearch.Resources(spec.cpus(), spec.gpus(), spec.memGb());
     }
 
-    private boolean allowed(TaskId task, MachineId id) {
+    private boolean mayRunOn(TaskId task, MachineId id) {
         Machine machine = clusterState.findMachine(id);
         JobSpec s = clusterState.job(task.job()).spec();
         return machine != null && s.mayRunOn(machineTypes.get(machine.type), machine.zone, machine.spot);
     }
 
-    /** The only zone that room may be made in; null: any; {@link #NOWHERE}: none has what all of the job's tasks need. */
-    private String onlyZone(Job large, InHand hand) {
+    /** The only zone that room may be made in; null: any; {@link #NO_ZONE}: none has what all of the job's tasks need. */
+    private String requiredZone(Job large, ActiveMigrations hand) {
         JobSpec spec = large.spec();
         if (!spec.sameZone()) {
             return null;
@@ -138,9 +139,9 @@
         if (!live.isEmpty()) {
             return live.size() == 1
                     ? live.keySet().iterator().next()
-                    : NOWHERE; // "" too: a machine that nobody has described may be anywhere
+                    : NO_ZONE; // "" too: a machine that nobody has described may be anywhere
         }
-        String begun = hand.zoneOfRooms.apply(large);
+        String begun = hand.zoneFor.apply(large);
         if (begun != null) {
             return begun;
         }
@@ -154,7 +155,7 @@
                     Job job = clusterState.job(placement.task.job());
                     gpus -= job == null
                             ? type.gpus()
-                            : mayMove(job, placement, large, Map.of(), hand)
+                            : isMovable(job, placement, large, Map.of(), hand)
                                     ? 0
                                     : job.spec().gpus();
                 }
@@ -165,10 +166,10 @@
                 .filter(e -> e.getValue() >= large.record.waitingCount())
                 .max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
                 .map(Map.Entry::getKey)
-                .orElse(NOWHERE);
+                .orElse(NO_ZONE);
     }
 
-    private List<DefragmentationSearch.MachineSnapshot> machines(Job large, InHand hand) {
+    private List<DefragmentationSearch.MachineSnapshot> candidateMachines(Job large, ActiveMigrations hand) {
         Map<String, Integer> ofTeam = new HashMap<>();
         hand.tasks.forEach(t -> ofTeam.merge(
                 clusterState.job(t.job()) == null
@@ -176,12 +177,12 @@
                         : clusterState.job(t.job()).spec().team(),
                 1,
                 Integer::sum));
-        String only = onlyZone(large, hand);
+        String only = requiredZone(large, hand);
         List<DefragmentationSearch.MachineSnapshot> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             Admission.FreeResources free =
-                    type == null || type.gpus() == 0 || !admission.usable(machine) || hand.rooms.contains(machine.id)
+                    type == null || type.gpus() == 0 || !admission.usable(machine) || hand.machines.contains(machine.id)
                             ? null
                             : admission.free(machine, type);
             if (free == null) {
@@ -195,9 +196,9 @@
                 if (job != null
                         && job != large
                         && !hand.tasks.contains(placement.task)
-                        && mayMove(job, placement, large, ofTeam, hand)) {
+                        && isMovable(job, placement, large, ofTeam, hand)) {
                     movable.add(new DefragmentationSearch.MovableTask(
-                            placement.task, room(job.spec()), cost(job, placement)));
+                            placement.task, requestedResources(job.spec()), moveCostGpuS(job, placement)));
                 }
             }
             out.add(new DefragmentationSearch.MachineSnapshot(
@@ -210,7 +211,8 @@
     }
 
     /** Equal urgency may be moved, more urgent work is left alone; and what needs others, a place, or has done much that it can't save. */
-    private boolean mayMove(Job job, Placement placement, Job large, Map<String, Integer> ofTeam, InHand hand) {
+    private boolean isMovable(
+            Job job, Placement placement, Job large, Map<String, Integer> ofTeam, ActiveMigrations hand) {
         JobSpec spec = job.spec();
         if (!placement.launchSent
                 || placement.stopRequested
@@ -221,28 +223,28 @@
                 || job.isCancelled()
                 || spec.gpus() >= large.spec().gpus()
                 || spec.priority().compareTo(large.spec().priority()) < 0
-                || hand.lately.contains(placement.task)
-                || ofTeam.getOrDefault(spec.team(), 0) >= MOST_OF_TEAM
-                || !allowed.test(job, placement)) {
+                || hand.recentlyMoved.contains(placement.task)
+                || ofTeam.getOrDefault(spec.team(), 0) >= MAX_MOVES_PER_TEAM
+                || !withinBudget.test(job, placement)) {
             return false;
         }
         if (spec.isService()) {
             // One replica away at a time, and never the only one.
-            return spec.tasks() > 1 && allThere(job);
+            return spec.tasks() > 1 && allReplicasRunning(job);
         }
-        return spec.checkpointEveryS() > 0 || context.now().since(placement.runningSince) < 1000 * HARDLY_BEGUN_S;
+        return spec.checkpointEveryS() > 0 || context.now().since(placement.runningSince) < 1000 * MAX_UNSAVED_RUN_S;
     }
 
-    static boolean allThere(Job job) {
+    static boolean allReplicasRunning(Job job) {
         return job.record.live.size() == job.spec().tasks()
                 && job.record.live.values().stream().allMatch(o -> o.runningSince != null && !o.stopRequested);
     }
 
-    private double cost(Job job, Placement placement) {
+    private double moveCostGpuS(Job job, Placement placement) {
         JobSpec spec = job.spec();
         double ran = context.now().since(placement.runningSince) / 1000.0;
         double lost = spec.isService() || spec.checkpointEveryS() > 0 ? 0 : ran;
         MachineType t = machineTypes.get(clusterState.machine(placement.machine).type);
-        return spec.gpus() * (spec.checkpointCostS() + PROVED_GONE_S + spec.imageGb() / t.fetchGbPerS() + lost);
+        return spec.gpus() * (spec.checkpointCostS() + STOP_CONFIRMATION_S + spec.imageGb() / t.fetchGbPerS() + lost);
     }
 }
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -77,7 +77,7 @@
         long now = context.now().ms();
         Set<MachineId> planned = new HashSet<>();
         Plan next = new Plan(now, planMachines(planned));
-        next.setGpuSizes(migrations.sizes());
+        next.setGpuSizes(migrations.requestedSizes());
         addTeamUsage(next, planned);
         placeWaiting(next, order);
         widen(next, order, widths);
@@ -108,10 +108,10 @@
                 machine.zone,
                 machine.spot,
                 machine.up,
-                machine.up ? now : provisioner.readyAt(machine, type));
+                machine.up ? now : provisioner.expectedReadyAtMs(machine, type));
         planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
-        for (JobSpec kept : migrations.keptOn(machine.id)) {
+        for (JobSpec kept : migrations.reservedOn(machine.id)) {
             planMachine.occupy(now + UNKNOWN_END_MS, kept.cpus(), kept.gpus(), kept.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
@@ -168,7 +168,8 @@
             if (job.spec().isGang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int unwidened = job.maxPlaceable(elastic.sure(job)) - expeditedTasks(job) - migrations.underWay(job);
+            int unwidened =
+                    job.maxPlaceable(elastic.sure(job)) - expeditedTasks(job) - migrations.migratingTaskCount(job);
             if (unwidened > 0) {
                 next.place(entry(job, unwidened, ordering.patience(job)));
             }
@@ -177,7 +178,7 @@
 
     /** Returns how many of the job's tasks go before all others: expedited ones, and those for which a migration frees capacity. */
     private int expeditedTasks(Job job) {
-        return Math.max(job.expeditedTasks(), migrations.roomsFor(job));
+        return Math.max(job.expeditedTasks(), migrations.pendingMigrationCount(job));
     }
 
     private Plan.Entry entry(Job job, int waiting, long patienceMs) {
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -58,7 +58,7 @@
     /** How long a new term waits for the first complete list before it rents machines without it. */
     private static final long FIRST_LIST_TIMEOUT_MS = 15_000;
     /** An unlisted machine is released only when it has not been heard of for this long. */
-    private static final long UNLISTED_UNHEARD_MS = 6000;
+    private static final long UNLISTED_HEARTBEAT_TIMEOUT_MS = 6000;
     /** How long after the stated lag of the list a machine may still be missing from it. */
     private static final int LIST_LAG_MARGIN_S = 5;
 
@@ -88,9 +88,9 @@
     private final Set<MachineId> released = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_RELEASES);
     private MonotonicTime nextRunAt = MonotonicTime.ZERO;
     private MonotonicTime nextListAt = MonotonicTime.ZERO;
-    private boolean listing;
+    private boolean listInFlight;
     /** Whether a list was complete in this term: renting before that could duplicate existing machines. */
-    private boolean listed;
+    private boolean isListComplete;
 
     private int returnCalls;
     private Predicate<MachineId> reservedForMigration = machine -> false;
@@ -127,8 +127,8 @@
     /** Resets the state for a new term, whose fencing token is part of the names of its rentals. */
     void reset(FencingToken newToken) {
         scaleOut.reset(newToken);
-        listed = false;
-        listing = false;
+        isListComplete = false;
+        listInFlight = false;
         returnCalls = 0;
         failureDetector.reset();
         lossRecovery.reset();
@@ -137,17 +137,17 @@
     }
 
     /** Returns whether the cloud has listed all machines in this term. */
-    boolean listed() {
-        return listed;
+    boolean isListComplete() {
+        return isListComplete;
     }
 
     /** Sets the test for machines on which a place is reserved for a migrating task; they are not released as idle. */
-    void kept(Predicate<MachineId> isReserved) {
+    void setReservedForMigration(Predicate<MachineId> isReserved) {
         reservedForMigration = isReserved;
     }
 
     /** Returns the policy that rents machines. */
-    ScaleOutPolicy renting() {
+    ScaleOutPolicy scaleOutPolicy() {
         return scaleOut;
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** Returns when a machine that is not up is expected to be ready, in milliseconds. */
-    long readyAt(Machine machine, MachineType type) {
+    long expectedReadyAtMs(Machine machine, MachineType type) {
         if (machine.listedRunning) {
             return context.now().ms() + FIRST_HEARTBEAT_MS; // it runs, and only has to reach this node
         }
@@ -168,7 +168,7 @@
     }
 
     /** Checks the machines, releases and lists them, and rents what the plan needs; the plan may be null. */
-    void tick(Plan plan) {
+    void updateMachines(Plan plan) {
         if (context.now().isBefore(nextRunAt)) {
             return;
         }
@@ -178,7 +178,7 @@
             startListing(); // first, or with few calls or many lost machines the other calls would always precede it
         }
         sendReturns(true);
-        boolean mayRent = listed || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
+        boolean mayRent = isListComplete || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
         if (plan != null && mayRent) {
             scaleOut.rentFor(plan);
         }
@@ -187,15 +187,15 @@
     }
 
     /** Sends only the releases that are due with tasks; used while the cluster state is uncertain. */
-    void returnOverdue() {
+    void sendReleasesWithTasks() {
         sendReturns(true);
     }
 
     // ---- the list ----
 
     private void startListing() {
-        if (!context.now().isBefore(nextListAt) && !listing && calls.tryTake(context.now(), 1)) {
-            listing = true;
+        if (!context.now().isBefore(nextListAt) && !listInFlight && calls.tryTake(context.now(), 1)) {
+            listInFlight = true;
             requestPage(null, new HashMap<>(), context.now());
         }
     }
@@ -207,7 +207,7 @@
             if (term != clusterState.term()) {
                 return;
             }
-            listing = false;
+            listInFlight = false;
             nextListAt = context.now().plusMs(LIST_INTERVAL_MS);
             if (!result.isOk() || !result.body().path("hosts").isArray()) {
                 return;
@@ -220,7 +220,7 @@
                 }
             }
             if (result.body().path("more").asBoolean() && last != null) {
-                listing = true;
+                listInFlight = true;
                 calls.takeOrOverdraw(context.now(), 1);
                 requestPage(last, found, requestedAt);
             } else {
@@ -230,7 +230,7 @@
     }
 
     private void applyList(Map<MachineId, JsonNode> found, MonotonicTime requestedAt) {
-        listed = true;
+        isListComplete = true;
         coldStart.recordMachinesListed();
         found.forEach((id, node) -> applyListed(id, node, requestedAt));
         long listLagMs = Math.round(MS_PER_S * (2 * settings.cloudLimits().listLagS() + LIST_LAG_MARGIN_S));
@@ -238,7 +238,7 @@
             boolean old = requestedAt.since(knownSince(machine, requestedAt)) > listLagMs;
             if (!found.containsKey(machine.id)
                     && old
-                    && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_UNHEARD_MS) {
+                    && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_HEARTBEAT_TIMEOUT_MS) {
                 releaseMachine(machine, "the cloud doesn't list it any more");
             }
         }
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -231,7 +231,7 @@
         String[] kind = most.split(" ");
         String type = drain.with() == null ? kind[0] : drain.with();
         long term = clusterState.term();
-        if (provisioner.renting().spare(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
+        if (provisioner.scaleOutPolicy().tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
             if (term == clusterState.term()) {
                 asked.merge(drain.name(), -missing, Integer::sum);
                 had.forEach(h -> progress.spares.put(h, context.wallMs()));
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -43,17 +43,17 @@
     private static final int CALL_TIMEOUT_MS = 5000;
     private static final int MS_PER_S = 1000;
     /** How long after a refusal the cloud is assumed to have no more machines of the kind. */
-    private static final long SHORTAGE_MS = 60_000;
+    private static final long SHORTAGE_DURATION_MS = 60_000;
     /** The least delay of a task's start for which a machine is rented. */
     private static final long MIN_TOLERATED_DELAY_MS = 5000;
     /** The delay of a task's start for which a machine is rented however large the task's slack is. */
     private static final long MAX_TOLERATED_DELAY_MS = 45_000;
     /** How many tasks of a job that are not in the plan count. */
-    private static final int MAX_UNPLACED = 500;
+    private static final int MAX_UNPLACED_TASKS_PER_JOB = 500;
     /** A rental must let some task start at least this much earlier. */
     private static final long MIN_GAIN_MS = 5000;
     /** Rentals of one kind in one run. */
-    private static final int MAX_CALLS = 3;
+    private static final int MAX_RENTALS_PER_OFFER = 3;
 
     private final ControllerContext context;
     private final Policy policy;
@@ -100,7 +100,7 @@
         lastRented = MonotonicTime.ZERO;
     }
 
-    private List<MachineOffer> offers() {
+    private List<MachineOffer> refreshOffers() {
         List<MachineOffer> out = new ArrayList<>();
         for (MachineType type : machineTypes.all()) {
             for (String zone : type.zones()) {
@@ -109,14 +109,14 @@
                     MachineOffer old = offers.get(offer.key());
                     if (old == null || old.type != type) { // prices move
                         if (old != null) {
-                            offer.pending = old.pending;
+                            offer.pendingCount = old.pendingCount;
                             offer.refusedUntil = old.refusedUntil;
                             offer.shortageAt = old.shortageAt;
                         }
                         offers.put(offer.key(), offer);
                         old = offer;
                     }
-                    old.wanted = 0;
+                    old.neededCount = 0;
                     out.add(old);
                 }
             }
@@ -125,10 +125,10 @@
     }
 
     /** Returns whether more machines for such a task may be available: some suitable kind was not refused lately. */
-    boolean mayGrow(JobSpec spec) {
+    boolean mayHaveCapacityFor(JobSpec spec) {
         for (MachineOffer offer : offers.values()) {
             if (offer.suits(spec)
-                    && (offer.shortageAt == null || context.now().since(offer.shortageAt) > SHORTAGE_MS)) {
+                    && (offer.shortageAt == null || context.now().since(offer.shortageAt) > SHORTAGE_DURATION_MS)) {
                 return true;
             }
         }
@@ -136,7 +136,7 @@
     }
 
     /** Notes that capacity is being freed now: earlier plans do not reflect that, and nothing is rented for them. */
-    void wait(MonotonicTime now) {
+    void ignorePlansUntil(MonotonicTime now) {
         lastRented = lastRented.isBefore(now) ? now : lastRented;
     }
 
@@ -145,40 +145,42 @@
         if (plan.createdAtMs() <= lastRented.ms()) {
             return;
         }
-        List<MachineOffer> all = offers();
-        List<MachineSpace> spaces = pendingSpaces(all);
-        Map<MachineId, MachineSpace> booting = bootingSpaces();
+        List<MachineOffer> all = refreshOffers();
+        List<MachineCapacity> spaces = pendingSpaces(all);
+        Map<MachineId, MachineCapacity> booting = bootingSpaces();
         Map<Job, List<Long>> late = lateStarts(plan, booting);
         spaces.addAll(booting.values());
         late.forEach((job, begins) -> requestMachines(job, begins, all, spaces));
         requestForUnplaced(plan, all, spaces);
         for (MachineOffer offer : all) {
-            for (int i = 0; i < MAX_CALLS && offer.wanted > 0 && calls.tryTake(context.now(), 1); i++) {
-                int count = Math.min(MAX_MACHINES_PER_RENTAL, offer.wanted);
-                offer.wanted -= count;
+            for (int i = 0;
+                    i < MAX_RENTALS_PER_OFFER && offer.neededCount > 0 && calls.tryTake(context.now(), 1);
+                    i++) {
+                int count = Math.min(MAX_MACHINES_PER_RENTAL, offer.neededCount);
+                offer.neededCount -= count;
                 rent(offer, count, nextRentalName(), machines -> {});
             }
         }
     }
 
-    private static List<MachineSpace> pendingSpaces(List<MachineOffer> all) {
-        List<MachineSpace> spaces = new ArrayList<>();
+    private static List<MachineCapacity> pendingSpaces(List<MachineOffer> all) {
+        List<MachineCapacity> spaces = new ArrayList<>();
         for (MachineOffer offer : all) {
-            for (int i = 0; i < offer.pending; i++) {
-                spaces.add(new MachineSpace(offer));
+            for (int i = 0; i < offer.pendingCount; i++) {
+                spaces.add(new MachineCapacity(offer));
             }
         }
         return spaces;
     }
 
     /** Returns the capacity of the machines that boot. */
-    private Map<MachineId, MachineSpace> bootingSpaces() {
-        Map<MachineId, MachineSpace> booting = new LinkedHashMap<>();
+    private Map<MachineId, MachineCapacity> bootingSpaces() {
+        Map<MachineId, MachineCapacity> booting = new LinkedHashMap<>();
         for (Machine machine : clusterState.machines()) {
             if (!machine.up && !machine.releasing && machine.isTypeKnown() && !machine.listedRunning) {
                 MachineType type = machineTypes.get(machine.type);
                 if (type != null) {
-                    booting.put(machine.id, new MachineSpace(new MachineOffer(type, machine.zone, machine.spot)));
+                    booting.put(machine.id, new MachineCapacity(new MachineOffer(type, machine.zone, machine.spot)));
                 }
             }
         }
@@ -186,7 +188,7 @@
     }
 
     /** Returns the planned starts that are too late, by job, and takes what the plan uses from the booting machines. */
-    private Map<Job, List<Long>> lateStarts(Plan plan, Map<MachineId, MachineSpace> booting) {
+    private Map<Job, List<Long>> lateStarts(Plan plan, Map<MachineId, MachineCapacity> booting) {
         long now = context.now().ms();
         Map<Job, Long> toleratedDelays = new HashMap<>();
         Map<Job, List<Long>> late = new LinkedHashMap<>();
@@ -194,28 +196,28 @@
             Job job = clusterState.job(reservation.job());
             long begin = job == null ? now : reservation.beginMs();
             if (!reservation.machineUp()) {
-                MachineSpace space = booting.get(reservation.machine());
+                MachineCapacity space = booting.get(reservation.machine());
                 if (space != null) {
-                    space.take(reservation.spec());
+                    space.tryTake(reservation.spec());
                 }
             }
             if (job != null
                     && !reservation.beyondGuarantee()
                     && !job.isSuspect()
-                    && begin - now >= toleratedDelays.computeIfAbsent(job, this::rentAfterMs)) {
+                    && begin - now >= toleratedDelays.computeIfAbsent(job, this::toleratedDelayMs)) {
                 late.computeIfAbsent(job, key -> new ArrayList<>()).add(begin);
             }
         }
         return late;
     }
 
-    private void requestForUnplaced(Plan plan, List<MachineOffer> all, List<MachineSpace> spaces) {
+    private void requestForUnplaced(Plan plan, List<MachineOffer> all, List<MachineCapacity> spaces) {
         for (Job job : clusterState.jobs()) {
             int unplaced = job.isCancelled() || job.isSuspect() || !job.notBefore.isBefore(context.now())
                     ? 0
                     : plan.unplacedCount(job.id());
             if (unplaced > 0) {
-                List<Long> never = Collections.nCopies(Math.min(MAX_UNPLACED, unplaced), Long.MAX_VALUE);
+                List<Long> never = Collections.nCopies(Math.min(MAX_UNPLACED_TASKS_PER_JOB, unplaced), Long.MAX_VALUE);
                 requestMachines(job, never, all, spaces);
             }
         }
@@ -231,7 +233,7 @@
      * task begins before that machine is up, other tasks wait behind it. When machines were rented only where the task
      * itself gained, they were always busy and every task waited about as long as a machine takes to boot.
      */
-    long rentAfterMs(Job job) {
+    long toleratedDelayMs(Job job) {
         if (job.record.width != null) {
             return MIN_TOLERATED_DELAY_MS; // its guaranteed width is wanted at once, not one round of tasks after the
             // other
@@ -242,15 +244,15 @@
     }
 
     /** Requests spot machines for an earlier start, and ordinary ones only where the latest start would be missed. */
-    private void requestMachines(Job job, List<Long> begins, List<MachineOffer> all, List<MachineSpace> spaces) {
+    private void requestMachines(Job job, List<Long> begins, List<MachineOffer> all, List<MachineCapacity> spaces) {
         JobSpec spec = job.spec();
         long latest = jobOrdering.latestStart(job);
         int tried = 0; // a space too small for one of the job's tasks is too small for the next
         for (long begin : begins) {
             boolean fitted = false;
             while (!fitted && tried < spaces.size()) {
-                MachineSpace space = spaces.get(tried);
-                fitted = space.offer.suits(spec) && space.take(spec);
+                MachineCapacity space = spaces.get(tried);
+                fitted = space.offer.suits(spec) && space.tryTake(spec);
                 tried += fitted ? 0 : 1;
             }
             if (fitted) {
@@ -260,9 +262,9 @@
             if (best == null) {
                 continue;
             }
-            best.wanted++;
-            MachineSpace space = new MachineSpace(best);
-            space.take(spec);
+            best.neededCount++;
+            MachineCapacity space = new MachineCapacity(best);
+            space.tryTake(spec);
             spaces.add(space);
         }
     }
@@ -295,7 +297,7 @@
 
     private static boolean isCheaper(MachineOffer offer, MachineOffer than, JobSpec spec) {
         int cost = Double.compare(offer.costFor(spec), than.costFor(spec));
-        return cost < 0 || (cost == 0 && offer.wanted < than.wanted);
+        return cost < 0 || (cost == 0 && offer.neededCount < than.neededCount);
     }
 
     /**
@@ -303,8 +305,8 @@
      *
      * @param then receives the machines that were granted, perhaps none
      */
-    boolean spare(String type, String zone, boolean spot, int number, Consumer<List<MachineId>> then) {
-        MachineOffer offer = offers().stream()
+    boolean tryRentStandby(String type, String zone, boolean spot, int number, Consumer<List<MachineId>> then) {
+        MachineOffer offer = refreshOffers().stream()
                 .filter(candidate ->
                         candidate.type.name().equals(type) && candidate.zone.equals(zone) && candidate.spot == spot)
                 .findFirst()
@@ -318,7 +320,7 @@
 
     /** Rents under a name that is used for nothing else; the request is repeated until there is an answer. */
     private void rent(MachineOffer offer, int number, String name, Consumer<List<MachineId>> then) {
-        offer.pending += number;
+        offer.pendingCount += number;
         ObjectNode body = Codec.map()
                 .put("rental", name)
                 .put("hosttype", offer.type.name())
@@ -346,14 +348,14 @@
         if (result.isOk() && result.body().path("hosts").isArray()) {
             applyGrant(rental, offer, result.body().get("hosts"));
         } else if (result.hasStatus(400)) {
-            offer.pending -= rental.number();
+            offer.pendingCount -= rental.number();
             offer.refusedUntil = context.now().plusMs(MALFORMED_PAUSE_MS);
             LOG.warn("rental refused as malformed: rental={}", rental.name());
             rental.then().accept(List.of());
         } else if (result.hasStatus(503)
                 && result.body() != null
                 && "no capacity".equals(result.body().path("error").asText())) {
-            offer.pending -= rental.number();
+            offer.pendingCount -= rental.number();
             offer.shortageAt = context.now();
             offer.refusedUntil = context.now().plusMs(NO_CAPACITY_PAUSE_MS);
             rental.then().accept(List.of());
@@ -368,7 +370,7 @@
     }
 
     private void applyGrant(RentalRequest rental, MachineOffer offer, JsonNode hosts) {
-        offer.pending -= rental.number();
+        offer.pendingCount -= rental.number();
         lastRented = context.now();
         List<MachineId> granted = new ArrayList<>();
         for (JsonNode node : hosts) {
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -88,8 +88,9 @@
     }
 
     private void connectMigrations() {
-        workers.disruptions.moving(migrations::moves);
-        workers.provisioner.kept(machine -> !migrations.keptOn(machine).isEmpty());
+        workers.disruptions.moving(migrations::isMigrating);
+        workers.provisioner.setReservedForMigration(
+                machine -> !migrations.reservedOn(machine).isEmpty());
         admission.setMigrations(migrations);
     }
 
@@ -106,7 +107,7 @@
                 workers.clusterState,
                 workers.jobOrdering,
                 admission,
-                workers.provisioner.renting(),
+                workers.provisioner.scaleOutPolicy(),
                 workers.elastic);
     }
 
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -103,7 +103,7 @@
             }
             if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
                 job.nextWidthReductionAt = context.now().plusMs(PAUSE_MS);
-                scaleOut.wait(context.now());
+                scaleOut.ignorePlansUntil(context.now());
             }
         }
     }
@@ -165,7 +165,7 @@
             return Long.MAX_VALUE;
         }
         long now = context.now().ms();
-        long bound = Math.min(now + scaleOut.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
+        long bound = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStart(job), now));
         return Math.max(now + SOON_MS, job.withinGuarantee ? Math.min(bound, now + SOON_MS) : bound);
     }
 
