--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -55,7 +55,7 @@
      * not damped because capacity on it was lately taken back.
      */
     boolean mayWiden(Machine machine) {
-        return usable(machine)
+        return isUsable(machine)
                 && machine.growthDamping.allowsGrowth(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
                 && context.now().since(clusterState.lastContactAt(machine))
@@ -63,7 +63,7 @@
     }
 
     /** Returns whether the machine may take tasks at all: up, confirmed, reachable, heard from, not leaving and not avoided. */
-    boolean usable(Machine machine) {
+    boolean isUsable(Machine machine) {
         return machine.up
                 && machine.confirmedPresent
                 && !machine.reachability.isUnreachable()
@@ -85,13 +85,13 @@
         }
 
         /** Returns whether no resource is negative. */
-        boolean enough() {
+        boolean isNonNegative() {
             return cpus >= -TOLERANCE && gpus >= -TOLERANCE && memGb >= -TOLERANCE;
         }
     }
 
     /** Returns what is free on the machine less what is reserved there, or null if a task on it is unknown. */
-    FreeResources free(Machine machine, MachineType type) {
+    FreeResources freeResources(Machine machine, MachineType type) {
         FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb());
         for (Placement placement : machine.placements.values()) {
             Job other = clusterState.job(placement.task.job());
@@ -107,7 +107,7 @@
     }
 
     /** Returns what is free on the machine once such a task is there too, or null if a task on it is unknown. */
-    FreeResources freeBeside(Machine machine, MachineType type, JobSpec spec) {
+    FreeResources freeResourcesAfterPlacing(Machine machine, MachineType type, JobSpec spec) {
         FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
         for (Placement placement : machine.placements.values()) {
             Job other = clusterState.job(placement.task.job());
@@ -120,7 +120,7 @@
     }
 
     /** Returns whether the job's next task would exceed its team's limit, or its team is unknown. */
-    boolean overLimit(Job job, Map<String, double[]> used) {
+    boolean exceedsTeamLimit(Job job, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         Settings.Team team = settings.teams().get(spec.team());
         double[] usage = used.getOrDefault(spec.team(), new double[2]);
@@ -143,17 +143,17 @@
     }
 
     /** Checks the placement rules against what may be running now, whatever the plan says; returns whether the task may start. */
-    boolean admissible(Job job, Machine machine, Map<String, double[]> used) {
+    boolean admits(Job job, Machine machine, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         MachineType type =
-                machine == null || job.keySetHold != null || !usable(machine) ? null : machineTypes.get(machine.type);
+                machine == null || job.keySetHold != null || !isUsable(machine) ? null : machineTypes.get(machine.type);
         if (type == null || !spec.mayRunOn(type, machine.zone, machine.spot)) {
             return false;
         }
-        FreeResources free = freeBeside(machine, type, spec);
+        FreeResources free = freeResourcesAfterPlacing(machine, type, spec);
         if (free == null
-                || !free.enough()
-                || overLimit(job, used)
+                || !free.isNonNegative()
+                || exceedsTeamLimit(job, used)
                 || migrations != null && migrations.isReservedForAnotherJob(machine.id, job.id())) {
             return false;
         }
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -164,7 +164,7 @@
         @Override
         public void leadershipLost() {
             limits.divide(false);
-            progress.forgetTold();
+            progress.clearPublished();
             cancellations.reset();
             leader.end();
         }
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -102,7 +102,7 @@
     }
 
     private static int refusalStatus(String refusal, Entry entry, InstalledSchedules installed) {
-        if (refusal.equals(AdmissionRules.MACHINE_TYPES_UNKNOWN)) {
+        if (refusal.equals(SubmissionRules.MACHINE_TYPES_UNKNOWN)) {
             return 503;
         }
         return entry.calendar() != null && !installed.calendars.containsKey(entry.calendar()) ? 400 : 422;
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -187,7 +187,7 @@
         try {
             JobSpec job = line.entry.job(catchup.run());
             String never = users.refusal(job);
-            if (AdmissionRules.isTemporary(never)) {
+            if (SubmissionRules.isTemporaryRefusal(never)) {
                 line.held = never;
                 return null;
             }
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -389,13 +389,13 @@
             Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
         long since = drain.replace() ? run.begun.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        TaskTermination ending = elastic.ending(job, placement, need(drain, since));
+        TaskTermination ending = elastic.chooseEnding(job, placement, need(drain, since));
         boolean due = ending.method() != TaskTermination.Method.AT_END
                 && ending.method() != TaskTermination.Method.WITHDRAW
                 && ending.atMs() <= context.now().ms() + EVERY_MS;
         boolean placed = true;
         if (spec.isService() && due) {
-            Machine to = rooms.take(spec);
+            Machine to = rooms.allocate(spec);
             placed = to != null;
             if (placed) {
                 places.put(placement.task, to.id);
@@ -552,7 +552,7 @@
                 machines,
                 clusterState,
                 machineTypes,
-                (j, p) -> elastic.ending(j, p, need(drain, context.wallMs())),
+                (j, p) -> elastic.chooseEnding(j, p, need(drain, context.wallMs())),
                 context.now().ms());
     }
 
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -70,12 +70,12 @@
     // ---- what the plan may place ----
 
     /** Tasks that count against the width: those live, less those that are on their way out. */
-    static int staying(Job job) {
+    static int retainedTaskCount(Job job) {
         return job.record.live.size() - job.endings.size();
     }
 
     /** How many of the job's waiting tasks are planned like any other work. */
-    int sure(Job job) {
+    int regularWaitingCount(Job job) {
         WidthRecord width = job.record.width;
         int waiting = job.record.waitingCount();
         if (width == null) {
@@ -89,20 +89,20 @@
                 width.allowed(),
                 unfinished,
                 estimates.expectedMs(job.spec()),
-                untilMs(job),
+                deadlineMs(job),
                 context.now().ms());
         // Those on their way out hold their places in the width until they are gone.
         return Math.max(0, Math.min(waiting, sure - job.record.live.size()));
     }
 
     /** When an elastic job should be done. */
-    long untilMs(Job job) {
+    long deadlineMs(Job job) {
         Double until = job.record.width.allowed().deadlineS();
         return until == null ? TaskTermination.NEVER : job.submittedAt.ms() + Math.round(1000 * until);
     }
 
     /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
-    WidthOptions wish(Job job, int sure, Integer fixed) {
+    WidthOptions wideningOptions(Job job, int sure, Integer fixed) {
         WidthRecord width = job.record.width;
         int from = job.record.live.size() + sure;
         int most = width == null || job.spec().isService() || job.spec().isGang() || job.isCancelled()
@@ -113,7 +113,7 @@
                 || job.notBefore.ms() > context.now().ms()) {
             return null;
         }
-        return new WidthOptions(from, most, untilMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
+        return new WidthOptions(from, most, deadlineMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
     }
 
     private double lowestCostPerCpu(JobSpec spec) {
@@ -127,20 +127,20 @@
     }
 
     /** How many more of the job's tasks may be placed, whatever the plan says. */
-    static int mayPlace(Job job) {
+    static int remainingWidth(Job job) {
         WidthRecord w = job.record.width;
         return w == null ? Integer.MAX_VALUE : w.allowed().max() - job.record.live.size();
     }
 
     /** The job's tasks were placed: its record says the width that they make, in the same commit. */
-    void placed(Job job) {
+    void recordPlaced(Job job) {
         WidthRecord width = job.record.width;
-        if (width != null && staying(job) > width.target()) {
+        if (width != null && retainedTaskCount(job) > width.target()) {
             if (width.target() > 0) {
                 widened++;
             }
-            LOG.info("{} widens from {} to {}", job.id(), width.target(), staying(job));
-            job.record.width = width.withTarget(staying(job));
+            LOG.info("{} widens from {} to {}", job.id(), width.target(), retainedTaskCount(job));
+            job.record.width = width.withTarget(retainedTaskCount(job));
         }
     }
 
@@ -162,7 +162,7 @@
 
     // ---- narrowing ----
 
-    TaskTermination ending(Job job, Placement placement, TaskTermination.CapacityNeed need) {
+    TaskTermination chooseEnding(Job job, Placement placement, TaskTermination.CapacityNeed need) {
         JobSpec spec = job.spec();
         // Reports come late: what should have its image by now, or soon, may be running when the stop arrives.
         boolean running = placement.runningSince != null
@@ -185,19 +185,19 @@
     }
 
     /** Whether the task may still be chosen to go. */
-    static boolean mayGo(Job job, Placement placement) {
+    static boolean mayBeEnded(Job job, Placement placement) {
         return !placement.stopRequested && !job.endings.containsKey(placement);
     }
 
     /** The task is to go. Nothing is sent before the narrower width is committed. */
-    void leave(Job job, Placement placement, TaskTermination ending, String why) {
-        if (job.endings.isEmpty() || staying(job) == job.record.width.target()) {
+    void scheduleEnding(Job job, Placement placement, TaskTermination ending, String why) {
+        if (job.endings.isEmpty() || retainedTaskCount(job) == job.record.width.target()) {
             narrowed++;
         }
         job.endings.put(placement, ending);
         placement.expectedGoneAtMs = ending.freedAtMs();
         WidthRecord width = job.record.width;
-        job.record.width = width.withTarget(Math.min(width.target(), staying(job)));
+        job.record.width = width.withTarget(Math.min(width.target(), retainedTaskCount(job)));
         LOG.info(
                 "{} narrows to {}: {} try {} goes, {}, {}",
                 job.id(),
@@ -210,24 +210,24 @@
     }
 
     /** Holds the job's live tasks against its width: after a resize, a take-over, and every now and then. */
-    void look(Job job) {
+    void reconcileWidth(Job job) {
         WidthRecord width = job.record.width;
         if (width == null || job.isCancelled()) {
             return;
         }
-        int surplus = staying(job) - width.target();
+        int surplus = retainedTaskCount(job) - width.target();
         if (surplus > 0) {
             TaskTermination.CapacityNeed need =
                     new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
             List<Placement> live = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
-                if (mayGo(job, placement)) {
+                if (mayBeEnded(job, placement)) {
                     live.add(placement);
                 }
             }
             for (SurplusTaskSelector.Candidate<Placement> c :
-                    SurplusTaskSelector.select(live, surplus, p -> ending(job, p, need))) {
-                leave(job, c.task(), c.termination(), "its width is " + width.target());
+                    SurplusTaskSelector.select(live, surplus, p -> chooseEnding(job, p, need))) {
+                scheduleEnding(job, c.task(), c.termination(), "its width is " + width.target());
             }
         }
         carryOut(job);
@@ -250,7 +250,7 @@
                 // It runs longer than expected: where it can save, it does so now.
                 TaskTermination.CapacityNeed need =
                         new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
-                TaskTermination again = ending(job, placement, need);
+                TaskTermination again = chooseEnding(job, placement, need);
                 job.endings.put(placement, again);
                 placement.expectedGoneAtMs = again.freedAtMs();
             } else {
@@ -273,9 +273,9 @@
         return count;
     }
 
-    void tick() {
+    void reconcileAllWidths() {
         for (Job j : clusterState.jobs()) {
-            look(j);
+            reconcileWidth(j);
         }
     }
 
@@ -290,7 +290,7 @@
     }
 
     /** Why nothing of the job may start, or null. */
-    static String held(Job job) {
+    static String pauseReason(Job job) {
         return job.record.width != null && job.record.width.isPaused() ? "paused: its width is 0" : null;
     }
 }
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -37,8 +37,8 @@
             Predicate<Machine> serves) {
         for (Machine machine : clusterState.machines()) {
             MachineType type =
-                    admission.usable(machine) && serves.test(machine) ? machineTypes.get(machine.type) : null;
-            Admission.FreeResources room = type == null ? null : admission.free(machine, type);
+                    admission.isUsable(machine) && serves.test(machine) ? machineTypes.get(machine.type) : null;
+            Admission.FreeResources room = type == null ? null : admission.freeResources(machine, type);
             if (room != null && room.cpus() > 0) {
                 all.add(new Free(machine, type, room));
             }
@@ -46,7 +46,7 @@
     }
 
     /** A machine with a place for such a task, which is taken from then on; null: there is none. What must lie together or apart has none. */
-    Machine take(JobSpec spec) {
+    Machine allocate(JobSpec spec) {
         if (spec.isGang() || spec.sameZone() || spec.antiAffinity()) {
             return null;
         }
@@ -55,7 +55,7 @@
         for (int i = tried.getOrDefault(shape, 0); i < all.size(); i++) {
             Free free = all.get(i);
             Admission.FreeResources left = free.room.plus(spec, -1);
-            if (left.enough() && spec.mayRunOn(free.type, free.machine.zone, free.machine.spot)) {
+            if (left.isNonNegative() && spec.mayRunOn(free.type, free.machine.zone, free.machine.spot)) {
                 free.room = left;
                 tried.put(shape, i);
                 return free.machine;
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -57,12 +57,12 @@
     }
 
     /** Sets the source of release order and due times; until it is set, jobs are ordered as if there were no releases. */
-    void releases(ReleaseController releaseController) {
+    void setReleases(ReleaseController releaseController) {
         releases = releaseController;
     }
 
     /** Returns the job's position, by its release, among jobs of the same rank. */
-    long shipKey(Job job) {
+    long releaseOrderKey(Job job) {
         return releases == null ? ShipOrder.NONE : releases.key(job);
     }
 
@@ -70,7 +70,7 @@
      * Returns the latest time at which the job's waiting tasks should begin to meet the earliest objective that can still be
      * met. A job of which nothing has begun should also begin within the starvation limit, the largest jobs included.
      */
-    long latestStart(Job job) {
+    long latestStartMs(Job job) {
         long latest = latestStartByObjective(job);
         Long dueWallMs = releases == null ? null : releases.dueMs(job);
         if (dueWallMs != null) {
@@ -120,8 +120,8 @@
     }
 
     /** Returns whether the job has a release or an objective that can still be met. */
-    boolean objectiveOpen(Job job) {
-        return shipKey(job) != ShipOrder.NONE
+    boolean hasOpenObjective(Job job) {
+        return releaseOrderKey(job) != ShipOrder.NONE
                 || latestStartByObjective(job)
                         < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
     }
@@ -146,7 +146,7 @@
     }
 
     /** Returns the earliest completion time that the job can still meet, or null if all are missed or there is none. */
-    Long earliestOpenDueMs(Job job) {
+    Long earliestAchievableDueMs(Job job) {
         long earliestEndMs = context.now().ms() + estimates.expectedMs(job.spec()) - ESTIMATE_TOLERANCE_MS;
         Long first = null;
         for (long within : completionLimitsMs(job.spec())) {
@@ -185,11 +185,11 @@
      * finish none, the newest first; so the start that still allows completion in time counts instead.
      */
     private long startBy(Job job) {
-        Long due = overloaded ? earliestOpenDueMs(job) : null;
-        return due == null ? latestStart(job) : due - estimates.expectedMs(job.spec());
+        Long due = overloaded ? earliestAchievableDueMs(job) : null;
+        return due == null ? latestStartMs(job) : due - estimates.expectedMs(job.spec());
     }
 
-    /** Sets whether the cluster is overloaded, which changes how {@link #byObjective} orders jobs. */
+    /** Sets whether the cluster is overloaded, which changes how {@link #waitingJobsByObjective} orders jobs. */
     void setOverloaded(boolean newValue) {
         overloaded = newValue;
     }
@@ -198,11 +198,11 @@
      * Returns how long the job may wait for a machine at the lowest price. A job of a release doesn't wait: a job of a later
      * release would begin in its place.
      */
-    long patience(Job job) {
-        return shipKey(job) != ShipOrder.NONE
+    long patienceMs(Job job) {
+        return releaseOrderKey(job) != ShipOrder.NONE
                 ? 0
                 : Math.round(policy.patience()
-                        * Math.max(0, latestStart(job) - context.now().ms()));
+                        * Math.max(0, latestStartMs(job) - context.now().ms()));
     }
 
     /** Marks, in order of submission, the jobs that fit their team's quota together with the team's earlier jobs. */
@@ -223,13 +223,13 @@
     }
 
     /** Returns the waiting jobs by rank (priority, then quota), then release order, then the time by which they should begin. */
-    List<Job> byObjective() {
+    List<Job> waitingJobsByObjective() {
         record Ranked(Job job, long shipKey, long startByMs) {}
         markWithinQuota();
         List<Ranked> ranked = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled() && job.keySetHold == null && job.record.waitingCount() > 0) {
-                ranked.add(new Ranked(job, shipKey(job), startBy(job)));
+                ranked.add(new Ranked(job, releaseOrderKey(job), startBy(job)));
             }
         }
         ranked.sort(Comparator.comparingInt((Ranked r) -> rank(r.job))
@@ -268,11 +268,11 @@
         if (job.shed) {
             return SHED_RANK;
         }
-        return usualRank(job);
+        return baseRank(job);
     }
 
     /** Returns the rank by priority and quota alone, whether or not the job is prioritized or shed. */
-    static int usualRank(Job job) {
+    static int baseRank(Job job) {
         return 2 * job.spec().priority().ordinal() + (job.withinGuarantee ? 0 : 1);
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobProgress.java
+++ b/src/main/java/org/beechhoist/controller/JobProgress.java
@@ -32,7 +32,7 @@
     /** What this node, leading, told last. */
     private final Map<JobId, JobCount> told = new LinkedHashMap<>();
 
-    void heard(PeerState state, MonotonicTime now) {
+    void updateFromLeader(PeerState state, MonotonicTime now) {
         if (state.leading() && state.fencingToken().compareTo(fencingToken) >= 0) {
             fencingToken = state.fencingToken();
             heardAt = now;
@@ -41,12 +41,12 @@
     }
 
     /** The counts of an open job, or null where they are not known. */
-    JobCount of(JobId jobId, MonotonicTime now) {
+    JobCount latestCount(JobId jobId, MonotonicTime now) {
         return heardAt != MonotonicTime.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(jobId) : null;
     }
 
     /** What a leader tells the others now. */
-    List<JobCount> toTell(ClusterState clusterState) {
+    List<JobCount> countsToPublish(ClusterState clusterState) {
         List<JobCount> out = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             JobCount now = count(job);
@@ -80,7 +80,7 @@
     }
 
     /** Leadership has ended. */
-    void forgetTold() {
+    void clearPublished() {
         told.clear();
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobReader.java
+++ b/src/main/java/org/beechhoist/controller/JobReader.java
@@ -61,7 +61,7 @@
     void read(JobId jobId, boolean allowed, Consumer<StoredJob> then) {
         JsonNode finalState = ended.get(jobId);
         if (finalState != null) {
-            then.accept(new StoredJob(JobStates.endedState(jobId, finalState), null));
+            then.accept(new StoredJob(JobResponses.endedStatus(jobId, finalState), null));
             return;
         }
         if (!allowed || cutOff.getAsBoolean()) {
@@ -80,9 +80,10 @@
             then.accept(null);
         } else if (open.item() != null && JobRecord.isFinalState(open.item().value())) {
             ended.put(jobId, open.item().value());
-            then.accept(new StoredJob(JobStates.endedState(jobId, open.item().value()), null));
+            then.accept(
+                    new StoredJob(JobResponses.endedStatus(jobId, open.item().value()), null));
         } else if (open.item() != null) {
-            then.accept(new StoredJob(JobStates.openState(jobId, open.item().value()), open.item()));
+            then.accept(new StoredJob(JobResponses.openStatus(jobId, open.item().value()), open.item()));
         } else {
             requests.takeOrOverdraw(context.now(), 1);
             store.get(JobRecord.endedKey(jobId), end -> {
@@ -92,8 +93,8 @@
                     then.accept(new StoredJob(null, null));
                 } else {
                     ended.put(jobId, end.item().value());
-                    then.accept(
-                            new StoredJob(JobStates.endedState(jobId, end.item().value()), null));
+                    then.accept(new StoredJob(
+                            JobResponses.endedStatus(jobId, end.item().value()), null));
                 }
             });
         }
--- a/src/main/java/org/beechhoist/controller/JobStates.java
+++ b/src/main/java/org/beechhoist/controller/JobResponses.java
@@ -6,19 +6,19 @@
 import org.beechhoist.wire.JobId;
 
 /** What users are told of a job, by what the state service holds of it. */
-final class JobStates {
-    private JobStates() {}
+final class JobResponses {
+    private JobResponses() {}
 
-    static ObjectNode reason(String text) {
+    static ObjectNode error(String text) {
         return Codec.map().put("error", text);
     }
 
-    static ObjectNode state(JobId jobId, String status) {
+    static ObjectNode status(JobId jobId, String status) {
         return Codec.map().put("ref", jobId.text()).put("status", status);
     }
 
-    static ObjectNode endedState(JobId jobId, JsonNode value) {
-        ObjectNode node = state(jobId, value.path("status").asText())
+    static ObjectNode endedStatus(JobId jobId, JsonNode value) {
+        ObjectNode node = status(jobId, value.path("status").asText())
                 .put("done", value.path("done").asInt())
                 .put("running", 0);
         if (value.hasNonNull("origin")) {
@@ -27,7 +27,7 @@
         return node;
     }
 
-    static ObjectNode openState(JobId jobId, JsonNode value) {
+    static ObjectNode openStatus(JobId jobId, JsonNode value) {
         int done = value.path("doneCount").asInt();
         JsonNode runs = value.path("doneCount").isMissingNode() ? value.path("done") : Codec.list(); // an older record
         for (int i = 0; i + 1 < runs.size(); i += 2) {
@@ -35,7 +35,7 @@
         }
         int running = value.path("running").asInt();
         String status = value.path("cancel").asLong() > 0 ? "cancelled" : running > 0 ? "running" : "queued";
-        ObjectNode node = state(jobId, status).put("done", done).put("running", running);
+        ObjectNode node = status(jobId, status).put("done", done).put("running", running);
         if (value.path("spec").hasNonNull("origin")) {
             node.put("origin", value.get("spec").get("origin").asText());
         }
--- a/src/main/java/org/beechhoist/controller/JobStatusDetails.java
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -32,7 +32,7 @@
         Leader leader = activeLeader.get().orElse(null);
         Job job = leader == null ? null : leader.clusterState().job(jobId);
         if (job == null) {
-            OperatorViews.counted(progress.of(jobId, context.now()), state);
+            OperatorViews.counted(progress.latestCount(jobId, context.now()), state);
             return;
         }
         OperatorViews.counted(JobProgress.count(job), state);
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -58,7 +58,7 @@
         workers.clusterState.reset();
         node.cancellations().reset();
         workers.coldStart.begin();
-        scheduling.planner.begin();
+        scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
         scheduling.releases.begin();
@@ -66,7 +66,7 @@
         features.drains.begin();
         workers.loader.reload();
         features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
-        features.serviceShare.ifPresent(MinimumServiceShare::begin);
+        features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
         features.schedules.ifPresent(CronController::begin);
     }
 
@@ -75,7 +75,7 @@
         features.schedules.ifPresent(CronController::end);
         workers.loader.stop();
         workers.clusterState.reset();
-        scheduling.planner.end();
+        scheduling.planner.endTerm();
     }
 
     /** Whether this node may command workers, and knows all open jobs. */
@@ -211,44 +211,44 @@
     private void runTaskComponents() {
         workers.keySetHolds.tick();
         scheduling.preemptionNotices.evictUnfinishableTasks();
-        workers.elastic.tick();
-        features.loadShedding.ifPresent(LoadShedding::tick);
+        workers.elastic.reconcileAllWidths();
+        features.loadShedding.ifPresent(LoadShedding::updateShedJobs);
         workers.clusterState.requestReplan();
-        workers.provisioner.updateMachines(scheduling.planner.current());
+        workers.provisioner.updateMachines(scheduling.planner.currentPlan());
         stalledJobs.report();
     }
 
     private void runLongTermComponents() {
         scheduling.releases.tick(scheduling.planner);
-        scheduling.migrations.updateMigrations(scheduling.planner.current());
+        scheduling.migrations.updateMigrations(scheduling.planner.currentPlan());
         features.drains.tick(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
-        features.serviceShare.ifPresent(MinimumServiceShare::tick);
+        features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
         features.schedules.ifPresent(CronController::tick);
     }
 
     /** Plans if a plan is due, commits what the input changed, and continues the plan's search. */
     void settleInput() {
-        if (mayPlan() && scheduling.planner.due()) {
+        if (mayPlan() && scheduling.planner.isPlanDue()) {
             plan();
         }
         workers.committer.commitPending();
         if (mayPlan()) {
-            scheduling.planner.searchStep();
+            scheduling.planner.runSearchStep();
         }
     }
 
     private void plan() {
         workers.keySetHolds.look();
         scheduling.releases.look();
-        Plan plan = scheduling.planner.plan();
+        Plan plan = scheduling.planner.createPlan();
         scheduling.migrations.startMovedTasks();
-        scheduling.dispatch.dispatch(plan);
+        scheduling.dispatch.placeDueTasks(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
         if (workers.coldStart.mayPreempt()) {
-            scheduling.widthReduction.run(plan, usageByTeam);
-            scheduling.preemption.run(plan, usageByTeam);
+            scheduling.widthReduction.reduceForLateJobs(plan, usageByTeam);
+            scheduling.preemption.preemptForLateJobs(plan, usageByTeam);
         }
         scheduling.planner.startPause();
     }
@@ -265,6 +265,6 @@
 
     /** When the next plan or step of the search is due. */
     MonotonicTime nextPlan() {
-        return scheduling.planner.next();
+        return scheduling.planner.nextWorkAt();
     }
 }
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -37,7 +37,7 @@
     private void jobEnded(Job job, JsonNode finalState) {
         node.users().ended(job.id(), finalState);
         workers.lossRecovery.stopTrackingJob(job.id());
-        features.serviceShare.ifPresent(share -> share.ended(job));
+        features.serviceShare.ifPresent(share -> share.recordEnded(job));
         scheduling.releases.ended(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -72,7 +72,7 @@
     }
 
     /** Says anew who is left behind; the next plan goes by it. */
-    void tick() {
+    void updateShedJobs() {
         if (context.now().ms() < next) {
             return;
         }
@@ -94,9 +94,9 @@
                     spec.machineTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
                             + "/" + spec.memGb(),
                     k -> scaleOut.mayHaveCapacityFor(spec));
-            Long due = ordering.earliestOpenDueMs(job);
+            Long due = ordering.earliestAchievableDueMs(job);
             boolean late = due == null && ordering.hasCompletionLimit(spec);
-            if (late && !more && ordering.shipKey(job) == ShipOrder.NONE) {
+            if (late && !more && ordering.releaseOrderKey(job) == ShipOrder.NONE) {
                 missed.add(job);
             }
             overloaded |= !more;
@@ -105,14 +105,14 @@
             demands.add(new Demand(
                     job.id(),
                     groups.apply(job),
-                    job.prioritized ? -1 : JobOrdering.usualRank(job),
+                    job.prioritized ? -1 : JobOrdering.baseRank(job),
                     spec.team(),
                     spec.cpus() * length * job.record.waitingCount(),
                     spec.gpus() * length * job.record.waitingCount(),
                     length,
                     due == null ? Demand.NO_DEADLINE : due,
                     late,
-                    more || begun || job.prioritized || ordering.shipKey(job) != ShipOrder.NONE));
+                    more || begun || job.prioritized || ordering.releaseOrderKey(job) != ShipOrder.NONE));
         }
         Set<JobId> now = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
         if (!now.isEmpty()) {
@@ -143,7 +143,7 @@
         Map<String, Double> busyTeams = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() && !machine.releasing ? machineTypes.get(machine.type) : null;
-            if (type == null || machine.up && !admission.usable(machine)) {
+            if (type == null || machine.up && !admission.isUsable(machine)) {
                 continue;
             }
             cpus += type.cpus();
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -121,7 +121,7 @@
     private final Admission admission;
     private final TaskEviction eviction;
     private final CommandDispatcher dispatcher;
-    private final Dispatch dispatch;
+    private final TaskPlacer dispatch;
     private final MigrationSearch search;
     private final PrefixReader prefixReader;
     private final DisruptionAccounting disruptions;
@@ -149,7 +149,7 @@
             Admission admission,
             TaskEviction eviction,
             CommandDispatcher dispatcher,
-            Dispatch dispatch,
+            TaskPlacer dispatch,
             DisruptionAccounting disruptions,
             Supplier<Budgets> budgets) {
         this.context = context;
@@ -416,7 +416,7 @@
                 }
             } else if (awaitsPlacement(entry.getKey())) {
                 Machine to = clusterState.findMachine(entry.getValue());
-                if (to == null || !admission.usable(to)) {
+                if (to == null || !admission.isUsable(to)) {
                     making.targets.remove(entry.getKey()); // its place is lost: it is planned like any other
                 } else {
                     over = false;
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -110,7 +110,7 @@
                 || job.record.waitingCount() <= hand.pendingCount.applyAsInt(job)
                 || job.notBefore.ms() > context.now().ms()
                 || context.now().since(job.submittedAt) < MIN_JOB_AGE_MS
-                || admission.overLimit(job, used)) {
+                || admission.exceedsTeamLimit(job, used)) {
             return false;
         }
         Long start = plan.plannedStart(job.id());
@@ -149,7 +149,7 @@
         Map<String, Integer> fit = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
-            if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
+            if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.isUsable(machine)) {
                 double gpus = type.gpus();
                 for (Placement placement : machine.placements.values()) {
                     Job job = clusterState.job(placement.task.job());
@@ -181,10 +181,12 @@
         List<DefragmentationSearch.MachineSnapshot> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
-            Admission.FreeResources free =
-                    type == null || type.gpus() == 0 || !admission.usable(machine) || hand.machines.contains(machine.id)
-                            ? null
-                            : admission.free(machine, type);
+            Admission.FreeResources free = type == null
+                            || type.gpus() == 0
+                            || !admission.isUsable(machine)
+                            || hand.machines.contains(machine.id)
+                    ? null
+                    : admission.freeResources(machine, type);
             if (free == null) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -84,7 +84,7 @@
     }
 
     /** A new leadership begins: what was counted before is read. */
-    void begin() {
+    void startTerm() {
         ledger.clear();
         largest.clear();
         counted.clear();
@@ -161,7 +161,7 @@
     }
 
     /** The job is over, by its tasks. */
-    void ended(Job job) {
+    void recordEnded(Job job) {
         if (known && !job.isCancelled() && counted.add(job.id())) {
             count(job, context.wallMs() <= limitWallMs(job));
         }
@@ -173,7 +173,7 @@
     }
 
     /** Counts whose time is up, decides who goes first, and stores the counts now and then. */
-    void tick() {
+    void updatePrioritizedJobs() {
         if (!known) {
             return;
         }
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -22,7 +22,7 @@
     static ObjectNode plan(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
-        Plan plan = leader.planner().current();
+        Plan plan = leader.planner().currentPlan();
         for (Job job : leader.clusterState().jobs()) {
             if (rows.size() == MAX_ROWS) {
                 break;
@@ -41,8 +41,8 @@
             if (job.record.width != null) {
                 node.set("width", job.record.width.toNode());
             }
-            if (ElasticWidths.held(job) != null) {
-                node.put("reason", ElasticWidths.held(job));
+            if (ElasticWidths.pauseReason(job) != null) {
+                node.put("reason", ElasticWidths.pauseReason(job));
             } else if (job.record.failureReason != null) {
                 node.put("reason", job.record.failureReason);
             }
@@ -51,7 +51,7 @@
                 .put(name, count));
         leader.schedules().ifPresent(schedules -> out.set("cron", schedules.counts()));
         return out.put("searchMoves", leader.planner().searchSteps())
-                .put("searchKept", leader.planner().searchKept());
+                .put("searchKept", leader.planner().searchMovesKept());
     }
 
     /** The machines with their states. */
@@ -83,7 +83,7 @@
         if (!machine.up) {
             return "booting";
         }
-        return leader.admission().usable(machine) ? "usable" : "avoided";
+        return leader.admission().isUsable(machine) ? "usable" : "avoided";
     }
 
     /** What each team with a quota uses and waits for. */
@@ -123,7 +123,7 @@
 
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
     static void promised(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
-        Plan plan = leader.planner().current();
+        Plan plan = leader.planner().currentPlan();
         Job job = leader.clusterState().job(jobId);
         if (plan == null || job == null) {
             return;
--- a/src/main/java/org/beechhoist/controller/PeerExchange.java
+++ b/src/main/java/org/beechhoist/controller/PeerExchange.java
@@ -38,13 +38,13 @@
 
     /** Once a second: sends this node's state, and the counts of jobs that have changed if it leads. */
     void publishPeriodically() {
-        publisher.publish(leader.active() ? progress.toTell(leader.clusterState()) : List.of());
+        publisher.publish(leader.active() ? progress.countsToPublish(leader.clusterState()) : List.of());
     }
 
     /** Takes up what another controller said of itself. */
     void receive(PeerState state) {
         peers.recordMessage(state, context.now());
-        progress.heard(state, context.now());
+        progress.updateFromLeader(state, context.now());
         for (CancelledJob cancelled : state.cancelledJobs()) {
             boolean isNew = cancellations.record(cancelled.job(), cancelled.wallMs());
             enforceCancellation(cancelled.job(), cancelled.wallMs(), isNew);
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -90,7 +90,7 @@
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
-                    || (!admission.usable(machine) && (machine.up || machine.releasing))
+                    || (!admission.isUsable(machine) && (machine.up || machine.releasing))
                     || coldStart.isPresumedAbsent(machine)) {
                 continue;
             }
@@ -161,17 +161,19 @@
     private void placeWaiting(Plan next, List<Job> order) {
         for (Job job : order) {
             if (expeditedTasks(job) > 0) {
-                next.place(entry(job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.sure(job))), 0));
+                next.place(entry(
+                        job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.regularWaitingCount(job))), 0));
             }
         }
         for (Job job : order) {
             if (job.spec().isGang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int unwidened =
-                    job.maxPlaceable(elastic.sure(job)) - expeditedTasks(job) - migrations.migratingTaskCount(job);
+            int unwidened = job.maxPlaceable(elastic.regularWaitingCount(job))
+                    - expeditedTasks(job)
+                    - migrations.migratingTaskCount(job);
             if (unwidened > 0) {
-                next.place(entry(job, unwidened, ordering.patience(job)));
+                next.place(entry(job, unwidened, ordering.patienceMs(job)));
             }
         }
     }
@@ -199,8 +201,8 @@
             if (job.record.width == null) {
                 continue;
             }
-            int unwidened = elastic.sure(job);
-            WidthOptions options = elastic.wish(job, unwidened, widths.get(job.id()));
+            int unwidened = elastic.regularWaitingCount(job);
+            WidthOptions options = elastic.wideningOptions(job, unwidened, widths.get(job.id()));
             if (options == null) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -46,11 +46,11 @@
     private final PlanBuilder builder;
     private MonotonicTime nextPlan = MonotonicTime.ZERO;
     private Plan plan;
-    private RandomSearch<Arrangement> search;
+    private RandomSearch<SearchCandidate> search;
     private MonotonicTime nextSearch = MonotonicTime.ZERO;
     private MonotonicTime searchEnds = MonotonicTime.ZERO;
     /** Best arrangement of the last search, applied to those of its jobs that still wait. */
-    private Arrangement preferred = Arrangement.NONE;
+    private SearchCandidate preferred = SearchCandidate.NONE;
 
     private long searchSteps;
     private long searchKept;
@@ -68,26 +68,26 @@
     }
 
     /** Forgets the search of an earlier term when a new one begins. */
-    void begin() {
+    void startTerm() {
         search = null;
-        preferred = Arrangement.NONE;
+        preferred = SearchCandidate.NONE;
     }
 
     /** Forgets the plan and the search when the term ends. */
-    void end() {
+    void endTerm() {
         search = null;
         plan = null;
     }
 
     /** Returns whether a new plan was requested and the pause after the last one is over. */
-    boolean due() {
+    boolean isPlanDue() {
         return clusterState.replanRequested() && !context.now().isBefore(nextPlan);
     }
 
     /** Makes a new plan and returns it. */
-    Plan plan() {
+    Plan createPlan() {
         clusterState.markReplanned();
-        plan = builder.build(ordered(), preferred.fixed());
+        plan = builder.build(ordered(), preferred.fixedWidths());
         return plan;
     }
 
@@ -118,13 +118,13 @@
                 : end;
     }
 
-    /** Returns whether a plan or a step of the search is to follow, at {@link #next}. */
+    /** Returns whether a plan or a step of the search is to follow, at {@link #nextWorkAt}. */
     boolean hasPendingWork() {
         return clusterState.replanRequested() || search != null;
     }
 
     /** Returns when the next plan or step of the search is to be made. */
-    MonotonicTime next() {
+    MonotonicTime nextWorkAt() {
         return search != null ? context.now().plusMs(1) : nextPlan;
     }
 
@@ -134,12 +134,12 @@
     }
 
     /** Returns the number of moves that the searches that have ended kept. */
-    long searchKept() {
+    long searchMovesKept() {
         return searchKept;
     }
 
     /** Makes one step of the periodic search if it is time for one; other inputs are processed between steps. */
-    void searchStep() {
+    void runSearchStep() {
         if (search == null) {
             if (context.now().isBefore(nextSearch) || policy.searchIterations() == 0) {
                 return;
@@ -159,16 +159,16 @@
         // An open objective decides a job's order: measurements showed that searching over such jobs uses up the
         // slack that objectives need. The search orders the others by waits, slowdown and fairness.
         List<JobId> free = ordered().stream()
-                .filter(j -> !ordering.objectiveOpen(j))
+                .filter(j -> !ordering.hasOpenObjective(j))
                 .map(Job::id)
                 .toList();
-        Arrangement start = arrangement(free);
+        SearchCandidate start = arrangement(free);
         search = new RandomSearch<>(
                 start,
-                Arrangement::moved,
+                SearchCandidate::randomNeighbor,
                 this::evaluate,
                 policy.weights(),
-                start.movable() ? policy.searchIterations() : 0,
+                start.hasMoves() ? policy.searchIterations() : 0,
                 random);
     }
 
@@ -179,31 +179,32 @@
             preferred = search.best();
             clusterState.requestReplan();
             LOG.debug("search kept {} of {} moves", search.acceptedCount(), search.triedCount());
-        } else if (!preferred.fixed().isEmpty()) {
-            preferred = preferred.unfixed(); // the plan chooses the widths again
+        } else if (!preferred.fixedWidths().isEmpty()) {
+            preferred = preferred.withoutFixedWidths(); // the plan chooses the widths again
             clusterState.requestReplan();
         }
         search = null;
     }
 
     /** Returns the arrangement from which the search starts: the given jobs and the elastic jobs that may widen. */
-    private Arrangement arrangement(List<JobId> free) {
+    private SearchCandidate arrangement(List<JobId> free) {
         List<JobId> wide = new ArrayList<>();
         Map<JobId, Integer> widest = new HashMap<>();
         for (Job job : clusterState.jobs()) {
-            if (job.record.width != null && elastic.wish(job, elastic.sure(job), null) != null) {
+            if (job.record.width != null
+                    && elastic.wideningOptions(job, elastic.regularWaitingCount(job), null) != null) {
                 wide.add(job.id());
                 widest.put(
                         job.id(),
                         Math.min(job.record.width.allowed().max(), job.spec().tasks()));
             }
         }
-        return new Arrangement(free, wide, widest, Map.of());
+        return new SearchCandidate(free, wide, widest, Map.of());
     }
 
     /** Builds a plan for the arrangement and evaluates it. */
-    private Evaluation evaluate(Arrangement arrangement) {
-        List<Job> list = JobOrdering.withPreferredOrder(ordering.byObjective(), arrangement.order());
+    private Evaluation evaluate(SearchCandidate arrangement) {
+        List<Job> list = JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), arrangement.jobOrder());
         Map<JobId, Evaluation.JobTiming> facts = new HashMap<>();
         for (Job job : list) {
             facts.put(
@@ -211,7 +212,7 @@
                     new Evaluation.JobTiming(
                             job.spec().team(),
                             job.submittedAt.ms(),
-                            ordering.latestStart(job),
+                            ordering.latestStartMs(job),
                             estimates.expectedMs(job.spec())));
         }
         Map<String, Double> usage = new HashMap<>();
@@ -223,7 +224,7 @@
         for (String team : settings.teams().keySet()) {
             usage.put(team, MIN_USAGE + clusterState.teamCpuMs().getOrDefault(team, 0.0) / totalCpuMs);
         }
-        return Evaluation.of(builder.build(list, arrangement.fixed()), facts, usage);
+        return Evaluation.of(builder.build(list, arrangement.fixedWidths()), facts, usage);
     }
 
     /** Returns the pause after a plan: the larger the plan, and the later this node processes its inputs, the longer. */
@@ -232,12 +233,12 @@
     }
 
     /** Returns the newest plan, or null. */
-    Plan current() {
+    Plan currentPlan() {
         return plan;
     }
 
     /** Returns the waiting jobs by objective, with the order that the last search preferred. */
     private List<Job> ordered() {
-        return JobOrdering.withPreferredOrder(ordering.byObjective(), preferred.order());
+        return JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), preferred.jobOrder());
     }
 }
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -61,7 +61,7 @@
         this.eviction = eviction;
     }
 
-    void run(Plan plan, Map<String, double[]> used) {
+    void preemptForLateJobs(Plan plan, Map<String, double[]> used) {
         Map<JobId, List<Long>> late = new LinkedHashMap<>();
         Map<JobId, Long> bounds = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
@@ -73,7 +73,7 @@
         int jobs = 0;
         for (Map.Entry<JobId, List<Long>> entry : late.entrySet()) {
             Job job = clusterState.job(entry.getKey());
-            if (!mayAsk(job) || admission.overLimit(job, used) || jobs++ == MAX_JOBS) {
+            if (!mayAsk(job) || admission.exceedsTeamLimit(job, used) || jobs++ == MAX_JOBS) {
                 continue;
             }
             if (serve(job, entry.getValue())) {
@@ -87,7 +87,7 @@
         Job job = clusterState.job(jobId);
         return job == null || !mayAsk(job)
                 ? Long.MAX_VALUE
-                : Math.max(ordering.latestStart(job), context.now().ms() + SOON_MS);
+                : Math.max(ordering.latestStartMs(job), context.now().ms() + SOON_MS);
     }
 
     private boolean mayAsk(Job job) {
@@ -118,7 +118,7 @@
         long last = begins.stream().mapToLong(Long::longValue).max().orElse(0);
         List<Offer> offers = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (machine.placements.isEmpty() || machine.commandsInFlight > 0 || !admission.usable(machine)) {
+            if (machine.placements.isEmpty() || machine.commandsInFlight > 0 || !admission.isUsable(machine)) {
                 continue;
             }
             // Room that must first fetch the image may begin later than what is planned already. Made all the
@@ -157,9 +157,10 @@
     private Offer offer(Machine machine, Job job, int waiting, long beginsMs) {
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.FreeResources room =
-                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.freeBeside(machine, type, spec) : null;
-        if (room == null || room.enough()) {
+        Admission.FreeResources room = spec.mayRunOn(type, machine.zone, machine.spot)
+                ? admission.freeResourcesAfterPlacing(machine, type, spec)
+                : null;
+        if (room == null || room.isNonNegative()) {
             return null;
         }
         List<Placement> lower = new ArrayList<>();
@@ -173,20 +174,20 @@
         lower.sort(Comparator.comparing((Placement p) -> p.placedAt).reversed());
         List<Placement> out = new ArrayList<>();
         for (Placement placement : lower) {
-            if (room.enough()) {
+            if (room.isNonNegative()) {
                 break;
             }
             room = room.plus(clusterState.job(placement.task.job()).spec(), 1);
             out.add(placement);
         }
-        if (!room.enough()) {
+        if (!room.isNonNegative()) {
             return null;
         }
         // One large task stopped makes room for several small ones; taken for one each, a job of thirty small tasks
         // once had thirty large ones stopped.
         int tasks = 1;
         for (Admission.FreeResources more = room.plus(spec, -1);
-                tasks < waiting && more.enough();
+                tasks < waiting && more.isNonNegative();
                 more = more.plus(spec, -1)) {
             tasks++;
         }
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -336,16 +336,16 @@
         for (Job job : jobs) {
             held += job.keySetHold != null ? 1 : 0;
             longest = Math.max(longest, estimates.expectedMs(job.spec()));
-            limited |= job.record.waitingCount() > 0 && admission.overLimit(job, used);
+            limited |= job.record.waitingCount() > 0 && admission.exceedsTeamLimit(job, used);
             Long planned = job.keySetHold != null ? null : planner.plannedEnd(job);
             if (planned == null) {
                 unplanned += job.keySetHold != null
                         ? 0
                         : Math.max(
                                 1,
-                                planner.current() == null
+                                planner.currentPlan() == null
                                         ? job.record.waitingCount()
-                                        : planner.current().unplacedCount(job.id()));
+                                        : planner.currentPlan().unplacedCount(job.id()));
             }
         }
         long said = plannedEnd(jobs, planner);
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -23,7 +23,7 @@
     private static final int MOST_RACES = 6;
 
     /** Reads a job; hands over null where nothing could be learnt. */
-    interface Reader {
+    interface StoredJobReader {
         void read(JobId jobId, Consumer<JobReader.StoredJob> then);
     }
 
@@ -32,7 +32,7 @@
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final Policy policy;
-    private final Reader reader;
+    private final StoredJobReader reader;
     private final LongConsumer refuse;
 
     ResizeHandler(
@@ -41,7 +41,7 @@
             TokenBucket requests,
             TokenBucket writes,
             Policy policy,
-            Reader reader,
+            StoredJobReader reader,
             LongConsumer refuse) {
         this.context = context;
         this.store = store;
@@ -58,14 +58,14 @@
         try {
             resize = ResizeRequest.parse(Codec.decodeMap(body));
         } catch (MalformedMessageException e) {
-            context.respond(request, 400, JobStates.reason(e.getMessage()));
+            context.respond(request, 400, JobResponses.error(e.getMessage()));
             return;
         }
         if (!policy.elastic().on()) {
             context.respond(
                     request,
                     409,
-                    JobStates.reason(
+                    JobResponses.error(
                             "width: elastic jobs are off; a script that sets elastic = true switches them on"));
             return;
         }
@@ -79,7 +79,7 @@
                 return;
             }
             if (found.status() == null) {
-                context.respond(request, 404, JobStates.reason("no such job"));
+                context.respond(request, 404, JobResponses.error("no such job"));
                 return;
             }
             try {
@@ -90,7 +90,7 @@
                         ? "the job is " + found.status().get("status").asText()
                         : record.spec.isGang() ? "width: a gang's tasks start together" : older(record, resize);
                 if (never != null) {
-                    context.respond(request, 409, JobStates.reason(never));
+                    context.respond(request, 409, JobResponses.error(never));
                 } else if (record.width != null
                         && resize.number() != null
                         && resize.number() == record.width.number()) {
@@ -131,7 +131,7 @@
         String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             switch (commit.outcome()) {
-                case COMMITTED -> context.respond(request, 200, JobStates.openState(jobId, value));
+                case COMMITTED -> context.respond(request, 200, JobResponses.openStatus(jobId, value));
                 case CONFLICT -> resize(request, jobId, resize, races + 1);
                 default -> refuse.accept(request);
             }
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -85,7 +85,7 @@
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = ReplacementSteps.stopReason(health(progress, planner.current()));
+        String stops = ReplacementSteps.stopReason(health(progress, planner.currentPlan()));
         if (stops != null) {
             if (progress.paused == null) {
                 LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
@@ -151,7 +151,7 @@
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
                 Job j = clusterState.job(reservation.job());
-                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
+                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStartMs(j)
                         ? 1
                         : 0;
             }
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -239,14 +239,14 @@
             // other
         }
         double share = policy.patience()
-                * Math.max(0, jobOrdering.latestStart(job) - context.now().ms());
+                * Math.max(0, jobOrdering.latestStartMs(job) - context.now().ms());
         return Math.max(MIN_TOLERATED_DELAY_MS, Math.min(MAX_TOLERATED_DELAY_MS, Math.round(share)));
     }
 
     /** Requests spot machines for an earlier start, and ordinary ones only where the latest start would be missed. */
     private void requestMachines(Job job, List<Long> begins, List<MachineOffer> all, List<MachineCapacity> spaces) {
         JobSpec spec = job.spec();
-        long latest = jobOrdering.latestStart(job);
+        long latest = jobOrdering.latestStartMs(job);
         int tried = 0; // a space too small for one of the job's tasks is too small for the next
         for (long begin : begins) {
             boolean fitted = false;
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -16,7 +16,7 @@
 final class SchedulingComponents {
     final Admission admission;
     final ReleaseController releases;
-    final Dispatch dispatch;
+    final TaskPlacer dispatch;
     final MigrationController migrations;
     final PreemptionNoticeHandler preemptionNotices;
     final Planner planner;
@@ -44,8 +44,8 @@
         Settings settings = services.settings();
         admission = new Admission(context, settings, machineTypes, workers.clusterState, workers.faultTracker);
         releases = createReleases();
-        workers.jobOrdering.releases(releases);
-        dispatch = new Dispatch(
+        workers.jobOrdering.setReleases(releases);
+        dispatch = new TaskPlacer(
                 context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
         migrations = createMigrations();
         connectMigrations();
--- /dev/null
+++ b/src/main/java/org/beechhoist/controller/SearchCandidate.java
@@ -0,0 +1,42 @@
+package org.beechhoist.controller;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import org.beechhoist.plan.RandomSearch;
+import org.beechhoist.wire.JobId;
+
+/**
+ * What the search moves: the order of jobs that no objective speaks for, and the widths of elastic ones. A width that
+ * is not {@code fixed} is weighed by the plan itself.
+ *
+ * @param maxWidths the elastic jobs and how wide each may be
+ */
+record SearchCandidate(
+        List<JobId> jobOrder, List<JobId> elastic, Map<JobId, Integer> maxWidths, Map<JobId, Integer> fixedWidths) {
+    static final SearchCandidate NONE = new SearchCandidate(List.of(), List.of(), Map.of(), Map.of());
+
+    /** Whether there is anything to move. */
+    boolean hasMoves() {
+        return jobOrder.size() >= 2 || !elastic.isEmpty();
+    }
+
+    SearchCandidate withoutFixedWidths() {
+        return new SearchCandidate(jobOrder, elastic, maxWidths, Map.of());
+    }
+
+    /** A random job to a random place, or a random elastic job to a random width. */
+    SearchCandidate randomNeighbor(SplittableRandom random) {
+        int places = jobOrder.size() < 2 ? 0 : jobOrder.size();
+        int index = random.nextInt(places + elastic.size());
+        if (index < places) {
+            return new SearchCandidate(
+                    RandomSearch.withRandomPosition(jobOrder, index, random), elastic, maxWidths, fixedWidths);
+        }
+        JobId job = elastic.get(index - places);
+        Map<JobId, Integer> widths = new HashMap<>(fixedWidths);
+        widths.put(job, random.nextInt(maxWidths.get(job) + 1));
+        return new SearchCandidate(jobOrder, elastic, maxWidths, widths);
+    }
+}
--- a/src/main/java/org/beechhoist/controller/StalledJobReporter.java
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -28,7 +28,7 @@
     /** Logs each job without progress; a service whose guaranteed replicas all run needs none. */
     void report() {
         for (Job job : clusterState.jobs()) {
-            boolean serves = job.spec().isService() && elastic.sure(job) == 0;
+            boolean serves = job.spec().isService() && elastic.regularWaitingCount(job) == 0;
             if (!serves && context.now().since(job.lastProgressAt) > STALLED_MS) {
                 job.lastProgressAt = context.now();
                 LOG.warn(
@@ -45,13 +45,13 @@
         if (job.keySetHold != null) {
             return "held: " + job.keySetHold.why();
         }
-        if (ElasticWidths.held(job) != null) {
-            return ElasticWidths.held(job);
+        if (ElasticWidths.pauseReason(job) != null) {
+            return ElasticWidths.pauseReason(job);
         }
         if (job.record.failureReason != null) {
             return job.record.failureReason;
         }
-        Plan plan = planner.current();
+        Plan plan = planner.currentPlan();
         Long start = plan == null ? null : plan.plannedStart(job.id());
         if (start == null) {
             return "no place in the plan";
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -47,13 +47,13 @@
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final AdmissionRules rules;
+    private final SubmissionRules rules;
     private final JobReader reader;
     private final ConditionalStatusReads reads;
     private final IdempotencyKeys idempotencyKeys;
     private final BooleanSupplier leaderWrites;
     private final Refusal refusal;
-    private final TeamRoundRobin teamTurns = new TeamRoundRobin();
+    private final TeamFairShareLimiter teamTurns = new TeamFairShareLimiter();
     /**
      * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
      * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
@@ -67,7 +67,7 @@
     SubmissionHandler(
             StateServiceAccess access,
             Policy policy,
-            AdmissionRules rules,
+            SubmissionRules rules,
             JobReads jobReads,
             IdempotencyKeys idempotencyKeys,
             BooleanSupplier leaderWrites,
@@ -110,12 +110,12 @@
             spec = policy.releases() ? spec : spec.withoutRelease();
             spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
         } catch (MalformedMessageException e) {
-            context.respond(request, 400, JobStates.reason(e.getMessage()));
+            context.respond(request, 400, JobResponses.error(e.getMessage()));
             return;
         }
         JsonNode finalState = reader.cachedEnded(spec.id());
         if (finalState != null) {
-            context.respond(request, 200, JobStates.endedState(spec.id(), finalState));
+            context.respond(request, 200, JobResponses.endedStatus(spec.id(), finalState));
             return;
         }
         if (reader.isCutOff()) {
@@ -123,16 +123,16 @@
             return;
         }
         if (!rules.areMachineTypesLoaded()) {
-            refusal.refuse(request, AdmissionRules.MACHINE_TYPES_UNKNOWN);
+            refusal.refuse(request, SubmissionRules.MACHINE_TYPES_UNKNOWN);
             return;
         }
         enter(request, spec);
     }
 
     private void enter(long request, JobSpec spec) {
-        KeySets.Binding binding = rules.binding(spec);
+        KeySets.Binding binding = rules.keySetBinding(spec);
         if (binding == null) {
-            refusal.refuse(request, AdmissionRules.KEY_SETS_UNKNOWN);
+            refusal.refuse(request, SubmissionRules.KEY_SETS_UNKNOWN);
             return;
         }
         String permanent = rules.permanentRefusal(spec) == null ? binding.refusal() : rules.permanentRefusal(spec);
@@ -142,7 +142,7 @@
                 if (found == null) {
                     refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
                 } else if (found.status() == null) {
-                    context.respond(request, 422, JobStates.reason(permanent));
+                    context.respond(request, 422, JobResponses.error(permanent));
                 } else {
                     context.respond(request, 200, found.status());
                 }
@@ -153,13 +153,13 @@
             refusal.refuse(request, QUEUE_FULL);
             return;
         }
-        if (!teamTurns.may(
+        if (!teamTurns.allows(
                 spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
             writes.recordMissed(1);
             refusal.refuse(request, WRITES_USED_UP);
             return;
         }
-        teamTurns.given(spec.team(), context.now());
+        teamTurns.recordAccepted(spec.team(), context.now());
         queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
         flush();
     }
@@ -221,8 +221,8 @@
         reads.remember(
                 jobId,
                 commit.revision(),
-                JobStates.openState(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
-        context.respond(submission.request, 201, JobStates.state(jobId, "queued"));
+                JobResponses.openStatus(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
+        context.respond(submission.request, 201, JobResponses.status(jobId, "queued"));
     }
 
     private void resolveConflict(Submission submission, CommitResult commit) {
--- a/src/main/java/org/beechhoist/controller/AdmissionRules.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionRules.java
@@ -6,7 +6,7 @@
 import org.beechhoist.wire.JobSpec;
 
 /** Decides whether a job may be submitted, and binds it to a version of its key set. */
-final class AdmissionRules {
+final class SubmissionRules {
     /** The refusal of every job until the machine types have been read. */
     static final String MACHINE_TYPES_UNKNOWN = "the machine types are not known yet";
 
@@ -22,14 +22,14 @@
     /** Null where key sets are off. */
     private final KeySetRegistry keySets;
 
-    AdmissionRules(Settings settings, MachineTypeCatalog machineTypes, KeySetRegistry keySets) {
+    SubmissionRules(Settings settings, MachineTypeCatalog machineTypes, KeySetRegistry keySets) {
         this.settings = settings;
         this.machineTypes = machineTypes;
         this.keySets = keySets;
     }
 
     /** Whether a refusal ends by itself, once this node has read what it needs. */
-    static boolean isTemporary(String refusal) {
+    static boolean isTemporaryRefusal(String refusal) {
         return MACHINE_TYPES_UNKNOWN.equals(refusal) || KEY_SETS_UNKNOWN.equals(refusal);
     }
 
@@ -43,9 +43,9 @@
         return keySets;
     }
 
-    /** Why a job of a schedule can't be submitted, temporarily ({@link #isTemporary}) or for ever; null if it can. */
+    /** Why a job of a schedule can't be submitted, temporarily ({@link #isTemporaryRefusal}) or for ever; null if it can. */
     String refusal(JobSpec spec) {
-        KeySets.Binding binding = binding(spec);
+        KeySets.Binding binding = keySetBinding(spec);
         if (!machineTypes.isLoaded()) {
             return MACHINE_TYPES_UNKNOWN;
         }
@@ -56,12 +56,12 @@
     }
 
     /** A job that was not refused, bound to its key set if it needs one. */
-    JobSpec bound(JobSpec spec) {
-        return spec.withKeySetBinding(binding(spec).keySetBinding());
+    JobSpec bindToKeySet(JobSpec spec) {
+        return spec.withKeySetBinding(keySetBinding(spec).keySetBinding());
     }
 
     /** The version of its key set that a job would be bound to, or null while the key sets are not read. */
-    KeySets.Binding binding(JobSpec spec) {
+    KeySets.Binding keySetBinding(JobSpec spec) {
         return keySets == null ? UNBOUND : keySets.bind(spec);
     }
 
--- a/src/main/java/org/beechhoist/controller/Dispatch.java
+++ b/src/main/java/org/beechhoist/controller/TaskPlacer.java
@@ -15,7 +15,7 @@
 import org.beechhoist.wire.TaskId;
 
 /** Starts the tasks that a plan has due. */
-final class Dispatch {
+final class TaskPlacer {
     private final ControllerContext context;
     private final ClusterState clusterState;
     private final Admission admission;
@@ -23,7 +23,7 @@
     private final ElasticWidths elastic;
     private final MachineTypeCatalog machineTypes;
 
-    Dispatch(
+    TaskPlacer(
             ControllerContext context,
             ClusterState clusterState,
             Admission admission,
@@ -39,7 +39,7 @@
     }
 
     /** Places the tasks that the plan starts now: recorded in the cluster state first, launched once that is committed. */
-    void dispatch(Plan next) {
+    void placeDueTasks(Plan next) {
         Map<JobId, Integer> due = dueTasks(next);
         Run run = new Run(due);
         for (Plan.Reservation reservation : next.reservations()) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** What one call of {@link #dispatch} has to remember from one reservation to the next. */
+    /** What one call of {@link #placeDueTasks} has to remember from one reservation to the next. */
     private static final class Run {
         private final Map<JobId, ArrayDeque<Integer>> waiting = new HashMap<>();
         private final Map<JobId, Long> attempts = new HashMap<>();
@@ -88,8 +88,8 @@
         if (run.used == null) {
             run.used = clusterState.teamResourceUsage();
         }
-        if (!admission.admissible(job, machine, run.used)
-                || ElasticWidths.mayPlace(job) <= 0
+        if (!admission.admits(job, machine, run.used)
+                || ElasticWidths.remainingWidth(job) <= 0
                 || (reservation.beyondGuarantee() && !admission.mayWiden(machine))) {
             return;
         }
@@ -111,7 +111,7 @@
 
     /** Places one task on the machine if admission allows it now, whatever the plan says; returns whether it did. */
     boolean place(Job job, int index, Machine machine) {
-        if (job.spec().isGang() || !admission.admissible(job, machine, clusterState.teamResourceUsage())) {
+        if (job.spec().isGang() || !admission.admits(job, machine, clusterState.teamResourceUsage())) {
             return false;
         }
         recordPlacement(
@@ -134,7 +134,7 @@
         job.record.live.put(id.index(), placement);
         machine.placements.put(id, placement);
         job.uncommittedPlacements++;
-        elastic.placed(job);
+        elastic.recordPlaced(job);
         machine.idleSince = null;
         clusterState.markDirty(job);
     }
--- a/src/main/java/org/beechhoist/controller/TeamRoundRobin.java
+++ b/src/main/java/org/beechhoist/controller/TeamFairShareLimiter.java
@@ -9,7 +9,7 @@
  * what this node accepted must leave the second half of the node's budget to the others: thousands of tiny jobs of one team once
  * had seven of ten submissions of all others refused.
  */
-final class TeamRoundRobin {
+final class TeamFairShareLimiter {
     /** After this long what a team was given counts for a third. */
     private static final double FADES_MS = 5000;
     /** Less of a team than this within that time: it asks for nothing now. */
@@ -23,7 +23,7 @@
     private MonotonicTime faded = MonotonicTime.ZERO;
 
     /** Whether the team's next submission may be taken with so much of the budget left. */
-    boolean may(String team, double available, double most, MonotonicTime now) {
+    boolean allows(String team, double available, double most, MonotonicTime now) {
         fade(now);
         if (available >= KEPT * most) {
             return true;
@@ -33,7 +33,7 @@
         return given.getOrDefault(team, 0.0) <= TOLERANCE * all / teams;
     }
 
-    void given(String team, MonotonicTime now) {
+    void recordAccepted(String team, MonotonicTime now) {
         fade(now);
         given.merge(team, 1.0, Double::sum);
     }
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -43,7 +43,7 @@
     private final JobReader reader;
     private final ConditionalStatusReads reads;
     private final SharedRecordReads openReads;
-    private final AdmissionRules rules;
+    private final SubmissionRules rules;
     private final SubmissionHandler submissions;
     private final ResizeHandler resizing;
 
@@ -81,7 +81,7 @@
                 context, store, requests, writes, policy, this::readIfAllowed, id -> refuse(id, STORE_UNAVAILABLE));
         this.reads = new ConditionalStatusReads(context, store, requests, settings);
         this.openReads = new SharedRecordReads(context, store, requests, settings);
-        this.rules = new AdmissionRules(settings, machineTypes, keySets);
+        this.rules = new SubmissionRules(settings, machineTypes, keySets);
         this.submissions = new SubmissionHandler(
                 new StateServiceAccess(context, settings, store, requests, writes),
                 policy,
@@ -100,7 +100,7 @@
 
     private void refuse(long request, String why) {
         LOG.debug("request refused: request={} reason=\"{}\"", request, why);
-        context.respond(request, 503, JobStates.reason(why));
+        context.respond(request, 503, JobResponses.error(why));
     }
 
     /** Submits a job, or answers why not. */
@@ -108,14 +108,14 @@
         submissions.submit(request, body);
     }
 
-    /** Why a job of a schedule can't be submitted, temporarily ({@link AdmissionRules#isTemporary}) or for ever; or null. */
+    /** Why a job of a schedule can't be submitted, temporarily ({@link SubmissionRules#isTemporaryRefusal}) or for ever; or null. */
     String refusal(JobSpec spec) {
         return rules.refusal(spec);
     }
 
     /** A job that was not refused, bound to its key set if it needs one. */
     JobSpec bound(JobSpec spec) {
-        return rules.bound(spec);
+        return rules.bindToKeySet(spec);
     }
 
     private void readIfAllowed(JobId jobId, Consumer<JobReader.StoredJob> then) {
@@ -152,7 +152,7 @@
     private void answerPoll(long request, JobId jobId, StoreClient.ReadResult open) {
         JsonNode finalState = reader.cachedEnded(jobId);
         if (finalState != null) {
-            answerStatus(request, jobId, new JobReader.StoredJob(JobStates.endedState(jobId, finalState), null));
+            answerStatus(request, jobId, new JobReader.StoredJob(JobResponses.endedStatus(jobId, finalState), null));
         } else {
             reader.interpret(jobId, open, found -> answerStatus(request, jobId, found));
         }
@@ -162,7 +162,7 @@
         if (found == null) {
             refuse(request, STORE_UNAVAILABLE);
         } else if (found.status() == null) {
-            context.respond(request, 404, JobStates.reason("no such job"));
+            context.respond(request, 404, JobResponses.error("no such job"));
         } else {
             if (found.open() != null) {
                 reads.remember(jobId, found.open().version(), (ObjectNode) found.status());
@@ -178,12 +178,12 @@
             if (found == null || races > MAX_RACES) {
                 refuse(request, STORE_UNAVAILABLE);
             } else if (found.status() == null) {
-                context.respond(request, 404, JobStates.reason("no such job"));
+                context.respond(request, 404, JobResponses.error("no such job"));
             } else if (found.open() == null) {
                 context.respond(
                         request,
                         200,
-                        JobStates.state(jobId, found.status().get("status").asText()));
+                        JobResponses.status(jobId, found.status().get("status").asText()));
             } else if (found.open().value().path("cancel").asLong() > 0) {
                 confirmed.accept(jobId, found.open().value().path("cancel").asLong());
                 answerCancelled(request, jobId);
@@ -233,7 +233,7 @@
 
     private void answerCancelled(long request, JobId jobId) {
         acknowledgements.awaitAcknowledgement(
-                jobId, () -> context.respond(request, 200, JobStates.state(jobId, "cancelled")));
+                jobId, () -> context.respond(request, 200, JobResponses.status(jobId, "cancelled")));
     }
 
     /** Changes what width a job's user allows it; the leader follows. */
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -79,7 +79,7 @@
         this.elastic = elastic;
     }
 
-    void run(Plan plan, Map<String, double[]> used) {
+    void reduceForLateJobs(Plan plan, Map<String, double[]> used) {
         List<Job> givers = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (spare(job) > 0) {
@@ -101,7 +101,7 @@
             if (asked++ == MAX_JOBS) {
                 return;
             }
-            if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
+            if (serve(job, entry.getValue(), mine, admission.exceedsTeamLimit(job, used))) {
                 job.nextWidthReductionAt = context.now().plusMs(PAUSE_MS);
                 scaleOut.ignorePlansUntil(context.now());
             }
@@ -112,7 +112,8 @@
     private static int spare(Job job) {
         return job.record.width == null || job.spec().isService() || job.isCancelled()
                 ? 0
-                : ElasticWidths.staying(job) - job.record.width.allowed().min();
+                : ElasticWidths.retainedTaskCount(job)
+                        - job.record.width.allowed().min();
     }
 
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
@@ -120,7 +121,7 @@
         boolean guaranteed =
                 to.withinGuarantee && !to.spec().team().equals(giver.spec().team());
         boolean asUrgent = to.spec().priority().compareTo(giver.spec().priority()) <= 0;
-        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.objectiveOpen(to));
+        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.hasOpenObjective(to));
     }
 
     /** Which jobs begin later than they should, or late enough for a machine to be rented. */
@@ -148,10 +149,11 @@
     /** Work may be thrown away for what is promised, not to save a rental. */
     private boolean atStake(Job job, long begin) {
         return job.withinGuarantee
-                || (ordering.objectiveOpen(job)
+                || (ordering.hasOpenObjective(job)
                         && begin
                                 > Math.max(
-                                        ordering.latestStart(job), context.now().ms() + SOON_MS));
+                                        ordering.latestStartMs(job),
+                                        context.now().ms() + SOON_MS));
     }
 
     private long bound(Job job) {
@@ -165,21 +167,21 @@
             return Long.MAX_VALUE;
         }
         long now = context.now().ms();
-        long bound = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStart(job), now));
+        long bound = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStartMs(job), now));
         return Math.max(now + SOON_MS, job.withinGuarantee ? Math.min(bound, now + SOON_MS) : bound);
     }
 
     private long neededBy(Job job) {
         long now = context.now().ms();
-        long latest = ordering.latestStart(job);
-        return ordering.objectiveOpen(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
+        long latest = ordering.latestStartMs(job);
+        return ordering.hasOpenObjective(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
     }
 
     private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         List<Offer> offers = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (!machine.placements.isEmpty() && admission.usable(machine)) {
+            if (!machine.placements.isEmpty() && admission.isUsable(machine)) {
                 Offer offer = offer(machine, job, late, givers, limited);
                 // What may be thrown away for one task's sake is the same whoever gives the room.
                 if (offer != null
@@ -201,7 +203,7 @@
                 continue; // given away to an earlier offer
             }
             for (SurplusTaskSelector.Candidate<Placement> c : offer.going) {
-                elastic.leave(
+                elastic.scheduleEnding(
                         clusterState.job(c.task().task.job()),
                         c.task(),
                         c.termination(),
@@ -219,8 +221,9 @@
         int tasks = late.tasks;
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.FreeResources room =
-                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.freeBeside(machine, type, spec) : null;
+        Admission.FreeResources room = spec.mayRunOn(type, machine.zone, machine.spot)
+                ? admission.freeResourcesAfterPlacing(machine, type, spec)
+                : null;
         if (room == null) {
             return null;
         }
@@ -231,8 +234,8 @@
             Job giver = clusterState.job(placement.task.job());
             boolean counts =
                     givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
-            if (counts && ElasticWidths.mayGo(giver, placement)) {
-                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.ending(giver, placement, need)));
+            if (counts && ElasticWidths.mayBeEnded(giver, placement)) {
+                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(giver, placement, need)));
             }
         }
         could.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
@@ -267,7 +270,7 @@
     /** How many of the job's tasks fit; {@code room} is what is left once one is there. */
     private static int fits(Admission.FreeResources room, JobSpec spec, int most) {
         int count = 0;
-        for (Admission.FreeResources left = room; count < most && left.enough(); left = left.plus(spec, -1)) {
+        for (Admission.FreeResources left = room; count < most && left.isNonNegative(); left = left.plus(spec, -1)) {
             count++;
         }
         return count;
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -171,7 +171,7 @@
 
         @Override
         public void jobResized(Job job) {
-            elastic.look(job);
+            elastic.reconcileWidth(job);
         }
     }
 
@@ -204,7 +204,7 @@
 
         @Override
         public void jobCommitted(Job job) {
-            elastic.look(job);
+            elastic.reconcileWidth(job);
         }
 
         @Override
