--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -77,7 +77,7 @@
         long now = context.now().ms();
         Set<MachineId> planned = new HashSet<>();
         Plan next = new Plan(now, planMachines(planned));
-        next.setGpuSizes(migrations.sizes());
+        next.setGpuSizes(migrations.requestedSizes());
         addTeamUsage(next, planned);
         placeWaiting(next, order);
         widen(next, order, widths);
@@ -90,7 +90,7 @@
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
-                    || (!admission.usable(machine) && (machine.up || machine.releasing))
+                    || (!admission.isUsable(machine) && (machine.up || machine.releasing))
                     || coldStart.isPresumedAbsent(machine)) {
                 continue;
             }
@@ -108,10 +108,10 @@
                 machine.zone,
                 machine.spot,
                 machine.up,
-                machine.up ? now : provisioner.readyAt(machine, type));
+                machine.up ? now : provisioner.expectedReadyAtMs(machine, type));
         planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
-        for (JobSpec kept : migrations.keptOn(machine.id)) {
+        for (JobSpec kept : migrations.reservedOn(machine.id)) {
             planMachine.occupy(now + UNKNOWN_END_MS, kept.cpus(), kept.gpus(), kept.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
@@ -161,23 +161,26 @@
     private void placeWaiting(Plan next, List<Job> order) {
         for (Job job : order) {
             if (expeditedTasks(job) > 0) {
-                next.place(entry(job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.sure(job))), 0));
+                next.place(entry(
+                        job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.regularWaitingCount(job))), 0));
             }
         }
         for (Job job : order) {
             if (job.spec().isGang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int unwidened = job.maxPlaceable(elastic.sure(job)) - expeditedTasks(job) - migrations.underWay(job);
+            int unwidened = job.maxPlaceable(elastic.regularWaitingCount(job))
+                    - expeditedTasks(job)
+                    - migrations.migratingTaskCount(job);
             if (unwidened > 0) {
-                next.place(entry(job, unwidened, ordering.patience(job)));
+                next.place(entry(job, unwidened, ordering.patienceMs(job)));
             }
         }
     }
 
     /** Returns how many of the job's tasks go before all others: expedited ones, and those for which a migration frees capacity. */
     private int expeditedTasks(Job job) {
-        return Math.max(job.expeditedTasks(), migrations.roomsFor(job));
+        return Math.max(job.expeditedTasks(), migrations.pendingMigrationCount(job));
     }
 
     private Plan.Entry entry(Job job, int waiting, long patienceMs) {
@@ -198,8 +201,8 @@
             if (job.record.width == null) {
                 continue;
             }
-            int unwidened = elastic.sure(job);
-            WidthOptions options = elastic.wish(job, unwidened, widths.get(job.id()));
+            int unwidened = elastic.regularWaitingCount(job);
+            WidthOptions options = elastic.wideningOptions(job, unwidened, widths.get(job.id()));
             if (options == null) {
                 continue;
             }
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -85,7 +85,7 @@
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = ReplacementSteps.stopReason(health(progress, planner.current()));
+        String stops = ReplacementSteps.stopReason(health(progress, planner.currentPlan()));
         if (stops != null) {
             if (progress.paused == null) {
                 LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
@@ -151,7 +151,7 @@
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
                 Job j = clusterState.job(reservation.job());
-                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
+                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStartMs(j)
                         ? 1
                         : 0;
             }
@@ -231,7 +231,7 @@
         String[] kind = most.split(" ");
         String type = drain.with() == null ? kind[0] : drain.with();
         long term = clusterState.term();
-        if (provisioner.renting().spare(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
+        if (provisioner.scaleOutPolicy().tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
             if (term == clusterState.term()) {
                 asked.merge(drain.name(), -missing, Integer::sum);
                 had.forEach(h -> progress.spares.put(h, context.wallMs()));
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -16,7 +16,7 @@
 final class SchedulingComponents {
     final Admission admission;
     final ReleaseController releases;
-    final Dispatch dispatch;
+    final TaskPlacer dispatch;
     final MigrationController migrations;
     final PreemptionNoticeHandler preemptionNotices;
     final Planner planner;
@@ -44,8 +44,8 @@
         Settings settings = services.settings();
         admission = new Admission(context, settings, machineTypes, workers.clusterState, workers.faultTracker);
         releases = createReleases();
-        workers.jobOrdering.releases(releases);
-        dispatch = new Dispatch(
+        workers.jobOrdering.setReleases(releases);
+        dispatch = new TaskPlacer(
                 context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
         migrations = createMigrations();
         connectMigrations();
@@ -88,8 +88,9 @@
     }
 
     private void connectMigrations() {
-        workers.disruptions.moving(migrations::moves);
-        workers.provisioner.kept(machine -> !migrations.keptOn(machine).isEmpty());
+        workers.disruptions.moving(migrations::isMigrating);
+        workers.provisioner.setReservedForMigration(
+                machine -> !migrations.reservedOn(machine).isEmpty());
         admission.setMigrations(migrations);
     }
 
@@ -106,7 +107,7 @@
                 workers.clusterState,
                 workers.jobOrdering,
                 admission,
-                workers.provisioner.renting(),
+                workers.provisioner.scaleOutPolicy(),
                 workers.elastic);
     }
 
