--- a/src/main/java/org/beechhoist/elastic/TaskTermination.java
+++ b/src/main/java/org/beechhoist/elastic/TaskTermination.java
@@ -10,7 +10,7 @@
 public record TaskTermination(Method method, long atMs, long freedAtMs, double lostCpuS) {
     /** The methods of termination. */
     public enum Method {
-        /** Its launch command has not been sent and will not be. */
+        /** Its launch command was not sent and will not be. */
         WITHDRAW,
         /** Stopped while it waits for its image, before any work is done. */
         UNSTARTED,
