--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -41,13 +41,13 @@
 public final class DisruptionAccounting implements DisruptionRecorder {
     static final String PREFIX = "dr/acct/";
     private static final Logger LOG = LoggerFactory.getLogger(DisruptionAccounting.class);
-    private static final long EVERY_MS = 1000;
-    private static final long WRITE_EVERY_MS = 15_000;
-    private static final double PLENTY = 0.5;
-    private static final int MOST_ROWS = 60;
-    private static final int MOST_IN_ONE = 4;
+    private static final long UPDATE_INTERVAL_MS = 1000;
+    private static final long WRITE_INTERVAL_MS = 15_000;
+    private static final double MIN_FREE_WRITE_SHARE = 0.5;
+    private static final int MAX_BUDGET_ROWS = 60;
+    private static final int MAX_ACCOUNTS_PER_COMMIT = 4;
     /** What was charged and not stopped for so long may never be: its leader fell in between, and its drain is over. */
-    private static final long NEVER_STOPPED_MS = 30_000;
+    private static final long UNSTOPPED_CHARGE_TIMEOUT_MS = 30_000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -56,15 +56,15 @@
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final ClusterState clusterState;
-    private final PrefixReader reading;
-    private final boolean on;
+    private final PrefixReader prefixReader;
+    private final boolean enabled;
     /** Whether tasks of the machine are about to move, each when its turn comes. */
-    private Predicate<MachineId> moving = h -> false;
+    private Predicate<MachineId> migrationPending = h -> false;
 
     private final Map<String, Account> accounts = new TreeMap<>();
-    private final Set<String> dirty = new HashSet<>();
-    private boolean read;
-    private MonotonicTime next = MonotonicTime.ZERO;
+    private final Set<String> unwrittenTeams = new HashSet<>();
+    private boolean loaded;
+    private MonotonicTime nextUpdate = MonotonicTime.ZERO;
     private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
     DisruptionAccounting(
@@ -83,32 +83,32 @@
         this.requests = requests;
         this.writes = writes;
         this.clusterState = clusterState;
-        this.on = on;
-        this.reading = new PrefixReader(context, store, requests, clusterState);
+        this.enabled = on;
+        this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
 
     /** A new leadership begins: what the last one charged is read before anything is disturbed on purpose. */
-    void begin() {
+    void startTerm() {
         accounts.clear();
-        dirty.clear();
-        read = false;
-        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
-        if (on) {
-            reading.read(
+        unwrittenTeams.clear();
+        loaded = false;
+        nextWrite = context.now().plusMs(WRITE_INTERVAL_MS);
+        if (enabled) {
+            prefixReader.read(
                     PREFIX,
                     i -> accounts.put(i.key().substring(PREFIX.length()), Account.parse(i.value())),
-                    () -> read = true);
+                    () -> loaded = true);
         }
     }
 
     /** Who knows which machines' tasks are about to move. */
-    void moving(Predicate<MachineId> who) {
-        moving = who;
+    void setMigrationPending(Predicate<MachineId> who) {
+        migrationPending = who;
     }
 
     /** Whether what earlier leaders charged is known. */
-    boolean known() {
-        return read;
+    boolean isLoaded() {
+        return loaded;
     }
 
     // ---- charging ----
@@ -125,8 +125,8 @@
     /** A task had to leave; what was done on purpose was charged before. */
     @Override
     public void recordDisruption(Placement placement, Cause cause) {
-        Job job = on && !cause.onPurpose() ? clusterState.job(placement.task.job()) : null;
-        if (job == null || job.isCancelled() || !read) {
+        Job job = enabled && !cause.onPurpose() ? clusterState.job(placement.task.job()) : null;
+        if (job == null || job.isCancelled() || !loaded) {
             return;
         }
         JobSpec spec = job.spec();
@@ -139,32 +139,32 @@
                                 cause,
                                 lostCpuS(spec, placement, context.now()),
                                 context.wallMs()));
-        dirty.add(spec.team());
+        unwrittenTeams.add(spec.team());
     }
 
-    /** What a decision may charge on, and hand back with {@link #into} and {@link #adopt} once it is committed. */
-    Map<String, Account> copies() {
+    /** What a decision may charge on, and hand back with {@link #putAccount} and {@link #applyCommitted} once it is committed. */
+    Map<String, Account> copyAccounts() {
         Map<String, Account> out = new TreeMap<>();
         accounts.forEach((team, a) -> out.put(team, a.copy()));
         return out;
     }
 
     /** Whether the account is of the size that a value may have; it is made smaller first where that helps. */
-    boolean fits(Account account) {
+    boolean fitsRecord(Account account) {
         if (Codec.jsonBytes(account.toNode()) > settings.stateLimits().valueBytes()) {
-            account.shrink();
+            account.mergeSlots();
         }
         return Codec.jsonBytes(account.toNode()) <= settings.stateLimits().valueBytes();
     }
 
-    void into(Transaction transaction, String team, Account account) {
+    void putAccount(Transaction transaction, String team, Account account) {
         transaction.put(PREFIX + team, account.toNode());
     }
 
     /** The commit that charged it is made. */
-    void adopt(String team, Account account) {
+    void applyCommitted(String team, Account account) {
         accounts.put(team, account);
-        dirty.remove(team);
+        unwrittenTeams.remove(team);
     }
 
     /** Whether this very attempt was charged to be stopped on purpose, by whichever leader. */
@@ -176,39 +176,39 @@
 
     // ---- what is over ----
 
-    void tick() {
-        if (!on || !read || context.now().isBefore(next)) {
+    void updateAccounts() {
+        if (!enabled || !loaded || context.now().isBefore(nextUpdate)) {
             return;
         }
-        next = context.now().plusMs(EVERY_MS);
+        nextUpdate = context.now().plusMs(UPDATE_INTERVAL_MS);
         accounts.forEach((team, account) -> {
-            account.fold(context.wallMs());
-            account.away().forEach((t, away) -> settle(team, account, t, away));
+            account.foldExpiredSlots(context.wallMs());
+            account.away().forEach((t, away) -> settleAbsence(team, account, t, away));
         });
-        if (!dirty.isEmpty()
+        if (!unwrittenTeams.isEmpty()
                 && !context.now().isBefore(nextWrite)
-                && writes.available(context.now()) >= PLENTY * writes.capacity()) {
-            nextWrite = context.now().plusMs(WRITE_EVERY_MS);
-            write();
+                && writes.available(context.now()) >= MIN_FREE_WRITE_SHARE * writes.capacity()) {
+            nextWrite = context.now().plusMs(WRITE_INTERVAL_MS);
+            writeAccounts();
         }
     }
 
-    private void settle(String team, Account account, TaskId task, Account.Away away) {
+    private void settleAbsence(String team, Account account, TaskId task, Account.Away away) {
         Job job = clusterState.job(task.job());
         Placement placement = job == null ? null : job.record.live.get(task.index());
         boolean over = job == null && !clusterState.isUnreadable(task.job())
                 || job != null && (job.isCancelled() || job.record.done.contains(task.index()));
         if (over || placement != null && placement.attempt > away.attempt() && placement.runningSince != null) {
             account.clearAway(task);
-            dirty.add(team);
+            unwrittenTeams.add(team);
         } else if (placement != null
                 && placement.attempt == away.attempt()
                 && !placement.stopRequested
-                && context.wallMs() - away.atMs() > NEVER_STOPPED_MS
-                && neverLeaves(job, placement)) {
+                && context.wallMs() - away.atMs() > UNSTOPPED_CHARGE_TIMEOUT_MS
+                && willNotBeStopped(job, placement)) {
             LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.machine);
             account.refund(task);
-            dirty.add(team);
+            unwrittenTeams.add(team);
         }
     }
 
@@ -216,32 +216,32 @@
      * Nobody stops it any more: its machine is not emptied, or it is a replica that lost the place it was to move to. And a report since
      * this leadership began shows it there: an earlier leader's stop can't come any more.
      */
-    private boolean neverLeaves(Job job, Placement placement) {
+    private boolean willNotBeStopped(Job job, Placement placement) {
         Machine machine = clusterState.findMachine(placement.machine);
         return machine != null
                 && (machine.cordonedBy == null || job.spec().isService())
-                && !moving.test(machine.id)
+                && !migrationPending.test(machine.id)
                 && placement.reported
                 && machine.lastHeartbeat != null
                 && machine.lastHeartbeat.fencingToken().compareTo(election.firstFencingToken()) >= 0;
     }
 
-    private void write() {
+    private void writeAccounts() {
         Transaction transaction = election.guardedTransaction();
         Set<String> teams = new HashSet<>();
-        for (String team : dirty) {
-            if (teams.size() < MOST_IN_ONE && fits(accounts.get(team))) {
+        for (String team : unwrittenTeams) {
+            if (teams.size() < MAX_ACCOUNTS_PER_COMMIT && fitsRecord(accounts.get(team))) {
                 teams.add(team);
-                into(transaction, team, accounts.get(team));
+                putAccount(transaction, team, accounts.get(team));
             }
         }
-        dirty.removeAll(teams);
+        unwrittenTeams.removeAll(teams);
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         long term = clusterState.term();
         store.commit(transaction, commit -> {
             if (term == clusterState.term() && commit.outcome() != CommitResult.Outcome.COMMITTED) {
-                dirty.addAll(teams);
+                unwrittenTeams.addAll(teams);
             }
         });
     }
@@ -253,11 +253,11 @@
         Set<String> teams = new HashSet<>(settings.teams().keySet());
         teams.addAll(accounts.keySet());
         Map<String, DisruptionBudget> all = new HashMap<>();
-        teams.forEach(t -> all.put(t, budgets.ofTeam(t)));
+        teams.forEach(t -> all.put(t, budgets.forTeam(t)));
         budgets.all().stream().filter(b -> b.jobClass() != null).forEach(b -> all.put(b.key(), b));
         new TreeMap<>(all).forEach((key, budget) -> {
-            if (rows.size() == MOST_ROWS) {
-                out.put("more", all.size() - MOST_ROWS);
+            if (rows.size() == MAX_BUDGET_ROWS) {
+                out.put("more", all.size() - MAX_BUDGET_ROWS);
                 return;
             }
             String team = budget.jobClass() == null ? key : budget.team();
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -18,17 +18,17 @@
 
 /** {@code /v1/drains} and {@code /v1/budgets}: operators have machines emptied or replaced, and say how much may be disturbed for it. */
 final class DrainApi {
-    static final String DRAINS = "/v1/drains";
-    static final String BUDGETS = "/v1/budgets";
-    private static final int MOST_DRAINS = 40;
-    private static final int MOST_TEXT = 120;
+    static final String DRAINS_PATH = "/v1/drains";
+    static final String BUDGETS_PATH = "/v1/budgets";
+    private static final int MAX_DRAINS = 40;
+    private static final int MAX_TEXT_CHARS = 120;
 
     private final ControllerContext context;
     private final Settings settings;
     private final MachineTypeCatalog machineTypes;
     private final DrainRegistry drains;
-    private final OptimisticUpdater amending;
-    private final CalendarDays openDays;
+    private final OptimisticUpdater updater;
+    private final CalendarDays calendarDays;
 
     DrainApi(
             ControllerContext context,
@@ -42,95 +42,95 @@
         this.context = context;
         this.settings = settings;
         this.drains = drains;
-        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
-        this.openDays = new CalendarDays(context, store, requests);
+        this.updater = new OptimisticUpdater(context, settings, store, requests, writes);
+        this.calendarDays = new CalendarDays(context, store, requests);
     }
 
-    static boolean mine(String path) {
-        return path.equals(DRAINS)
-                || path.equals(BUDGETS)
-                || path.startsWith(DRAINS + "/")
-                || path.startsWith(BUDGETS + "/");
+    static boolean handles(String path) {
+        return path.equals(DRAINS_PATH)
+                || path.equals(BUDGETS_PATH)
+                || path.startsWith(DRAINS_PATH + "/")
+                || path.startsWith(BUDGETS_PATH + "/");
     }
 
     /** @param desk null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, DrainController desk, ApiResponder responder) {
-        boolean budgets = path.startsWith(BUDGETS);
-        String base = budgets ? BUDGETS : DRAINS;
+    void handle(String method, String path, byte[] body, DrainController desk, ApiResponder responder) {
+        boolean budgets = path.startsWith(BUDGETS_PATH);
+        String base = budgets ? BUDGETS_PATH : DRAINS_PATH;
         String rest = path.length() > base.length() ? path.substring(base.length() + 1) : "";
         int slash = rest.lastIndexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
         String verb = slash < 0 ? "" : rest.substring(slash + 1);
         try {
             JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
-            if (!drains.read()) {
+            if (!drains.isLoaded()) {
                 OptimisticUpdater.respondUnavailable(responder);
             } else if (node == null && verb.isEmpty()) {
-                show(budgets, name, desk, responder);
+                respondView(budgets, name, desk, responder);
             } else if (node == null) {
                 responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             } else if (budgets) {
-                budget(name, verb, node, responder);
+                updateBudget(name, verb, node, responder);
             } else {
-                drain(name, verb, node, desk, responder);
+                updateDrain(name, verb, node, desk, responder);
             }
         } catch (MalformedMessageException e) {
             responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
     }
 
-    private static String text(JsonNode node, String field) throws MalformedMessageException {
+    private static String requiredText(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
-        if (text.isBlank() || text.length() > MOST_TEXT) {
+        if (text.isBlank() || text.length() > MAX_TEXT_CHARS) {
             throw new MalformedMessageException(
-                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+                    field + " = " + text + ": 1 to " + MAX_TEXT_CHARS + " characters are expected");
         }
         return text;
     }
 
-    private void show(boolean budgets, String name, DrainController desk, ApiResponder responder) {
-        if (!budgets && !name.isEmpty() && drains.known(name) == null) {
+    private void respondView(boolean budgets, String name, DrainController desk, ApiResponder responder) {
+        if (!budgets && !name.isEmpty() && drains.findDrain(name) == null) {
             responder.respond(404, OptimisticUpdater.errorBody("name = " + name + ": the name of a drain is expected"));
         } else if (desk == null) {
             responder.respond(
                     421, OptimisticUpdater.errorBody("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
-            responder.respond(200, desk.budgets());
+            responder.respond(200, desk.budgetsView());
         } else {
-            responder.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.known(name)));
+            responder.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.findDrain(name)));
         }
     }
 
     // ---- drains ----
 
-    private void drain(String name, String verb, JsonNode node, DrainController desk, ApiResponder responder)
+    private void updateDrain(String name, String verb, JsonNode node, DrainController desk, ApiResponder responder)
             throws MalformedMessageException {
         if (verb.equals("plan")) {
-            Drain described = described(name, node);
+            Drain described = parseDrain(name, node);
             responder.respond(
                     desk == null ? 421 : 200,
                     desk == null
                             ? OptimisticUpdater.errorBody("this node does not lead: it knows no plan")
-                            : desk.foresee(described));
+                            : desk.forecastView(described));
             return;
         }
-        String who = text(node, "who");
-        String why = text(node, "why");
+        String who = requiredText(node, "who");
+        String why = requiredText(node, "why");
         switch (verb) {
-            case "put" -> put(name, node, who, why, responder);
-            case "pause" -> change(name, Drain.State.PAUSED, "paused", who, why, responder);
-            case "resume" -> change(name, Drain.State.RUNNING, "resumed", who, why, responder);
-            case "abort" -> change(name, Drain.State.ABORTED, "aborted", who, why, responder);
+            case "put" -> putDrain(name, node, who, why, responder);
+            case "pause" -> changeState(name, Drain.State.PAUSED, "paused", who, why, responder);
+            case "resume" -> changeState(name, Drain.State.RUNNING, "resumed", who, why, responder);
+            case "abort" -> changeState(name, Drain.State.ABORTED, "aborted", who, why, responder);
             case "remove" ->
-                amending.update(
-                        DrainRegistry.DRAINS + name,
+                updater.update(
+                        DrainRegistry.DRAINS_PREFIX + name,
                         before -> {
                             if (before == null) {
                                 throw new OptimisticUpdater.RejectedException(
                                         404, "name = " + name + ": the name of a drain is expected");
                             }
                             if (Drain.parse(before).state() != Drain.State.ABORTED
-                                    && (desk == null || !desk.over(name))) {
+                                    && (desk == null || !desk.isEnded(name))) {
                                 throw new OptimisticUpdater.RejectedException(
                                         409,
                                         "name = " + name
@@ -143,9 +143,9 @@
         }
     }
 
-    private void change(String name, Drain.State to, String what, String who, String why, ApiResponder responder) {
-        amending.update(
-                DrainRegistry.DRAINS + name,
+    private void changeState(String name, Drain.State to, String what, String who, String why, ApiResponder responder) {
+        updater.update(
+                DrainRegistry.DRAINS_PREFIX + name,
                 before -> {
                     if (before == null) {
                         throw new OptimisticUpdater.RejectedException(
@@ -161,19 +161,19 @@
                 responder);
     }
 
-    private Drain described(String name, JsonNode node) throws MalformedMessageException {
+    private Drain parseDrain(String name, JsonNode node) throws MalformedMessageException {
         Drain drain = Drain.fromRequest(name, node, context.wallMs());
-        if (drain.which().zone() != null
-                && !settings.zones().contains(drain.which().zone())) {
-            throw new MalformedMessageException(
-                    "zone = " + drain.which().zone() + ": one of " + new TreeSet<>(settings.zones()) + " is expected");
+        if (drain.selector().zone() != null
+                && !settings.zones().contains(drain.selector().zone())) {
+            throw new MalformedMessageException("zone = " + drain.selector().zone() + ": one of "
+                    + new TreeSet<>(settings.zones()) + " is expected");
         }
-        type("type", drain.which().type());
-        type("with", drain.with());
+        checkMachineType("type", drain.selector().type());
+        checkMachineType("with", drain.with());
         return drain;
     }
 
-    private void type(String field, String name) throws MalformedMessageException {
+    private void checkMachineType(String field, String name) throws MalformedMessageException {
         if (name != null && machineTypes.isLoaded() && machineTypes.get(name) == null) {
             throw new MalformedMessageException(field + " = " + name + ": one of "
                     + new TreeSet<>(
@@ -181,17 +181,17 @@
         }
     }
 
-    private void put(String name, JsonNode node, String who, String why, ApiResponder responder)
+    private void putDrain(String name, JsonNode node, String who, String why, ApiResponder responder)
             throws MalformedMessageException {
-        Drain described = described(name, node);
-        if (drains.known(name) == null && drains.drains().size() >= MOST_DRAINS) {
+        Drain described = parseDrain(name, node);
+        if (drains.findDrain(name) == null && drains.drains().size() >= MAX_DRAINS) {
             throw new MalformedMessageException(
-                    "name = " + name + ": at most " + MOST_DRAINS + " drains are allowed; remove some that are over");
+                    "name = " + name + ": at most " + MAX_DRAINS + " drains are allowed; remove some that are over");
         }
-        openDays.of(
+        calendarDays.of(
                 described.pauses().calendar(),
                 responder,
-                open -> commit(
+                open -> storeDrain(
                         name,
                         described.pauses().calendar() == null
                                 ? described
@@ -202,24 +202,24 @@
                         responder));
     }
 
-    private void commit(String name, Drain described, String who, String why, ApiResponder responder) {
-        amending.update(
-                DrainRegistry.DRAINS + name,
+    private void storeDrain(String name, Drain described, String who, String why, ApiResponder responder) {
+        updater.update(
+                DrainRegistry.DRAINS_PREFIX + name,
                 before -> described
-                        .asChangeOf(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
+                        .asNextVersionOf(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
                         .toNode(),
                 responder);
     }
 
     // ---- budgets ----
 
-    private void budget(String key, String verb, JsonNode node, ApiResponder responder)
+    private void updateBudget(String key, String verb, JsonNode node, ApiResponder responder)
             throws MalformedMessageException {
-        String who = text(node, "who");
-        String why = text(node, "why");
+        String who = requiredText(node, "who");
+        String why = requiredText(node, "why");
         if (verb.equals("remove")) {
-            amending.update(
-                    DrainRegistry.BUDGETS + key,
+            updater.update(
+                    DrainRegistry.BUDGETS_PREFIX + key,
                     before -> {
                         if (before == null) {
                             throw new OptimisticUpdater.RejectedException(
@@ -243,8 +243,8 @@
         if (!described.key().equals(key)) {
             throw new MalformedMessageException("name = " + key + ": " + described.key() + " is expected");
         }
-        amending.update(
-                DrainRegistry.BUDGETS + key,
+        updater.update(
+                DrainRegistry.BUDGETS_PREFIX + key,
                 before -> DisruptionBudget.fromRequest(
                                 node,
                                 who,
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -46,17 +46,17 @@
  * on in the middle. Replacements in steps: {@link RollingReplacement}. Idle where nobody has put a drain.
  */
 final class DrainController {
-    static final String RUNS = "dr/run/";
+    static final String PROGRESS_PREFIX = "dr/run/";
     private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
-    private static final long EVERY_MS = 1000;
-    private static final long WRITE_EVERY_MS = 10_000;
+    private static final long UPDATE_INTERVAL_MS = 1000;
+    private static final long WRITE_INTERVAL_MS = 10_000;
     /** Machines whose tasks begin to move in one commit, and tasks that leave in one. */
-    private static final int MOST_MOVES = 5;
+    private static final int MAX_MIGRATED_MACHINES_PER_COMMIT = 5;
 
-    private static final int MOST_LEAVE = 40;
-    private static final int LEAST_OPS = 3;
+    private static final int MAX_EVICTIONS_PER_COMMIT = 40;
+    private static final int MIN_OPERATION_COUNT = 3;
     /** The cloud's list may be older than twice its lag, with what a look takes. */
-    private static final double LAGS = 2.5;
+    private static final double LIST_LAG_FACTOR = 2.5;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -73,21 +73,21 @@
     private final ElasticWidths elastic;
     private final MigrationController migrations;
     private final DisruptionAccounting disruptions;
-    private final RollingReplacement rollouts;
-    private final PrefixReader reading;
+    private final RollingReplacement rollingReplacement;
+    private final PrefixReader prefixReader;
     /** Null where drains are off. */
     private final DrainRegistry drains;
 
-    private final Map<String, Progress> runs = new TreeMap<>();
-    private final Map<String, Map<String, Integer>> blocked = new HashMap<>();
-    private final Map<String, Set<MachineId>> cordoned = new HashMap<>();
-    private final Set<String> dirty = new HashSet<>();
-    private boolean read;
-    private boolean writing;
+    private final Map<String, Progress> progressByDrain = new TreeMap<>();
+    private final Map<String, Map<String, Integer>> blockReasonsByDrain = new HashMap<>();
+    private final Map<String, Set<MachineId>> cordonedMachinesByDrain = new HashMap<>();
+    private final Set<String> unwrittenDrains = new HashSet<>();
+    private boolean loaded;
+    private boolean commitInFlight;
     /** Nobody has put a drain, and nothing is left of the last one. */
     private boolean idle;
 
-    private MonotonicTime next = MonotonicTime.ZERO;
+    private MonotonicTime nextUpdate = MonotonicTime.ZERO;
     private MonotonicTime nextWrite = MonotonicTime.ZERO;
 
     DrainController(
@@ -123,35 +123,35 @@
         this.elastic = elastic;
         this.migrations = migrations;
         this.disruptions = disruptions;
-        this.rollouts = rollouts;
+        this.rollingReplacement = rollouts;
         this.drains = drains;
-        this.reading = new PrefixReader(context, store, requests, clusterState);
+        this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
 
     /** A new leadership begins: what the last one had in hand is read before anything is begun. */
-    void begin() {
-        runs.clear();
-        blocked.clear();
-        cordoned.clear();
-        dirty.clear();
-        read = false;
-        writing = false;
+    void startTerm() {
+        progressByDrain.clear();
+        blockReasonsByDrain.clear();
+        cordonedMachinesByDrain.clear();
+        unwrittenDrains.clear();
+        loaded = false;
+        commitInFlight = false;
         idle = false;
-        next = MonotonicTime.ZERO;
-        rollouts.begin();
-        disruptions.begin();
+        nextUpdate = MonotonicTime.ZERO;
+        rollingReplacement.startTerm();
+        disruptions.startTerm();
         if (drains != null) {
-            reading.read(
-                    RUNS,
-                    i -> runs.put(i.key().substring(RUNS.length()), Progress.parse(i.value())),
-                    () -> read = true);
+            prefixReader.read(
+                    PROGRESS_PREFIX,
+                    i -> progressByDrain.put(i.key().substring(PROGRESS_PREFIX.length()), Progress.parse(i.value())),
+                    () -> loaded = true);
         }
     }
 
     // ---- which machines ----
 
-    Selector.Machine machine(Machine machine) {
-        return new Selector.Machine(
+    Selector.MachineProperties machineProperties(Machine machine) {
+        return new Selector.MachineProperties(
                 machine.id,
                 machine.type,
                 machine.zone,
@@ -160,10 +160,12 @@
     }
 
     /** Machines that the drain speaks of and that are still there. */
-    private List<Machine> matched(Drain drain) {
+    private List<Machine> selectedMachines(Drain drain) {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (machine.isTypeKnown() && !machine.releasing && drain.which().matches(machine(machine), drain.atMs())) {
+            if (machine.isTypeKnown()
+                    && !machine.releasing
+                    && drain.selector().matches(machineProperties(machine), drain.atMs())) {
                 out.add(machine);
             }
         }
@@ -171,15 +173,15 @@
     }
 
     /** Says of each machine who empties it; the first drain, where several would. */
-    private void cordon() {
+    private void updateCordons() {
         Map<MachineId, String> by = new HashMap<>();
         for (Drain drain : drains.drains()) {
-            Progress progress = runs.get(drain.name());
+            Progress progress = progressByDrain.get(drain.name());
             if (!drain.blocksNewWork(context.wallMs())) {
                 continue;
             }
-            for (Machine machine : matched(drain)) {
-                if (!drain.replace() || progress != null && progress.begun.containsKey(machine.id)) {
+            for (Machine machine : selectedMachines(drain)) {
+                if (!drain.replace() || progress != null && progress.draining.containsKey(machine.id)) {
                     by.putIfAbsent(machine.id, drain.name());
                 }
             }
@@ -198,25 +200,25 @@
 
     // ---- time ----
 
-    void tick(Planner planner) {
-        disruptions.tick();
-        if (drains == null || !drains.read() || context.now().isBefore(next)) {
+    void updateDrains(Planner planner) {
+        disruptions.updateAccounts();
+        if (drains == null || !drains.isLoaded() || context.now().isBefore(nextUpdate)) {
             return;
         }
-        next = context.now().plusMs(EVERY_MS);
-        boolean none = drains.drains().isEmpty() && runs.isEmpty();
+        nextUpdate = context.now().plusMs(UPDATE_INTERVAL_MS);
+        boolean none = drains.drains().isEmpty() && progressByDrain.isEmpty();
         if (none && idle) {
             return;
         }
         idle = none;
-        cordon();
-        if (!read || !disruptions.known() || !migrations.isLoaded()) {
+        updateCordons();
+        if (!loaded || !disruptions.isLoaded() || !migrations.isLoaded()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
         Map<TaskId, MachineId> places = new HashMap<>();
         Set<MachineId> doomed = new HashSet<>();
-        drains.drains().stream().filter(d -> d.blocksNewWork(context.wallMs())).forEach(d -> matched(d)
+        drains.drains().stream().filter(d -> d.blocksNewWork(context.wallMs())).forEach(d -> selectedMachines(d)
                 .forEach(h -> doomed.add(h.id)));
         FreeCapacity rooms = new FreeCapacity(
                 clusterState,
@@ -224,71 +226,72 @@
                 admission,
                 h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
         for (Drain drain : drains.drains()) {
-            Progress progress = runs.computeIfAbsent(drain.name(), k -> new Progress());
+            Progress progress = progressByDrain.computeIfAbsent(drain.name(), k -> new Progress());
             if (drain.blocksNewWork(context.wallMs())) {
-                goOn(drain, progress, planner, rooms, candidates, places);
+                updateDrain(drain, progress, planner, rooms, candidates, places);
             }
         }
-        for (String gone :
-                runs.keySet().stream().filter(n -> drains.known(n) == null).toList()) {
-            forget(gone);
+        for (String gone : progressByDrain.keySet().stream()
+                .filter(n -> drains.findDrain(n) == null)
+                .toList()) {
+            deleteProgress(gone);
         }
-        if (!writing) {
-            leave(candidates, places);
+        if (!commitInFlight) {
+            evictTasks(candidates, places);
         }
-        if (!writing && !dirty.isEmpty() && !context.now().isBefore(nextWrite)) {
-            nextWrite = context.now().plusMs(WRITE_EVERY_MS);
-            write(dirty.iterator().next());
+        if (!commitInFlight && !unwrittenDrains.isEmpty() && !context.now().isBefore(nextWrite)) {
+            nextWrite = context.now().plusMs(WRITE_INTERVAL_MS);
+            writeProgress(unwrittenDrains.iterator().next());
         }
     }
 
-    private void forget(String name) {
-        runs.remove(name);
-        dirty.remove(name);
-        blocked.remove(name);
-        commit(election.guardedTransaction().delete(RUNS + name), done -> {});
+    private void deleteProgress(String name) {
+        progressByDrain.remove(name);
+        unwrittenDrains.remove(name);
+        blockReasonsByDrain.remove(name);
+        commit(election.guardedTransaction().delete(PROGRESS_PREFIX + name), done -> {});
     }
 
-    private void goOn(
+    private void updateDrain(
             Drain drain,
             Progress progress,
             Planner planner,
             FreeCapacity rooms,
             List<Evictions.Candidate> out,
             Map<TaskId, MachineId> places) {
-        List<Machine> matched = matched(drain);
-        if (progress.number != drain.number()) {
-            boolean first = progress.number == 0;
-            progress.number = drain.number();
-            progress.overMs = 0;
+        List<Machine> matched = selectedMachines(drain);
+        if (progress.drainVersion != drain.number()) {
+            boolean first = progress.drainVersion == 0;
+            progress.drainVersion = drain.number();
+            progress.endedAtMs = 0;
             if (first) {
-                DrainForecast.Cost cost = foresight(drain, matched);
-                progress.tasksForeseen = cost.tasks();
-                progress.cpuSForeseen = cost.cpuS();
-                progress.endForeseenMs = context.wallMs() + cost.lastsMs();
+                DrainForecast.Cost cost = forecast(drain, matched);
+                progress.forecastTasks = cost.tasks();
+                progress.forecastLostCpuS = cost.cpuS();
+                progress.forecastEndMs = context.wallMs() + cost.durationMs();
                 LOG.info(
                         "drain {} begins: {} machines, {} tasks and {} CPU s are thought to be lost, over in {} s",
                         drain.name(),
                         matched.size(),
                         cost.tasks(),
                         Math.round(cost.cpuS()),
-                        cost.lastsMs() / 1000);
+                        cost.durationMs() / 1000);
             }
-            write(drain.name());
+            writeProgress(drain.name());
         }
-        if (progress.overMs > 0 && matched.isEmpty()) {
+        if (progress.endedAtMs > 0 && matched.isEmpty()) {
             return;
         }
-        progress.overMs = 0; // the cloud's list lags: one of its machines may come up after all
-        count(drain, progress);
-        if (rollouts.spares(drain, progress)) {
-            dirty.add(drain.name());
+        progress.endedAtMs = 0; // the cloud's list lags: one of its machines may come up after all
+        countGoneMachines(drain, progress);
+        if (rollingReplacement.updateSpares(drain, progress)) {
+            unwrittenDrains.add(drain.name());
         }
         boolean works = drain.state() == Drain.State.RUNNING && !drain.pauses().isPaused(context.wallMs());
-        if (drain.replace() && rollouts.step(drain, progress, matched, works, planner)) {
-            write(drain.name());
+        if (drain.replace() && rollingReplacement.updateReplacement(drain, progress, matched, works, planner)) {
+            writeProgress(drain.name());
         }
-        blocked.remove(drain.name());
+        blockReasonsByDrain.remove(drain.name());
         boolean left = false;
         Map<String, Integer> lacking = new HashMap<>();
         for (Machine machine : matched) {
@@ -300,60 +303,61 @@
             left |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
                 provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && works && progress.paused == null && !migrations.isMigrating(machine.id)) {
-                if (candidates(drain, progress, machine, rooms, out, places)) {
-                    lacking.merge(RollingReplacement.kind(machine), 1, Integer::sum);
+            } else if (!empty && works && progress.pauseReason == null && !migrations.isMigrating(machine.id)) {
+                if (addCandidates(drain, progress, machine, rooms, out, places)) {
+                    lacking.merge(RollingReplacement.machineKind(machine), 1, Integer::sum);
                 }
             }
         }
         if (!lacking.isEmpty()) {
-            rollouts.makePlace(drain, progress, lacking);
+            rollingReplacement.requestMachinesForMigration(drain, progress, lacking);
         }
         boolean told = provisioner.isListComplete()
                 && context.wallMs() - drain.atMs()
-                        > Math.round(1000 * LAGS * settings.cloudLimits().listLagS());
-        if (!left && !drain.keep() && progress.begun.isEmpty() && told) {
-            progress.overMs = context.wallMs();
+                        > Math.round(
+                                1000 * LIST_LAG_FACTOR * settings.cloudLimits().listLagS());
+        if (!left && !drain.keep() && progress.draining.isEmpty() && told) {
+            progress.endedAtMs = context.wallMs();
             LOG.info(
                     "drain {} is over: {} machines gone, {} tasks and {} CPU s lost ({} and {} foreseen)",
                     drain.name(),
                     progress.gone,
-                    progress.tasks,
-                    Math.round(progress.cpuS),
-                    progress.tasksForeseen,
-                    Math.round(progress.cpuSForeseen));
-            rollouts.over(drain, progress);
-            write(drain.name());
+                    progress.evictedTasks,
+                    Math.round(progress.lostCpuS),
+                    progress.forecastTasks,
+                    Math.round(progress.forecastLostCpuS));
+            rollingReplacement.releaseSpares(drain, progress);
+            writeProgress(drain.name());
         }
     }
 
     /** Which of its machines are gone since the last look. */
-    private void count(Drain drain, Progress progress) {
+    private void countGoneMachines(Drain drain, Progress progress) {
         Set<MachineId> now = new HashSet<>();
         clusterState.machines().stream()
                 .filter(h -> drain.name().equals(h.cordonedBy))
                 .forEach(h -> now.add(h.id));
-        Set<MachineId> before = cordoned.put(drain.name(), now);
+        Set<MachineId> before = cordonedMachinesByDrain.put(drain.name(), now);
         Set<MachineId> gone = new HashSet<>(before == null ? Set.of() : before);
-        gone.addAll(progress.begun.keySet());
+        gone.addAll(progress.draining.keySet());
         gone.removeIf(h -> clusterState.findMachine(h) != null && !clusterState.findMachine(h).releasing);
         if (!gone.isEmpty()) {
             progress.gone += gone.size();
-            gone.forEach(progress.begun::remove);
-            dirty.add(drain.name());
+            gone.forEach(progress.draining::remove);
+            unwrittenDrains.add(drain.name());
         }
     }
 
     // ---- which tasks ----
 
-    private TaskTermination.CapacityNeed need(Drain drain, long sinceMs) {
+    private TaskTermination.CapacityNeed capacityNeed(Drain drain, long sinceMs) {
         long by = sinceMs + 1000 * drain.limits().waitS();
         by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
         return new TaskTermination.CapacityNeed(context.now().ms() + by - context.wallMs(), true);
     }
 
     /** Tasks that may leave; whether one of them has no place to go to. */
-    private boolean candidates(
+    private boolean addCandidates(
             Drain drain,
             Progress run,
             Machine machine,
@@ -372,14 +376,14 @@
                 dispatcher.dispatch(machine);
                 continue;
             }
-            Evictions.Candidate candidate = candidate(drain, run, machine, job, placement, rooms, places);
+            Evictions.Candidate candidate = toCandidate(drain, run, machine, job, placement, rooms, places);
             lacks |= !candidate.mayBeEvicted();
             out.add(candidate);
         }
         return lacks;
     }
 
-    private Evictions.Candidate candidate(
+    private Evictions.Candidate toCandidate(
             Drain drain,
             Progress run,
             Machine machine,
@@ -388,11 +392,11 @@
             FreeCapacity rooms,
             Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
-        long since = drain.replace() ? run.begun.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        TaskTermination ending = elastic.chooseEnding(job, placement, need(drain, since));
+        long since = drain.replace() ? run.draining.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
+        TaskTermination ending = elastic.chooseEnding(job, placement, capacityNeed(drain, since));
         boolean due = ending.method() != TaskTermination.Method.AT_END
                 && ending.method() != TaskTermination.Method.WITHDRAW
-                && ending.atMs() <= context.now().ms() + EVERY_MS;
+                && ending.atMs() <= context.now().ms() + UPDATE_INTERVAL_MS;
         boolean placed = true;
         if (spec.isService() && due) {
             Machine to = rooms.allocate(spec);
@@ -416,16 +420,18 @@
     }
 
     /** Decides who leaves, and has it written before anybody is stopped. */
-    private void leave(List<Evictions.Candidate> all, Map<TaskId, MachineId> places) {
+    private void evictTasks(List<Evictions.Candidate> all, Map<TaskId, MachineId> places) {
         if (all.isEmpty()) {
             return;
         }
-        Map<String, Account> accounts = disruptions.copies();
-        Evictions.Decision decision = Evictions.decide(all, drains.budgets(), accounts, context.wallMs(), MOST_LEAVE);
+        Map<String, Account> accounts = disruptions.copyAccounts();
+        Evictions.Decision decision =
+                Evictions.decide(all, drains.budgets(), accounts, context.wallMs(), MAX_EVICTIONS_PER_COMMIT);
         decision.blocked().forEach((why, count) -> {
             Machine machine = clusterState.findMachine(why.machine());
             if (machine != null && machine.cordonedBy != null) {
-                blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
+                blockReasonsByDrain
+                        .computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                         .merge(why.text(), count, Integer::sum);
             }
         });
@@ -442,13 +448,16 @@
             int more = (teams.contains(candidate.team()) ? 0 : 1)
                     + (names.contains(machine.cordonedBy) ? 0 : 1)
                     + (moves && !moving.containsKey(candidate.machine()) ? 1 : 0);
-            boolean room = teams.size() + names.size() + moving.size() + more <= Math.max(LEAST_OPS, ops)
-                    && (!moves || moving.containsKey(candidate.machine()) || moving.size() < MOST_MOVES);
-            boolean fits = disruptions.fits(accounts.get(candidate.team()));
+            boolean room = teams.size() + names.size() + moving.size() + more <= Math.max(MIN_OPERATION_COUNT, ops)
+                    && (!moves
+                            || moving.containsKey(candidate.machine())
+                            || moving.size() < MAX_MIGRATED_MACHINES_PER_COMMIT);
+            boolean fits = disruptions.fitsRecord(accounts.get(candidate.team()));
             if (!room || !fits) {
                 accounts.get(candidate.team()).refund(candidate.task()); // in the next round
                 if (!fits) {
-                    blocked.computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
+                    blockReasonsByDrain
+                            .computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                             .merge(
                                     "account of " + candidate.team() + ": it is as large as a value may be",
                                     1,
@@ -469,36 +478,39 @@
         if (teams.isEmpty()) {
             return;
         }
-        teams.forEach(t -> disruptions.into(transaction, t, accounts.get(t)));
-        names.forEach(n ->
-                transaction.put(RUNS + n, counted(runs.get(n), taken.get(n), 1).toNode()));
+        teams.forEach(t -> disruptions.putAccount(transaction, t, accounts.get(t)));
+        names.forEach(n -> transaction.put(
+                PROGRESS_PREFIX + n,
+                addEvictions(progressByDrain.get(n), taken.get(n), 1).toNode()));
         moving.forEach((machine, to) ->
                 migrations.addDrainMigration(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
         commit(transaction, done -> {
             if (done) {
-                teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
+                teams.forEach(t -> disruptions.applyCommitted(t, accounts.get(t)));
                 moving.forEach((machineId, to) -> {
                     Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
                         migrations.applyDrainMigration(machineId, machine.cordonedBy, to);
                     }
                 });
-                stopped.forEach(this::stop);
+                stopped.forEach(this::evict);
             } else {
-                names.stream().filter(runs::containsKey).forEach(n -> counted(runs.get(n), taken.get(n), -1));
+                names.stream()
+                        .filter(progressByDrain::containsKey)
+                        .forEach(n -> addEvictions(progressByDrain.get(n), taken.get(n), -1));
             }
         });
     }
 
-    private static Progress counted(Progress progress, List<Evictions.Candidate> left, int sign) {
+    private static Progress addEvictions(Progress progress, List<Evictions.Candidate> left, int sign) {
         for (Evictions.Candidate candidate : left) {
-            progress.tasks += sign * Math.max(1, candidate.gang());
-            progress.cpuS += sign * candidate.lostCpuS();
+            progress.evictedTasks += sign * Math.max(1, candidate.gangSize());
+            progress.lostCpuS += sign * candidate.lostCpuS();
         }
         return progress;
     }
 
-    private void stop(Evictions.Candidate candidate) {
+    private void evict(Evictions.Candidate candidate) {
         Machine machine = clusterState.findMachine(candidate.machine());
         Placement placement = machine == null ? null : machine.placements.get(candidate.task());
         if (placement != null
@@ -517,27 +529,30 @@
         }
     }
 
-    private void write(String name) {
-        if (writing || !runs.containsKey(name)) {
-            dirty.add(name);
+    private void writeProgress(String name) {
+        if (commitInFlight || !progressByDrain.containsKey(name)) {
+            unwrittenDrains.add(name);
             return;
         }
-        dirty.remove(name);
-        commit(election.guardedTransaction().put(RUNS + name, runs.get(name).toNode()), done -> {
-            if (!done) {
-                dirty.add(name);
-            }
-        });
+        unwrittenDrains.remove(name);
+        commit(
+                election.guardedTransaction()
+                        .put(PROGRESS_PREFIX + name, progressByDrain.get(name).toNode()),
+                done -> {
+                    if (!done) {
+                        unwrittenDrains.add(name);
+                    }
+                });
     }
 
     private void commit(Transaction transaction, Consumer<Boolean> then) {
         long term = clusterState.term();
-        writing = true;
+        commitInFlight = true;
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         store.commit(transaction, commit -> {
             if (term == clusterState.term()) {
-                writing = false;
+                commitInFlight = false;
                 then.accept(commit.outcome() == CommitResult.Outcome.COMMITTED);
             }
         });
@@ -546,28 +561,28 @@
     // ---- what is told ----
 
     /** What it would cost and how long it would take, were it put now. */
-    private DrainForecast.Cost foresight(Drain drain, List<Machine> machines) {
-        return DrainForecast.of(
+    private DrainForecast.Cost forecast(Drain drain, List<Machine> machines) {
+        return DrainForecast.estimate(
                 drain,
                 machines,
                 clusterState,
                 machineTypes,
-                (j, p) -> elastic.chooseEnding(j, p, need(drain, context.wallMs())),
+                (j, p) -> elastic.chooseEnding(j, p, capacityNeed(drain, context.wallMs())),
                 context.now().ms());
     }
 
-    ObjectNode foresee(Drain drain) {
-        List<Machine> machines = matched(drain);
-        return foresight(drain, machines)
-                .into(Codec.map().put("name", drain.name()).put("machines", machines.size()));
+    ObjectNode forecastView(Drain drain) {
+        List<Machine> machines = selectedMachines(drain);
+        return forecast(drain, machines)
+                .writeTo(Codec.map().put("name", drain.name()).put("machines", machines.size()));
     }
 
-    boolean over(String name) {
-        Progress p = runs.get(name);
-        return p != null && p.overMs > 0;
+    boolean isEnded(String name) {
+        Progress p = progressByDrain.get(name);
+        return p != null && p.endedAtMs > 0;
     }
 
-    ObjectNode budgets() {
+    ObjectNode budgetsView() {
         return disruptions.view(drains.budgets());
     }
 
@@ -581,11 +596,16 @@
     }
 
     ObjectNode view(Drain drain) {
-        Progress progress = runs.getOrDefault(drain.name(), new Progress());
-        List<Machine> matched = progress.overMs > 0 ? List.of() : matched(drain);
+        Progress progress = progressByDrain.getOrDefault(drain.name(), new Progress());
+        List<Machine> matched = progress.endedAtMs > 0 ? List.of() : selectedMachines(drain);
         DrainForecast.Cost left =
-                progress.overMs == 0 && drain.blocksNewWork(context.wallMs()) ? foresight(drain, matched) : null;
-        return DrainViews.row(
-                drain, progress, matched, left, blocked.getOrDefault(drain.name(), Map.of()), context.wallMs());
+                progress.endedAtMs == 0 && drain.blocksNewWork(context.wallMs()) ? forecast(drain, matched) : null;
+        return DrainViews.drainView(
+                drain,
+                progress,
+                matched,
+                left,
+                blockReasonsByDrain.getOrDefault(drain.name(), Map.of()),
+                context.wallMs());
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -17,15 +17,15 @@
 
 /** What emptying machines would cost and how long it would take, by what is known of their tasks now; budgets are not in it. */
 final class DrainForecast {
-    private static final long LEAST_MACHINE_MS = 3000;
+    private static final long MIN_MACHINE_DRAIN_MS = 3000;
 
     /**
      * @param tasks that would be stopped, {@code cpuS} what that throws away; by team and class too
-     * @param lastsMs until the last machine is gone
+     * @param durationMs until the last machine is gone
      */
-    record Cost(int tasks, double cpuS, Map<String, double[]> byGroup, long lastsMs) {
-        ObjectNode into(ObjectNode node) {
-            node.put("tasks", tasks).put("cpuS", Math.round(cpuS)).put("endsInS", lastsMs / 1000.0);
+    record Cost(int tasks, double cpuS, Map<String, double[]> byGroup, long durationMs) {
+        ObjectNode writeTo(ObjectNode node) {
+            node.put("tasks", tasks).put("cpuS", Math.round(cpuS)).put("endsInS", durationMs / 1000.0);
             ObjectNode groups = node.putObject("byTeamAndClass");
             byGroup.forEach((g, s) -> groups.putArray(g).add(Math.round(s[0])).add(Math.round(s[1])));
             return node;
@@ -34,7 +34,7 @@
 
     private DrainForecast() {}
 
-    static Cost of(
+    static Cost estimate(
             Drain drain,
             List<Machine> machines,
             ClusterState clusterState,
@@ -48,7 +48,7 @@
         long boot = 0;
         Map<String, double[]> groups = new TreeMap<>();
         for (Machine machine : machines) {
-            long frees = LEAST_MACHINE_MS;
+            long frees = MIN_MACHINE_DRAIN_MS;
             MachineType type = machineTypes.get(machine.type);
             boot = Math.max(boot, type == null ? 0 : Math.round(1000 * type.startupS()));
             for (Placement placement : machine.placements.values()) {
--- a/src/main/java/org/beechhoist/controller/DrainModule.java
+++ b/src/main/java/org/beechhoist/controller/DrainModule.java
@@ -34,12 +34,12 @@
 
     @Override
     public boolean handles(String path) {
-        return DrainApi.mine(path);
+        return DrainApi.handles(path);
     }
 
     @Override
     public void handle(ApiRequest request, ApiResponder responder) {
         DrainController controller = activeLeader.get().map(Leader::drains).orElse(null);
-        api.request(request.method(), request.path(), request.body(), controller, responder);
+        api.handle(request.method(), request.path(), request.body(), controller, responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainRegistry.java
+++ b/src/main/java/org/beechhoist/controller/DrainRegistry.java
@@ -18,25 +18,25 @@
 /** What a node knows of drains and budgets of disruption: read once, then followed. */
 final class DrainRegistry {
     static final String PREFIX = "dr/put/";
-    static final String DRAINS = PREFIX + "d/";
-    static final String BUDGETS = PREFIX + "b/";
+    static final String DRAINS_PREFIX = PREFIX + "d/";
+    static final String BUDGETS_PREFIX = PREFIX + "b/";
     private static final Logger LOG = LoggerFactory.getLogger(DrainRegistry.class);
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final Runnable changed;
+    private final Runnable onChange;
     private final Map<String, Drain> drains = new TreeMap<>();
-    private final Map<String, DisruptionBudget> declared = new TreeMap<>();
-    private List<Drain> ordered = List.of();
+    private final Map<String, DisruptionBudget> declaredBudgets = new TreeMap<>();
+    private List<Drain> drainsByTime = List.of();
     private Budgets budgets = Budgets.NONE;
-    private boolean read;
+    private boolean loaded;
 
     DrainRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Runnable changed) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.changed = changed;
+        this.onChange = changed;
     }
 
     void start() {
@@ -47,23 +47,23 @@
                         PREFIX,
                         () -> {
                             drains.clear();
-                            declared.clear();
+                            declaredBudgets.clear();
                         },
-                        this::take,
-                        this::changes)
+                        this::applyEntry,
+                        this::applyChanges)
                 .start();
     }
 
-    boolean read() {
-        return read;
+    boolean isLoaded() {
+        return loaded;
     }
 
     /** The earliest first: a machine that several match is the first one's. */
     List<Drain> drains() {
-        return ordered;
+        return drainsByTime;
     }
 
-    Drain known(String name) {
+    Drain findDrain(String name) {
         return drains.get(name);
     }
 
@@ -71,10 +71,10 @@
         return budgets;
     }
 
-    private void take(StoreClient.KeyValue item) {
+    private void applyEntry(StoreClient.KeyValue item) {
         try {
-            if (item.key().startsWith(DRAINS)) {
-                String name = item.key().substring(DRAINS.length());
+            if (item.key().startsWith(DRAINS_PREFIX)) {
+                String name = item.key().substring(DRAINS_PREFIX.length());
                 if (item.value() == null) {
                     drains.remove(name);
                 } else {
@@ -84,31 +84,31 @@
                     }
                     drains.put(name, drain);
                 }
-            } else if (item.key().startsWith(BUDGETS)) {
-                String key = item.key().substring(BUDGETS.length());
+            } else if (item.key().startsWith(BUDGETS_PREFIX)) {
+                String key = item.key().substring(BUDGETS_PREFIX.length());
                 if (item.value() == null) {
-                    declared.remove(key);
+                    declaredBudgets.remove(key);
                 } else {
-                    declared.put(key, DisruptionBudget.parse(item.value()));
+                    declaredBudgets.put(key, DisruptionBudget.parse(item.value()));
                 }
             }
         } catch (MalformedMessageException | RuntimeException e) {
             // A drain that can't be read empties nothing; a budget that can't be read is as it was before.
             LOG.error("{} can't be read: {}", item.key(), e.getMessage());
-            drains.remove(item.key().startsWith(DRAINS) ? item.key().substring(DRAINS.length()) : "");
+            drains.remove(item.key().startsWith(DRAINS_PREFIX) ? item.key().substring(DRAINS_PREFIX.length()) : "");
         }
     }
 
-    private void changes(List<StoreClient.KeyValue> log) {
-        log.forEach(this::take);
-        if (read && log.isEmpty()) {
+    private void applyChanges(List<StoreClient.KeyValue> log) {
+        log.forEach(this::applyEntry);
+        if (loaded && log.isEmpty()) {
             return;
         }
-        read = true;
-        ordered = drains.values().stream()
+        loaded = true;
+        drainsByTime = drains.values().stream()
                 .sorted(Comparator.comparingLong(Drain::atMs).thenComparing(Drain::name))
                 .toList();
-        budgets = new Budgets(declared.values());
-        changed.run();
+        budgets = new Budgets(declaredBudgets.values());
+        onChange.run();
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainViews.java
+++ b/src/main/java/org/beechhoist/controller/DrainViews.java
@@ -13,12 +13,12 @@
 
 /** What people are told of drains. */
 final class DrainViews {
-    private static final int MOST_WHY = 8;
+    private static final int MAX_BLOCK_REASONS = 8;
 
     private DrainViews() {}
 
     /** What a person asks about a job some of whose tasks are on machines that are emptied, or null. */
-    static String told(Job job, ClusterState clusterState) {
+    static String describeDrainedTasks(Job job, ClusterState clusterState) {
         Map<String, Integer> by = new TreeMap<>();
         for (Placement placement : job.record.live.values()) {
             Machine machine = clusterState.findMachine(placement.machine);
@@ -32,8 +32,8 @@
                 .orElse(null);
     }
 
-    private static String now(Drain drain, Progress progress, long wallMs) {
-        if (progress.overMs > 0) {
+    private static String status(Drain drain, Progress progress, long wallMs) {
+        if (progress.endedAtMs > 0) {
             return "over";
         }
         return !drain.blocksNewWork(wallMs)
@@ -42,7 +42,7 @@
                         ? "paused"
                         : drain.pauses().isPaused(wallMs)
                                 ? "rests"
-                                : progress.paused != null ? "paused: " + progress.paused : "works";
+                                : progress.pauseReason != null ? "paused: " + progress.pauseReason : "works";
     }
 
     /**
@@ -50,7 +50,7 @@
      *
      * @param left what the rest would cost by what is known now, or null
      */
-    static ObjectNode row(
+    static ObjectNode drainView(
             Drain drain,
             Progress progress,
             List<Machine> matched,
@@ -67,35 +67,35 @@
             empty += mine && machine.placements.isEmpty() ? 1 : 0;
             tasks += mine ? machine.placements.size() : 0;
         }
-        node.put("now", now(drain, progress, wallMs))
+        node.put("now", status(drain, progress, wallMs))
                 .put("machinesLeft", matched.size())
                 .put("inHand", hand)
                 .put("empty", empty)
                 .put("tasksThere", tasks)
                 .put("gone", progress.gone)
                 .put("steps", progress.steps)
-                .put("pauses", progress.pauses)
+                .put("pauses", progress.pauseCount)
                 .put("spares", progress.spares.size())
-                .put("sparesAsked", progress.sparesAsked)
+                .put("sparesAsked", progress.sparesRequested)
                 .put("sparesFailed", progress.sparesFailed);
         node.putObject("foreseen")
-                .put("tasks", progress.tasksForeseen)
-                .put("cpuS", Math.round(progress.cpuSForeseen))
-                .put("end", progress.endForeseenMs);
+                .put("tasks", progress.forecastTasks)
+                .put("cpuS", Math.round(progress.forecastLostCpuS))
+                .put("end", progress.forecastEndMs);
         node.putObject("was")
-                .put("tasks", progress.tasks)
-                .put("cpuS", Math.round(progress.cpuS))
-                .put("end", progress.overMs);
+                .put("tasks", progress.evictedTasks)
+                .put("cpuS", Math.round(progress.lostCpuS))
+                .put("end", progress.endedAtMs);
         if (left != null) {
-            left.into(node.putObject("left"));
+            left.writeTo(node.putObject("left"));
         }
         ObjectNode why = node.putObject("blocked");
         blocked.entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-                .limit(MOST_WHY)
+                .limit(MAX_BLOCK_REASONS)
                 .forEach(e -> why.put(e.getKey(), e.getValue()));
-        if (blocked.size() > MOST_WHY) {
-            why.put("and more", blocked.size() - MOST_WHY);
+        if (blocked.size() > MAX_BLOCK_REASONS) {
+            why.put("and more", blocked.size() - MAX_BLOCK_REASONS);
         }
         return node;
     }
--- a/src/main/java/org/beechhoist/controller/JobStatusDetails.java
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -38,7 +38,7 @@
         OperatorViews.counted(JobProgress.count(job), state);
         OperatorViews.promised(leader, jobId, state, context.now().ms());
         if (features.drains().isPresent()) {
-            state.put("drained", DrainViews.told(job, leader.clusterState()));
+            state.put("drained", DrainViews.describeDrainedTasks(job, leader.clusterState()));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -63,7 +63,7 @@
         workers.provisioner.reset(election.fencingToken());
         scheduling.releases.begin();
         scheduling.migrations.startTerm();
-        features.drains.begin();
+        features.drains.startTerm();
         workers.loader.reload();
         features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
         features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
@@ -221,7 +221,7 @@
     private void runLongTermComponents() {
         scheduling.releases.tick(scheduling.planner);
         scheduling.migrations.updateMigrations(scheduling.planner.currentPlan());
-        features.drains.tick(scheduling.planner);
+        features.drains.updateDrains(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
         features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
         features.schedules.ifPresent(CronController::tick);
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -180,16 +180,16 @@
         if (!budgets.isDeclared(spec.team(), spec.jobClass())) {
             return true;
         }
-        Account account = disruptions.copies().getOrDefault(spec.team(), new Account());
+        Account account = disruptions.copyAccounts().getOrDefault(spec.team(), new Account());
         Account.DisruptionRequest ask = new Account.DisruptionRequest(
                 placement.task,
                 spec.jobClass(),
                 spec.isService(),
                 spec.isService() ? spec.tasks() : 0,
                 DisruptionAccounting.lostCpuS(spec, placement, context.now()));
-        DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
-        return disruptions.known()
-                && account.refusalReason(budgets.ofTeam(spec.team()), ask, context.wallMs()) == null
+        DisruptionBudget own = budgets.forClass(spec.team(), spec.jobClass());
+        return disruptions.isLoaded()
+                && account.refusalReason(budgets.forTeam(spec.team()), ask, context.wallMs()) == null
                 && (own == null || account.refusalReason(own, ask, context.wallMs()) == null);
     }
 
@@ -501,11 +501,11 @@
         found.moves().forEach(o -> move.targets.put(o.task(), o.to()));
         Transaction transaction = election.guardedTransaction().put(PREFIX + move.source.text(), move.toNode());
         Map<String, Account> charged = chargeTeams(move);
-        charged.forEach((team, a) -> disruptions.into(transaction, team, a));
+        charged.forEach((team, a) -> disruptions.putAccount(transaction, team, a));
         // Nothing is stopped before it is written.
         write(transaction, commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                charged.forEach(disruptions::adopt);
+                charged.forEach(disruptions::applyCommitted);
                 migrations.put(move.source, move);
                 LOG.info(
                         "room on {} for {}: {} tasks are moved, {} GPU s",
@@ -524,7 +524,7 @@
         if (!policy.drains()) {
             return out;
         }
-        Map<String, Account> all = disruptions.copies();
+        Map<String, Account> all = disruptions.copyAccounts();
         for (TaskId task : making.targets.keySet()) {
             Job job = clusterState.job(task.job());
             Placement placement = job == null ? null : job.record.live.get(task.index());
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -26,23 +26,23 @@
 /** Replacements in steps: new machines beside the old ones first, which old ones are begun, and what it pauses for. */
 final class RollingReplacement {
     private static final Logger LOG = LoggerFactory.getLogger(RollingReplacement.class);
-    private static final long A_MINUTE_MS = 60_000;
+    private static final long LOSS_WINDOW_MS = 60_000;
     /** Groups that asked for less say nothing of a half. */
-    private static final int LEAST_ASKED = 6;
+    private static final int MIN_REQUESTED_TASKS = 6;
     /** Machines that boot at once to have a place for what leaves. */
-    private static final int MOST_PLACES = 20;
+    private static final int MAX_BOOTING_SPARES = 20;
 
     private final ControllerContext context;
     private final ClusterState clusterState;
     private final Provisioner provisioner;
     private final FaultTracker faultTracker;
     private final JobOrdering ordering;
-    private final MachineLossTracker lossRecovery;
-    private final Supplier<Map<String, ServiceShare>> served;
+    private final MachineLossTracker lossTracker;
+    private final Supplier<Map<String, ServiceShare>> serviceShares;
     /** New machines that were asked for and not answered yet. */
-    private final Map<String, Integer> asked = new HashMap<>();
+    private final Map<String, Integer> pendingSpareRequests = new HashMap<>();
 
-    private final Set<MachineId> wasUp = BoundedCollections.insertionOrderedSet(1000);
+    private final Set<MachineId> sparesSeenUp = BoundedCollections.insertionOrderedSet(1000);
 
     RollingReplacement(
             ControllerContext context,
@@ -57,58 +57,59 @@
         this.provisioner = provisioner;
         this.faultTracker = faultTracker;
         this.ordering = ordering;
-        this.lossRecovery = lossRecovery;
-        this.served = served;
+        this.lossTracker = lossRecovery;
+        this.serviceShares = served;
     }
 
-    void begin() {
-        asked.clear();
-        wasUp.clear();
+    void startTerm() {
+        pendingSpareRequests.clear();
+        sparesSeenUp.clear();
     }
 
     /** One look at it; whether what is to be written of it has changed. */
-    boolean step(Drain drain, Progress progress, List<Machine> matched, boolean works, Planner planner) {
+    boolean updateReplacement(Drain drain, Progress progress, List<Machine> matched, boolean works, Planner planner) {
         boolean changed = false;
-        List<ReplacementSteps.Waiting> waiting = new ArrayList<>();
+        List<ReplacementSteps.PendingMachine> waiting = new ArrayList<>();
         Map<String, Integer> kinds = new HashMap<>();
         Map<String, Integer> inHand = new HashMap<>();
         for (Machine machine : matched) {
-            if (progress.begun.containsKey(machine.id)) {
+            if (progress.draining.containsKey(machine.id)) {
                 inHand.merge(String.valueOf(machine.zone), 1, Integer::sum);
             } else if (machine.cordonedBy == null) {
-                waiting.add(new ReplacementSteps.Waiting(
-                        machine.id, String.valueOf(machine.zone), lost(machine), machine.placements.size()));
-                kinds.merge(kind(machine), 1, Integer::sum);
+                waiting.add(new ReplacementSteps.PendingMachine(
+                        machine.id, String.valueOf(machine.zone), lostCpuS(machine), machine.placements.size()));
+                kinds.merge(machineKind(machine), 1, Integer::sum);
             }
         }
         if (progress.canaryGoneMs == 0 && progress.gone >= drain.limits().canary()) {
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = ReplacementSteps.stopReason(health(progress, planner.currentPlan()));
+        String stops = ReplacementSteps.pauseReason(health(progress, planner.currentPlan()));
         if (stops != null) {
-            if (progress.paused == null) {
+            if (progress.pauseReason == null) {
                 LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
-                progress.pauses++;
+                progress.pauseCount++;
                 changed = true;
             }
-            progress.paused = stops;
-            progress.pausedMs = context.wallMs();
-        } else if (progress.paused != null
-                && context.wallMs() - progress.pausedMs >= 1000 * drain.limits().holdS()) {
-            LOG.info("drain {} goes on: {} is over", drain.name(), progress.paused);
-            progress.paused = null;
-            progress.sparesAsked = progress.spares.size();
+            progress.pauseReason = stops;
+            progress.pausedAtMs = context.wallMs();
+        } else if (progress.pauseReason != null
+                && context.wallMs() - progress.pausedAtMs
+                        >= 1000 * drain.limits().holdS()) {
+            LOG.info("drain {} goes on: {} is over", drain.name(), progress.pauseReason);
+            progress.pauseReason = null;
+            progress.sparesRequested = progress.spares.size();
             progress.sparesFailed = 0;
             changed = true;
         }
-        if (!works || progress.paused != null) {
+        if (!works || progress.pauseReason != null) {
             return changed;
         }
-        standBy(
+        requestSpares(
                 drain,
                 progress,
-                Math.min(drain.limits().spare(), waiting.size() + progress.begun.size()) - progress.spares.size(),
+                Math.min(drain.limits().spare(), waiting.size() + progress.draining.size()) - progress.spares.size(),
                 kinds);
         int up = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
@@ -116,7 +117,7 @@
                 .count();
         List<MachineId> next = ReplacementSteps.nextMachines(
                 drain.limits(),
-                new ReplacementSteps.Facts(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
+                new ReplacementSteps.ReplacementState(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
                 context.wallMs());
         if (!next.isEmpty()) {
             LOG.info(
@@ -124,16 +125,16 @@
                     drain.name(),
                     ++progress.steps,
                     next.size(),
-                    progress.begun.size() + next.size(),
+                    progress.draining.size() + next.size(),
                     progress.gone,
                     waiting.size() - next.size());
-            next.forEach(h -> progress.begun.put(h, context.wallMs()));
+            next.forEach(h -> progress.draining.put(h, context.wallMs()));
             changed = true;
         }
         return changed;
     }
 
-    private double lost(Machine machine) {
+    private double lostCpuS(Machine machine) {
         double sum = 0;
         for (Placement placement : machine.placements.values()) {
             Job j = clusterState.job(placement.task.job());
@@ -158,41 +159,43 @@
         }
         double least = 1;
         String of = "";
-        for (Map.Entry<String, ServiceShare> entry : served.get().entrySet()) {
-            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().fraction() < least) {
+        for (Map.Entry<String, ServiceShare> entry : serviceShares.get().entrySet()) {
+            if (entry.getValue().asked() >= MIN_REQUESTED_TASKS
+                    && entry.getValue().fraction() < least) {
                 least = entry.getValue().fraction();
                 of = entry.getKey();
             }
         }
         int machines = (int) clusterState.machines().stream().filter(h -> h.up).count();
         return new ReplacementSteps.Health(
-                progress.sparesAsked,
+                progress.sparesRequested,
                 progress.sparesFailed,
                 faulty,
                 late,
                 least,
                 of,
-                lossRecovery.countRecentlyLostMachines(A_MINUTE_MS),
+                lossTracker.countRecentlyLostMachines(LOSS_WINDOW_MS),
                 machines);
     }
 
     // ---- machines that stand by ----
 
     /** One spare takes the place of each machine that is gone; those that never came up are counted. */
-    boolean spares(Drain drain, Progress progress) {
+    boolean updateSpares(Drain drain, Progress progress) {
         boolean changed = false;
         for (MachineId id : List.copyOf(progress.spares.keySet())) {
             Machine machine = clusterState.findMachine(id);
             if (machine == null || machine.releasing) {
-                progress.sparesFailed += wasUp.contains(id) ? 0 : 1;
+                progress.sparesFailed += sparesSeenUp.contains(id) ? 0 : 1;
                 progress.spares.remove(id);
                 changed = true;
             } else if (machine.up) {
-                wasUp.add(id);
-                boolean takes = drain.replace() ? progress.released < progress.gone : !machine.placements.isEmpty();
+                sparesSeenUp.add(id);
+                boolean takes =
+                        drain.replace() ? progress.sparesReleased < progress.gone : !machine.placements.isEmpty();
                 machine.reservedForDrain = takes ? null : drain.name();
                 if (takes) {
-                    progress.released += drain.replace() ? 1 : 0;
+                    progress.sparesReleased += drain.replace() ? 1 : 0;
                     progress.spares.remove(id);
                     changed = true;
                 }
@@ -204,22 +207,22 @@
     }
 
     /** What leaves has nowhere to go: a machine of the same kind for each of those that it leaves, some at a time. */
-    void makePlace(Drain drain, Progress progress, Map<String, Integer> kinds) {
+    void requestMachinesForMigration(Drain drain, Progress progress, Map<String, Integer> kinds) {
         int lacking = kinds.values().stream().mapToInt(Integer::intValue).sum();
         int booting = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
                 .filter(h -> h != null && !h.up)
                 .count();
-        standBy(drain, progress, Math.min(MOST_PLACES, lacking) - booting, kinds);
+        requestSpares(drain, progress, Math.min(MAX_BOOTING_SPARES, lacking) - booting, kinds);
     }
 
     /** What the kind of a machine is called here. */
-    static String kind(Machine machine) {
+    static String machineKind(Machine machine) {
         return machine.type + " " + machine.zone + " " + machine.spot;
     }
 
-    private void standBy(Drain drain, Progress progress, int wanted, Map<String, Integer> kinds) {
-        int waits = asked.getOrDefault(drain.name(), 0);
+    private void requestSpares(Drain drain, Progress progress, int wanted, Map<String, Integer> kinds) {
+        int waits = pendingSpareRequests.getOrDefault(drain.name(), 0);
         int missing = wanted - waits;
         if (missing <= 0 || kinds.isEmpty() || waits > 0) {
             return;
@@ -233,17 +236,17 @@
         long term = clusterState.term();
         if (provisioner.scaleOutPolicy().tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
             if (term == clusterState.term()) {
-                asked.merge(drain.name(), -missing, Integer::sum);
+                pendingSpareRequests.merge(drain.name(), -missing, Integer::sum);
                 had.forEach(h -> progress.spares.put(h, context.wallMs()));
-                progress.sparesAsked += had.size();
+                progress.sparesRequested += had.size();
             }
         })) {
-            asked.merge(drain.name(), missing, Integer::sum);
+            pendingSpareRequests.merge(drain.name(), missing, Integer::sum);
         }
     }
 
     /** Nothing stands by for it any more. */
-    void over(Drain drain, Progress progress) {
+    void releaseSpares(Drain drain, Progress progress) {
         progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
                 .filter(h -> h != null && drain.name().equals(h.reservedForDrain))
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -88,7 +88,7 @@
     }
 
     private void connectMigrations() {
-        workers.disruptions.moving(migrations::isMigrating);
+        workers.disruptions.setMigrationPending(migrations::isMigrating);
         workers.provisioner.setReservedForMigration(
                 machine -> !migrations.reservedOn(machine).isEmpty());
         admission.setMigrations(migrations);
--- a/src/main/java/org/beechhoist/drain/Account.java
+++ b/src/main/java/org/beechhoist/drain/Account.java
@@ -21,15 +21,15 @@
     private static final long SLOT_MS = 300_000;
     private static final long MS_PER_S = 1000;
     /** Number of tasks that one record can hold beside its sums, to stay below the size limit of a record. */
-    private static final int MOST_REMEMBERED = 100;
-    /** Number of classes with sums of their own; further classes are counted together as {@link #OTHERS}. */
-    private static final int MOST_CLASSES = 10;
+    private static final int MAX_RECORDED_TASKS = 100;
+    /** Number of classes with sums of their own; further classes are counted together as {@link #OTHER_CLASSES}. */
+    private static final int MAX_CLASSES = 10;
 
-    private static final String OTHERS = "others";
+    private static final String OTHER_CLASSES = "others";
     /** Array elements that the stored form uses for one task that is away. */
-    private static final int AWAY_FIELDS = 6;
+    private static final int AWAY_ELEMENT_COUNT = 6;
     /** Array elements that the stored form uses for the time at which one task was last disrupted. */
-    private static final int LAST_FIELDS = 2;
+    private static final int LAST_ELEMENT_COUNT = 2;
 
     /** A task that was stopped on purpose and does not run again yet; {@code attempt} is the one that was stopped. */
     public record Away(long attempt, String jobClass, Cause cause, double lostCpuS, long atMs) {}
@@ -43,24 +43,24 @@
 
     private final Map<TaskId, Away> away = new HashMap<>();
     /** When each task was last disrupted on purpose. */
-    private final Map<TaskId, Long> last = new HashMap<>();
+    private final Map<TaskId, Long> lastDisruptedMs = new HashMap<>();
     /** Sums by slot of five minutes, then by class and cause. */
     private final TreeMap<Long, Map<String, Sum>> slots = new TreeMap<>();
 
     /** Sums by class and cause of all that is older than the slots. */
-    private final Map<String, Sum> before = new TreeMap<>();
+    private final Map<String, Sum> olderSums = new TreeMap<>();
 
     /** Returns a copy that changes independently of this account. */
     public Account copy() {
         Account account = new Account();
         account.away.putAll(away);
-        account.last.putAll(last);
+        account.lastDisruptedMs.putAll(lastDisruptedMs);
         slots.forEach((slot, sums) -> account.slots.put(slot, new TreeMap<>(sums)));
-        account.before.putAll(before);
+        account.olderSums.putAll(olderSums);
         return account;
     }
 
-    private static String row(String jobClass, Cause cause) {
+    private static String sumKey(String jobClass, Cause cause) {
         return jobClass + " " + cause.name();
     }
 
@@ -68,11 +68,11 @@
     private String accountedClass(String jobClass) {
         Set<String> classes = new HashSet<>();
         sums().keySet().forEach(k -> classes.add(k.substring(0, k.indexOf(' '))));
-        return classes.contains(jobClass) || classes.size() < MOST_CLASSES ? jobClass : OTHERS;
+        return classes.contains(jobClass) || classes.size() < MAX_CLASSES ? jobClass : OTHER_CLASSES;
     }
 
     /** Makes the stored form smaller by merging all slots of the hour into the newest one; the merged sums therefore count for longer. */
-    public void shrink() {
+    public void mergeSlots() {
         if (slots.size() > 1) {
             Map<String, Sum> newest = slots.lastEntry().getValue();
             long at = slots.lastKey();
@@ -87,12 +87,12 @@
     public void charge(TaskId task, Away absence) {
         slots.computeIfAbsent(absence.atMs / SLOT_MS, k -> new TreeMap<>())
                 .merge(
-                        row(accountedClass(absence.jobClass), absence.cause),
+                        sumKey(accountedClass(absence.jobClass), absence.cause),
                         new Sum(1, absence.lostCpuS),
                         (x, y) -> x.plus(y.tasks, y.cpuS));
         if (absence.cause.onPurpose()) {
             away.put(task, absence);
-            last.put(task, absence.atMs);
+            lastDisruptedMs.put(task, absence.atMs);
         }
     }
 
@@ -107,12 +107,12 @@
         if (absence == null) {
             return;
         }
-        last.remove(task);
-        String row = row(accountedClass(absence.jobClass), absence.cause);
-        Map<String, Sum> in = before;
+        lastDisruptedMs.remove(task);
+        String row = sumKey(accountedClass(absence.jobClass), absence.cause);
+        Map<String, Sum> in = olderSums;
         for (Map<String, Sum> slot : slots.tailMap(absence.atMs / SLOT_MS).values()) {
             // The task's own slot, or the later one into which that was merged.
-            in = in == before && slot.containsKey(row) ? slot : in;
+            in = in == olderSums && slot.containsKey(row) ? slot : in;
         }
         in.computeIfPresent(row, (k, s) -> s.tasks > 1 ? s.plus(-1, -absence.lostCpuS) : null);
     }
@@ -131,11 +131,13 @@
      * Folds slots older than an hour into the total sums, and forgets when tasks were last disrupted once that is longer ago than any
      * budget's minimum interval.
      */
-    public void fold(long nowMs) {
+    public void foldExpiredSlots(long nowMs) {
         while (!slots.isEmpty() && (slots.firstKey() + 1) * SLOT_MS < nowMs - HOUR_MS) {
-            slots.pollFirstEntry().getValue().forEach((k, s) -> before.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS)));
+            slots.pollFirstEntry()
+                    .getValue()
+                    .forEach((k, s) -> olderSums.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS)));
         }
-        last.values().removeIf(at -> nowMs - at > MS_PER_S * DisruptionBudget.MOST_AGAIN_S);
+        lastDisruptedMs.values().removeIf(at -> nowMs - at > MS_PER_S * DisruptionBudget.MAX_AGAIN_S);
     }
 
     /** Returns the sum of the last hour for one class, or for all classes if {@code jobClass} is null. */
@@ -153,7 +155,7 @@
 
     /** Returns the sums of all time, by class and cause. */
     public Map<String, Sum> sums() {
-        Map<String, Sum> out = new TreeMap<>(before);
+        Map<String, Sum> out = new TreeMap<>(olderSums);
         slots.values().forEach(slot -> slot.forEach((k, s) -> out.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS))));
         return out;
     }
@@ -169,7 +171,7 @@
         if (budget.atOnce() == 0) {
             return whose + "none of its tasks may be disturbed";
         }
-        if (request.service && budget.mayBeAway(request.replicas) == 0) {
+        if (request.service && budget.maxReplicasAway(request.replicas) == 0) {
             return whose + "of " + request.replicas + " replicas none may be away";
         }
         long out = away.entrySet().stream()
@@ -178,17 +180,18 @@
         if (out >= budget.atOnce()) {
             return whose + out + " of " + budget.atOnce() + " tasks are away";
         }
-        if (away.size() >= MOST_REMEMBERED || last.size() >= MOST_REMEMBERED && !last.containsKey(request.task)) {
+        if (away.size() >= MAX_RECORDED_TASKS
+                || lastDisruptedMs.size() >= MAX_RECORDED_TASKS && !lastDisruptedMs.containsKey(request.task)) {
             return whose + "more tasks than can be remembered were disturbed in the last hour";
         }
         if (request.service
                 && away.keySet().stream()
                                 .filter(t -> t.job().equals(request.task.job()))
                                 .count()
-                        >= budget.mayBeAway(request.replicas)) {
+                        >= budget.maxReplicasAway(request.replicas)) {
             return whose + "a replica of " + request.task.job() + " is away";
         }
-        Long before = last.get(request.task);
+        Long before = lastDisruptedMs.get(request.task);
         if (before != null && nowMs - before < MS_PER_S * budget.againS()) {
             return whose + request.task + " was disturbed " + (nowMs - before) / MS_PER_S + " s ago, again in "
                     + (budget.againS() - (nowMs - before) / MS_PER_S) + " s";
@@ -213,12 +216,12 @@
                 .add(Math.round(absence.lostCpuS))
                 .add(absence.atMs));
         ArrayNode times = node.putArray("last");
-        last.forEach((t, at) -> times.add(t.toString()).add(at));
+        lastDisruptedMs.forEach((t, at) -> times.add(t.toString()).add(at));
         ObjectNode hour = node.putObject("hour");
         slots.forEach((slot, sums) -> sums.forEach(
                 (k, s) -> hour.withObject("/" + slot).putArray(k).add(s.tasks).add(Math.round(s.cpuS))));
         ObjectNode old = node.putObject("before");
-        before.forEach((k, s) -> old.putArray(k).add(s.tasks).add(Math.round(s.cpuS)));
+        olderSums.forEach((k, s) -> old.putArray(k).add(s.tasks).add(Math.round(s.cpuS)));
         return node;
     }
 
@@ -226,16 +229,16 @@
     public static Account parse(JsonNode node) {
         Account out = new Account();
         readAway(node.path("away"), out.away);
-        readLast(node.path("last"), out.last);
+        readLast(node.path("last"), out.lastDisruptedMs);
         readSlots(node.path("hour"), out.slots);
-        readSums(node.path("before"), out.before);
+        readSums(node.path("before"), out.olderSums);
         return out;
     }
 
     private static void readAway(JsonNode rows, Map<TaskId, Away> out) {
-        for (int i = 0; i + AWAY_FIELDS - 1 < rows.size(); i += AWAY_FIELDS) {
+        for (int i = 0; i + AWAY_ELEMENT_COUNT - 1 < rows.size(); i += AWAY_ELEMENT_COUNT) {
             TaskId task = TaskId.parse(rows.get(i).asText());
-            Cause cause = cause(rows.get(i + 3).asText());
+            Cause cause = parseCause(rows.get(i + 3).asText());
             if (task != null && cause != null) {
                 long attempt = rows.get(i + 1).asLong();
                 String jobClass = rows.get(i + 2).asText();
@@ -247,7 +250,7 @@
     }
 
     private static void readLast(JsonNode rows, Map<TaskId, Long> out) {
-        for (int i = 0; i + LAST_FIELDS - 1 < rows.size(); i += LAST_FIELDS) {
+        for (int i = 0; i + LAST_ELEMENT_COUNT - 1 < rows.size(); i += LAST_ELEMENT_COUNT) {
             TaskId task = TaskId.parse(rows.get(i).asText());
             if (task != null) {
                 out.put(task, rows.get(i + 1).asLong());
@@ -260,20 +263,20 @@
             if (slot.getKey().matches("[0-9]{1,12}")) {
                 slot.getValue().properties().forEach(row -> out.computeIfAbsent(
                                 Long.parseLong(slot.getKey()), k -> new TreeMap<>())
-                        .put(row.getKey(), sum(row.getValue())));
+                        .put(row.getKey(), parseSum(row.getValue())));
             }
         }
     }
 
     private static void readSums(JsonNode node, Map<String, Sum> out) {
-        node.properties().forEach(row -> out.put(row.getKey(), sum(row.getValue())));
+        node.properties().forEach(row -> out.put(row.getKey(), parseSum(row.getValue())));
     }
 
-    private static Sum sum(JsonNode node) {
+    private static Sum parseSum(JsonNode node) {
         return new Sum(node.path(0).asInt(), node.path(1).asDouble());
     }
 
-    private static Cause cause(String name) {
+    private static Cause parseCause(String name) {
         for (Cause cause : Cause.values()) {
             if (cause.name().equals(name)) {
                 return cause;
--- a/src/main/java/org/beechhoist/drain/Budgets.java
+++ b/src/main/java/org/beechhoist/drain/Budgets.java
@@ -7,7 +7,7 @@
 
 /** All disruption budgets, as one node knows them at one moment. */
 public final class Budgets {
-    /** No declared budgets: every team has {@link DisruptionBudget#USUAL}. */
+    /** No declared budgets: every team has {@link DisruptionBudget#FALLBACK}. */
     public static final Budgets NONE = new Budgets(List.of());
 
     private final Map<String, DisruptionBudget> byKey = new HashMap<>();
@@ -18,19 +18,19 @@
     }
 
     /** Returns the team's own budget, or the default one if it has none. */
-    public DisruptionBudget ofTeam(String team) {
+    public DisruptionBudget forTeam(String team) {
         DisruptionBudget own = byKey.get(team);
-        return own != null ? own : byKey.getOrDefault(DisruptionBudget.DEFAULT, DisruptionBudget.USUAL);
+        return own != null ? own : byKey.getOrDefault(DisruptionBudget.DEFAULT, DisruptionBudget.FALLBACK);
     }
 
     /** Returns the budget that applies to one class in addition to the team's, or null. */
-    public DisruptionBudget ofClass(String team, String jobClass) {
+    public DisruptionBudget forClass(String team, String jobClass) {
         return byKey.get(DisruptionBudget.key(team, jobClass));
     }
 
     /** Returns whether the team, or its class, has a budget of its own. */
     public boolean isDeclared(String team, String jobClass) {
-        return byKey.containsKey(team) || ofClass(team, jobClass) != null;
+        return byKey.containsKey(team) || forClass(team, jobClass) != null;
     }
 
     /** Returns all declared budgets. */
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -33,15 +33,15 @@
     /** Name of the team whose budget applies to every team without one. */
     public static final String DEFAULT = "default";
     /** The budget of teams for which none is declared, not even a default. */
-    public static final DisruptionBudget USUAL =
+    public static final DisruptionBudget FALLBACK =
             new DisruptionBudget(DEFAULT, null, 10, 20_000, null, 300, "", 0, "", 0);
 
     /** Largest {@code atOnce} that can be declared. */
-    public static final int MOST_AT_ONCE = 60;
+    public static final int MAX_AT_ONCE = 60;
     /** Largest {@code againS} that can be declared; accounts remember disruptions of a task for this long. */
-    public static final long MOST_AGAIN_S = 3600;
+    public static final long MAX_AGAIN_S = 3600;
 
-    private static final double MOST_LOST = 1e9;
+    private static final double MAX_LOST_CPU_S_PER_HOUR = 1e9;
     /** Keeps a product that should be a whole number from being rounded down to the one below. */
     private static final double ROUNDING_ERROR = 1e-9;
 
@@ -55,16 +55,16 @@
         return jobClass == null ? team : team + "~" + jobClass;
     }
 
-    /** Reads and checks a budget from a request; absent fields have the values of {@link #USUAL}. */
+    /** Reads and checks a budget from a request; absent fields have the values of {@link #FALLBACK}. */
     public static DisruptionBudget fromRequest(JsonNode node, String who, long atMs, String why, long number)
             throws MalformedMessageException {
-        String team = Fields.name("team", Codec.text(node, "team"));
-        String jobClass = Fields.text(node, "class");
+        String team = Fields.checkName("team", Codec.text(node, "team"));
+        String jobClass = Fields.optionalName(node, "class");
         if (team.equals(DEFAULT) && jobClass != null) {
             throw new MalformedMessageException("class = " + jobClass + ": the default is for all classes");
         }
-        int atOnce = (int) Fields.count(node, "atOnce", USUAL.atOnce, 0, MOST_AT_ONCE);
-        double lost = Fields.number(node, "lostCpuSPerHour", USUAL.lostCpuSPerHour, 0, MOST_LOST);
+        int atOnce = (int) Fields.wholeNumber(node, "atOnce", FALLBACK.atOnce, 0, MAX_AT_ONCE);
+        double lost = Fields.number(node, "lostCpuSPerHour", FALLBACK.lostCpuSPerHour, 0, MAX_LOST_CPU_S_PER_HOUR);
         Double up = Codec.isAbsent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
         return new DisruptionBudget(
                 team,
@@ -72,7 +72,7 @@
                 atOnce,
                 lost,
                 up,
-                Fields.count(node, "againS", USUAL.againS, 0, MOST_AGAIN_S),
+                Fields.wholeNumber(node, "againS", FALLBACK.againS, 0, MAX_AGAIN_S),
                 who,
                 atMs,
                 why,
@@ -80,7 +80,7 @@
     }
 
     /** Returns how many of a service's replicas may be away at once. */
-    public int mayBeAway(int replicas) {
+    public int maxReplicasAway(int replicas) {
         return leastUp == null ? 1 : (int) Math.floor(replicas * (1 - leastUp) + ROUNDING_ERROR);
     }
 
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -16,7 +16,7 @@
  * @param name the name of the drain
  * @param replace whether this is a rolling replacement: machines are emptied in steps and new ones take their place
  * @param with the type of the new machines; null: the type of the old ones
- * @param which the machines to drain
+ * @param selector the machines to drain
  * @param limits how many machines are drained at once, and how long tasks are waited for
  * @param byMs when the machines should be empty, in wall clock time; 0: whenever the least work is lost
  * @param untilMs when the machines are used again, in wall clock time; 0: when the drain is aborted
@@ -31,7 +31,7 @@
         String name,
         boolean replace,
         String with,
-        Selector which,
+        Selector selector,
         DrainLimits limits,
         long byMs,
         long untilMs,
@@ -41,8 +41,8 @@
         long atMs,
         long number,
         List<Change> history) {
-    private static final int MOST_HISTORY = 12;
-    private static final long LONGEST_S = 30L * 86_400;
+    private static final int MAX_HISTORY_COUNT = 12;
+    private static final long MAX_DELAY_S = 30L * 86_400;
     private static final long MS_PER_S = 1000;
 
     /** The state that operators have set; the names are stored in lower case. */
@@ -64,10 +64,10 @@
 
     /** Reads and checks a drain from a request; its times are relative to now. */
     public static Drain fromRequest(String name, JsonNode node, long nowMs) throws MalformedMessageException {
-        Fields.name("name", name);
-        boolean replace = Fields.flag(node, "replace");
-        boolean keep = Fields.flag(node, "keep");
-        String with = Fields.text(node, "with");
+        Fields.checkName("name", name);
+        boolean replace = Fields.bool(node, "replace");
+        boolean keep = Fields.bool(node, "keep");
+        String with = Fields.optionalName(node, "with");
         if (with != null && !replace) {
             throw new MalformedMessageException(
                     "with = " + with + ": only machines that are replaced have others in their place");
@@ -75,8 +75,8 @@
         if (replace && keep) {
             throw new MalformedMessageException("keep = true: machines that are replaced are returned");
         }
-        long by = seconds(node, "inS", nowMs);
-        long until = seconds(node, "forS", nowMs);
+        long by = parseRelativeTimeMs(node, "inS", nowMs);
+        long until = parseRelativeTimeMs(node, "forS", nowMs);
         if (until > 0 && until < by) {
             throw new MalformedMessageException(
                     "forS = " + node.path("forS") + ": at least inS, " + node.path("inS") + ", is expected");
@@ -97,38 +97,40 @@
                 List.of());
     }
 
-    private static long seconds(JsonNode node, String field, long nowMs) throws MalformedMessageException {
-        long seconds = Fields.count(node, field, 0, 1, LONGEST_S);
+    private static long parseRelativeTimeMs(JsonNode node, String field, long nowMs) throws MalformedMessageException {
+        long seconds = Fields.wholeNumber(node, field, 0, 1, MAX_DELAY_S);
         return seconds == 0 ? 0 : nowMs + MS_PER_S * seconds;
     }
 
     /** Returns this drain with another schedule of pauses. */
     public Drain withPauses(PauseSchedule other) {
-        return new Drain(name, replace, with, which, limits, byMs, untilMs, keep, other, state, atMs, number, history);
+        return new Drain(
+                name, replace, with, selector, limits, byMs, untilMs, keep, other, state, atMs, number, history);
     }
 
     /**
      * Returns this request as the next version of {@code before}, or as the first version if that is null. Machines that are being
      * drained already stay so.
      */
-    public Drain asChangeOf(Drain before, String who, long at, String why) {
-        return changed(before, State.RUNNING, before == null ? "put" : "put again", who, at, why);
+    public Drain asNextVersionOf(Drain before, String who, long at, String why) {
+        return nextVersion(before, State.RUNNING, before == null ? "put" : "put again", who, at, why);
     }
 
     /** Returns the next version of this drain, in another state; the change is added to the history. */
     public Drain withState(State next, String what, String who, long at, String why) {
-        return changed(this, next, what, who, at, why);
+        return nextVersion(this, next, what, who, at, why);
     }
 
-    private Drain changed(Drain before, State next, String what, String who, long at, String why) {
+    private Drain nextVersion(Drain before, State next, String what, String who, long at, String why) {
         List<Change> changes = new ArrayList<>(before == null ? List.of() : before.history);
         changes.add(new Change(what, who, at, why));
-        List<Change> kept = List.copyOf(changes.subList(Math.max(0, changes.size() - MOST_HISTORY), changes.size()));
+        List<Change> kept =
+                List.copyOf(changes.subList(Math.max(0, changes.size() - MAX_HISTORY_COUNT), changes.size()));
         return new Drain(
                 name,
                 replace,
                 with,
-                which,
+                selector,
                 limits,
                 byMs,
                 untilMs,
@@ -165,7 +167,7 @@
                 .put("until", untilMs)
                 .put("at", atMs)
                 .put("number", number);
-        which.writeTo(node);
+        selector.writeTo(node);
         limits.writeTo(node, replace);
         pauses.writeTo(node);
         ArrayNode changes = node.putArray("history");
--- a/src/main/java/org/beechhoist/drain/DrainLimits.java
+++ b/src/main/java/org/beechhoist/drain/DrainLimits.java
@@ -17,12 +17,12 @@
  */
 public record DrainLimits(int canary, int atOnce, int perZone, int spare, long holdS, long waitS) {
     /** Largest number of machines that can be drained at once in a rolling replacement. */
-    public static final int MOST_AT_ONCE = 100;
+    public static final int MAX_AT_ONCE = 100;
 
-    private static final long LONGEST_S = 86_400;
-    private static final long USUAL_WAIT_S = 600;
-    private static final long USUAL_HOLD_S = 60;
-    private static final int USUAL_AT_ONCE = 20;
+    private static final long MAX_WAIT_S = 86_400;
+    private static final long DEFAULT_WAIT_S = 600;
+    private static final long DEFAULT_HOLD_S = 60;
+    private static final int DEFAULT_AT_ONCE = 20;
 
     /**
      * Reads the limits from a request or a stored drain.
@@ -31,17 +31,18 @@
      * @param steps whether the drain goes in steps (rolling replacement); otherwise only {@code waitS} is read
      */
     public static DrainLimits parse(JsonNode node, boolean steps) throws MalformedMessageException {
-        int atOnce = !steps ? Integer.MAX_VALUE : count(node, "atOnce", USUAL_AT_ONCE, 1, MOST_AT_ONCE);
-        int perZone = !steps ? Integer.MAX_VALUE : count(node, "perZone", atOnce, 1, MOST_AT_ONCE);
-        int canary = !steps ? 0 : count(node, "canary", 1, 0, MOST_AT_ONCE);
-        int spare = !steps ? 0 : count(node, "spare", Math.min(atOnce, MOST_AT_ONCE), 0, MOST_AT_ONCE);
-        long hold = !steps ? 0 : count(node, "holdS", USUAL_HOLD_S, 0, LONGEST_S);
-        return new DrainLimits(canary, atOnce, perZone, spare, hold, count(node, "waitS", USUAL_WAIT_S, 0, LONGEST_S));
+        int atOnce = !steps ? Integer.MAX_VALUE : parseCount(node, "atOnce", DEFAULT_AT_ONCE, 1, MAX_AT_ONCE);
+        int perZone = !steps ? Integer.MAX_VALUE : parseCount(node, "perZone", atOnce, 1, MAX_AT_ONCE);
+        int canary = !steps ? 0 : parseCount(node, "canary", 1, 0, MAX_AT_ONCE);
+        int spare = !steps ? 0 : parseCount(node, "spare", Math.min(atOnce, MAX_AT_ONCE), 0, MAX_AT_ONCE);
+        long hold = !steps ? 0 : parseCount(node, "holdS", DEFAULT_HOLD_S, 0, MAX_WAIT_S);
+        return new DrainLimits(
+                canary, atOnce, perZone, spare, hold, parseCount(node, "waitS", DEFAULT_WAIT_S, 0, MAX_WAIT_S));
     }
 
-    private static int count(JsonNode node, String field, long fallback, long least, long most)
+    private static int parseCount(JsonNode node, String field, long fallback, long least, long most)
             throws MalformedMessageException {
-        return (int) Fields.count(node, field, fallback, least, most);
+        return (int) Fields.wholeNumber(node, field, fallback, least, most);
     }
 
     void writeTo(ObjectNode node, boolean steps) {
--- a/src/main/java/org/beechhoist/drain/Evictions.java
+++ b/src/main/java/org/beechhoist/drain/Evictions.java
@@ -26,7 +26,7 @@
      * @param team the team whose budget applies
      * @param jobClass the class whose budget applies in addition
      * @param cause what its eviction is charged as
-     * @param gang number of tasks that end with it, itself included; 0: it does not belong to a gang
+     * @param gangSize number of tasks that end with it, itself included; 0: it does not belong to a gang
      * @param replicas number of replicas of its service; 0: it does not belong to a service
      * @param due whether the moment has come at which stopping it loses least
      * @param lostCpuS CPU seconds of work that stopping it now loses
@@ -39,13 +39,13 @@
             String team,
             String jobClass,
             Cause cause,
-            int gang,
+            int gangSize,
             int replicas,
             boolean due,
             double lostCpuS,
             boolean mayBeEvicted) {
         /** Returns whether the task is a replica of a service. */
-        public boolean service() {
+        public boolean isService() {
             return replicas > 0;
         }
     }
@@ -83,7 +83,7 @@
             if (!candidate.due || evicted.size() >= most) {
                 continue; // it ends by itself, or reaches its next checkpoint first
             }
-            if (candidate.gang > 0 && !gangs.add(candidate.task.job())) {
+            if (candidate.gangSize > 0 && !gangs.add(candidate.task.job())) {
                 continue; // the gang was decided on with its first task
             }
             Account account = accounts.computeIfAbsent(candidate.team, team -> new Account());
@@ -105,9 +105,9 @@
 
     private static String refusalReason(Candidate candidate, Budgets budgets, Account account, long nowMs) {
         Account.DisruptionRequest request = new Account.DisruptionRequest(
-                candidate.task, candidate.jobClass, candidate.service(), candidate.replicas, candidate.lostCpuS);
-        String team = account.refusalReason(budgets.ofTeam(candidate.team), request, nowMs);
-        DisruptionBudget own = budgets.ofClass(candidate.team, candidate.jobClass);
+                candidate.task, candidate.jobClass, candidate.isService(), candidate.replicas, candidate.lostCpuS);
+        String team = account.refusalReason(budgets.forTeam(candidate.team), request, nowMs);
+        DisruptionBudget own = budgets.forClass(candidate.team, candidate.jobClass);
         return team != null || own == null ? team : account.refusalReason(own, request, nowMs);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -6,11 +6,11 @@
 
 /** Reads and checks fields of requests; an error message names the field, its value and what is expected. */
 final class Fields {
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,59}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,59}";
 
     private Fields() {}
 
-    static long count(JsonNode node, String field, long fallback, long least, long most)
+    static long wholeNumber(JsonNode node, String field, long fallback, long least, long most)
             throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
@@ -39,7 +39,7 @@
         return value.doubleValue();
     }
 
-    static boolean flag(JsonNode node, String field) throws MalformedMessageException {
+    static boolean bool(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value != null && !value.isNull() && !value.isBoolean()) {
             throw new MalformedMessageException(field + " = " + value + ": true or false is expected");
@@ -48,12 +48,12 @@
     }
 
     /** Returns a name, or null if the field is absent. */
-    static String text(JsonNode node, String field) throws MalformedMessageException {
-        return Codec.isAbsent(node, field) ? null : name(field, Codec.text(node, field));
+    static String optionalName(JsonNode node, String field) throws MalformedMessageException {
+        return Codec.isAbsent(node, field) ? null : checkName(field, Codec.text(node, field));
     }
 
-    static String name(String field, String text) throws MalformedMessageException {
-        if (!text.matches(NAME)) {
+    static String checkName(String field, String text) throws MalformedMessageException {
+        if (!text.matches(NAME_PATTERN)) {
             throw new MalformedMessageException(
                     field + " = " + text + ": 1 to 60 letters, digits, dots, dashes and underlines are expected");
         }
--- a/src/main/java/org/beechhoist/drain/PauseSchedule.java
+++ b/src/main/java/org/beechhoist/drain/PauseSchedule.java
@@ -31,7 +31,7 @@
     /** No pauses. */
     public static final PauseSchedule NEVER = new PauseSchedule(null, null, ZoneId.of("UTC"), null, Set.of());
     /** Number of days for which closed days are copied from the calendar. */
-    private static final int DAYS = 90;
+    private static final int COPIED_DAY_COUNT = 90;
 
     /** Reads the schedule from a request or a stored drain. */
     public static PauseSchedule parse(JsonNode node) throws MalformedMessageException {
@@ -58,10 +58,10 @@
             }
         }
         return new PauseSchedule(
-                hours ? time(node, "from") : null, hours ? time(node, "to") : null, zone, calendar, closed);
+                hours ? parseTime(node, "from") : null, hours ? parseTime(node, "to") : null, zone, calendar, closed);
     }
 
-    private static LocalTime time(JsonNode node, String field) throws MalformedMessageException {
+    private static LocalTime parseTime(JsonNode node, String field) throws MalformedMessageException {
         try {
             return LocalTime.parse(Codec.text(node, field));
         } catch (DateTimeParseException e) {
@@ -74,7 +74,7 @@
     public PauseSchedule withClosedDays(Predicate<LocalDate> isClosed, long nowMs) {
         Set<LocalDate> days = new TreeSet<>();
         LocalDate first = Instant.ofEpochMilli(nowMs).atZone(zone).toLocalDate().minusDays(1);
-        for (int i = 0; i < DAYS; i++) {
+        for (int i = 0; i < COPIED_DAY_COUNT; i++) {
             if (isClosed.test(first.plusDays(i))) {
                 days.add(first.plusDays(i));
             }
--- a/src/main/java/org/beechhoist/drain/Progress.java
+++ b/src/main/java/org/beechhoist/drain/Progress.java
@@ -14,66 +14,66 @@
  */
 public final class Progress {
     /** Version of the drain that this progress belongs to. */
-    public long number;
+    public long drainVersion;
     /** Machines that are being drained, and since when, in wall clock time. */
-    public final Map<MachineId, Long> begun = new TreeMap<>();
+    public final Map<MachineId, Long> draining = new TreeMap<>();
     /** New machines that are in reserve for old ones, and since when, in wall clock time. */
     public final Map<MachineId, Long> spares = new TreeMap<>();
 
     /** Number of machines that are gone. */
     public int gone;
     /** Number of new machines that have become ordinary ones: one for each machine that is gone. */
-    public int released;
+    public int sparesReleased;
 
     /** Number of steps so far. */
     public int steps;
     /** When the last machine of the first step was gone, in wall clock time; 0: it is not. */
     public long canaryGoneMs;
     /** Number of requested new machines, counted anew after each automatic pause. */
-    public int sparesAsked;
+    public int sparesRequested;
     /** How many of these did not come up. */
     public int sparesFailed;
     /** Why the drain has paused automatically; null: it has not. */
-    public String paused;
+    public String pauseReason;
 
     /** Since when it has paused automatically, in wall clock time. */
-    public long pausedMs;
+    public long pausedAtMs;
     /** Number of automatic pauses so far. */
-    public int pauses;
+    public int pauseCount;
     /** Forecast at the start: number of tasks that will be evicted. */
-    public int tasksForeseen;
+    public int forecastTasks;
 
     /** Forecast at the start: CPU seconds that will be lost. */
-    public double cpuSForeseen;
+    public double forecastLostCpuS;
     /** Forecast at the start: when the drain will end, in wall clock time. */
-    public long endForeseenMs;
+    public long forecastEndMs;
     /** Number of tasks evicted so far. */
-    public int tasks;
+    public int evictedTasks;
     /** CPU seconds lost so far. */
-    public double cpuS;
+    public double lostCpuS;
     /** When the last machine was gone, in wall clock time; 0: the drain is not over. */
-    public long overMs;
+    public long endedAtMs;
 
     /** Returns the stored form; CPU seconds are rounded. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map()
-                .put("number", number)
+                .put("number", drainVersion)
                 .put("gone", gone)
-                .put("released", released)
+                .put("released", sparesReleased)
                 .put("steps", steps)
                 .put("canaryGone", canaryGoneMs)
-                .put("sparesAsked", sparesAsked)
+                .put("sparesAsked", sparesRequested)
                 .put("sparesFailed", sparesFailed)
-                .put("paused", paused)
-                .put("pausedAt", pausedMs)
-                .put("pauses", pauses)
-                .put("tasksForeseen", tasksForeseen)
-                .put("cpuSForeseen", Math.round(cpuSForeseen))
-                .put("endForeseen", endForeseenMs)
-                .put("tasks", tasks)
-                .put("cpuS", Math.round(cpuS))
-                .put("over", overMs);
-        writeMachines(node.putArray("begun"), begun);
+                .put("paused", pauseReason)
+                .put("pausedAt", pausedAtMs)
+                .put("pauses", pauseCount)
+                .put("tasksForeseen", forecastTasks)
+                .put("cpuSForeseen", Math.round(forecastLostCpuS))
+                .put("endForeseen", forecastEndMs)
+                .put("tasks", evictedTasks)
+                .put("cpuS", Math.round(lostCpuS))
+                .put("over", endedAtMs);
+        writeMachines(node.putArray("begun"), draining);
         writeMachines(node.putArray("spares"), spares);
         return node;
     }
@@ -85,23 +85,23 @@
     /** Reads the stored form; absent fields are zero. */
     public static Progress parse(JsonNode node) {
         Progress progress = new Progress();
-        progress.number = node.path("number").asLong();
+        progress.drainVersion = node.path("number").asLong();
         progress.gone = node.path("gone").asInt();
-        progress.released = node.path("released").asInt();
+        progress.sparesReleased = node.path("released").asInt();
         progress.steps = node.path("steps").asInt();
         progress.canaryGoneMs = node.path("canaryGone").asLong();
-        progress.sparesAsked = node.path("sparesAsked").asInt();
+        progress.sparesRequested = node.path("sparesAsked").asInt();
         progress.sparesFailed = node.path("sparesFailed").asInt();
-        progress.paused = node.hasNonNull("paused") ? node.path("paused").asText() : null;
-        progress.pausedMs = node.path("pausedAt").asLong();
-        progress.pauses = node.path("pauses").asInt();
-        progress.tasksForeseen = node.path("tasksForeseen").asInt();
-        progress.cpuSForeseen = node.path("cpuSForeseen").asDouble();
-        progress.endForeseenMs = node.path("endForeseen").asLong();
-        progress.tasks = node.path("tasks").asInt();
-        progress.cpuS = node.path("cpuS").asDouble();
-        progress.overMs = node.path("over").asLong();
-        readMachines(node.path("begun"), progress.begun);
+        progress.pauseReason = node.hasNonNull("paused") ? node.path("paused").asText() : null;
+        progress.pausedAtMs = node.path("pausedAt").asLong();
+        progress.pauseCount = node.path("pauses").asInt();
+        progress.forecastTasks = node.path("tasksForeseen").asInt();
+        progress.forecastLostCpuS = node.path("cpuSForeseen").asDouble();
+        progress.forecastEndMs = node.path("endForeseen").asLong();
+        progress.evictedTasks = node.path("tasks").asInt();
+        progress.lostCpuS = node.path("cpuS").asDouble();
+        progress.endedAtMs = node.path("over").asLong();
+        readMachines(node.path("begun"), progress.draining);
         readMachines(node.path("spares"), progress.spares);
         return progress;
     }
--- a/src/main/java/org/beechhoist/drain/ReplacementSteps.java
+++ b/src/main/java/org/beechhoist/drain/ReplacementSteps.java
@@ -10,19 +10,19 @@
 /** The steps of a rolling replacement: in which order and how many machines are drained, and what makes the replacement pause. */
 public final class ReplacementSteps {
     /** Requested new machines from which on failures among them count. */
-    private static final int LEAST_SPARES = 3;
+    private static final int MIN_SPARES_FOR_FAILURE_CHECK = 3;
     /** Share of the requested new machines of which no more may fail to come up. */
-    private static final double SPARES_FAIL = 0.34;
+    private static final double MAX_FAILED_SPARE_SHARE = 0.34;
     /** Least service share with which a replacement continues; the guaranteed minimum is one half. */
-    private static final double NEAR_HALF = 0.55;
+    private static final double MIN_SERVICE_SHARE = 0.55;
     /** Machines lost within a minute that always make the replacement pause. */
-    private static final int LOST_ALWAYS_PAUSES = 20;
-    /** Machines lost within a minute that make it pause if they are more than {@link #LOST_SHARE} of all. */
-    private static final int LOST_MAY_PAUSE = 4;
+    private static final int LOST_MACHINE_PAUSE_COUNT = 20;
+    /** Machines lost within a minute that make it pause if they are more than {@link #MAX_LOST_MACHINE_SHARE} of all. */
+    private static final int MIN_LOST_MACHINE_COUNT = 4;
 
-    private static final double LOST_SHARE = 0.2;
+    private static final double MAX_LOST_MACHINE_SHARE = 0.2;
     /** Late urgent tasks from which on the replacement pauses. */
-    private static final int LATE_URGENT = 10;
+    private static final int LATE_URGENT_TASK_PAUSE_COUNT = 10;
 
     private static final long MS_PER_S = 1000;
 
@@ -34,7 +34,7 @@
      * @param lostCpuS CPU seconds of work that would be lost if it were drained now
      * @param tasks number of tasks on it
      */
-    public record Waiting(MachineId machine, String zone, double lostCpuS, int tasks) {}
+    public record PendingMachine(MachineId machine, String zone, double lostCpuS, int tasks) {}
 
     /**
      * How far a replacement has come.
@@ -45,8 +45,12 @@
      * @param canaryGoneMs when the last machine of the first step was gone, in wall clock time; 0: it is not
      * @param sparesUp number of new machines that are up and do not stand for an old one that is gone
      */
-    public record Facts(
-            List<Waiting> waiting, Map<String, Integer> drainingByZone, int gone, long canaryGoneMs, int sparesUp) {
+    public record ReplacementState(
+            List<PendingMachine> waiting,
+            Map<String, Integer> drainingByZone,
+            int gone,
+            long canaryGoneMs,
+            int sparesUp) {
         int draining() {
             return drainingByZone.values().stream().mapToInt(Integer::intValue).sum();
         }
@@ -55,51 +59,55 @@
     /**
      * The measurements that can make a replacement pause.
      *
-     * @param sparesAsked number of new machines that were requested
+     * @param sparesRequested number of new machines that were requested
      * @param sparesFailed how many of these did not come up
-     * @param faultyNew number of new machines on which tasks of several jobs fail
-     * @param lateUrgent number of urgent tasks that the plan begins later than promised
-     * @param leastShare the smallest share of its demand that a class or team is served
-     * @param leastOf the class or team with that share
-     * @param lostLately number of machines that were lost within the last minute
+     * @param faultySpares number of new machines on which tasks of several jobs fail
+     * @param lateUrgentTasks number of urgent tasks that the plan begins later than promised
+     * @param minShare the smallest share of its demand that a class or team is served
+     * @param minShareGroup the class or team with that share
+     * @param recentlyLostMachines number of machines that were lost within the last minute
      * @param machines number of machines that there are
      */
     public record Health(
-            int sparesAsked,
+            int sparesRequested,
             int sparesFailed,
-            int faultyNew,
-            int lateUrgent,
-            double leastShare,
-            String leastOf,
-            int lostLately,
+            int faultySpares,
+            int lateUrgentTasks,
+            double minShare,
+            String minShareGroup,
+            int recentlyLostMachines,
             int machines) {}
 
     private ReplacementSteps() {}
 
     /** Returns why the replacement should pause, or null if it may continue. */
-    public static String stopReason(Health health) {
-        if (health.lostLately >= LOST_ALWAYS_PAUSES
-                || health.lostLately >= LOST_MAY_PAUSE && health.lostLately > LOST_SHARE * health.machines) {
-            return health.lostLately + " machines were lost within a minute";
+    public static String pauseReason(Health health) {
+        if (health.recentlyLostMachines >= LOST_MACHINE_PAUSE_COUNT
+                || health.recentlyLostMachines >= MIN_LOST_MACHINE_COUNT
+                        && health.recentlyLostMachines > MAX_LOST_MACHINE_SHARE * health.machines) {
+            return health.recentlyLostMachines + " machines were lost within a minute";
         }
-        if (health.sparesAsked >= LEAST_SPARES && health.sparesFailed > SPARES_FAIL * health.sparesAsked) {
-            return health.sparesFailed + " of " + health.sparesAsked + " new machines did not come up";
+        if (health.sparesRequested >= MIN_SPARES_FOR_FAILURE_CHECK
+                && health.sparesFailed > MAX_FAILED_SPARE_SHARE * health.sparesRequested) {
+            return health.sparesFailed + " of " + health.sparesRequested + " new machines did not come up";
         }
-        if (health.faultyNew > 0) {
-            return health.faultyNew + " new machines fail tasks";
+        if (health.faultySpares > 0) {
+            return health.faultySpares + " new machines fail tasks";
         }
-        if (health.leastShare < NEAR_HALF) {
-            return health.leastOf + " is near its half: " + Math.round(100 * health.leastShare)
+        if (health.minShare < MIN_SERVICE_SHARE) {
+            return health.minShareGroup + " is near its half: " + Math.round(100 * health.minShare)
                     + "% of what it asked is served";
         }
-        return health.lateUrgent >= LATE_URGENT ? health.lateUrgent + " urgent tasks begin later than promised" : null;
+        return health.lateUrgentTasks >= LATE_URGENT_TASK_PAUSE_COUNT
+                ? health.lateUrgentTasks + " urgent tasks begin later than promised"
+                : null;
     }
 
     /**
      * Returns the machines to start draining now: those that lose least first, no more than the limits allow, and only as many as there
      * are new machines up for.
      */
-    public static List<MachineId> nextMachines(DrainLimits limits, Facts facts, long nowMs) {
+    public static List<MachineId> nextMachines(DrainLimits limits, ReplacementState facts, long nowMs) {
         boolean canary = facts.gone < limits.canary();
         boolean held = limits.canary() == 0
                 || !canary && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= MS_PER_S * limits.holdS();
@@ -113,13 +121,13 @@
             // Each spare stands for one old machine that is being drained.
             most = Math.min(most, facts.sparesUp - facts.draining());
         }
-        List<Waiting> order = new ArrayList<>(facts.waiting);
-        order.sort(Comparator.comparingDouble(Waiting::lostCpuS)
-                .thenComparingInt(Waiting::tasks)
-                .thenComparing(Waiting::machine));
+        List<PendingMachine> order = new ArrayList<>(facts.waiting);
+        order.sort(Comparator.comparingDouble(PendingMachine::lostCpuS)
+                .thenComparingInt(PendingMachine::tasks)
+                .thenComparing(PendingMachine::machine));
         Map<String, Integer> inZone = new HashMap<>(facts.drainingByZone);
         List<MachineId> out = new ArrayList<>();
-        for (Waiting waiting : order) {
+        for (PendingMachine waiting : order) {
             if (out.size() >= most) {
                 break;
             }
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -23,12 +23,12 @@
  */
 public record Selector(Set<String> names, String type, String zone, Boolean spot, long olderThanS, double share) {
     /** Largest number of machines that can be selected by name. */
-    public static final int MOST_NAMES = 100;
+    public static final int MAX_NAMES = 100;
 
-    private static final long LONGEST_S = 366L * 86_400;
-    private static final double LEAST_SHARE = 0.001;
+    private static final long MAX_AGE_S = 366L * 86_400;
+    private static final double MIN_SHARE = 0.001;
     /** Number of different hash values. */
-    private static final double HASHES = 4294967296.0;
+    private static final double HASH_VALUE_COUNT = 4294967296.0;
 
     private static final long MS_PER_S = 1000;
 
@@ -41,7 +41,7 @@
      * @param spot whether it is a spot machine
      * @param rentedWallMs when it was rented, in wall clock time; 0: not known
      */
-    public record Machine(MachineId id, String type, String zone, boolean spot, long rentedWallMs) {}
+    public record MachineProperties(MachineId id, String type, String zone, boolean spot, long rentedWallMs) {}
 
     /**
      * Returns whether the machine is selected.
@@ -49,7 +49,7 @@
      * @param machine the machine
      * @param atMs when the drain was requested, in wall clock time
      */
-    public boolean matches(Machine machine, long atMs) {
+    public boolean matches(MachineProperties machine, long atMs) {
         if (!names.isEmpty()) {
             return names.contains(machine.id.text());
         }
@@ -60,7 +60,7 @@
                 && (spot == null || spot == machine.spot)
                 && (share >= 1
                         || Integer.toUnsignedLong(Hashing.murmur3_32().hashCharsToInt(machine.id.text()))
-                                < share * HASHES);
+                                < share * HASH_VALUE_COUNT);
     }
 
     /** Reads the selector from a request or a stored drain. */
@@ -68,17 +68,17 @@
         Set<String> names = new TreeSet<>();
         if (!Codec.isAbsent(node, "machines")) {
             names.addAll(Codec.textList(node.get("machines"), "machines"));
-            if (names.isEmpty() || names.size() > MOST_NAMES) {
+            if (names.isEmpty() || names.size() > MAX_NAMES) {
                 throw new MalformedMessageException(
-                        "machines = " + names.size() + " names: 1 to " + MOST_NAMES + " are expected");
+                        "machines = " + names.size() + " names: 1 to " + MAX_NAMES + " are expected");
             }
         }
-        String type = Fields.text(node, "type");
-        String zone = Fields.text(node, "zone");
-        Boolean spot = Codec.isAbsent(node, "spot") ? null : Boolean.valueOf(Fields.flag(node, "spot"));
-        long older = Fields.count(node, "olderThanS", 0, 0, LONGEST_S);
-        double share = Fields.number(node, "share", 1, LEAST_SHARE, 1);
-        boolean all = Fields.flag(node, "all");
+        String type = Fields.optionalName(node, "type");
+        String zone = Fields.optionalName(node, "zone");
+        Boolean spot = Codec.isAbsent(node, "spot") ? null : Boolean.valueOf(Fields.bool(node, "spot"));
+        long older = Fields.wholeNumber(node, "olderThanS", 0, 0, MAX_AGE_S);
+        double share = Fields.number(node, "share", 1, MIN_SHARE, 1);
+        boolean all = Fields.bool(node, "all");
         boolean some = type != null || zone != null || spot != null || older > 0 || share < 1;
         if (names.isEmpty() ? !all && !some : all || some) {
             throw new MalformedMessageException(
--- a/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
+++ b/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
@@ -98,23 +98,23 @@
         Account.DisruptionRequest ask = new Account.DisruptionRequest(task(1, 0), "c", false, 0, 10);
         assertTrue(
                 a.refusalReason(budget("blue", null, 0, 100, null, 0), ask, NOW).contains("none of its tasks"));
-        assertNull(a.refusalReason(DisruptionBudget.USUAL, ask, NOW));
+        assertNull(a.refusalReason(DisruptionBudget.FALLBACK, ask, NOW));
         a.charge(task(1, 0), new Account.Away(1, "c", Cause.DRAIN, 10, NOW));
-        assertTrue(a.refusalReason(DisruptionBudget.USUAL, ask, NOW + 60_000).contains("again in 240 s"));
+        assertTrue(a.refusalReason(DisruptionBudget.FALLBACK, ask, NOW + 60_000).contains("again in 240 s"));
         assertTrue(a.refusalReason(
                         budget("blue", null, 1, 100, null, 0),
                         new Account.DisruptionRequest(task(2, 0), "c", false, 0, 10),
                         NOW)
                 .contains("1 of 1 tasks are away"));
         a.clearAway(task(1, 0));
-        assertNull(a.refusalReason(DisruptionBudget.USUAL, ask, NOW + 301_000));
+        assertNull(a.refusalReason(DisruptionBudget.FALLBACK, ask, NOW + 301_000));
         // A service of three that must keep three is never moved; one that may miss one has one away at a time.
         Account.DisruptionRequest replica = new Account.DisruptionRequest(task(3, 0), "s", true, 3, 0);
         assertTrue(a.refusalReason(budget("blue", null, 9, 100, 1.0, 0), replica, NOW)
                 .contains("of 3 replicas none may be away"));
-        assertNull(a.refusalReason(DisruptionBudget.USUAL, replica, NOW));
+        assertNull(a.refusalReason(DisruptionBudget.FALLBACK, replica, NOW));
         a.charge(task(3, 1), new Account.Away(1, "s", Cause.DRAIN, 0, NOW));
-        assertTrue(a.refusalReason(DisruptionBudget.USUAL, replica, NOW).contains("is away"));
+        assertTrue(a.refusalReason(DisruptionBudget.FALLBACK, replica, NOW).contains("is away"));
         // What happens by itself fills the hour, and is never away on purpose.
         a.charge(task(4, 0), new Account.Away(1, "c", Cause.MACHINE, 5000, NOW));
         assertFalse(a.isAway(task(4, 0)));
@@ -123,7 +123,7 @@
                         new Account.DisruptionRequest(task(5, 0), "c", false, 0, 1),
                         NOW)
                 .contains("CPU s of the hour"));
-        a.fold(NOW + 2 * 3_600_000);
+        a.foldExpiredSlots(NOW + 2 * 3_600_000);
         assertNull(a.refusalReason(
                 budget("blue", null, 9, 1000, null, 0),
                 new Account.DisruptionRequest(task(5, 0), "c", false, 0, 1),
@@ -146,7 +146,7 @@
                             r.nextInt(50),
                             NOW + i * 60_000L));
         }
-        a.fold(NOW + 90 * 60_000);
+        a.foldExpiredSlots(NOW + 90 * 60_000);
         Account b = Account.parse(a.toNode());
         assertEquals(a.toNode(), b.toNode());
         assertEquals(a.sums(), b.sums());
@@ -169,26 +169,27 @@
                         .put("spare", 0)
                         .put("holdS", 60),
                 true);
-        List<ReplacementSteps.Waiting> waiting = new ArrayList<>();
+        List<ReplacementSteps.PendingMachine> waiting = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            waiting.add(
-                    new ReplacementSteps.Waiting(new MachineId("m-" + (10 + i)), i % 4 == 0 ? "b" : "a", 100 - i, 1));
+            waiting.add(new ReplacementSteps.PendingMachine(
+                    new MachineId("m-" + (10 + i)), i % 4 == 0 ? "b" : "a", 100 - i, 1));
         }
-        List<MachineId> first =
-                ReplacementSteps.nextMachines(p, new ReplacementSteps.Facts(waiting, Map.of(), 0, 0, 0), NOW);
+        List<MachineId> first = ReplacementSteps.nextMachines(
+                p, new ReplacementSteps.ReplacementState(waiting, Map.of(), 0, 0, 0), NOW);
         assertEquals(2, first.size());
         assertEquals(new MachineId("m-29"), first.get(0), "what loses least first");
         assertEquals(
                 List.of(),
-                ReplacementSteps.nextMachines(p, new ReplacementSteps.Facts(waiting, Map.of("a", 2), 0, 0, 0), NOW),
+                ReplacementSteps.nextMachines(
+                        p, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 2), 0, 0, 0), NOW),
                 "the first step must be over");
         assertEquals(
                 List.of(),
                 ReplacementSteps.nextMachines(
-                        p, new ReplacementSteps.Facts(waiting, Map.of(), 2, NOW - 59_000, 0), NOW),
+                        p, new ReplacementSteps.ReplacementState(waiting, Map.of(), 2, NOW - 59_000, 0), NOW),
                 "and hold");
         List<MachineId> next = ReplacementSteps.nextMachines(
-                p, new ReplacementSteps.Facts(waiting, Map.of("a", 1), 2, NOW - 60_000, 0), NOW);
+                p, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 1), 2, NOW - 60_000, 0), NOW);
         assertEquals(5, next.size());
         assertEquals(
                 2,
@@ -200,15 +201,16 @@
                 DrainLimits.parse(Codec.map().put("canary", 0).put("atOnce", 6).put("spare", 4), true);
         assertEquals(
                 3,
-                ReplacementSteps.nextMachines(spare, new ReplacementSteps.Facts(waiting, Map.of("a", 1), 0, 0, 4), NOW)
+                ReplacementSteps.nextMachines(
+                                spare, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 1), 0, 0, 4), NOW)
                         .size(),
                 "one spare for each in hand");
-        assertNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 0, 100)));
-        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(6, 3, 0, 0, 1, "", 0, 100)));
-        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 0.5, "class:c", 0, 100)));
-        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 30, 1000)));
-        assertNotNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 20)));
-        assertNull(ReplacementSteps.stopReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 200)));
+        assertNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 0, 100)));
+        assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(6, 3, 0, 0, 1, "", 0, 100)));
+        assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 0.5, "class:c", 0, 100)));
+        assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 30, 1000)));
+        assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 20)));
+        assertNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 200)));
     }
 
     /** Machines rented after the drain began are never meant; a share is the same machines each time. */
@@ -217,23 +219,27 @@
         Selector share = Selector.parse(Codec.map().put("share", 0.25).put("type", "c8"));
         int n = 0;
         for (int i = 0; i < 2000; i++) {
-            Selector.Machine old = new Selector.Machine(new MachineId("m-" + i), "c8", "a", true, NOW - 1000);
+            Selector.MachineProperties old =
+                    new Selector.MachineProperties(new MachineId("m-" + i), "c8", "a", true, NOW - 1000);
             boolean meant = share.matches(old, NOW);
             n += meant ? 1 : 0;
             assertEquals(meant, Selector.parse(node(share)).matches(old, NOW));
-            assertFalse(share.matches(new Selector.Machine(old.id(), "c8", "a", true, NOW + 1), NOW));
-            assertFalse(share.matches(new Selector.Machine(old.id(), "c4", "a", true, NOW - 1000), NOW));
+            assertFalse(share.matches(new Selector.MachineProperties(old.id(), "c8", "a", true, NOW + 1), NOW));
+            assertFalse(share.matches(new Selector.MachineProperties(old.id(), "c4", "a", true, NOW - 1000), NOW));
         }
         assertTrue(n > 420 && n < 580, n + " of 2000");
         Selector old = Selector.parse(Codec.map().put("olderThanS", 3600).put("spot", false));
-        assertTrue(old.matches(new Selector.Machine(new MachineId("m-1"), "c8", "a", false, NOW - 3_700_000), NOW));
-        assertFalse(old.matches(new Selector.Machine(new MachineId("m-1"), "c8", "a", true, NOW - 3_700_000), NOW));
+        assertTrue(old.matches(
+                new Selector.MachineProperties(new MachineId("m-1"), "c8", "a", false, NOW - 3_700_000), NOW));
+        assertFalse(old.matches(
+                new Selector.MachineProperties(new MachineId("m-1"), "c8", "a", true, NOW - 3_700_000), NOW));
         assertFalse(
-                old.matches(new Selector.Machine(new MachineId("m-1"), "c8", "a", false, 0), NOW), "of unknown age");
+                old.matches(new Selector.MachineProperties(new MachineId("m-1"), "c8", "a", false, 0), NOW),
+                "of unknown age");
         ObjectNode named = Codec.map();
         named.putArray("machines").add("m-7");
         assertTrue(Selector.parse(named)
-                .matches(new Selector.Machine(new MachineId("m-7"), "c8", "a", false, NOW + 5), NOW));
+                .matches(new Selector.MachineProperties(new MachineId("m-7"), "c8", "a", false, NOW + 5), NOW));
         assertThrows(MalformedMessageException.class, () -> Selector.parse(Codec.map()));
         assertThrows(
                 MalformedMessageException.class,
@@ -288,7 +294,7 @@
                 .put("atOnce", 5)
                 .put("waitS", 120)
                 .put("inS", 600);
-        Drain d = Drain.fromRequest("night", n, NOW).asChangeOf(null, "ops", NOW, "old kernels");
+        Drain d = Drain.fromRequest("night", n, NOW).asNextVersionOf(null, "ops", NOW, "old kernels");
         assertEquals(d, Drain.parse(d.toNode()));
         Drain paused = d.withState(Drain.State.PAUSED, "paused", "ops", NOW + 5, "too loud");
         assertEquals(2, paused.number());
@@ -309,7 +315,7 @@
         DisruptionBudget b = DisruptionBudget.fromRequest(
                 Codec.map().put("team", "blue").put("leastUp", 0.5), "ops", NOW, "because", 3);
         assertEquals(b, DisruptionBudget.parse(b.toNode()));
-        assertEquals(2, b.mayBeAway(5));
+        assertEquals(2, b.maxReplicasAway(5));
         assertThrows(
                 MalformedMessageException.class,
                 () -> DisruptionBudget.fromRequest(
@@ -329,7 +335,7 @@
             a.charge(task(1 + i % 9, i), new Account.Away(i, "class-" + i % 40, Cause.DRAIN, 1, NOW + 3_000_000));
         }
         double hour = a.lastHour(null, NOW + 3_000_000).cpuS();
-        a.shrink();
+        a.mergeSlots();
         assertEquals(hour, a.lastHour(null, NOW + 3_000_000).cpuS(), 1e-6);
         assertTrue(Codec.jsonBytes(a.toNode()) < 8 * 1024, Codec.jsonBytes(a.toNode()) + " bytes");
         a.refund(task(1, 0));
