--- a/src/main/java/org/beechhoist/controller/context/ControllerContext.java
+++ b/src/main/java/org/beechhoist/controller/context/ControllerContext.java
@@ -18,10 +18,10 @@
 public final class ControllerContext implements ServiceCalls {
     private record Timer(MonotonicTime at, long order, Runnable action) {}
 
-    /** By how much the measured lag fades with each group of due timers. */
+    /** The factor by which the recorded lag decreases with each group of due timers. */
     private static final double LAG_DECAY = 0.9;
 
-    /** From this lag on, missing answers of others prove nothing. */
+    /** Above this lag, missing responses say nothing about the nodes and machines that owe them. */
     private static final long LAGGING_MS = 1000;
 
     private MonotonicTime now = MonotonicTime.ZERO;
@@ -44,22 +44,24 @@
         wallMs = wall;
     }
 
-    /** The monotonic time of the current input. */
+    /** Returns the monotonic time of the current input. */
     public MonotonicTime now() {
         return now;
     }
 
-    /** The time of day of the current input, in milliseconds. */
+    /** Returns the time of day of the current input, in milliseconds. */
     public long wallMs() {
         return wallMs;
     }
 
-    /** Answers a request; with status 503 or 429 the client is asked to retry after a second. */
+    /** Responds to a request; with status 503 or 429 the client is asked to retry after a second. */
     public void respond(long request, int status, JsonNode body) {
         effects.add(new Effect.Respond(request, status, body, status == 503 || status == 429 ? 1 : 0));
     }
 
-    /** Answers a request with a command, or with an extension of a worker's lease: valid only before {@code until}. */
+    /**
+     * Responds to a request with a command, or with an extension of a worker's lease: valid only before {@code until}.
+     */
     public void respond(long request, int status, JsonNode body, MonotonicTime until) {
         effects.add(new Effect.Respond(request, status, body, 0, until));
     }
@@ -82,8 +84,8 @@
     }
 
     /**
-     * Calls another service before {@code until} (null: no bound) or not at all; the result is {@link CallResult#NOT_SENT}
-     * then.
+     * Calls another service before {@code until} (null: no bound). A call that was not sent by then has the result
+     * {@link CallResult#NOT_SENT}.
      */
     public void callBefore(MonotonicTime until, ServiceRequest request, Consumer<CallResult> then) {
         long id = nextId++;
@@ -99,7 +101,7 @@
                 until));
     }
 
-    /** Hands the result of the call {@code id} to whoever made it; the result of an unknown call is ignored. */
+    /** Passes the result of the call {@code id} to its callback; the result of an unknown call is ignored. */
     public void completeCall(long id, CallResult result) {
         Consumer<CallResult> then = pendingCalls.remove(id);
         if (then != null) {
@@ -112,18 +114,19 @@
         timers.add(new Timer(now.plusMs(ms), nextId++, action));
     }
 
-    /** When the next timer is due, or null where there is none. */
+    /** Returns the time at which the next timer is due; null if there is none. */
     public MonotonicTime nextTimerAt() {
         return timers.isEmpty() ? null : timers.peek().at;
     }
 
-    /** Runs the actions of all timers that are due, those included that these actions schedule for now. */
+    /** Runs the actions of all timers that are due, including those that these actions schedule for now. */
     public void runDueTimers() {
         boolean first = true;
         while (!timers.isEmpty() && !now.isBefore(timers.peek().at)) {
             Timer timer = timers.poll();
             if (first) {
-                // The delay of the timer that is longest overdue. It fades, for one slow input says little of the next.
+                // The delay of the timer that is longest overdue. It decays, because one slow input says little about
+                // the next.
                 lagMs = Math.max(LAG_DECAY * lagMs, now.since(timer.at));
                 first = false;
             }
@@ -131,17 +134,20 @@
         }
     }
 
-    /** Whether this node is so far behind that missing answers prove nothing about the machines and nodes that owe them. */
+    /**
+     * Returns whether this node lags so much that missing responses say nothing about the machines and nodes that owe
+     * them.
+     */
     public boolean isLagging() {
         return lagMs > LAGGING_MS;
     }
 
-    /** How late timers have lately run, in milliseconds: a node that has used up its share of the processor falls behind. */
+    /** Returns the recent delay of timers in milliseconds: a node that has used up its processor quota lags. */
     public long lagMs() {
         return Math.round(lagMs);
     }
 
-    /** Returns the effects since the last call, in the order in which they were caused, and forgets them. */
+    /** Returns the effects since the last call, in the order in which they were caused, and removes them. */
     public List<Effect> drainEffects() {
         List<Effect> out = effects;
         effects = new ArrayList<>();
--- a/src/main/java/org/beechhoist/controller/context/Pacer.java
+++ b/src/main/java/org/beechhoist/controller/context/Pacer.java
@@ -3,8 +3,8 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Limits how often an action is run: at once after a quiet interval, and then at most once per interval. Requests that
- * arrive in between share the next run.
+ * Limits how often an action is run: immediately after an interval without a run, then at most once per interval.
+ * Requests that arrive in between share the next run.
  */
 public final class Pacer {
     private final ControllerContext context;
@@ -12,13 +12,16 @@
     private MonotonicTime next = MonotonicTime.ZERO;
     private boolean scheduled;
 
-    /** Creates a pacer that allows a run at once, and then one every {@code everyMs} milliseconds. */
+    /** Creates a pacer that allows a run immediately, and then one every {@code everyMs} milliseconds. */
     public Pacer(ControllerContext context, long everyMs) {
         this.context = context;
         this.intervalMs = everyMs;
     }
 
-    /** Whether the next run is not due yet; {@code again} is called when it is, once for all postponed requests. */
+    /**
+     * Returns whether the next run is not due yet; if so, {@code again} is called when it is due, once for all
+     * postponed requests.
+     */
     public boolean postponeIfNotDue(Runnable again) {
         if (!context.now().isBefore(next)) {
             return false;
@@ -33,7 +36,7 @@
         return true;
     }
 
-    /** Notes that the action runs now: the interval begins anew. */
+    /** Records that the action runs now, which restarts the interval. */
     public void recordRun() {
         next = context.now().plusMs(intervalMs);
     }
--- a/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
+++ b/src/main/java/org/beechhoist/controller/leadership/LeaderElection.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader election: a key that is held by a lease says who leads. The fencing token is the revision of the commit that
- * wrote the key, and every commit of a leader is guarded by it. A leader trusts its lease only for as long as is certain from
- * the time at which it sent the last successful extension.
+ * The leader election: the holder of a key that is bound to a lease leads. The fencing token is the revision of the
+ * commit that wrote the key, and every commit of a leader is guarded by it. A leader trusts its lease only for as long
+ * as is certain from the time at which it sent the last successful extension.
  */
 public final class LeaderElection {
     /** The key of the state service whose holder leads. */
@@ -26,26 +26,26 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     /** Covers the drift of two clocks, 0.05% each, and rounding. */
-    private static final double DRIFT = 0.0015;
+    private static final double MAX_CLOCK_DRIFT_RATIO = 0.0015;
 
-    private static final long MARGIN_MS = 300;
+    private static final long LEASE_MARGIN_MS = 300;
     /**
-     * A node that crashes again and again would take its own key back each time and lead for moments only: after some terms
-     * that were shorter than this, others campaign first.
+     * A node that crashes repeatedly would regain its own key each time and lead only for moments. After more than
+     * {@link #MAX_SHORT_TERMS} terms shorter than this, it lets other nodes campaign first.
      */
-    private static final long SHORT_TERM_MS = 20_000;
+    private static final long MIN_STABLE_TERM_MS = 20_000;
 
     private static final int MAX_SHORT_TERMS = 2;
-    private static final long MAX_PAUSE_MS = 8000;
-    /** A watch is answered every 4 s at least: a leader that the state service named longer ago is out of date. */
-    private static final long LEADER_KNOWN_MS = 6000;
+    private static final long MAX_CAMPAIGN_PAUSE_MS = 8000;
+    /** A watch returns at least every 4 s, so a leader that the state service reported longer ago is out of date. */
+    private static final long MAX_LEADER_AGE_MS = 6000;
 
-    /** Is notified of changes of this node's leadership. */
+    /** Receives changes of this node's leadership. */
     public interface Listener {
-        /** This node has become leader, with its first fencing token. */
+        /** Called when this node has become leader, with its first fencing token. */
         void leadershipWon(FencingToken fencingToken);
 
-        /** This node leads no longer. */
+        /** Called when this node no longer leads. */
         void leadershipLost();
     }
 
@@ -61,15 +61,18 @@
     private FencingToken fencingToken = FencingToken.NONE;
     private FencingToken firstFencingToken = FencingToken.NONE;
     private MonotonicTime leaseValidUntil = MonotonicTime.ZERO;
-    /** When the state service last answered who holds the key. */
+    /** The time at which the state service last reported the holder of the key. */
     private MonotonicTime leaderKnownAt = MonotonicTime.ZERO;
-    /** This node does not campaign before, so that others can win first. */
+    /** The earliest time at which this node campaigns, so that other nodes can win first. */
     private MonotonicTime campaignFrom = MonotonicTime.ZERO;
 
-    /** Changes with each new reading of the key and with each win: answers to calls of earlier rounds are ignored. */
+    /**
+     * Incremented when reading of the key restarts and with each won election; responses to calls of earlier rounds are
+     * ignored.
+     */
     private long round;
 
-    /** How many short terms in a row this node has had, those of earlier processes of the same name included. */
+    /** The number of consecutive short terms of this node, including earlier processes of the same name. */
     private int shortTerms;
 
     /** The time of day at which the present term began. */
@@ -80,7 +83,7 @@
      *
      * @param requests tokens for requests to the state service
      * @param node this node's name
-     * @param ttlMs how long the lease of the key lasts without an extension
+     * @param ttlMs the time after which the lease of the key expires without an extension
      */
     public LeaderElection(
             ControllerContext context,
@@ -97,34 +100,37 @@
         this.listener = listener;
     }
 
-    /** Whether this node leads and its lease is certain to be valid now: it may command workers. */
+    /** Returns whether this node leads and its lease is certain to be valid now: it may command workers. */
     public boolean holdsLease() {
         return isLeading && context.now().isBefore(leaseValidUntil);
     }
 
-    /** Until when this node may command workers, as far as is known now. */
+    /** Returns the time until which this node may command workers, as far as is known now. */
     public MonotonicTime leaseValidUntil() {
         return leaseValidUntil;
     }
 
-    /** Whether the leadership is not known to be lost; the lease may have run out all the same. */
+    /** Returns whether the leadership is not known to be lost; the lease may have expired nevertheless. */
     boolean isLeading() {
         return isLeading;
     }
 
-    /** The newest fencing token of this term. */
+    /** Returns the newest fencing token of this term. */
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The first fencing token of this term: a worker that has seen it has exchanged messages with this node since. */
+    /**
+     * Returns the first fencing token of this term: a worker that has seen it has exchanged messages with this node
+     * since.
+     */
     public FencingToken firstFencingToken() {
         return firstFencingToken;
     }
 
-    /** The other node that leads, or null where none does or the state service has not confirmed it lately. */
+    /** Returns the other node that leads; null if none does or the state service has not confirmed it recently. */
     public String otherLeader() {
-        return isLeading || context.now().since(leaderKnownAt) > LEADER_KNOWN_MS ? null : leader;
+        return isLeading || context.now().since(leaderKnownAt) > MAX_LEADER_AGE_MS ? null : leader;
     }
 
     /** Returns a new transaction that fails once the key has another holder or has been rewritten. */
@@ -137,12 +143,12 @@
         transaction.put(LEADER_KEY, keyValue(), lease);
     }
 
-    /** Takes the revision at which the key was rewritten as the fencing token. */
+    /** Sets the fencing token to the revision at which the key was rewritten. */
     public void adoptToken(Revision revision) {
         fencingToken = new FencingToken(revision.value());
     }
 
-    /** What a leader finds when it reads the key: held by its lease, not held any more, or no answer. */
+    /** The result of a leader's read of the key: held by its lease, no longer held, or no response. */
     public enum KeyOwnership {
         HELD,
         LOST,
@@ -165,7 +171,7 @@
         });
     }
 
-    /** Begins to read and watch the key; the node campaigns as soon as nobody holds it. */
+    /** Begins to read and watch the key; the node campaigns as soon as no node holds it. */
     public void start() {
         readKey(++round);
     }
@@ -180,8 +186,8 @@
 
     private void readKey(long expectedRound) {
         requests.takeOrOverdraw(context.now(), 1);
-        // A listing, for it returns the store's revision too: the key's own may be older than any change the store
-        // still keeps, and a watch from there would be answered with 410 at once, every time.
+        // Uses a listing because it also returns the store's revision. The key's own revision may be older than the
+        // change log that the store retains, and a watch from there would always fail with 410 immediately.
         store.list(LEADER_KEY, null, 10, page -> {
             if (expectedRound != round || isLeading) {
                 return;
@@ -204,7 +210,8 @@
                 store.revokeLease(item.lease());
                 readKeyLater(700, expectedRound);
             } else if (node.equals(leader)) {
-                // An earlier process of this node held it; that process is dead, so its key may be replaced.
+                // The key is held by an earlier process of this node. That process has ended, so its key may be
+                // replaced.
                 leader = null;
                 campaign(expectedRound, item.version());
             } else {
@@ -218,17 +225,17 @@
     }
 
     /**
-     * Whether this node, whose earlier process held the key, has had too many short terms in a row. It campaigns again after a
-     * pause that doubles each time.
+     * Returns whether this node, whose earlier process held the key, has had too many consecutive short terms. It
+     * campaigns again after a pause that doubles each time.
      */
     private boolean restartsRepeatedly(StoreClient.KeyValue own) {
         LeaderRecord earlier = LeaderRecord.parse(own.value());
-        boolean brief = context.wallMs() - earlier.wonAtWallMs() < SHORT_TERM_MS;
+        boolean brief = context.wallMs() - earlier.wonAtWallMs() < MIN_STABLE_TERM_MS;
         shortTerms = brief ? earlier.shortTerms() + 1 : 0;
         if (shortTerms <= MAX_SHORT_TERMS) {
             return false;
         }
-        long pause = Math.min(MAX_PAUSE_MS, 1000L << Math.min(10, shortTerms - MAX_SHORT_TERMS - 1));
+        long pause = Math.min(MAX_CAMPAIGN_PAUSE_MS, 1000L << Math.min(10, shortTerms - MAX_SHORT_TERMS - 1));
         LOG.warn("campaign postponed: node={} shortTerms={} pauseS={}", node, shortTerms, pause / 1000.0);
         campaignFrom = context.now().plusMs(pause);
         return true;
@@ -250,7 +257,7 @@
                 last = i.key().equals(LEADER_KEY) ? i : last;
             }
             if (last == null) {
-                // No change for a while: read the key instead of trusting the watch without end.
+                // No change for a while: read the key again instead of relying on the watch alone.
                 readKeyLater(0, expectedRound);
             } else if (last.value() == null) {
                 leader = null;
@@ -284,7 +291,7 @@
                 if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                     becomeLeader(hold, commit.revision(), sent);
                 } else {
-                    // Revoking the lease also defeats a transaction that may still be on its way.
+                    // Revoking the lease also makes a transaction fail that may still be in flight.
                     store.revokeLease(hold);
                     readKeyLater(commit.outcome() == CommitResult.Outcome.CONFLICT ? 20 : 500, expectedRound);
                 }
@@ -306,7 +313,7 @@
     }
 
     private void extendValidity(MonotonicTime sent) {
-        MonotonicTime until = sent.plusMs((long) (ttlMs * (1 - DRIFT)) - MARGIN_MS);
+        MonotonicTime until = sent.plusMs((long) (ttlMs * (1 - MAX_CLOCK_DRIFT_RATIO)) - LEASE_MARGIN_MS);
         if (leaseValidUntil.isBefore(until)) {
             leaseValidUntil = until;
         }
@@ -329,8 +336,8 @@
             } else if (result.hasStatus(404)) {
                 loseLeadership("the lease ended");
             } else if (result.kind() == CallResult.Kind.UNKNOWN && !holdsLease()) {
-                // The extensions may arrive all the same, and would keep all others from the key for as long as they
-                // do.
+                // The extensions may still take effect without a response, and would keep all other nodes from taking
+                // the key.
                 loseLeadership("the state service has not answered for a lease");
             } else {
                 context.schedule(300, () -> extendLease(expectedRound));
@@ -338,13 +345,13 @@
         });
     }
 
-    /** Gives the leadership up for another node to win; this one campaigns again after {@code forMs} milliseconds. */
+    /** Gives up leadership so that another node can win; this node campaigns again after {@code forMs} milliseconds. */
     public void stepDown(String cause, long forMs) {
         campaignFrom = context.now().plusMs(forMs);
         loseLeadership(cause);
     }
 
-    /** Ends this node's leadership, if it leads: the key or its lease is lost, or another node is to lead. */
+    /** Ends this node's leadership because the key or its lease is lost, or another node is to lead. */
     public void loseLeadership(String cause) {
         if (!isLeading) {
             return;
--- a/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
+++ b/src/main/java/org/beechhoist/controller/leadership/PeerDirectory.java
@@ -10,19 +10,19 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * What the other controllers last reported about themselves. These are hints: they make a redirect quicker and distinguish an
- * outage that all nodes share from one that affects this node alone. They give no right to command workers.
+ * The last messages of the other controllers about themselves. They are hints: they speed up redirects and distinguish
+ * an outage that all nodes share from one that affects this node alone. They give no authority to command workers.
  */
 public final class PeerDirectory {
-    private static final long FRESH_MS = 5000;
-    private static final long STORE_ANSWER_MS = 2500;
+    private static final long MAX_MESSAGE_AGE_MS = 5000;
+    private static final long MAX_STORE_ANSWER_AGE_MS = 2500;
 
     private record LastMessage(PeerState state, MonotonicTime at) {}
 
     private final Set<String> seeds;
     private final Map<String, LastMessage> lastMessages = new HashMap<>();
 
-    /** Creates a directory of the other controllers' names {@code seeds}, of which nothing has been heard yet. */
+    /** Creates a directory of the other controllers' names {@code seeds}, without any messages yet. */
     public PeerDirectory(Set<String> seeds) {
         this.seeds = seeds;
     }
@@ -35,18 +35,22 @@
     }
 
     private boolean isFresh(LastMessage message, MonotonicTime now) {
-        return now.since(message.at) < FRESH_MS;
+        return now.since(message.at) < MAX_MESSAGE_AGE_MS;
     }
 
-    /** Whether every other node has sent a message since this one started: all run a version that sends these messages. */
+    /**
+     * Returns whether every other node has sent a message since this one started: all run a version that sends these
+     * messages.
+     */
     public boolean hasMessageFromEachPeer() {
         return lastMessages.size() == seeds.size();
     }
 
     /**
-     * What each of the others demands of one of the state service's limits; unknown where nothing was heard of it lately.
+     * Returns the demand of each other node on one of the state service's limits; unknown for a node without a recent
+     * message.
      *
-     * @param demand which one: that for changes, or that for all requests
+     * @param demand selects the demand: for changes or for all requests
      */
     public List<RequestShares.Demand> peerDemands(MonotonicTime now, ToDoubleFunction<PeerState> demand) {
         List<RequestShares.Demand> out = new ArrayList<>();
@@ -59,7 +63,7 @@
         return out;
     }
 
-    /** How many heartbeats have lately reached each of the other nodes that have been heard of lately. */
+    /** Returns the number of recent heartbeats received by each other node that has sent a recent message. */
     public List<Integer> peerHeartbeatCounts(MonotonicTime now) {
         List<Integer> out = new ArrayList<>();
         for (LastMessage message : lastMessages.values()) {
@@ -70,7 +74,7 @@
         return out;
     }
 
-    /** The node that reports to lead, or null; of several the one with the newest fencing token. */
+    /** Returns the node that reports being the leader, or null; of several, the one with the newest fencing token. */
     public String reportedLeader(MonotonicTime now) {
         PeerState best = null;
         for (LastMessage message : lastMessages.values()) {
@@ -83,17 +87,17 @@
         return best == null ? null : best.node();
     }
 
-    /** Whether there are other nodes and none has been heard of for {@code forMs} milliseconds. */
+    /** Returns whether there are other nodes and none has sent a message within {@code forMs} milliseconds. */
     public boolean hasNoMessageWithin(MonotonicTime now, long forMs) {
         return !seeds.isEmpty() && lastMessages.values().stream().allMatch(m -> now.since(m.at) > forMs);
     }
 
-    /** Whether the state service answers some other node that is ready to serve users. */
+    /** Returns whether the state service responds to another node that is ready to serve users. */
     public boolean isAnotherNodeServing(MonotonicTime now) {
         for (LastMessage message : lastMessages.values()) {
             if (isFresh(message, now)
                     && message.state.ready()
-                    && message.state.msSinceStoreAnswer() < STORE_ANSWER_MS) {
+                    && message.state.msSinceStoreAnswer() < MAX_STORE_ANSWER_AGE_MS) {
                 return true;
             }
         }
--- a/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
+++ b/src/main/java/org/beechhoist/controller/leadership/WorkerReachability.java
@@ -5,37 +5,45 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Whether workers reach this node. A leader that the state service answers but no worker reaches would keep its lease, find
- * all machines silent and return every one of them, as has happened. It gives the leadership up instead, to a node that
- * workers can reach.
+ * Determines whether workers and this node reach one another. A leader that the state service responds to but no worker
+ * reaches would keep its lease, consider all machines silent and return every one of them to the cloud, which has
+ * happened. It gives up leadership instead, so that a node that workers can reach leads.
  */
 public final class WorkerReachability {
-    /** A leader is unreachable if fewer than this share of its machines were heard of in the time in which all should be. */
+    /**
+     * A leader is unreachable if fewer than this share of its machines sent a heartbeat within the heartbeat window.
+     */
     private static final double UNREACHABLE_SHARE = 0.3;
 
-    private static final int MIN_MACHINES = 5;
-    /** A leader is unheard if this share of its machines send messages and receive none: more than one zone cut off one way. */
-    private static final double UNHEARD_SHARE = 0.6;
-    /** Other nodes must have got heartbeats of this share of the missing machines, for some may be silent for all nodes. */
+    private static final int MIN_MACHINE_COUNT = 5;
+    /**
+     * A leader cannot reach workers if this share of its machines send messages and receive none: more than one zone
+     * with a one-way network failure.
+     */
+    private static final double NOT_RECEIVING_SHARE = 0.6;
+    /**
+     * Other nodes must have received heartbeats from this share of the missing machines, because some machines may send
+     * none to any node.
+     */
     private static final double DIVERTED_SHARE = 0.2;
 
-    private static final int MAX_REMEMBERED = 20_000;
+    private static final int MAX_HEARTBEATS = 20_000;
 
     private final long windowMs;
     private final ArrayDeque<MonotonicTime> heartbeats = new ArrayDeque<>();
 
     /**
-     * Creates the record of heartbeats, which is empty yet.
+     * Creates an empty record of heartbeats.
      *
-     * @param reportMs how often a worker sends a heartbeat
+     * @param reportMs the heartbeat interval of a worker
      */
     public WorkerReachability(long reportMs) {
         this.windowMs = heartbeatWindowMs(reportMs);
     }
 
     /**
-     * The time in which a heartbeat of every worker that reaches a node has arrived: it may be sent a quarter of the interval
-     * late, and the remainder is for the way.
+     * Returns the time within which a heartbeat of every worker that reaches a node arrives: it may be sent a quarter
+     * of the interval late, and the remainder covers the network.
      */
     public static long heartbeatWindowMs(long reportMs) {
         return reportMs * 3 / 2 + 2000;
@@ -44,12 +52,12 @@
     /** Records that a heartbeat has reached this node. */
     public void recordHeartbeat(MonotonicTime now) {
         heartbeats.addLast(now);
-        if (heartbeats.size() > MAX_REMEMBERED) {
+        if (heartbeats.size() > MAX_HEARTBEATS) {
             heartbeats.removeFirst();
         }
     }
 
-    /** The number of heartbeats that have lately reached this node, answered or redirected. */
+    /** Returns the number of heartbeats that recently reached this node, answered or redirected. */
     public int recentHeartbeats(MonotonicTime now) {
         while (!heartbeats.isEmpty() && now.since(heartbeats.peekFirst()) > windowMs) {
             heartbeats.removeFirst();
@@ -58,25 +66,26 @@
     }
 
     /**
-     * Whether a leader's messages reach so few of its machines that another node should lead.
+     * Returns whether a leader's messages reach so few of its machines that another node should lead.
      *
      * @param up machines that have sent it heartbeats before and are not leaving
-     * @param unhearing those of them that send messages and receive none
+     * @param notReceiving those of them that send messages and receive none
      */
-    public static boolean cannotReachWorkers(int up, int unhearing) {
-        return up >= MIN_MACHINES && unhearing >= UNHEARD_SHARE * up;
+    public static boolean cannotReachWorkers(int up, int notReceiving) {
+        return up >= MIN_MACHINE_COUNT && notReceiving >= NOT_RECEIVING_SHARE * up;
     }
 
     /**
-     * Whether so few heartbeats reach a leader, and so many reach others, that another node should lead.
+     * Returns whether so few heartbeats reach a leader, and so many reach others, that another node should lead.
      *
      * @param up machines that have sent it heartbeats before and are not leaving
-     * @param heard those of them that were heard of lately
-     * @param elsewhere the heartbeats that reached each other node that is heard of; empty: none is heard of
+     * @param reporting those of them that sent a recent heartbeat
+     * @param elsewhere the heartbeats that reached each other node with a recent message; empty if there is no such
+     *     node
      */
-    public static boolean isUnreachableFromWorkers(int up, int heard, Collection<Integer> elsewhere) {
-        int missing = up - heard;
-        if (up < MIN_MACHINES || heard >= UNREACHABLE_SHARE * up) {
+    public static boolean isUnreachableFromWorkers(int up, int reporting, Collection<Integer> elsewhere) {
+        int missing = up - reporting;
+        if (up < MIN_MACHINE_COUNT || reporting >= UNREACHABLE_SHARE * up) {
             return false;
         }
         int diverted = elsewhere.stream().mapToInt(Integer::intValue).sum();
--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -4,26 +4,26 @@
 import org.beechhoist.wire.Heartbeat;
 
 /**
- * What a worker's heartbeat proves of a task that it does not name. A machine's silence proves nothing, and neither
- * does an old heartbeat.
+ * The evidence in a worker's heartbeat that a task which it does not name is gone. A missing or old heartbeat proves
+ * nothing.
  */
 public enum AbsenceEvidence {
-    /** Nothing: a launch may still be in flight, or the heartbeat is older than the launch. */
+    /** No evidence: a launch may still be in flight, or the heartbeat is older than the launch. */
     NONE,
     /** The task is gone: the heartbeat was made after any command in flight could have arrived. */
     NEWER_HEARTBEAT,
     /**
-     * The task is gone: the epoch that the launch was for is over, so the worker has ended all its tasks and refuses
-     * late commands.
+     * The task is gone: the epoch of the launch has ended, so the worker has ended all its tasks and refuses late
+     * commands.
      */
     NEW_EPOCH;
 
     /**
-     * A launch, as far as this term knows.
+     * A launch of a task, as known in this term.
      *
      * @param maybeSent whether this term or an earlier one may have sent it
-     * @param minEvidenceToken the lowest fencing token that a heartbeat must name to prove anything: a launch by an earlier
-     *     leader might arrive after a heartbeat with a lower one
+     * @param minEvidenceToken the lowest fencing token that a heartbeat must carry to be evidence: a launch by an
+     *     earlier leader might arrive after a heartbeat with a lower one
      * @param epoch the worker's epoch that it was sent for; 0: another term sent it, if any did
      * @param sequence the sequence number of the worker's newest message when it was sent
      */
@@ -36,19 +36,19 @@
      * @param unacknowledgedToken a launch that was sent with this token or a lower one may be executed minutes late
      */
     public record PendingCommands(boolean inFlight, FencingToken unacknowledgedToken) {
-        /** Whether no command that was sent before can reach a worker any more that has seen the token. */
+        /** Returns whether a worker that has seen the token refuses every command sent before. */
         public boolean noneExecutableAfter(FencingToken seen) {
             return !inFlight && seen.compareTo(unacknowledgedToken) > 0;
         }
     }
 
     /**
-     * What the worker's own heartbeat (never its answer to a command or a probe) proves of a task that it does not
-     * name.
+     * Returns the evidence in the worker's own heartbeat (never in its response to a command or a probe) that a task
+     * which it does not name is gone.
      */
     public static AbsenceEvidence of(Launch launch, PendingCommands pending, Heartbeat heartbeat) {
         if (!launch.maybeSent) {
-            return NONE; // it was not launched yet: there is nothing to prove
+            return NONE; // not launched yet
         }
         if (launch.epoch > 0 && heartbeat.epoch() > launch.epoch) {
             return NEW_EPOCH;
--- a/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationAcknowledgements.java
@@ -11,36 +11,35 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Delays the answer to a committed cancellation for a moment, until the leader acknowledges that no task of the job can
- * start any more. It is an optimization that no guarantee depends on: the commit alone decides, and after
- * {@link #MAX_DELAY_MS} the user is answered without an acknowledgement. It keeps a launch that is in flight at that
- * moment from being executed just after the answer.
+ * Delays the response to a committed cancellation until the leader acknowledges that no task of the job can start any
+ * more. No guarantee depends on this optimization: the commit alone decides, and after {@link #MAX_DELAY_MS} the user
+ * is answered without an acknowledgement. It keeps a launch that is in flight at that moment from being executed just
+ * after the response.
  */
 public final class CancellationAcknowledgements {
-    /** The longest delay of an answer. */
+    /** The longest delay of a response. */
     static final long MAX_DELAY_MS = 60;
-    /** How long after the commit a leader may acknowledge a cancellation; later, nobody waits for it any more. */
+    /** The time after the commit within which a leader may acknowledge a cancellation; no response waits longer. */
     private static final long ACKNOWLEDGE_WITHIN_MS = 1000;
-    /** The most acknowledgements in one message to other nodes: well under its size limit. */
+    /** The maximum number of acknowledgements in one message to other nodes: well under its size limit. */
     private static final int MAX_IN_MESSAGE = 500;
 
     private final ControllerContext context;
-    /** The delayed answers to users of this node. */
+    /** The delayed responses to users of this node. */
     private final Map<JobId, List<Runnable>> waitingResponses = new HashMap<>();
     /**
-     * Cancellations that this node, as the leader, knows of and has not acknowledged yet, and since when it knows of
-     * them.
+     * Cancellations that this node, as the leader, has not acknowledged yet, with the time at which it learned of each.
      */
     private final Map<JobId, MonotonicTime> unacknowledged = new HashMap<>();
     /** Acknowledgements to be sent to the other nodes. */
     private final List<JobId> toSend = new ArrayList<>();
 
-    /** Creates it without any delayed answers. */
+    /** Creates an instance without delayed responses. */
     public CancellationAcknowledgements(ControllerContext context) {
         this.context = context;
     }
 
-    /** Runs the answer to a user once the leader has acknowledged the cancellation, or after the longest delay. */
+    /** Runs the response to a user once the leader has acknowledged the cancellation, or after the longest delay. */
     public void awaitAcknowledgement(JobId jobId, Runnable answer) {
         List<Runnable> waiting = waitingResponses.computeIfAbsent(jobId, k -> new ArrayList<>());
         waiting.add(answer);
@@ -56,7 +55,7 @@
         }
     }
 
-    /** Releases the answers about the job: the leader has acknowledged its cancellation. */
+    /** Releases the delayed responses for the job, whose cancellation the leader has acknowledged. */
     public void acknowledgementReceived(JobId jobId) {
         release(jobId);
     }
@@ -72,7 +71,8 @@
     }
 
     /**
-     * Acknowledges each cancellation of whose job no task can start any more; users of this node are answered at once.
+     * Acknowledges each cancelled job of which no task can start any more; users of this node get their responses
+     * immediately.
      *
      * @return whether there are acknowledgements to be sent to the other nodes
      */
@@ -91,7 +91,7 @@
         return !toSend.isEmpty();
     }
 
-    /** Removes and returns the acknowledgements that the next message to the other nodes carries. */
+    /** Removes and returns the acknowledgements for the next message to the other nodes. */
     public List<JobId> drainForPeers() {
         List<JobId> next = toSend.subList(0, Math.min(MAX_IN_MESSAGE, toSend.size()));
         List<JobId> out = List.copyOf(next);
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -17,54 +17,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends everything of a cancelled job: placements that were never sent are removed, tasks that may run are killed
+ * Ends all tasks of a cancelled job: placements that were never sent are removed, tasks that may run are killed
  * repeatedly until there is evidence that they are gone, and a machine is returned if neither a kill nor the end of its
- * lease is certain to come in time. It waits for no commit and for no reading of the records, only for holding the
- * lease.
+ * lease is certain to be in time. It requires only the leader's lease, and waits neither for a commit nor for the
+ * records to be read.
  */
 public final class CancellationEnforcer {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationEnforcer.class);
     /** The interval between kills of the same task. */
-    private static final long KILL_RETRY_MS = 3000;
-    /** How long the answer to a launch is waited for; it usually comes within some ten milliseconds. */
-    private static final long LAUNCH_ANSWER_MS = 100;
+    private static final long KILL_RETRY_INTERVAL_MS = 3000;
+    /** The timeout of the response to a launch, which usually arrives within some ten milliseconds. */
+    private static final long LAUNCH_RESPONSE_TIMEOUT_MS = 100;
     /**
      * The interval between requests for a new fencing token, which is usually committed within this if the state
      * service answers.
      */
-    private static final long TOKEN_MS = 40;
+    private static final long TOKEN_ROTATION_INTERVAL_MS = 40;
     /** The interval between kills of launches that have no answer. */
-    private static final long KILL_TIMEOUT_MS = 400;
-    /** How long launches without an answer are fenced off after a cancellation. */
-    private static final long FENCE_WITHIN_MS = 3000;
-    /** How long the return of a machine takes, with a request limit and an answer that is lost once. */
-    private static final long RELEASE_MS = 12_000;
-    /** The margin by which a lease must end before the deadline; also how long a worker waits for an answer. */
-    private static final long SPARE_MS = 4000;
+    private static final long UNACKNOWLEDGED_KILL_INTERVAL_MS = 400;
+    /** The time after a cancellation during which unacknowledged launches are fenced off. */
+    private static final long MAX_FENCING_MS = 3000;
+    /** The time to return a machine, allowing for a request limit and one lost response. */
+    private static final long MACHINE_RELEASE_MS = 12_000;
+    /** The margin by which a lease must end before the deadline; also the time that a worker waits for a response. */
+    private static final long DEADLINE_MARGIN_MS = 4000;
 
     private final ControllerContext context;
     private final Settings settings;
     private final ClusterState clusterState;
     private final CommandDispatcher dispatcher;
     private final TaskRemoval taskRemoval;
-    private final MachineLossTracker lossRecovery;
+    private final MachineLossTracker lossTracker;
     private final MachineReleases releases;
     private final JobHolds holds;
     private final CancellationRegistry cancellations;
-    private MonotonicTime nextKills = MonotonicTime.ZERO;
+    private MonotonicTime nextKillAt = MonotonicTime.ZERO;
 
     /**
      * Creates the enforcer.
      *
      * @param releases returns machines whose tasks can't be ended in time
-     * @param holds says by when tasks of held jobs must be gone
+     * @param holds provides the deadline by which tasks of held jobs must be gone
      */
     public CancellationEnforcer(
             ControllerServices services,
             LeaderState state,
             CommandDispatcher dispatcher,
             TaskRemoval taskRemoval,
-            MachineLossTracker lossRecovery,
+            MachineLossTracker lossTracker,
             MachineReleases releases,
             JobHolds holds) {
         this.context = services.context();
@@ -73,7 +73,7 @@
         this.cancellations = state.cancellations();
         this.dispatcher = dispatcher;
         this.taskRemoval = taskRemoval;
-        this.lossRecovery = lossRecovery;
+        this.lossTracker = lossTracker;
         this.releases = releases;
         this.holds = holds;
     }
@@ -91,7 +91,7 @@
                     jobId,
                     job.record.live.size());
         }
-        lossRecovery.stopTrackingJob(jobId);
+        lossTracker.stopTrackingJob(jobId);
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             if (placement.committed && !placement.launchSent) {
                 taskRemoval.remove(job, placement);
@@ -103,8 +103,8 @@
                 jobId,
                 clusterState.term(),
                 dispatcher.fencingToken(),
-                context.now().plusMs(FENCE_WITHIN_MS));
-        context.schedule(LAUNCH_ANSWER_MS, () -> fenceLaunches(fence));
+                context.now().plusMs(MAX_FENCING_MS));
+        context.schedule(LAUNCH_RESPONSE_TIMEOUT_MS, () -> fenceLaunches(fence));
     }
 
     /**
@@ -112,14 +112,14 @@
      *
      * @param term the term in which it began; it ends with it
      * @param token the token that launches of the job were sent with, or a later one
-     * @param until when it is given up
+     * @param until the time at which fencing is abandoned
      */
     private record LaunchFence(JobId job, long term, FencingToken token, MonotonicTime until) {}
 
     /**
-     * Fences off launches without an answer: they may be executed seconds later, after the user's cancellation was
-     * answered. A new token makes the worker refuse them; a kill that does not wait for the launch's answer brings that
-     * token to the worker.
+     * Fences off unacknowledged launches: they may be executed seconds later, after the user received the response to
+     * the cancellation. A new token makes the worker refuse them; a kill that does not wait for the launch's response
+     * brings that token to the worker.
      */
     private void fenceLaunches(LaunchFence fence) {
         Job job = clusterState.job(fence.job);
@@ -135,10 +135,10 @@
                     fence.job,
                     dispatcher.fencingToken().value());
             dispatcher.killUnacknowledgedLaunches(job);
-            context.schedule(KILL_TIMEOUT_MS, () -> fenceLaunches(fence));
+            context.schedule(UNACKNOWLEDGED_KILL_INTERVAL_MS, () -> fenceLaunches(fence));
         } else {
             dispatcher.requestTokenRotation();
-            context.schedule(TOKEN_MS, () -> fenceLaunches(fence));
+            context.schedule(TOKEN_ROTATION_INTERVAL_MS, () -> fenceLaunches(fence));
         }
     }
 
@@ -156,9 +156,9 @@
      * records are read.
      */
     public void enforceAll() {
-        boolean killsDue = !context.now().isBefore(nextKills);
+        boolean killsDue = !context.now().isBefore(nextKillAt);
         if (killsDue) {
-            nextKills = context.now().plusMs(KILL_RETRY_MS);
+            nextKillAt = context.now().plusMs(KILL_RETRY_INTERVAL_MS);
         }
         for (Job job : clusterState.jobs()) {
             if (job.isCancelled()) {
@@ -181,13 +181,14 @@
      */
     private void releaseUnreachable(Job job, long deadlineWallMs, String jobState) {
         long leftMs = deadlineWallMs - context.wallMs();
-        if (leftMs >= RELEASE_MS) {
+        if (leftMs >= MACHINE_RELEASE_MS) {
             return;
         }
         for (Placement placement : job.record.live.values()) {
             Machine machine = clusterState.machine(placement.machine);
-            boolean leaseEndsInTime = clusterState.leaseExpiry(machine).since(context.now()) < leftMs - SPARE_MS
-                    && context.now().since(clusterState.lastContactAt(machine)) > SPARE_MS;
+            boolean leaseEndsInTime =
+                    clusterState.leaseExpiry(machine).since(context.now()) < leftMs - DEADLINE_MARGIN_MS
+                            && context.now().since(clusterState.lastContactAt(machine)) > DEADLINE_MARGIN_MS;
             if (!leaseEndsInTime && !machine.releasing) {
                 LOG.info(
                         "machine released: machine={} task={} attempt={} cause=\"task of a {} job can't be reached\"",
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -13,9 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery at the beginning of a term: its progress, which machines that have not reported yet are counted on, and
- * how fast machines may be probed and commanded. What each heartbeat proves is decided as at any other time. See
- * docs/design/start.md.
+ * The recovery at the beginning of a term: its progress, the presumed presence of machines that have not reported yet,
+ * and the rate limit of probes and commands. Heartbeats are evaluated as at any other time. See docs/design/start.md.
  */
 public final class ColdStartRecovery {
     private static final Logger LOG = LoggerFactory.getLogger(ColdStartRecovery.class);
@@ -27,10 +26,10 @@
     private RecoveryProgress progress;
     private RecoveryPacer pacer;
     private boolean machinesListed;
-    /** What was counted last, for the operators' view. */
-    private RecoveryProgress.Snapshot facts = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
+    /** The last snapshot, for the operators' view. */
+    private RecoveryProgress.Snapshot snapshot = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
 
-    /** Creates it at the beginning of a term. */
+    /** Creates the recovery at the beginning of a term. */
     public ColdStartRecovery(ControllerContext context, Settings settings, ClusterState clusterState) {
         this.context = context;
         this.settings = settings;
@@ -39,13 +38,13 @@
         begin();
     }
 
-    /** Starts anew: a new term begins. */
+    /** Restarts the recovery for a new term. */
     public void begin() {
         progress = new RecoveryProgress(
                 context.now(), heartbeatIntervalMs, settings.workers().leaseMs());
         pacer = new RecoveryPacer(settings.maxSockets());
         machinesListed = false;
-        facts = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
+        snapshot = new RecoveryProgress.Snapshot(false, false, 0, 0, 0, 0);
     }
 
     /** Records that the cloud has listed all its machines. */
@@ -53,12 +52,15 @@
         machinesListed = true;
     }
 
-    /** Whether the recovery is over. */
+    /** Returns whether the recovery is over. */
     boolean isComplete() {
         return progress.phase() == RecoveryProgress.Phase.COMPLETE;
     }
 
-    /** Whether tasks may be preempted: not before most of the machines with free capacity could have reported it. */
+    /**
+     * Returns whether tasks may be preempted: not before most of the machines with free capacity could have reported
+     * it.
+     */
     public boolean mayPreempt() {
         return progress.phase().compareTo(RecoveryProgress.Phase.AWAITING_HEARTBEATS) > 0;
     }
@@ -68,24 +70,24 @@
         if (isComplete()) {
             return;
         }
-        facts = countFacts();
+        snapshot = takeSnapshot();
         RecoveryProgress.Phase before = progress.phase();
-        while (progress.advance(context.now(), facts)) {
+        while (progress.advance(context.now(), snapshot)) {
             LOG.info(
                     "recovery phase ended: phase={} sinceTermBeganS={} machinesHeard={} machinesExpected={}"
                             + " unconfirmedPlacements={} commandsWaiting={}",
                     before.label(),
                     context.now().since(progress.beganAt()) / 1000.0,
-                    facts.heard(),
-                    facts.expected(),
-                    facts.unconfirmedPlacements(),
-                    facts.waitingCommands());
+                    snapshot.heard(),
+                    snapshot.expected(),
+                    snapshot.unconfirmedPlacements(),
+                    snapshot.waitingCommands());
             before = progress.phase();
             clusterState.requestReplan();
         }
     }
 
-    private RecoveryProgress.Snapshot countFacts() {
+    private RecoveryProgress.Snapshot takeSnapshot() {
         int expected = 0;
         int heard = 0;
         int unconfirmed = 0;
@@ -118,36 +120,36 @@
     }
 
     /**
-     * Whether the plan should not count on the machine: it should have reported but has not, or it does not answer
+     * Returns whether the plan must not use the machine, because its first heartbeat is overdue or it does not answer
      * probes.
      */
     public boolean isPresumedAbsent(Machine machine) {
         return machine.lastHeartbeat == null && presence(machine) == MachinePresence.Assessment.PRESUMED_ABSENT;
     }
 
-    /** Whether the machine is to be probed though its heartbeat is not late yet. */
+    /** Returns whether the machine is to be probed though its heartbeat is not late yet. */
     boolean needsEarlyProbe(Machine machine) {
         return machine.lastHeartbeat == null
                 && progress.isAwaitingFirstHeartbeats(context.now())
                 && presence(machine) != MachinePresence.Assessment.PRESUMED_PRESENT;
     }
 
-    // ---- what may be sent ----
+    // ---- rate limits ----
 
-    /** Whether a probe may be sent to the machine now; the call then counts until {@link #callFinished}. */
+    /** Returns whether a probe may be sent to the machine now; the call then counts until {@link #callFinished}. */
     boolean tryAcquireProbe(Machine machine) {
         return isComplete() || pacer.tryAcquire(RecoveryPacer.CallKind.PROBE, machine.zone, context.now());
     }
 
     /**
-     * Whether the commands that wait for the machine may be sent straight to it now; otherwise they go with the answer
-     * to its next heartbeat. The call then counts until {@link #callFinished}.
+     * Returns whether the commands that wait for the machine may be sent directly to it now; otherwise they go with the
+     * response to its next heartbeat. The call then counts until {@link #callFinished}.
      */
     boolean tryAcquireCommand(Machine machine) {
         return isComplete() || pacer.tryAcquire(callKind(machine), machine.zone, context.now());
     }
 
-    /** A probe or command has been answered, or given up. */
+    /** Records that a probe or command was answered or timed out. */
     void callFinished() {
         pacer.callFinished();
     }
@@ -162,15 +164,15 @@
         return RecoveryPacer.CallKind.ORDINARY;
     }
 
-    /** The operators' view of the recovery: see docs/operations/start.md. */
+    /** Returns the operators' view of the recovery, see docs/operations/start.md. */
     public ObjectNode view() {
         ObjectNode node = Codec.map()
                 .put("phase", progress.phase().label())
                 .put("agoS", context.now().since(progress.beganAt()) / 1000.0)
-                .put("heard", facts.heard())
-                .put("expected", facts.expected())
-                .put("inDoubt", facts.unconfirmedPlacements())
-                .put("ordersWaiting", facts.waitingCommands())
+                .put("heard", snapshot.heard())
+                .put("expected", snapshot.expected())
+                .put("inDoubt", snapshot.unconfirmedPlacements())
+                .put("ordersWaiting", snapshot.waitingCommands())
                 .put("ordersHeldBack", pacer.deferred())
                 .put("ordersSent", pacer.sent())
                 .put("ordersPerSecond", pacer.perSecond())
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -27,30 +27,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends commands straight to workers, instead of with the answer to a heartbeat, and keeps track of launches without an
+ * Sends commands directly to workers, instead of in the response to a heartbeat, and keeps track of launches without an
  * acknowledgement, which may be executed late.
  */
 public final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
-    /** The most commands in one message to a worker. */
+    /** The maximum number of commands in one message to a worker. */
     static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
-    /** For so many heartbeat intervals after it was heard, or has answered a probe, a machine may be sent commands. */
-    private static final double REACHABLE_INTERVALS = 2.5;
-    /** How long an answer to commands is waited for. */
-    private static final long DIRECT_TIMEOUT_MS = 3000;
-    /** How many calls to one worker may be without an answer when a kill is sent all the same. */
-    private static final int MAX_UNACKNOWLEDGED = 4;
+    /**
+     * The number of heartbeat intervals after its last heartbeat or probe response in which a machine may be sent
+     * commands.
+     */
+    private static final double REACHABLE_INTERVAL_COUNT = 2.5;
+    /** The timeout of the response to commands. */
+    private static final long COMMAND_TIMEOUT_MS = 3000;
+    /** The maximum number of unanswered calls to one worker at which a kill is still sent. */
+    private static final int MAX_UNACKNOWLEDGED_CALLS = 4;
 
-    /** Receives what follows from the answers to commands. */
+    /** Receives the results of commands. */
     public interface Listener {
-        /** A worker has answered commands with a heartbeat, made after it received them. */
+        /** Called when a worker has answered commands with a heartbeat that it made after receiving them. */
         void heartbeatReceived(Machine machine, Heartbeat heartbeat);
 
-        /** A launch that was sent with this token has no answer: it may be executed minutes late. */
+        /** Called when a launch sent with this token has no response: it may be executed minutes late. */
         void launchUnacknowledged(FencingToken fencingToken);
 
-        /** A new fencing token is needed, so that workers refuse all that was sent so far. */
+        /** Called when a new fencing token is needed so that workers refuse all commands sent so far. */
         void tokenRotationRequested();
     }
 
@@ -66,8 +69,8 @@
     /**
      * Creates the dispatcher.
      *
-     * @param coldStart limits how fast machines are called when a term begins
-     * @param listener receives what follows from the answers
+     * @param coldStart limits the rate of calls at the beginning of a term
+     * @param listener receives the results of commands
      */
     public CommandDispatcher(
             ControllerServices services, LeaderState state, ColdStartRecovery coldStart, Listener listener) {
@@ -81,7 +84,7 @@
         this.listener = listener;
     }
 
-    /** Whether the machine has been heard lately, and messages reach it. */
+    /** Returns whether the machine sent a recent heartbeat and messages reach it. */
     private boolean isReachable(Machine machine) {
         return machine.up
                 && machine.address != null
@@ -92,8 +95,8 @@
     }
 
     /**
-     * Whether kills may be sent to the machine: also to a worker whose heartbeats don't arrive, but that answers
-     * probes.
+     * Returns whether kills may be sent to the machine: also to a worker whose heartbeats don't arrive, but that
+     * answers probes.
      */
     private boolean acceptsKills(Machine machine) {
         return isReachable(machine)
@@ -106,10 +109,10 @@
     }
 
     private double reachableMs() {
-        return settings.workers().reportS() * (1000 * REACHABLE_INTERVALS);
+        return settings.workers().reportS() * (1000 * REACHABLE_INTERVAL_COUNT);
     }
 
-    /** Kills a task on the machine where it may be, unless a kill of it waits to be sent already. */
+    /** Kills a task on the machine where it may run, unless a kill of it is already queued. */
     void kill(Machine machine, Placement placement) {
         if (machine.outbox.stream()
                 .noneMatch(c -> c.verb() == WorkerCommand.Verb.KILL && c.task().equals(placement.task))) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /** Whether a task of the job was launched by a command that has no answer yet. */
+    /** Returns whether a task of the job was launched by a command that has no response yet. */
     boolean hasUnacknowledgedLaunch(Job job) {
         return job.record.live.values().stream().anyMatch(this::hasUnacknowledgedLaunch);
     }
@@ -129,12 +132,12 @@
                 && clusterState.machine(placement.machine).commandsInFlight > 0;
     }
 
-    /** The fencing token that commands are sent with now. */
+    /** Returns the fencing token of commands that are sent now. */
     FencingToken fencingToken() {
         return election.fencingToken();
     }
 
-    /** Asks for a new fencing token at once: a worker that has seen it refuses what was sent before. */
+    /** Requests a new fencing token: a worker that has seen it refuses commands sent before. */
     void requestTokenRotation() {
         listener.tokenRotationRequested();
     }
@@ -147,7 +150,7 @@
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             Machine machine = clusterState.machine(placement.machine);
             if (hasUnacknowledgedLaunch(placement)
-                    && machine.commandsInFlight <= MAX_UNACKNOWLEDGED
+                    && machine.commandsInFlight <= MAX_UNACKNOWLEDGED_CALLS
                     && acceptsKills(machine)
                     && election.holdsLease()
                     && coldStart.tryAcquireCommand(machine)) {
@@ -157,7 +160,8 @@
     }
 
     /**
-     * Sends the commands that wait for the machine; one call at a time, so that it is clear what each answer refers to.
+     * Sends the queued commands of the machine, one call at a time, so that each response can be matched to its
+     * commands.
      */
     public void dispatch(Machine machine) {
         if (machine.outbox.isEmpty() || machine.commandsInFlight > 0 || !election.holdsLease()) {
@@ -168,7 +172,7 @@
         }
         List<WorkerCommand> commands = sendableCommands(machine);
         if (commands.isEmpty() || !coldStart.tryAcquireCommand(machine)) {
-            return; // they wait for a moment, or go with the answer to the next heartbeat
+            return; // they stay queued, or go with the response to the next heartbeat
         }
         machine.outbox.removeAll(commands);
         List<Placement> launches = new ArrayList<>();
@@ -181,15 +185,18 @@
         send(machine, commands, launches);
     }
 
-    /** Drops what can't be sent to an unreachable machine; launches go with the answer to its next heartbeat. */
+    /**
+     * Drops the commands that can't be sent to an unreachable machine; launches go with the response to its next
+     * heartbeat.
+     */
     private void dropUndeliverable(Machine machine) {
         boolean acceptsKills = acceptsKills(machine);
         machine.outbox.removeIf(c -> !acceptsKills || c.verb() != WorkerCommand.Verb.KILL);
     }
 
     /**
-     * The waiting commands that may be sent now. While the records are not certain, or a cancellation may not be known,
-     * nothing is launched; what is to be ended is ended.
+     * Returns the queued commands that may be sent now. While the records are not confirmed, or a cancellation may not
+     * be known, only kills are sent.
      */
     private List<WorkerCommand> sendableCommands(Machine machine) {
         boolean mayLaunch = loader.isActive() && cancellations.mayRenewLeases();
@@ -230,7 +237,7 @@
         context.callBefore(
                 election.leaseValidUntil(),
                 new ServiceRequest(
-                        ServiceCalls.Target.HOST, machine.address, "POST", "/orders", body, DIRECT_TIMEOUT_MS),
+                        ServiceCalls.Target.HOST, machine.address, "POST", "/orders", body, COMMAND_TIMEOUT_MS),
                 result -> {
                     if (term != clusterState.term()) {
                         return;
@@ -244,8 +251,8 @@
     }
 
     /**
-     * Another machine has answered: the address belongs to it now, and it has been given the launches. They are killed
-     * there, and count as sent to the machine that they were meant for.
+     * Handles a response of another machine, which now has the address and received the launches. They are killed
+     * there, and count as sent to the intended machine.
      */
     private void handleForeignAnswer(Machine machine, Heartbeat heartbeat, List<Placement> launches) {
         LOG.warn(
@@ -280,7 +287,7 @@
         dispatch(machine);
     }
 
-    /** The heartbeat in the answer; null if there is no answer, or it holds none. */
+    /** Returns the heartbeat in the response; null if there is no response or it holds none. */
     private static Heartbeat parseHeartbeat(Machine machine, CallResult result) {
         if (result.kind() != CallResult.Kind.ANSWERED || result.body() == null) {
             return null;
@@ -293,7 +300,7 @@
         }
     }
 
-    /** Records whether the launches certainly were not carried out, or may be carried out late. */
+    /** Records whether the launches were refused or may be executed late. */
     private void settleLaunches(
             Machine machine, CallResult result, boolean answered, List<Placement> launches, FencingToken fencingToken) {
         boolean refused = result.kind() == CallResult.Kind.NOT_SENT
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -22,34 +22,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a silent machine is given up. Silence proves nothing about its tasks; it only decides when the cloud
- * is asked to end the machine. A machine whose heartbeat is late is probed: one that answers is kept, one that does not
- * is given up sooner than one that was not probed.
+ * Detects failed machines by missing heartbeats. These prove nothing about the tasks; they only determine when the
+ * machine is returned to the cloud. A machine with a late heartbeat is probed: one that answers is kept, one that does
+ * not is returned sooner than one that was not probed.
  */
 public final class FailureDetector {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
-    /** The most probes in flight: each takes a socket, and those to dead machines hang. */
+    /** The maximum number of probes in flight: each takes a socket, and probes of dead machines hang. */
     private static final int MAX_PROBES = 60;
 
-    /** How long the answer to a probe is waited for. */
+    /** The timeout of a probe. */
     private static final long PROBE_TIMEOUT_MS = 2000;
-    /** A heartbeat may come after so many intervals, and {@link #NETWORK_MS} later for the network. */
-    private static final double LATE_FACTOR = 1.25;
-    /** What the network may add to a heartbeat's delay. */
-    private static final long NETWORK_MS = 1500;
-    /** So many unanswered probes count as much as a second missed heartbeat; no more are sent. */
+    /** A heartbeat may arrive after this many intervals plus {@link #MAX_NETWORK_DELAY_MS}. */
+    private static final double LATE_INTERVAL_FACTOR = 1.25;
+    /** The time that the network may add to a heartbeat's delay. */
+    private static final long MAX_NETWORK_DELAY_MS = 1500;
+    /** This number of unanswered probes counts as a second missed heartbeat; no more are sent. */
     static final int MAX_UNANSWERED_PROBES = 2;
-    /** A zone is suspect only if at least so many of its machines are. */
-    private static final int MIN_ZONE_MACHINES = 5;
+    /** The minimum number of suspect machines in a suspect zone. */
+    private static final int MIN_SUSPECT_ZONE_MACHINES = 5;
 
-    /** What the current check has counted of a zone's machines. */
+    /** The counts of a zone's machines in the current check. */
     private static final class ZoneHealth {
         private int expectedMachines;
         private int suspectMachines;
 
-        /** Whether most are silent or unreachable: more likely the fault of the network than of the machines. */
+        /**
+         * Returns whether most are silent or unreachable: a network failure is more likely than failures of the
+         * machines.
+         */
         private boolean isSuspect() {
-            return suspectMachines >= MIN_ZONE_MACHINES && suspectMachines * 2 > expectedMachines;
+            return suspectMachines >= MIN_SUSPECT_ZONE_MACHINES && suspectMachines * 2 > expectedMachines;
         }
     }
 
@@ -59,8 +62,8 @@
     private final LeaderElection election;
     private final ClusterState clusterState;
     private final ColdStartRecovery coldStart;
-    private final MachineLossTracker lossRecovery;
-    /** Called when a worker answers a probe with no newer message than was known before: it has begun anew. */
+    private final MachineLossTracker lossTracker;
+    /** Called when a worker answers a probe with no newer message than was known before: the worker has restarted. */
     private final BiConsumer<Machine, Heartbeat> onRestart;
 
     private final Map<String, ZoneHealth> zones = new HashMap<>();
@@ -70,15 +73,15 @@
     /**
      * Creates the detector.
      *
-     * @param onRestart called when a worker answers a probe with no newer message than was known before: it has begun
-     *     anew
+     * @param onRestart called when a worker answers a probe with no newer message than was known before: the worker has
+     *     restarted
      */
     public FailureDetector(
             ControllerServices services,
             Policy policy,
             ClusterState clusterState,
             ColdStartRecovery coldStart,
-            MachineLossTracker lossRecovery,
+            MachineLossTracker lossTracker,
             BiConsumer<Machine, Heartbeat> onRestart) {
         this.context = services.context();
         this.settings = services.settings();
@@ -86,28 +89,28 @@
         this.policy = policy;
         this.clusterState = clusterState;
         this.coldStart = coldStart;
-        this.lossRecovery = lossRecovery;
+        this.lossTracker = lossTracker;
         this.onRestart = onRestart;
     }
 
-    /** Starts anew: a new term begins. */
+    /** Resets the detector for a new term. */
     public void reset() {
         probesInFlight = 0;
     }
 
     /**
-     * After how long a machine is given up: once it has missed two heartbeats, but never sooner than the operators'
-     * setting.
+     * Returns the time without heartbeats after which a machine has failed: two missed heartbeats, but at least the
+     * operators' setting.
      */
     public long heartbeatTimeoutMs() {
         return Math.max(
                 policy.silentMs(),
-                Math.round(2 * LATE_FACTOR * settings.workers().reportS() * 1000) + 3000);
+                Math.round(2 * LATE_INTERVAL_FACTOR * settings.workers().reportS() * 1000) + 3000);
     }
 
-    /** After how long a heartbeat is late. */
+    /** Returns the time after which a heartbeat is late. */
     private long heartbeatLateMs() {
-        return Math.round(LATE_FACTOR * settings.workers().reportS() * 1000) + NETWORK_MS;
+        return Math.round(LATE_INTERVAL_FACTOR * settings.workers().reportS() * 1000) + MAX_NETWORK_DELAY_MS;
     }
 
     /** Counts the suspect machines of each zone, and probes those whose heartbeat is late. */
@@ -122,15 +125,15 @@
             }
             long silentMs = context.now().since(clusterState.lastContactAt(machine));
             if (!machine.confirmedPresent && !machine.listedRunning && machine.placements.isEmpty()) {
-                probe(machine); // only a heartbeat names it, which may be a copy: it counts for no zone
+                probe(machine); // known only from a heartbeat, which may be a copy: not counted in a zone
                 continue;
             }
             expected++;
             suspect += countInZone(machine, silentMs) ? 1 : 0;
             probeIfNeeded(machine, silentMs, probedEarly);
         }
-        // First come machines whose urgent work would wait for the answer.
-        probedEarly.sort(Comparator.comparingInt(lossRecovery::highestPriorityOrdinal));
+        // Machines with the most urgent work are probed first, because it waits for the result.
+        probedEarly.sort(Comparator.comparingInt(lossTracker::highestPriorityOrdinal));
         probedEarly.forEach(this::probe);
         mostMachinesSuspect = suspect > 2 && suspect * 2 > expected;
     }
@@ -146,7 +149,8 @@
 
     private void probeIfNeeded(Machine machine, long silentMs, List<Machine> probedEarly) {
         if (machine.reachability.missed() > 0 && !machine.reachability.isUnreachable()) {
-            probe(machine); // one lost message may be the network's fault; a second one is not waited for
+            // One lost message may be a network fault; probes now instead of waiting for a second one.
+            probe(machine);
         }
         if (silentMs > heartbeatLateMs()) {
             probe(machine);
@@ -158,14 +162,14 @@
     }
 
     /**
-     * Whether the machine should report: also one that has not reported in this term, but holds tasks or is listed as
-     * running.
+     * Returns whether the machine should report: also one that has not reported in this term, but holds tasks or is
+     * listed as running.
      */
     private static boolean isExpected(Machine machine) {
         return machine.up || machine.listedRunning || !machine.placements.isEmpty();
     }
 
-    /** Asks the machine for a heartbeat, unless too many probes are in flight or unanswered. */
+    /** Requests a heartbeat from the machine, unless too many probes are in flight or unanswered. */
     private void probe(Machine machine) {
         if (machine.probeInFlight
                 || probesInFlight >= MAX_PROBES
@@ -223,7 +227,7 @@
         }
     }
 
-    /** Whether the machine is to be returned because messages don't reach it. */
+    /** Returns whether the machine is to be returned to the cloud because messages do not reach it. */
     public boolean shouldReleaseUnreachable(Machine machine) {
         return machine.reachability.shouldRelease(
                 machine.countLaunched(false),
@@ -233,20 +237,24 @@
                 context.now());
     }
 
-    /** Whether a fault of the network, in all or in the machine's zone, is more likely than one of the machine. */
+    /**
+     * Returns whether a network failure, overall or in the machine's zone, is more likely than a failure of the
+     * machine.
+     */
     private boolean isNetworkSuspect(Machine machine) {
         ZoneHealth zone = zones.get(String.valueOf(machine.zone));
         return mostMachinesSuspect || zone != null && zone.isSuspect();
     }
 
-    /** Whether the machine is to be returned because it is silent. */
+    /** Returns whether the machine is to be returned to the cloud because its heartbeats are missing. */
     public boolean shouldReleaseSilent(Machine machine) {
         long silentMs = context.now().since(clusterState.lastContactAt(machine));
         if (context.now().isBefore(machine.probeGraceUntil)) {
             return false;
         }
         if (machine.reachability.isOneWayPartitioned()) {
-            return silentMs > settings.workers().leaseMs(); // it tries all nodes in turn, and is heard here less often
+            // It tries all nodes in turn, so its heartbeats arrive here less often.
+            return silentMs > settings.workers().leaseMs();
         }
         if (isNetworkSuspect(machine)) {
             return silentMs > settings.workers().leaseMs();
--- a/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/FaultTracker.java
@@ -10,21 +10,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides whether a job or a machine is to blame for failed tasks, backs off jobs and finds faulty machines. */
+/** Attributes task failures to a job or a machine, backs off failing jobs and detects faulty machines. */
 public final class FaultTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FaultTracker.class);
-    /** The first pause of a job that is at fault; each further failure doubles it. */
-    private static final long FIRST_PAUSE_MS = 2000;
-    /** The longest pause of such a job. */
-    private static final long MAX_PAUSE_MS = 60_000;
-    /** How often the pause is doubled at most. */
+    /** The first backoff of a job that is at fault; each further failure doubles it. */
+    private static final long FIRST_BACKOFF_MS = 2000;
+    /** The longest backoff of such a job. */
+    private static final long MAX_BACKOFF_MS = 60_000;
+    /** The maximum number of doublings of the backoff. */
     private static final int MAX_DOUBLINGS = 5;
-    /** How long nothing is placed on a machine on which a task has failed. */
+    /** The time during which nothing is placed on a machine after a task failure. */
     private static final long AVOID_MACHINE_MS = 5000;
-    /** A job that has failed on so many machines, with nothing done, is at fault. */
-    private static final int JOB_FAULT_MACHINES = 3;
-    /** So many failures that are no job's fault make a machine faulty. */
-    private static final int MACHINE_FAULT_FAILURES = 2;
+    /** A job without completed tasks that has failed on this many machines is at fault. */
+    private static final int JOB_FAULT_MACHINE_COUNT = 3;
+    /** The number of failures not caused by a job that makes a machine faulty. */
+    private static final int MACHINE_FAULT_FAILURE_COUNT = 2;
 
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -50,22 +50,26 @@
                 job.record.failures,
                 job.failedOnMachines.size());
         if (isJobAtFault(job)) {
-            // It fails everywhere, by its own fault. It is retried ever more rarely, until it is cancelled.
+            // The job itself causes the failures. It is retried at growing intervals until it is cancelled.
             int doublings = Math.min(MAX_DOUBLINGS, job.failureBackoffs++);
-            job.notBefore = context.now().plusMs(Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings));
+            job.notBefore = context.now().plusMs(Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << doublings));
         }
         machine.failuresByJob.merge(job.id(), 1, Integer::sum);
         machine.avoidUntil = context.now().plusMs(AVOID_MACHINE_MS);
     }
 
-    /** Whether the job fails everywhere, as far as is known; a job of which a task was done has run on some machine. */
+    /**
+     * Returns whether the job itself appears to cause its failures; a job with a completed task has run on some
+     * machine.
+     */
     private static boolean isJobAtFault(Job job) {
-        return job.record.done.size() == 0 && (job.isSuspect() || job.failedOnMachines.size() >= JOB_FAULT_MACHINES);
+        return job.record.done.size() == 0
+                && (job.isSuspect() || job.failedOnMachines.size() >= JOB_FAULT_MACHINE_COUNT);
     }
 
     /**
-     * Whether the machine is faulty: tasks of several jobs have failed on it that did not fail everywhere else, or
-     * several tasks of one job of which others were done. Failures count since the last task that was done on it.
+     * Returns whether the machine is faulty: tasks of several jobs have failed on it that did not fail everywhere else,
+     * or several tasks of one job of which others were done. Failures count since the last task that was done on it.
      */
     public boolean isMachineFaulty(Machine machine) {
         int failures = 0;
@@ -78,6 +82,6 @@
                 failures += otherTasksDone ? entry.getValue() : 1;
             }
         }
-        return failures >= MACHINE_FAULT_FAILURES;
+        return failures >= MACHINE_FAULT_FAILURE_COUNT;
     }
 }
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -23,14 +23,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles workers' heartbeats: decides what each may change, records what it says of its machine, has the statuses of
- * its tasks reconciled with the records ({@link TaskStatusReconciler}), and answers it with the commands that follow.
+ * Handles workers' heartbeats: determines the validity of each, updates its machine, has its task statuses reconciled
+ * with the records ({@link TaskStatusReconciler}), and responds with the resulting commands.
  */
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     /**
-     * How long a machine whose silence was noticed has to answer a probe once a heartbeat of it has come that may be
-     * old.
+     * The time in which a machine with missed heartbeats must answer a probe after a possibly old heartbeat of it has
+     * arrived.
      */
     private static final long PROBE_GRACE_MS = 3000;
 
@@ -50,7 +50,7 @@
      * Creates the handler.
      *
      * @param releases knows which machines have been returned
-     * @param withdrawal decides which placements are taken back before they are launched
+     * @param withdrawal decides which placements are withdrawn before they are launched
      */
     public HeartbeatHandler(
             ControllerServices services,
@@ -73,7 +73,7 @@
         this.statusReconciler = new TaskStatusReconciler(context, state, dispatcher, taskRemoval, faultTracker);
     }
 
-    /** Reconciles the last heartbeat of each machine with the records, which have been read anew. */
+    /** Reconciles the last heartbeat of each machine with the records, which have been read again. */
     public void reconcileAll() {
         for (Machine machine : clusterState.machines()) {
             if (machine.lastHeartbeat != null) {
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Reconciles the task statuses of a heartbeat with the records; returns the commands that follow.
+     * Reconciles the task statuses of a heartbeat with the records; returns the resulting commands.
      *
      * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
      */
@@ -91,7 +91,7 @@
         return statusReconciler.reconcile(machine, heartbeat, unsolicited);
     }
 
-    /** Handles a worker's heartbeat and answers it. */
+    /** Handles a worker's heartbeat and responds to it. */
     public void handle(long request, Heartbeat heartbeat) {
         if (releases.isReleased(heartbeat.machine())) {
             context.respond(request, 503, null); // a late heartbeat: the machine has been returned
@@ -100,7 +100,7 @@
         Machine machine = clusterState.machine(heartbeat.machine());
         HeartbeatValidity validity = assessValidity(machine, heartbeat);
         if (!validity.mayRenewLease()) {
-            // Until it is probed (FailureDetector), a worker that began anew looks like this, too.
+            // A restarted worker also looks like this until the FailureDetector probes it.
             context.respond(request, 503, null);
             return;
         }
@@ -116,10 +116,10 @@
                 addLaunches(machine, heartbeat, commands);
             }
             if (wasReachable && machine.reachability.isUnreachable()) {
-                becameUnreachable(machine);
+                recordUnreachable(machine);
             }
         } else if (validity.shouldReconcile()) {
-            // These hold whatever the records say once they are read.
+            // These are valid regardless of the records, which are not read yet.
             commands.addAll(killsOfCancelled(heartbeat));
         }
         if (mayRenewLeases) {
@@ -142,7 +142,7 @@
                 context.now().since(machine.newestMessageAt));
     }
 
-    private void becameUnreachable(Machine machine) {
+    private void recordUnreachable(Machine machine) {
         LOG.info(
                 "machine unreachable: machine={} tasksBeingLaunched={} cause=\"its heartbeats arrive, answers to it don't\"",
                 machine.id,
@@ -150,7 +150,7 @@
         clusterState.requestReplan();
     }
 
-    /** Answers with the commands and renews the worker's lease. */
+    /** Responds with the commands and renews the worker's lease. */
     private void answer(long request, Machine machine, List<WorkerCommand> commands) {
         machine.lastAnsweredAt = context.now();
         ObjectNode body = Codec.map().put("baton", election.fencingToken().value());
@@ -160,14 +160,14 @@
                 request, 200, body, until.isBefore(election.leaseValidUntil()) ? until : election.leaseValidUntil());
     }
 
-    /** Refuses to renew the worker's lease; the kills among the commands are sent all the same. */
+    /** Refuses to renew the worker's lease; the kills among the commands are still sent. */
     private void refuse(long request, Machine machine, List<WorkerCommand> commands) {
         LOG.debug("lease not renewed: machine={} cause=\"knowledge of cancellations is too old\"", machine.id);
         sendKills(machine, commands);
         context.respond(request, 503, null);
     }
 
-    /** Kills of tasks whose jobs are known to be cancelled; nothing else is known of the records now. */
+    /** Returns kills of tasks whose jobs are known to be cancelled, for use while the records are not read. */
     private List<WorkerCommand> killsOfCancelled(Heartbeat heartbeat) {
         List<WorkerCommand> kills = new ArrayList<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -179,7 +179,7 @@
         return kills;
     }
 
-    /** Sends the kills straight to the worker: it does not act on commands in an answer other than 200. */
+    /** Sends the kills directly to the worker, which ignores commands in a response with a status other than 200. */
     private void sendKills(Machine machine, List<WorkerCommand> commands) {
         List<WorkerCommand> kills = commands.stream()
                 .filter(c -> c.verb() == WorkerCommand.Verb.KILL && !machine.outbox.contains(c))
@@ -190,9 +190,9 @@
         }
     }
 
-    // ---- what a heartbeat says of its machine ----
+    // ---- machine state ----
 
-    /** Records a heartbeat than which nothing newer is known; its validity says whether it may be a copy. */
+    /** Records the newest known heartbeat; its validity indicates whether it may be a copy. */
     private void recordHeartbeat(Machine machine, Heartbeat heartbeat, HeartbeatValidity validity) {
         if (!machine.up) {
             markUp(machine, heartbeat);
@@ -218,7 +218,7 @@
         if (validity.isCurrent() || machine.unansweredProbes == 0) {
             machine.lastContactAt = context.now();
         } else {
-            // A copy ends no silence that was noticed; but it may be the machine's first heartbeat, so it is probed
+            // A copy does not count as a sign of life, but this may be the machine's first heartbeat, so it is probed
             // once more.
             machine.unansweredProbes = 0;
             machine.probeGraceUntil = context.now().plusMs(PROBE_GRACE_MS);
@@ -256,7 +256,7 @@
                 context.now());
     }
 
-    /** A preemption notice is never withdrawn: an old heartbeat proves it too, though not how much time is left. */
+    /** A preemption notice is never withdrawn: an old heartbeat proves it too, but not the remaining time. */
     private void recordPreemptionNotice(Machine machine, Heartbeat heartbeat, HeartbeatValidity validity) {
         if (heartbeat.preemptionNoticeS() != null && (validity.isCurrent() || machine.preemptionAt == null)) {
             if (machine.preemptionAt == null) {
@@ -269,11 +269,11 @@
         }
     }
 
-    // ---- launches that go with the answer ----
+    // ---- launches ----
 
     /**
-     * Adds the launches of committed placements to the commands. An unreachable machine, and one that is about to go,
-     * gets none: placements that were never sent to it are removed, so that their tasks wait again.
+     * Adds the launches of committed placements to the commands. An unreachable or leaving machine gets none:
+     * placements that were never sent to it are removed, so that their tasks wait again.
      */
     private void addLaunches(Machine machine, Heartbeat heartbeat, List<WorkerCommand> commands) {
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
@@ -281,9 +281,9 @@
             if (job == null) {
                 continue; // its record can't be read: the placement stays as it is
             }
-            if (isTakenBack(machine, job, placement)) {
+            if (shouldRemove(machine, job, placement)) {
                 taskRemoval.remove(job, placement);
-            } else if (isToBeLaunched(machine, heartbeat, job, placement)
+            } else if (shouldLaunch(machine, heartbeat, job, placement)
                     && commands.size() < CommandDispatcher.MAX_COMMANDS_PER_MESSAGE) {
                 commands.add(WorkerCommand.launch(placement.task, placement.attempt));
                 placement.launchSent = true;
@@ -293,7 +293,7 @@
         }
     }
 
-    private boolean isTakenBack(Machine machine, Job job, Placement placement) {
+    private boolean shouldRemove(Machine machine, Job job, Placement placement) {
         if (!placement.committed) {
             return false;
         }
@@ -302,7 +302,7 @@
                         && !placement.launchSent;
     }
 
-    private static boolean isToBeLaunched(Machine machine, Heartbeat heartbeat, Job job, Placement placement) {
+    private static boolean shouldLaunch(Machine machine, Heartbeat heartbeat, Job job, Placement placement) {
         return placement.committed
                 && (!placement.launchSent || isLaunchUnconfirmed(machine, heartbeat, placement))
                 && !machine.releasing
@@ -312,8 +312,8 @@
     }
 
     /**
-     * Whether the placement's launch is sent again: the heartbeat does not name the task, and the worker has not seen a
-     * higher token than an unacknowledged launch, which may or may not be executed.
+     * Returns whether the placement's launch is sent again: the heartbeat does not name the task, and the worker has
+     * not seen a higher token than an unacknowledged launch, which may or may not be executed.
      */
     private static boolean isLaunchUnconfirmed(Machine machine, Heartbeat heartbeat, Placement placement) {
         return placement.launchSent
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
@@ -4,9 +4,9 @@
 import org.beechhoist.wire.Heartbeat;
 
 /**
- * What a heartbeat may change. Copies of heartbeats arrive late, repeatedly, out of order, and from machines returned
- * long ago. Only two things distinguish them from the original: a newer message of the worker, and a fencing token that
- * no heartbeat can have named before this term began.
+ * The validity of a heartbeat, which determines what it may change. Copies of heartbeats arrive late, repeatedly, out
+ * of order, and from machines that were returned long ago. Only two things distinguish them from the original: a newer
+ * message of the worker, and a fencing token that no heartbeat can have named before this term began.
  */
 public enum HeartbeatValidity {
     /** It names a token of this term, so it was made since the term began, and nothing newer of the worker is known. */
@@ -18,15 +18,15 @@
      * nothing.
      */
     PREVIOUS_INCARNATION,
-    /** A newer message is known, but it came just now: the worker may still wait for the answer to this one. */
+    /** A newer message is known, but arrived only recently: the worker may still wait for the answer to this one. */
     SUPERSEDED,
     /**
-     * A newer message is known, and the sender of this one has stopped waiting: it is a copy, or the worker has begun
-     * anew.
+     * A newer message is known, and the sender of this one has stopped waiting: it is a copy, or the worker has
+     * restarted.
      */
     DUPLICATE;
 
-    /** How long a worker waits for an answer, and what clocks and the network may add. */
+    /** The time that a worker waits for a response, plus the delay that clocks and the network may add. */
     private static final long WORKER_TIMEOUT_MS = 4000 + 1000;
 
     /**
@@ -36,7 +36,7 @@
      * @param previousIncarnationToken the newest token that an earlier worker of the name can have seen; none: there
      *     was no other
      * @param firstOfTerm the first token of this term
-     * @param sinceNewestMs how long ago the newest message of the worker came
+     * @param sinceNewestMs the time since the newest message of the worker arrived
      */
     public static HeartbeatValidity of(
             Heartbeat heartbeat,
@@ -53,20 +53,20 @@
         return sinceNewestMs <= WORKER_TIMEOUT_MS ? SUPERSEDED : DUPLICATE;
     }
 
-    /** Whether it may be answered with status 200, which renews the worker's lease. */
+    /** Returns whether the response may have status 200, which renews the worker's lease. */
     public boolean mayRenewLease() {
         return this != DUPLICATE;
     }
 
     /**
-     * Whether it proves anything of the machine as it is now: its preemption notice, its presence, the end of its
-     * silence.
+     * Returns whether it proves the current state of the machine: its presence, its preemption notice, the resumption
+     * of heartbeats.
      */
     public boolean isCurrent() {
         return this == CURRENT_TERM;
     }
 
-    /** Whether it is reconciled with the records. */
+    /** Returns whether it is reconciled with the records. */
     public boolean shouldReconcile() {
         return this == CURRENT_TERM || this == UNVERIFIED;
     }
--- a/src/main/java/org/beechhoist/controller/worker/JobHolds.java
+++ b/src/main/java/org/beechhoist/controller/worker/JobHolds.java
@@ -4,6 +4,6 @@
 
 /** The holds of jobs: nothing of a held job may run until the hold is lifted. */
 public interface JobHolds {
-    /** The wall-clock time by which every task of the held job must be gone. */
+    /** Returns the wall-clock time by which every task of the held job must be gone. */
     long terminationDeadlineWallMs(Job job);
 }
--- a/src/main/java/org/beechhoist/controller/worker/MachineLossTracker.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineLossTracker.java
@@ -24,21 +24,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The recovery from losing many machines at once: what comes first, and its progress. The order of calls to the cloud:
- * the release of machines whose tasks can't start anew before the cloud confirms that they are gone, the most urgent
- * work first; then new machines; then the list of machines; then the release of machines that only cost money. What is
- * known of a loss is known for this term alone, and decides nothing by itself.
+ * Tracks the loss of many machines at once: the priority of releases and the progress of recovery. The order of calls
+ * to the cloud: the release of machines whose tasks can't restart before the cloud confirms that they are gone, the
+ * most urgent work first; then new machines; then the list of machines; then the release of machines that only cost
+ * money. The losses are known for this term only and do not affect decisions by themselves.
  */
 public final class MachineLossTracker {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLossTracker.class);
-    /** Losses belong to one event while they follow one another this closely. */
-    private static final long SAME_EVENT_MS = 20_000;
-    /** An event of fewer lost tasks is neither logged nor shown. */
-    private static final int MIN_TASKS = 10;
-    /** The most events that are remembered. */
-    private static final int MAX_REMEMBERED = 20;
-
-    /** Losses of machines that came together, and the tasks on them that are not placed again yet. */
+    /** The longest interval between consecutive losses of one event. */
+    private static final long MAX_LOSS_INTERVAL_MS = 20_000;
+    /** An event with fewer lost tasks is neither logged nor shown. */
+    private static final int MIN_LOST_TASKS = 10;
+    /** The maximum number of retained events. */
+    private static final int MAX_EVENTS = 20;
+
+    /** Machines lost in close succession, and their tasks that are not placed again yet. */
     private static final class LossEvent {
         private final MonotonicTime began;
         private MonotonicTime last;
@@ -60,29 +60,29 @@
     private final ClusterState clusterState;
     private final Deque<LossEvent> losses = new ArrayDeque<>();
 
-    /** Creates it without any losses. */
+    /** Creates a tracker without losses. */
     public MachineLossTracker(ControllerContext context, ClusterState clusterState) {
         this.context = context;
         this.clusterState = clusterState;
     }
 
-    /** Forgets all losses: a new term begins. */
+    /** Removes all losses when a new term begins. */
     public void reset() {
         losses.clear();
     }
 
-    /** Whether the job has the priority urgent or a higher one. */
+    /** Returns whether the job has the priority urgent or a higher one. */
     public static boolean isUrgent(Job job) {
         return job.spec().priority().compareTo(Priority.URGENT) <= 0;
     }
 
-    // ---- what comes first ----
+    // ---- release order ----
 
     /**
-     * The machines to be released that the cloud has not been asked to end yet.
+     * Returns the machines to be released that the cloud has not been asked to end yet.
      *
-     * @param withTasks true: those that hold tasks, first those on which something must be gone soonest, then those
-     *     with the most urgent work, then those that have been silent longest; false: those without tasks
+     * @param withTasks true: those that hold tasks, first those with the earliest termination deadline, then those with
+     *     the most urgent work, then those with the oldest heartbeat; false: those without tasks
      */
     public List<Machine> machinesToRelease(boolean withTasks) {
         List<Machine> out = new ArrayList<>();
@@ -99,7 +99,9 @@
         return out;
     }
 
-    /** The ordinal of the highest priority of the tasks on the machine; beyond all priorities if there are none. */
+    /**
+     * Returns the ordinal of the highest priority of the tasks on the machine; beyond all priorities if there are none.
+     */
     int highestPriorityOrdinal(Machine machine) {
         int least = Priority.values().length;
         for (Placement placement : machine.placements.values()) {
@@ -130,16 +132,16 @@
         }
     }
 
-    /** The event that a loss belongs to now; a new one if the last loss was too long ago. */
+    /** Returns the event that a loss belongs to now; a new one if the last loss was too long ago. */
     private LossEvent currentEvent() {
         LossEvent loss = losses.peekLast();
-        if (loss == null || context.now().since(loss.last) > SAME_EVENT_MS) {
-            if (loss != null && loss.tasks < MIN_TASKS) {
+        if (loss == null || context.now().since(loss.last) > MAX_LOSS_INTERVAL_MS) {
+            if (loss != null && loss.tasks < MIN_LOST_TASKS) {
                 losses.removeLast();
             }
             loss = new LossEvent(context.now());
             losses.addLast(loss);
-            if (losses.size() > MAX_REMEMBERED) {
+            if (losses.size() > MAX_EVENTS) {
                 losses.removeFirst();
             }
         }
@@ -151,7 +153,7 @@
         losses.forEach(loss -> recordRecovered(loss, placement.task));
     }
 
-    /** Stops waiting for tasks of the job: it is cancelled. */
+    /** Stops tracking tasks of the job, which is cancelled. */
     public void stopTrackingJob(JobId job) {
         for (LossEvent loss : losses) {
             List<TaskId> tasksOfJob =
@@ -175,7 +177,7 @@
     }
 
     private void logRecovered(LossEvent loss, String recovered) {
-        if (loss.tasks >= MIN_TASKS) {
+        if (loss.tasks >= MIN_LOST_TASKS) {
             LOG.info(
                     "lost tasks recovered: which=\"{}\" tasks={} urgentTasks={} machines={} sinceLossS={}",
                     recovered,
@@ -186,7 +188,7 @@
         }
     }
 
-    /** The number of machines with tasks lost in the events whose last loss was within the last so many ms. */
+    /** Returns the number of machines lost with tasks in the events whose last loss was within this time. */
     public int countRecentlyLostMachines(long withinMs) {
         return losses.stream()
                 .filter(loss -> context.now().since(loss.last) <= withinMs)
@@ -194,12 +196,12 @@
                 .sum();
     }
 
-    /** The operators' view of this term's loss events, the newest last. */
+    /** Returns the operators' view of this term's loss events, the newest last. */
     public ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("falls");
         for (LossEvent loss : losses) {
-            if (loss.tasks < MIN_TASKS) {
+            if (loss.tasks < MIN_LOST_TASKS) {
                 continue;
             }
             ObjectNode node = rows.addObject()
--- a/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
@@ -5,7 +5,7 @@
 
 /** Returns machines to the cloud. */
 public interface MachineReleases {
-    /** Whether the machine has been returned, so that any message that still comes from it is late. */
+    /** Returns whether the machine has been returned, so that any message that still comes from it is late. */
     boolean isReleased(MachineId machine);
 
     /** Returns the machine to the cloud, with all its tasks; the cause is for the log. */
--- a/src/main/java/org/beechhoist/controller/worker/PreemptionNoticeHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/PreemptionNoticeHandler.java
@@ -13,14 +13,15 @@
 
 /**
  * Handles tasks on machines with a preemption notice: a task that is expected to end in time continues, any other is
- * evicted at once, so that it begins elsewhere. (Tried: let it continue to the last moment where there is no capacity
- * elsewhere; docs/design/drains.md.)
+ * evicted immediately, so that it starts elsewhere. docs/design/drains.md describes the alternative that was tried, letting
+ * it continue to the last moment where there is no capacity elsewhere.
  */
 public final class PreemptionNoticeHandler {
     /**
-     * Subtracted from the time left: a checkpoint that can't be saved before the machine is taken is not waited for.
+     * Subtracted from the time left: a checkpoint that can't be saved before the machine is preempted is not waited
+     * for.
      */
-    private static final double NETWORK_S = 1;
+    private static final double NETWORK_MARGIN_S = 1;
 
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -42,7 +43,7 @@
         this.dispatcher = dispatcher;
     }
 
-    /** The machines with a preemption notice that hold tasks. */
+    /** Returns the machines with a preemption notice that hold tasks. */
     private List<Machine> machinesUnderNotice() {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
@@ -54,9 +55,10 @@
     }
 
     /**
-     * Whether the task was launched and is not being stopped, but is not expected to end before its machine is taken.
+     * Returns whether the task was launched and is not being stopped, but is not expected to end before its machine is
+     * preempted.
      */
-    private boolean willBeCutShort(Machine machine, Placement placement, Job job) {
+    private boolean isUnfinishable(Machine machine, Placement placement, Job job) {
         return job != null
                 && placement.launchSent
                 && !placement.stopRequested
@@ -64,14 +66,14 @@
                 && machine.preemptionAt.isBefore(estimates.expectedEnd(placement, context.now()));
     }
 
-    /** Evicts the tasks that are not expected to end before their machine is taken. */
+    /** Evicts the tasks that are not expected to end before their machine is preempted. */
     public void evictUnfinishableTasks() {
         for (Machine machine : machinesUnderNotice()) {
             long leftMs = machine.preemptionAt.since(context.now());
             boolean evicted = false;
             for (Placement placement : new ArrayList<>(machine.placements.values())) {
-                if (willBeCutShort(machine, placement, clusterState.job(placement.task.job()))) {
-                    eviction.evict(placement, Math.max(0, leftMs / 1000.0 - NETWORK_S), Cause.NOTICE);
+                if (isUnfinishable(machine, placement, clusterState.job(placement.task.job()))) {
+                    eviction.evict(placement, Math.max(0, leftMs / 1000.0 - NETWORK_MARGIN_S), Cause.NOTICE);
                     evicted = true;
                 }
             }
@@ -81,7 +83,7 @@
         }
     }
 
-    /** By when the task on the machine is expected to end, or to be evicted. */
+    /** Returns the time by which the task on the machine is expected to end or to be evicted. */
     public MonotonicTime expectedEnd(Machine machine, Placement placement) {
         MonotonicTime end = estimates.expectedEnd(placement, context.now());
         return machine.preemptionAt != null && machine.preemptionAt.isBefore(end) ? machine.preemptionAt : end;
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -3,12 +3,12 @@
 import org.beechhoist.wire.Heartbeat;
 
 /**
- * Reconciles what is recorded of a task with what a machine reports of it: one decision for every pair. The table is in
- * docs/design/start.md, with the proof of each row; a test goes through all pairs. It applies to every heartbeat, not
+ * Decides what to do about a task for every pair of its recorded state and the state that a machine reports. The table
+ * is in docs/design/start.md, with the proof of each row; a test covers all pairs. It applies to every heartbeat, not
  * only during the cold-start recovery.
  */
 public final class Reconciliation {
-    /** What the records and the change log say of a task and this machine. */
+    /** The state of a task on a machine according to the records and the change log. */
     public enum RecordedState {
         /** The job is open; the task is neither done nor placed anywhere. */
         NOT_PLACED,
@@ -31,7 +31,7 @@
         UNREADABLE
     }
 
-    /** What the machine reports. */
+    /** The state of a task that the machine reports. */
     public enum ReportedState {
         /** The machine has not reported in this term. */
         NO_HEARTBEAT,
@@ -50,7 +50,7 @@
         /** The task has exited for a cause that this version does not know. */
         EXITED_OTHER;
 
-        /** The reported state of a task by its status in a heartbeat. */
+        /** Returns the reported state of a task by its status in a heartbeat. */
         public static ReportedState of(Heartbeat.TaskStatus status) {
             return switch (status.state()) {
                 case FETCHING -> FETCHING;
@@ -73,24 +73,24 @@
             };
         }
 
-        /** Whether the task is on the machine and has not exited. */
+        /** Returns whether the task is on the machine and has not exited. */
         public boolean isPresent() {
             return this == FETCHING || this == RUNNING || this == SAVING || this == PRESENT_OTHER;
         }
 
-        /** Whether the task has exited on the machine, or was refused by it. */
+        /** Returns whether the task has exited on the machine, or was refused by it. */
         public boolean hasExited() {
             return ordinal() >= EXITED_DONE.ordinal();
         }
     }
 
-    /** What is to be done. */
+    /** The action to take. */
     public enum Decision {
         /** The task continues; no command is sent. */
         KEEP,
-        /** Nothing is certain: the task counts as present, and starts nowhere else. */
+        /** There is no evidence: the task counts as present, and starts nowhere else. */
         WAIT,
-        /** The task certainly is not there: the placement is removed and the task waits again. */
+        /** The task is certainly not on the machine: the placement is removed and the task waits again. */
         REMOVE,
         /** The task is recorded as done; the worker may forget it once that is committed. */
         COMPLETE,
@@ -107,11 +107,11 @@
         /** Command: drop the exited attempt from the heartbeats. */
         FORGET,
         /**
-         * The exited attempt must stay in the heartbeats for now: a late launch must find it, or the commit is not made
-         * yet.
+         * The exited attempt must stay in the heartbeats for now: a late launch must find it, or the commit is still
+         * pending.
          */
         RETAIN,
-        /** No command is sent, and nothing new is placed beside the task: only a readable record can say what it is. */
+        /** No command is sent, and nothing new is placed in the task's capacity: its record is unreadable. */
         IGNORE
     }
 
@@ -121,7 +121,7 @@
      * Decides about one task.
      *
      * @param absence what the heartbeat proves of a task that it does not name
-     * @param mayForget whether no command sent before can reach the machine any more, and what is known of the job is
+     * @param mayForget whether no command sent before can reach the machine any more, and the known state of the job is
      *     committed
      */
     public static Decision decide(
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -6,10 +6,10 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Limits how fast machines are called during a cold-start recovery: so many commands and probes a second in all and in
- * each zone, and so many in flight at once. A part is reserved for urgent work. A command that is held back goes with
- * the answer to the machine's next heartbeat, or a moment later; nothing is lost by it. Calls to the cloud and the
- * state service have limits of their own, which apply during a recovery as at any other time.
+ * Limits the rate of commands and probes during a cold-start recovery, in total and per zone, and the number in flight.
+ * A share is reserved for urgent work. A deferred command is not lost: it goes with the response to the machine's next
+ * heartbeat, or is sent a moment later. Calls to the cloud and the state service have limits of their own, which apply
+ * during a recovery as at any other time.
  */
 public final class RecoveryPacer {
     /** The kinds of calls. */
@@ -18,30 +18,30 @@
         URGENT,
         /** Any other commands. */
         ORDINARY,
-        /** A question to a silent machine for its heartbeat. */
+        /** A request to a silent machine for its heartbeat. */
         PROBE
     }
 
     /** The share of each limit that only urgent commands may use. */
     private static final double URGENT_RESERVE = 1 / 3.0;
-    /** The share of the limit that one zone may use: a zone that comes back must not keep the others waiting. */
+    /** The share of the limit that one zone may use: a zone that recovers must not delay the others. */
     private static final double ZONE_SHARE = 0.6;
     /** The share of the sockets that paced calls may use; the rest is for workers, users and other nodes. */
     private static final double SOCKETS_SHARE = 1 / 8.0;
     /**
-     * Calls a second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the
+     * Calls per second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the
      * sockets as calls a second, 4,000 machines waited half a minute.
      */
-    private static final double CALLS_PER_SOCKET = 2;
+    private static final double CALLS_PER_S_PER_SOCKET = 2;
     /**
      * The share of {@link #perSecond} that may be sent at once, and that is refilled in a second: no second, wherever
      * it begins, has more calls than the limit.
      */
     private static final double BURST_SHARE = 0.5;
     /** The least number of concurrent calls allowed, however few sockets there are. */
-    private static final double MIN_CONCURRENT = 20;
+    private static final double MIN_CONCURRENT_CALLS = 20;
     /** The greatest number of concurrent calls allowed. */
-    private static final double MAX_CONCURRENT = 300;
+    private static final double MAX_CONCURRENT_CALLS = 300;
 
     private final double maxConcurrent;
     private final double perSecond;
@@ -54,22 +54,22 @@
     /**
      * Creates a pacer at the beginning of a term.
      *
-     * @param sockets how many this node may have open; 0: no limit
+     * @param sockets the maximum number of open sockets of this node; 0: no limit
      */
     public RecoveryPacer(int sockets) {
         this.maxConcurrent = sockets <= 0
-                ? MAX_CONCURRENT
-                : Math.max(MIN_CONCURRENT, Math.min(MAX_CONCURRENT, sockets * SOCKETS_SHARE));
-        this.perSecond = CALLS_PER_SOCKET * maxConcurrent;
+                ? MAX_CONCURRENT_CALLS
+                : Math.max(MIN_CONCURRENT_CALLS, Math.min(MAX_CONCURRENT_CALLS, sockets * SOCKETS_SHARE));
+        this.perSecond = CALLS_PER_S_PER_SOCKET * maxConcurrent;
         this.overall = new TokenBucket(perSecond * BURST_SHARE);
     }
 
-    /** The most commands and probes a second; half as many may be in flight at once. */
+    /** Returns the maximum number of commands and probes per second; half as many may be in flight at once. */
     public double perSecond() {
         return perSecond;
     }
 
-    /** Whether a call may be sent now; if so, it counts as in flight until {@link #callFinished}. */
+    /** Returns whether a call may be sent now; if so, it counts as in flight until {@link #callFinished}. */
     public boolean tryAcquire(CallKind kind, String zone, MonotonicTime now) {
         TokenBucket bucket =
                 zones.computeIfAbsent(String.valueOf(zone), k -> new TokenBucket(perSecond * BURST_SHARE * ZONE_SHARE));
@@ -88,22 +88,22 @@
         return true;
     }
 
-    /** A call was answered, or given up. */
+    /** Records that a call was answered or timed out. */
     public void callFinished() {
         inFlight = Math.max(0, inFlight - 1);
     }
 
-    /** How many calls are in flight. */
+    /** Returns the number of calls in flight. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** How often a call was held back since the recovery began. */
+    /** Returns the number of deferred calls since the recovery began. */
     public int deferred() {
         return deferred;
     }
 
-    /** How many calls were sent since the recovery began. */
+    /** Returns the number of calls sent since the recovery began. */
     public int sent() {
         return sent;
     }
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -3,16 +3,17 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * The progress of a cold-start recovery. A phase says what is being waited for; no machine waits for another: one that
- * is reconciled works while others have not reported yet. Each phase ends by its condition or at its deadline.
+ * The progress of a cold-start recovery. Each phase waits for a condition and ends when it holds or at a deadline.
+ * Machines do not wait for one another: a reconciled machine works while others have not reported yet.
  */
 public final class RecoveryProgress {
-    /** What the recovery waits for. */
+    /** A phase of the recovery. */
     public enum Phase {
-        /** Records, change log and fleet snapshot are being read. Nothing may be commanded. */
+        /** Records, change log and fleet snapshot are being read. No commands may be sent. */
         READING("reading"),
         /**
-         * Machines are finding this node. Nothing is preempted, for machines with free capacity may be about to report.
+         * Machines are finding this node. Nothing is preempted, because machines with free capacity may be about to
+         * report.
          */
         AWAITING_HEARTBEATS("listening"),
         /** Heartbeats are reconciled with what is stored; some placements are still unconfirmed. */
@@ -35,12 +36,12 @@
     }
 
     /**
-     * What is known at one moment.
+     * The state of the recovery at one moment.
      *
      * @param stateRead whether all open records are read
      * @param machinesListed whether the cloud has listed its machines
-     * @param expected the machines that must be there by the records and the cloud's list
-     * @param heard how many of those expected have reported
+     * @param expected the number of machines that should be present by the records and the cloud's list
+     * @param heard the number of expected machines that have reported
      * @param unconfirmedPlacements placements of earlier terms that no heartbeat has confirmed or refuted
      * @param waitingCommands commands that the pacer holds back
      */
@@ -52,18 +53,18 @@
             int unconfirmedPlacements,
             int waitingCommands) {}
 
-    /** The share of the expected machines that is waited for: the rest has hardly any capacity worth waiting for. */
-    private static final double HEARD_SHARE = 0.9;
+    /** The share of the expected machines that must report: the rest has too little capacity to wait for. */
+    private static final double MIN_REPORTED_SHARE = 0.9;
     /**
-     * The longest listening: it holds preemptions back, and urgent work must not wait longer for machines that never
-     * report.
+     * The maximum duration of AWAITING_HEARTBEATS: it blocks preemptions, and urgent work must not wait longer for
+     * machines that never report.
      */
-    private static final long MAX_LISTENING_MS = 4000;
-    /** The longest resuming, in which the pacer still holds commands back. */
+    private static final long MAX_AWAITING_HEARTBEATS_MS = 4000;
+    /** The maximum duration of RESUMING, in which the pacer still defers commands. */
     private static final long MAX_RESUMING_MS = 10_000;
 
     private final long firstHeartbeatDeadlineMs;
-    private final long listeningMs;
+    private final long awaitingHeartbeatsMs;
     private final long leaseMs;
     private Phase phase = Phase.READING;
     private final MonotonicTime beganAt;
@@ -73,20 +74,20 @@
     /**
      * Creates the progress of a recovery that begins now.
      *
-     * @param heartbeatIntervalMs how often a worker sends a heartbeat
-     * @param leaseMs after which the tasks of a machine that is not heard are certainly gone
+     * @param heartbeatIntervalMs the heartbeat interval of a worker
+     * @param leaseMs the time after which the tasks of a machine without heartbeats are certainly gone
      */
     public RecoveryProgress(MonotonicTime now, long heartbeatIntervalMs, long leaseMs) {
         this.beganAt = now;
         this.phaseBeganAt = now;
         this.firstHeartbeatDeadlineMs = firstHeartbeatDeadlineMs(heartbeatIntervalMs);
-        this.listeningMs = Math.min(MAX_LISTENING_MS, 1000 + 2 * heartbeatIntervalMs);
+        this.awaitingHeartbeatsMs = Math.min(MAX_AWAITING_HEARTBEATS_MS, 1000 + 2 * heartbeatIntervalMs);
         this.leaseMs = leaseMs;
     }
 
     /**
-     * By when every living machine should have found a new leader: a heartbeat may be a quarter late and be refused
-     * once.
+     * Returns the time by which every running machine should have found a new leader: a heartbeat may be a quarter late
+     * and be refused once.
      */
     public static long firstHeartbeatDeadlineMs(long heartbeatIntervalMs) {
         return heartbeatIntervalMs * 5 / 4 + 2000;
@@ -97,22 +98,22 @@
         return phase;
     }
 
-    /** When the recovery began. */
+    /** Returns the time at which the recovery began. */
     public MonotonicTime beganAt() {
         return beganAt;
     }
 
-    /** When all records were read; null: not yet. */
+    /** Returns the time at which all records were read; null if they are not. */
     public MonotonicTime stateReadAt() {
         return stateReadAt;
     }
 
     /**
-     * Enters the next phase if the current one is over; returns whether it was. At most one phase a call, so that each
-     * is seen.
+     * Enters the next phase if the current one is over and returns whether it was. It advances at most one phase per
+     * call, so that the caller sees each.
      */
-    public boolean advance(MonotonicTime now, Snapshot facts) {
-        Phase next = nextPhase(now, facts);
+    public boolean advance(MonotonicTime now, Snapshot snapshot) {
+        Phase next = nextPhase(now, snapshot);
         if (next == phase) {
             return false;
         }
@@ -124,24 +125,25 @@
         return true;
     }
 
-    private Phase nextPhase(MonotonicTime now, Snapshot facts) {
+    private Phase nextPhase(MonotonicTime now, Snapshot snapshot) {
         long inPhaseMs = now.since(phaseBeganAt);
         return switch (phase) {
-            // Nothing is certain before all records are read: no deadline may end this phase.
-            case READING -> facts.stateRead ? Phase.AWAITING_HEARTBEATS : phase;
-            case AWAITING_HEARTBEATS -> hasHeardEnough(facts) || inPhaseMs >= listeningMs ? Phase.RECONCILING : phase;
+            // This phase has no deadline, because no decision is safe before all records are read.
+            case READING -> snapshot.stateRead ? Phase.AWAITING_HEARTBEATS : phase;
+            case AWAITING_HEARTBEATS ->
+                haveEnoughMachinesReported(snapshot) || inPhaseMs >= awaitingHeartbeatsMs ? Phase.RECONCILING : phase;
             case RECONCILING ->
-                facts.unconfirmedPlacements == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
-            case RESUMING -> facts.waitingCommands == 0 || inPhaseMs >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
+                snapshot.unconfirmedPlacements == 0 || now.since(beganAt) >= leaseMs ? Phase.RESUMING : phase;
+            case RESUMING -> snapshot.waitingCommands == 0 || inPhaseMs >= MAX_RESUMING_MS ? Phase.COMPLETE : phase;
             case COMPLETE -> Phase.COMPLETE;
         };
     }
 
-    private static boolean hasHeardEnough(Snapshot facts) {
-        return facts.machinesListed && facts.heard >= HEARD_SHARE * facts.expected;
+    private static boolean haveEnoughMachinesReported(Snapshot snapshot) {
+        return snapshot.machinesListed && snapshot.heard >= MIN_REPORTED_SHARE * snapshot.expected;
     }
 
-    /** In how many ms the recovery is over at the latest, if the records are read by now. */
+    /** Returns the maximum time in ms until the recovery is over, if the records are read by now. */
     public long maxRemainingMs(MonotonicTime now) {
         return switch (phase) {
             case READING, AWAITING_HEARTBEATS, RECONCILING ->
@@ -151,7 +153,7 @@
         };
     }
 
-    /** Whether living machines may still be on their way to this node for the first time. */
+    /** Returns whether running machines may still send their first heartbeat to this node. */
     public boolean isAwaitingFirstHeartbeats(MonotonicTime now) {
         return phase != Phase.COMPLETE && now.since(beganAt) <= firstHeartbeatDeadlineMs;
     }
--- a/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskEviction.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Evicts tasks that could continue, for a cause that the caller names. A deliberate eviction was allowed by the team's
- * disruption budget, and counted against it, before; any other is counted as it happens ({@link DisruptionRecorder}).
+ * Evicts tasks that could continue. The team's disruption budget must allow a deliberate eviction, which counts against
+ * it in advance; any other eviction counts when it happens ({@link DisruptionRecorder}).
  */
 public final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
@@ -18,7 +18,7 @@
     private final CommandDispatcher dispatcher;
     private final DisruptionRecorder disruptions;
 
-    /** Creates it; each disruption is reported to the recorder. */
+    /** Creates an instance; each disruption is reported to the recorder. */
     public TaskEviction(ClusterState clusterState, CommandDispatcher dispatcher, DisruptionRecorder disruptions) {
         this.clusterState = clusterState;
         this.dispatcher = dispatcher;
@@ -33,7 +33,7 @@
     /**
      * Evicts a task; the command is sent with the machine's next ones.
      *
-     * @param graceS how long it may save its checkpoint; 0: it ends at once
+     * @param graceS the time in which it may save its checkpoint; 0: it ends immediately
      */
     public void evict(Placement placement, double graceS, Cause cause) {
         if (!placement.stopRequested) {
@@ -46,7 +46,7 @@
                 .add(WorkerCommand.kill(placement.task, placement.attempt, graceS));
     }
 
-    /** Evicts a task, with time to save its checkpoint, in favour of another job; the command is sent at once. */
+    /** Evicts a task, with time to save its checkpoint, in favour of another job; the command is sent immediately. */
     public void preempt(Placement placement, Job forJob) {
         LOG.info(
                 "task preempted: task={} attempt={} machine={} cause=\"capacity needed\" forJob={}",
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and starts anew
-     * as a whole.
+     * Evicts a task of a gang that has lost another one: a gang can't continue without all its tasks, and all of them
+     * restart.
      */
     void evictGangMember(Placement placement) {
         if (placement.launchSent && !placement.stopRequested) {
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -18,18 +18,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(TaskRemoval.class);
     private final ClusterState clusterState;
     private final TaskEviction eviction;
-    private final MachineLossTracker lossRecovery;
+    private final MachineLossTracker lossTracker;
 
-    /** Creates it; losses with machines are reported to the loss recovery, tasks of broken gangs are evicted. */
-    public TaskRemoval(ClusterState clusterState, TaskEviction eviction, MachineLossTracker lossRecovery) {
-        this.lossRecovery = lossRecovery;
+    /**
+     * Creates an instance; tasks lost with machines are reported to the loss tracker, and tasks of incomplete gangs are
+     * evicted.
+     */
+    public TaskRemoval(ClusterState clusterState, TaskEviction eviction, MachineLossTracker lossTracker) {
+        this.lossTracker = lossTracker;
         this.clusterState = clusterState;
         this.eviction = eviction;
     }
 
     /**
-     * Launches a committed placement, or removes it if its job was cancelled or held meanwhile or its machine is about
-     * to go.
+     * Launches a committed placement, or removes it if its job has been cancelled or held since, or its machine is
+     * leaving.
      */
     public void launchOrRemove(Placement placement) {
         Job job = clusterState.job(placement.task.job());
@@ -61,7 +64,7 @@
         clusterState.requestReplan();
     }
 
-    /** Removes a machine with all its tasks: the cloud has confirmed that it is gone. */
+    /** Removes a machine, which the cloud has confirmed to be gone, with all its tasks. */
     public void removeMachine(MachineId id) {
         Machine machine = clusterState.removeMachine(id);
         if (machine != null) {
@@ -86,7 +89,7 @@
                         machine.id,
                         cause);
                 job.record.live.remove(placement.task.index());
-                lossRecovery.recordTaskLost(job, placement);
+                lossTracker.recordTaskLost(job, placement);
                 eviction.recordTaskLost(placement);
                 job.endings.remove(placement);
                 job.uncommittedPlacements -= placement.committed ? 0 : 1;
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -21,17 +21,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the task statuses of a heartbeat with the cluster state: looks up what is recorded of each task, has
- * {@link Reconciliation} decide, and carries the decision out.
+ * Reconciles the task statuses of a heartbeat with the cluster state: looks up the recorded state of each task and
+ * applies the decision of {@link Reconciliation}.
  */
 final class TaskStatusReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
-    /** How long the placement of a recovered task and the fetching of its image are taken to have lasted. */
+    /** The assumed time for the placement of a recovered task and the fetching of its image. */
     private static final long TYPICAL_FETCH_MS = 3000;
-    /** How long nothing is placed on a machine that had no room for a task. */
+    /** The time during which nothing is placed on a machine that had no capacity for a task. */
     private static final long AVOID_MACHINE_MS = 3000;
-    /** How long a job waits after a worker refused a task of it because it found no such job. */
-    private static final long RETRY_LATER_MS = 3000;
+    /** The time that a job waits after a worker refused one of its tasks because it found no such job. */
+    private static final long RETRY_DELAY_MS = 3000;
 
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Takes over what a heartbeat says of its tasks; returns the commands that follow. In the answer to a command,
-     * absence counts for placements of earlier terms alone: launches of this term may be in flight in the answer to a
+     * Applies the task statuses of a heartbeat and returns the resulting commands. In the response to a command,
+     * absence counts only for placements of earlier terms: launches of this term may be in flight in the response to a
      * heartbeat, which the worker has not read yet.
      *
      * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
@@ -67,8 +67,8 @@
         List<WorkerCommand> commands = new ArrayList<>();
         AbsenceEvidence.PendingCommands pending =
                 new AbsenceEvidence.PendingCommands(machine.commandsInFlight > 0, machine.unacknowledgedToken);
-        // An unacknowledged launch finds its exited attempt and does nothing; once forgotten, it would start it once
-        // more.
+        // An unacknowledged launch has no effect while the worker remembers the exited attempt; after a forget it would
+        // start the attempt again.
         boolean noLateLaunch = pending.noneExecutableAfter(heartbeat.fencingToken());
         int unknownTasks = 0;
         Set<TaskId> reported = new HashSet<>();
@@ -100,7 +100,7 @@
         return recorded == Reconciliation.RecordedState.PLACED || recorded == Reconciliation.RecordedState.CANCELLED;
     }
 
-    /** What is recorded of the task whose status the machine reports. */
+    /** Returns the recorded state of the task whose status the machine reports. */
     private Reconciliation.RecordedState recordedState(Machine machine, Heartbeat.TaskStatus status) {
         Job job = clusterState.job(status.task().job());
         if (job == null) {
@@ -123,7 +123,7 @@
         return job.isCancelled() ? Reconciliation.RecordedState.CANCELLED : Reconciliation.RecordedState.PLACED;
     }
 
-    /** Handles a task that no record places on the machine, running or exited; returns whether it takes capacity. */
+    /** Handles a task that no record places on the machine, running or exited; returns whether it uses capacity. */
     private static boolean handleUnknownTask(
             Machine machine,
             Heartbeat.TaskStatus status,
@@ -131,7 +131,7 @@
             List<WorkerCommand> commands) {
         if (decision == Reconciliation.Decision.KILL) {
             LOG.info(
-                    "unknown task killed: task={} attempt={} machine={} cause=\"explained by no record\"",
+                    "unknown task killed: task={} attempt={} machine={} cause=\"no record of the task\"",
                     status.task(),
                     status.attempt(),
                     machine.id);
@@ -142,10 +142,10 @@
         return status.state() != Heartbeat.TaskState.EXITED;
     }
 
-    // ---- tasks that the heartbeat does not name ----
+    // ---- absent tasks ----
 
     /**
-     * Removes the placements that the heartbeat proves gone.
+     * Removes the placements whose tasks the heartbeat proves gone.
      *
      * @return how many placements of earlier terms stay unconfirmed
      */
@@ -196,7 +196,7 @@
                 == Reconciliation.Decision.REMOVE;
     }
 
-    // ---- tasks that are placed on the machine ----
+    // ---- placed tasks ----
 
     private void handlePlaced(
             Machine machine,
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Records that the task runs. If a recovered task counted as just begun, all tasks would seem to end a whole run
-     * later after a failover, and machines would be rented for it.
+     * Records that the task runs. If a recovered task counted as just started, all tasks would seem to end one full
+     * duration later after a failover, and machines would be rented unnecessarily.
      */
     private void recordRunning(Machine machine, Job job, Placement placement) {
         MonotonicTime fetched = placement.placedAt.plusMs(TYPICAL_FETCH_MS);
@@ -271,7 +271,7 @@
             case COMPLETE -> recordDone(machine, job, placement);
             case RECORD_FAILURE -> faultTracker.recordFailure(machine, job, placement);
             case AVOID_MACHINE -> machine.avoidUntil = context.now().plusMs(AVOID_MACHINE_MS);
-            case RETRY_LATER -> job.notBefore = context.now().plusMs(RETRY_LATER_MS);
+            case RETRY_LATER -> job.notBefore = context.now().plusMs(RETRY_DELAY_MS);
             default -> {}
         }
         taskRemoval.remove(job, placement);
--- a/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
+++ b/src/test/java/org/beechhoist/controller/leadership/RequestSharesTest.java
@@ -10,50 +10,54 @@
 import org.junit.jupiter.api.Test;
 
 class RequestSharesTest {
-    /** Whatever the nodes want: each has its sure part, together they stay near the total, and what is wanted and there is given. */
+    /**
+     * For random demands: each node has its guaranteed share, the sum stays within the total, and demand that the total
+     * covers is met.
+     */
     @Test
-    void sharesAddUpAndNobodyIsLeftWithout() {
+    void sharesStayWithinTheTotalAndEachNodeGetsItsGuarantee() {
         for (long seed = 0; seed < 3000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int n = 1 + random.nextInt(9);
             int leader = random.nextInt(n + 1);
             double total = 5 + random.nextInt(400);
-            List<RequestShares.Demand> wants = new ArrayList<>();
+            List<RequestShares.Demand> demands = new ArrayList<>();
             double sum = 0;
             for (int i = 0; i < n; i++) {
-                double want = random.nextInt(3) == 0 ? 0 : random.nextDouble() * total;
-                sum += want;
-                wants.add(new RequestShares.Demand(i == leader, want));
+                double demand = random.nextInt(3) == 0 ? 0 : random.nextDouble() * total;
+                sum += demand;
+                demands.add(new RequestShares.Demand(i == leader, demand));
             }
-            double given = 0;
-            double beyondSlack = 0;
+            double granted = 0;
+            double demandGranted = 0;
             for (int i = 0; i < n; i++) {
-                List<RequestShares.Demand> mine = new ArrayList<>(List.of(wants.get(i)));
+                List<RequestShares.Demand> mine = new ArrayList<>(List.of(demands.get(i)));
                 for (int k = 0; k < n; k++) {
                     if (k != i) {
-                        mine.add(wants.get(k));
+                        mine.add(demands.get(k));
                     }
                 }
                 double share = RequestShares.rateOfFirstNode(total, mine);
                 assertTrue(share > 0 && share <= total + 1e-6, "seed " + seed + ": " + share + " of " + total);
                 if (sum <= total) {
                     assertTrue(
-                            share >= wants.get(i).ratePerS() - 1e-6, "seed " + seed + ": wanted and there, not given");
+                            share >= demands.get(i).ratePerS() - 1e-6,
+                            "seed " + seed + ": demand within the total was not met");
                 }
-                given += share;
-                beyondSlack += Math.min(share, wants.get(i).ratePerS());
+                granted += share;
+                demandGranted += Math.min(share, demands.get(i).ratePerS());
             }
-            // Those that want more than their part share what is left; a sure part that is not wanted may be used all
-            // the same.
+            // Nodes that demand more than their share divide the remainder; an undemanded guaranteed share may still be
+            // used.
             assertTrue(
-                    beyondSlack <= total + 1e-6,
-                    "seed " + seed + ": " + beyondSlack + " of " + total + " wanted and given");
-            assertTrue(given >= total * 0.5, "seed " + seed);
+                    demandGranted <= total + 1e-6,
+                    "seed " + seed + ": " + demandGranted + " of " + total + " demanded and granted");
+            assertTrue(granted >= total * 0.5, "seed " + seed);
         }
     }
 
     @Test
-    void aNodeThatNothingIsHeardOfKeepsItsPart() {
+    void nodeWithUnknownDemandKeepsItsGuaranteedShare() {
         List<RequestShares.Demand> all = List.of(
                 new RequestShares.Demand(false, 100),
                 new RequestShares.Demand(true, -1),
@@ -67,14 +71,14 @@
     }
 
     @Test
-    void whoIsDeaf() {
-        List<Integer> turned = List.of(200, 300);
-        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 100, turned));
-        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 0, List.of()), "nobody is heard of");
+    void leaderIsUnreachableIfHeartbeatsReachOtherNodesInstead() {
+        List<Integer> diverted = List.of(200, 300);
+        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 100, diverted));
+        assertTrue(WorkerReachability.isUnreachableFromWorkers(1000, 0, List.of()), "no message from any other node");
         assertFalse(
                 WorkerReachability.isUnreachableFromWorkers(1000, 100, List.of(0, 3)),
-                "the machines are gone: they turn to nobody");
-        assertFalse(WorkerReachability.isUnreachableFromWorkers(1000, 500, turned));
-        assertFalse(WorkerReachability.isUnreachableFromWorkers(3, 0, turned), "too few to tell");
+                "the machines are gone: no other node receives their heartbeats");
+        assertFalse(WorkerReachability.isUnreachableFromWorkers(1000, 500, diverted));
+        assertFalse(WorkerReachability.isUnreachableFromWorkers(3, 0, diverted), "too few machines to decide");
     }
 }
--- a/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/ReconciliationModelTest.java
@@ -23,384 +23,397 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A job of two tasks whose team may run one at a time, two machines, controllers that take over from one another, and the
- * store: every order of take-over, late launch, lost answer, late report, session change and end, breadth first, over
- * {@link Reconciliation} and {@link AbsenceEvidence} themselves. With a defect planted in what is made of them it must be found.
+ * Model check of {@link Reconciliation} and {@link AbsenceEvidence}: a breadth-first search through every order of
+ * failovers, late launches, lost responses, late heartbeats, new epochs and task exits. The model has a job of two
+ * tasks whose team may run one at a time, two machines and the store. The search must find each injected defect.
  */
 class ReconciliationModelTest {
-    /** What somebody might get wrong. */
+    /** A defect that is injected into the use of the decisions. */
     enum Defect {
-        ABSENCE_FROM_ANY_REPORT,
+        ABSENCE_WITHOUT_EVIDENCE,
         ATTEMPT_REUSED,
         LAUNCH_BEFORE_COMMIT,
-        LIMIT_FORGOTTEN_IN_DOUBT
+        LIMIT_IGNORES_UNCONFIRMED
     }
 
-    private static final int MOST_STATES = 400_000;
-    private static final int TASKS = 2;
-    private static final int HOSTS = 2;
+    private static final int MAX_STATES = 400_000;
+    private static final int TASK_COUNT = 2;
+    private static final int MACHINE_COUNT = 2;
 
-    /** Where a task may be, as the store holds it; the rest is what this leadership knows of the launch. */
-    private static final class Place {
+    /** The placement of a task: attempt and machine as stored, and what this term knows of its launch. */
+    private static final class ModelPlacement {
         int attempt;
-        int host;
+        int machine;
         boolean sent;
-        long provenFrom;
-        long shift;
-        long counter;
+        long minEvidenceToken;
+        long epoch;
+        long sequence;
 
-        Place copy() {
-            Place p = new Place();
+        ModelPlacement copy() {
+            ModelPlacement p = new ModelPlacement();
             p.attempt = attempt;
-            p.host = host;
+            p.machine = machine;
             p.sent = sent;
-            p.provenFrom = provenFrom;
-            p.shift = shift;
-            p.counter = counter;
+            p.minEvidenceToken = minEvidenceToken;
+            p.epoch = epoch;
+            p.sequence = sequence;
             return p;
         }
 
         String text() {
-            return attempt + "@" + host + (sent ? "s" : "") + provenFrom + "," + shift + "," + counter;
+            return attempt + "@" + machine + (sent ? "s" : "") + minEvidenceToken + "," + epoch + "," + sequence;
         }
     }
 
-    private record Launch(int host, long token, long shift, int task, int attempt) {}
+    private record Launch(int machine, long token, long epoch, int task, int attempt) {}
 
-    /** Tasks by attempt; an ended one stays until it is forgotten. */
-    private record Report(int host, long shift, long counter, long token, TreeMap<Integer, String> tasks) {}
+    /** A heartbeat with the tasks by attempt; an exited task stays in it until a forget command. */
+    private record ModelHeartbeat(int machine, long epoch, long sequence, long token, TreeMap<Integer, String> tasks) {}
 
-    /** One state of the world; steps copy it. */
+    /** One state of the model; each step copies it. */
     private static final class State {
-        long rev = 1;
-        int next = 1;
-        final Place[] stored = new Place[TASKS];
-        final boolean[] done = new boolean[TASKS];
-        // the leader's book; a take-over makes it anew
-        final Place[] book = new Place[TASKS];
-        boolean leads;
-        final boolean[] known = new boolean[HOSTS];
-        final long[] knownShift = new long[HOSTS];
-        final long[] knownCounter = new long[HOSTS];
-        final long[] limbo = new long[HOSTS];
-        final boolean[] out = new boolean[HOSTS];
+        long revision = 1;
+        int nextAttempt = 1;
+        final ModelPlacement[] stored = new ModelPlacement[TASK_COUNT];
+        final boolean[] done = new boolean[TASK_COUNT];
+        // the leader's view, rebuilt at each failover
+        final ModelPlacement[] leaderView = new ModelPlacement[TASK_COUNT];
+        boolean hasLeader;
+        final boolean[] hasReported = new boolean[MACHINE_COUNT];
+        final long[] knownEpoch = new long[MACHINE_COUNT];
+        final long[] knownSequence = new long[MACHINE_COUNT];
+        final long[] unacknowledgedToken = new long[MACHINE_COUNT];
+        final boolean[] commandInFlight = new boolean[MACHINE_COUNT];
         // machines
-        final long[] shift = {1, 1};
-        final long[] counter = new long[HOSTS];
-        final long[] token = new long[HOSTS];
-        final List<TreeMap<Integer, String>> on = new ArrayList<>(List.of(new TreeMap<>(), new TreeMap<>()));
-        final List<Launch> flying = new ArrayList<>();
-        Report held;
-        final Set<Integer> begun = new HashSet<>();
-        String wrong;
-        String how = "";
+        final long[] epoch = {1, 1};
+        final long[] sequence = new long[MACHINE_COUNT];
+        final long[] token = new long[MACHINE_COUNT];
+        final List<TreeMap<Integer, String>> tasksOnMachine =
+                new ArrayList<>(List.of(new TreeMap<>(), new TreeMap<>()));
+        final List<Launch> launchesInFlight = new ArrayList<>();
+        ModelHeartbeat delayedHeartbeat;
+        final Set<Integer> startedAttempts = new HashSet<>();
+        String violation;
+        String trace = "";
 
         State copy(String step) {
             State s = new State();
-            s.rev = rev;
-            s.next = next;
-            for (int i = 0; i < TASKS; i++) {
+            s.revision = revision;
+            s.nextAttempt = nextAttempt;
+            for (int i = 0; i < TASK_COUNT; i++) {
                 s.stored[i] = stored[i] == null ? null : stored[i].copy();
-                s.book[i] = book[i] == null ? null : book[i].copy();
+                s.leaderView[i] = leaderView[i] == null ? null : leaderView[i].copy();
                 s.done[i] = done[i];
             }
-            s.leads = leads;
-            for (int h = 0; h < HOSTS; h++) {
-                s.known[h] = known[h];
-                s.knownShift[h] = knownShift[h];
-                s.knownCounter[h] = knownCounter[h];
-                s.limbo[h] = limbo[h];
-                s.out[h] = out[h];
-                s.shift[h] = shift[h];
-                s.counter[h] = counter[h];
+            s.hasLeader = hasLeader;
+            for (int h = 0; h < MACHINE_COUNT; h++) {
+                s.hasReported[h] = hasReported[h];
+                s.knownEpoch[h] = knownEpoch[h];
+                s.knownSequence[h] = knownSequence[h];
+                s.unacknowledgedToken[h] = unacknowledgedToken[h];
+                s.commandInFlight[h] = commandInFlight[h];
+                s.epoch[h] = epoch[h];
+                s.sequence[h] = sequence[h];
                 s.token[h] = token[h];
-                s.on.set(h, new TreeMap<>(on.get(h)));
+                s.tasksOnMachine.set(h, new TreeMap<>(tasksOnMachine.get(h)));
             }
-            s.flying.addAll(flying);
-            s.held = held;
-            s.begun.addAll(begun);
-            s.how = how + " " + step;
+            s.launchesInFlight.addAll(launchesInFlight);
+            s.delayedHeartbeat = delayedHeartbeat;
+            s.startedAttempts.addAll(startedAttempts);
+            s.trace = trace + " " + step;
             return s;
         }
 
         String key() {
-            StringBuilder b =
-                    new StringBuilder().append(rev).append(' ').append(next).append(leads);
-            for (int i = 0; i < TASKS; i++) {
+            StringBuilder b = new StringBuilder()
+                    .append(revision)
+                    .append(' ')
+                    .append(nextAttempt)
+                    .append(hasLeader);
+            for (int i = 0; i < TASK_COUNT; i++) {
                 b.append('|')
-                        .append(stored[i] == null ? "" : stored[i].attempt + "@" + stored[i].host)
+                        .append(stored[i] == null ? "" : stored[i].attempt + "@" + stored[i].machine)
                         .append(done[i])
-                        .append(book[i] == null ? "" : book[i].text());
+                        .append(leaderView[i] == null ? "" : leaderView[i].text());
             }
-            for (int h = 0; h < HOSTS; h++) {
+            for (int h = 0; h < MACHINE_COUNT; h++) {
                 b.append('|')
-                        .append(known[h])
-                        .append(knownShift[h])
+                        .append(hasReported[h])
+                        .append(knownEpoch[h])
                         .append(',')
-                        .append(knownCounter[h])
+                        .append(knownSequence[h])
                         .append(',')
-                        .append(limbo[h])
-                        .append(out[h])
-                        .append(shift[h])
+                        .append(unacknowledgedToken[h])
+                        .append(commandInFlight[h])
+                        .append(epoch[h])
                         .append(',')
-                        .append(counter[h])
+                        .append(sequence[h])
                         .append(',')
                         .append(token[h])
-                        .append(on.get(h));
+                        .append(tasksOnMachine.get(h));
             }
-            return b.append(flying).append(held).append(begun).toString();
+            return b.append(launchesInFlight)
+                    .append(delayedHeartbeat)
+                    .append(startedAttempts)
+                    .toString();
         }
 
-        private Report report(int h) {
-            counter[h]++;
-            return new Report(h, shift[h], counter[h], token[h], new TreeMap<>(on.get(h)));
+        private ModelHeartbeat makeHeartbeat(int h) {
+            sequence[h]++;
+            return new ModelHeartbeat(h, epoch[h], sequence[h], token[h], new TreeMap<>(tasksOnMachine.get(h)));
         }
 
-        private int running(int task) {
-            return (int) on.stream()
+        private int countRunning(int task) {
+            return (int) tasksOnMachine.stream()
                     .flatMap(m -> m.values().stream())
                     .filter(v -> v.equals(task + " runs"))
                     .count();
         }
 
-        private void begins(int h, int task, int attempt) {
-            if (on.get(h).containsKey(attempt)) {
+        private void startTask(int h, int task, int attempt) {
+            if (tasksOnMachine.get(h).containsKey(attempt)) {
                 return;
             }
-            if (running(task) > 0) {
-                wrong = "task " + task + " runs twice";
+            if (countRunning(task) > 0) {
+                violation = "task " + task + " runs twice";
             }
-            if (running(0) + running(1) >= 1) {
-                wrong = wrong == null ? "the team's limit is broken" : wrong;
+            if (countRunning(0) + countRunning(1) >= 1) {
+                violation = violation == null ? "the team's limit is exceeded" : violation;
             }
-            if (!begun.add(attempt)) {
-                wrong = "attempt " + attempt + " begins a second time";
+            if (!startedAttempts.add(attempt)) {
+                violation = "attempt " + attempt + " starts a second time";
             }
-            on.get(h).put(attempt, task + " runs");
+            tasksOnMachine.get(h).put(attempt, task + " runs");
         }
     }
 
     private Defect defect;
 
-    private static Heartbeat real(Report r) {
+    private static Heartbeat toHeartbeat(ModelHeartbeat r) {
         return new Heartbeat(
-                new MachineId("m" + r.host),
+                new MachineId("m" + r.machine),
                 "a",
                 "t",
                 "z",
                 false,
-                r.shift,
-                r.counter,
+                r.epoch,
+                r.sequence,
                 new FencingToken(r.token),
                 null,
                 List.of());
     }
 
-    private static ReportedState said(String state) {
+    private static ReportedState reportedState(String state) {
         Heartbeat.TaskState s = state.endsWith("runs") ? Heartbeat.TaskState.RUNNING : Heartbeat.TaskState.EXITED;
         String cause = state.endsWith("runs") ? null : state.substring(2);
         return ReportedState.of(new Heartbeat.TaskStatus(TaskId.parse("job-1/" + state.charAt(0)), 1, s, cause, false));
     }
 
-    /** What the leader makes of a report; the kills and forgets that answer it. */
-    private List<Integer> square(State s, Report r) {
-        List<Integer> orders = new ArrayList<>();
-        int h = r.host;
-        boolean fresh = !s.known[h]
-                || r.shift > s.knownShift[h]
-                || (r.shift == s.knownShift[h] && r.counter > s.knownCounter[h]);
+    /** Applies a heartbeat to the leader's view and returns the attempts to kill or forget. */
+    private List<Integer> reconcile(State s, ModelHeartbeat r) {
+        List<Integer> commands = new ArrayList<>();
+        int h = r.machine;
+        boolean fresh = !s.hasReported[h]
+                || r.epoch > s.knownEpoch[h]
+                || (r.epoch == s.knownEpoch[h] && r.sequence > s.knownSequence[h]);
         if (!fresh) {
-            return orders;
+            return commands;
         }
-        s.known[h] = true;
-        s.knownShift[h] = r.shift;
-        s.knownCounter[h] = r.counter;
+        s.hasReported[h] = true;
+        s.knownEpoch[h] = r.epoch;
+        s.knownSequence[h] = r.sequence;
         AbsenceEvidence.PendingCommands inFlight =
-                new AbsenceEvidence.PendingCommands(s.out[h], new FencingToken(s.limbo[h]));
+                new AbsenceEvidence.PendingCommands(s.commandInFlight[h], new FencingToken(s.unacknowledgedToken[h]));
         boolean mayForget = inFlight.noneExecutableAfter(new FencingToken(r.token));
         r.tasks.forEach((attempt, state) -> {
             int task = state.charAt(0) - '0';
-            Place p = s.book[task];
+            ModelPlacement p = s.leaderView[task];
             RecordedState stored = p == null
                     ? s.done[task] ? RecordedState.DONE : RecordedState.NOT_PLACED
                     : p.attempt > attempt
                             ? RecordedState.PLACED_NEWER_ATTEMPT
-                            : p.attempt < attempt || p.host != h
+                            : p.attempt < attempt || p.machine != h
                                     ? RecordedState.PLACED_INCONSISTENT
                                     : RecordedState.PLACED;
-            Decision d = Reconciliation.decide(stored, said(state), AbsenceEvidence.NONE, mayForget);
+            Decision d = Reconciliation.decide(stored, reportedState(state), AbsenceEvidence.NONE, mayForget);
             switch (d) {
-                case KILL, FORGET -> orders.add(attempt);
+                case KILL, FORGET -> commands.add(attempt);
                 case COMPLETE -> {
                     s.done[task] = true;
-                    s.book[task] = null;
+                    s.leaderView[task] = null;
                     s.stored[task] = null;
                 }
-                case RECORD_FAILURE, RESCHEDULE -> s.book[task] = null;
+                case RECORD_FAILURE, RESCHEDULE -> s.leaderView[task] = null;
                 default -> {}
             }
         });
-        for (int t = 0; t < TASKS; t++) {
-            Place p = s.book[t];
-            if (p != null && p.host == h && !r.tasks.containsKey(p.attempt)) {
+        for (int t = 0; t < TASK_COUNT; t++) {
+            ModelPlacement p = s.leaderView[t];
+            if (p != null && p.machine == h && !r.tasks.containsKey(p.attempt)) {
                 AbsenceEvidence e = AbsenceEvidence.of(
-                        new AbsenceEvidence.Launch(p.sent, new FencingToken(p.provenFrom), p.shift, p.counter),
+                        new AbsenceEvidence.Launch(p.sent, new FencingToken(p.minEvidenceToken), p.epoch, p.sequence),
                         inFlight,
-                        real(r));
-                e = defect == Defect.ABSENCE_FROM_ANY_REPORT ? AbsenceEvidence.NEWER_HEARTBEAT : e;
+                        toHeartbeat(r));
+                e = defect == Defect.ABSENCE_WITHOUT_EVIDENCE ? AbsenceEvidence.NEWER_HEARTBEAT : e;
                 if (Reconciliation.decide(RecordedState.PLACED, ReportedState.ABSENT, e, false) == Decision.REMOVE) {
-                    s.book[t] = null;
+                    s.leaderView[t] = null;
                 }
             }
         }
-        return orders;
+        return commands;
     }
 
-    private void steps(State s, Consumer<State> then) {
-        if (s.rev < 4) {
-            State n = s.copy("takeOver");
-            n.rev++;
-            n.leads = true;
-            for (int t = 0; t < TASKS; t++) {
-                n.book[t] = n.stored[t] == null ? null : n.stored[t].copy();
-                if (n.book[t] != null) {
-                    n.book[t].sent = true;
-                    n.book[t].provenFrom = n.rev;
-                    n.book[t].shift = 0;
-                    n.book[t].counter = 0;
+    private void forEachSuccessor(State s, Consumer<State> then) {
+        if (s.revision < 4) {
+            State n = s.copy("failover");
+            n.revision++;
+            n.hasLeader = true;
+            for (int t = 0; t < TASK_COUNT; t++) {
+                n.leaderView[t] = n.stored[t] == null ? null : n.stored[t].copy();
+                if (n.leaderView[t] != null) {
+                    n.leaderView[t].sent = true;
+                    n.leaderView[t].minEvidenceToken = n.revision;
+                    n.leaderView[t].epoch = 0;
+                    n.leaderView[t].sequence = 0;
                 }
             }
-            for (int h = 0; h < HOSTS; h++) {
-                n.known[h] = false;
-                n.knownShift[h] = 0;
-                n.knownCounter[h] = 0;
-                n.limbo[h] = 0;
-                n.out[h] = false;
+            for (int h = 0; h < MACHINE_COUNT; h++) {
+                n.hasReported[h] = false;
+                n.knownEpoch[h] = 0;
+                n.knownSequence[h] = 0;
+                n.unacknowledgedToken[h] = 0;
+                n.commandInFlight[h] = false;
             }
             then.accept(n);
         }
-        for (int h = 0; h < HOSTS; h++) {
-            machine(s, h, then);
-            for (int t = 0; t < TASKS; t++) {
-                place(s, t, h, then);
+        for (int h = 0; h < MACHINE_COUNT; h++) {
+            forEachMachineStep(s, h, then);
+            for (int t = 0; t < TASK_COUNT; t++) {
+                placeTask(s, t, h, then);
             }
         }
-        for (int i = 0; i < s.flying.size(); i++) {
-            late(s, i, then);
+        for (int i = 0; i < s.launchesInFlight.size(); i++) {
+            deliverLaunch(s, i, then);
         }
-        if (s.held != null && s.leads) {
-            State n = s.copy("heldReport" + s.held.host);
-            square(n, s.held); // nobody waits for the answer any more
-            n.held = null;
+        if (s.delayedHeartbeat != null && s.hasLeader) {
+            State n = s.copy("delayedHeartbeat" + s.delayedHeartbeat.machine);
+            reconcile(n, s.delayedHeartbeat); // the worker no longer waits for the response
+            n.delayedHeartbeat = null;
             then.accept(n);
         }
     }
 
-    private void machine(State s, int h, Consumer<State> then) {
-        if (s.leads) {
+    private void forEachMachineStep(State s, int h, Consumer<State> then) {
+        if (s.hasLeader) {
             for (boolean answered : new boolean[] {true, false}) {
-                State n = s.copy("report" + h + (answered ? "" : "Unanswered"));
-                List<Integer> orders = square(n, n.report(h));
+                State n = s.copy("heartbeat" + h + (answered ? "" : "Unanswered"));
+                List<Integer> commands = reconcile(n, n.makeHeartbeat(h));
                 if (answered) {
-                    n.token[h] = n.rev;
-                    orders.forEach(a -> n.on.get(h).remove(a));
+                    n.token[h] = n.revision;
+                    commands.forEach(a -> n.tasksOnMachine.get(h).remove(a));
                 }
                 then.accept(n);
             }
         }
-        if (s.held == null) {
-            State n = s.copy("held" + h);
-            n.held = n.report(h);
+        if (s.delayedHeartbeat == null) {
+            State n = s.copy("delay" + h);
+            n.delayedHeartbeat = n.makeHeartbeat(h);
             then.accept(n);
         }
-        if (s.shift[h] < 2) {
-            State n = s.copy("lapse" + h);
-            n.shift[h]++;
-            n.on.get(h).clear();
+        if (s.epoch[h] < 2) {
+            State n = s.copy("newEpoch" + h);
+            n.epoch[h]++;
+            n.tasksOnMachine.get(h).clear();
             then.accept(n);
         }
-        s.on.get(h).forEach((attempt, state) -> {
+        s.tasksOnMachine.get(h).forEach((attempt, state) -> {
             if (state.endsWith("runs")) {
                 for (String end : new String[] {"done", "error"}) {
                     State n = s.copy(end + h);
-                    n.on.get(h).put(attempt, state.charAt(0) + " " + end);
+                    n.tasksOnMachine.get(h).put(attempt, state.charAt(0) + " " + end);
                     then.accept(n);
                 }
             }
         });
-        if (s.out[h]) {
-            State n = s.copy("giveUp" + h);
-            n.out[h] = false;
-            n.limbo[h] = n.rev;
+        if (s.commandInFlight[h]) {
+            State n = s.copy("timeout" + h);
+            n.commandInFlight[h] = false;
+            n.unacknowledgedToken[h] = n.revision;
             then.accept(n);
         }
     }
 
-    private void place(State s, int t, int h, Consumer<State> then) {
+    private void placeTask(State s, int t, int h, Consumer<State> then) {
         int counted = 0;
-        for (Place p : s.book) {
-            boolean doubt = p != null && p.provenFrom > 0;
-            counted += p == null || (defect == Defect.LIMIT_FORGOTTEN_IN_DOUBT && doubt) ? 0 : 1;
+        for (ModelPlacement p : s.leaderView) {
+            boolean unconfirmed = p != null && p.minEvidenceToken > 0;
+            counted += p == null || (defect == Defect.LIMIT_IGNORES_UNCONFIRMED && unconfirmed) ? 0 : 1;
         }
-        if (!s.leads || !s.known[h] || s.out[h] || s.done[t] || s.book[t] != null || counted > 0 || s.next > 3) {
+        if (!s.hasLeader
+                || !s.hasReported[h]
+                || s.commandInFlight[h]
+                || s.done[t]
+                || s.leaderView[t] != null
+                || counted > 0
+                || s.nextAttempt > 3) {
             return;
         }
         State n = s.copy("place" + t + "on" + h);
-        Place p = new Place();
-        p.attempt = defect == Defect.ATTEMPT_REUSED ? t + 1 : n.next;
-        n.next++;
-        p.host = h;
+        ModelPlacement p = new ModelPlacement();
+        p.attempt = defect == Defect.ATTEMPT_REUSED ? t + 1 : n.nextAttempt;
+        n.nextAttempt++;
+        p.machine = h;
         p.sent = true;
-        p.shift = n.knownShift[h];
-        p.counter = n.knownCounter[h];
-        n.book[t] = p;
+        p.epoch = n.knownEpoch[h];
+        p.sequence = n.knownSequence[h];
+        n.leaderView[t] = p;
         if (defect != Defect.LAUNCH_BEFORE_COMMIT) {
             n.stored[t] = p.copy();
         }
-        n.flying.add(new Launch(h, n.rev, p.shift, t, p.attempt));
-        n.out[h] = true;
+        n.launchesInFlight.add(new Launch(h, n.revision, p.epoch, t, p.attempt));
+        n.commandInFlight[h] = true;
         then.accept(n);
     }
 
-    /** A launch arrives, sooner or later, with or without its answer. */
-    private void late(State s, int i, Consumer<State> then) {
-        Launch l = s.flying.get(i);
-        boolean executed = l.token >= s.token[l.host] && l.shift == s.shift[l.host];
+    /** Delivers a launch that is in flight, with or without its response. */
+    private void deliverLaunch(State s, int i, Consumer<State> then) {
+        Launch l = s.launchesInFlight.get(i);
+        boolean executed = l.token >= s.token[l.machine] && l.epoch == s.epoch[l.machine];
         for (boolean answered : new boolean[] {false, true}) {
-            if (answered && !(s.out[l.host] && l.token == s.rev)) {
+            if (answered && !(s.commandInFlight[l.machine] && l.token == s.revision)) {
                 continue;
             }
-            State n = s.copy("launch" + l.task + "on" + l.host + (answered ? "Answered" : ""));
-            n.flying.remove(i);
+            State n = s.copy("launch" + l.task + "on" + l.machine + (answered ? "Answered" : ""));
+            n.launchesInFlight.remove(i);
             if (executed) {
-                n.token[l.host] = l.token;
-                n.begins(l.host, l.task, l.attempt);
+                n.token[l.machine] = l.token;
+                n.startTask(l.machine, l.task, l.attempt);
             }
             if (answered) {
-                n.out[l.host] = false;
-                Place p = n.book[l.task];
+                n.commandInFlight[l.machine] = false;
+                ModelPlacement p = n.leaderView[l.task];
                 if (p != null && p.attempt == l.attempt && executed) {
-                    Report r = n.report(l.host);
-                    p.shift = r.shift;
-                    p.counter = r.counter;
-                    n.knownShift[l.host] = r.shift;
-                    n.knownCounter[l.host] = r.counter;
+                    ModelHeartbeat r = n.makeHeartbeat(l.machine);
+                    p.epoch = r.epoch;
+                    p.sequence = r.sequence;
+                    n.knownEpoch[l.machine] = r.epoch;
+                    n.knownSequence[l.machine] = r.sequence;
                 } else if (p != null && p.attempt == l.attempt) {
-                    n.book[l.task] = null; // refused: it was never there
+                    n.leaderView[l.task] = null; // refused: it was never on the machine
                 }
             }
             then.accept(n);
         }
     }
 
-    /** The first state in which something is wrong, or null; {@code seen} receives how many were looked at. */
+    /** Returns the first state with a violation, or null; {@code seen} receives the number of visited states. */
     private State search(int[] seen) {
         Set<String> known = new HashSet<>();
         ArrayDeque<State> next = new ArrayDeque<>(List.of(new State()));
         State[] bad = new State[1];
-        while (!next.isEmpty() && bad[0] == null && known.size() < MOST_STATES) {
-            steps(next.poll(), n -> {
-                if (n.wrong != null && bad[0] == null) {
+        while (!next.isEmpty() && bad[0] == null && known.size() < MAX_STATES) {
+            forEachSuccessor(next.poll(), n -> {
+                if (n.violation != null && bad[0] == null) {
                     bad[0] = n;
                 } else if (known.add(n.key())) {
                     next.add(n);
@@ -412,18 +425,18 @@
     }
 
     @Test
-    void nothingRunsTwiceInAnyOrderOfEvents() {
+    void anyOrderOfEventsRunsNoTaskTwice() {
         int[] seen = new int[1];
-        State bad = search(seen);
-        assertNull(bad, () -> bad.wrong + ":" + bad.how);
-        assertTrue(seen[0] >= MOST_STATES, seen[0] + " states");
+        State violating = search(seen);
+        assertNull(violating, () -> violating.violation + ":" + violating.trace);
+        assertTrue(seen[0] >= MAX_STATES, seen[0] + " states visited");
     }
 
     @ParameterizedTest
     @EnumSource(Defect.class)
-    void aPlantedDefectIsFound(Defect planted) {
+    void searchFindsInjectedDefect(Defect planted) {
         defect = planted;
         int[] seen = new int[1];
-        assertNotNull(search(seen), planted + " was not found in " + seen[0] + " states");
+        assertNotNull(search(seen), planted + " was not found in " + seen[0] + " states visited");
     }
 }
--- a/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
+++ b/src/test/java/org/beechhoist/controller/worker/RecoveryPacerTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryPacerTest {
-    /** Whatever is asked for, no second sees more than its part, and urgent commands still come through. */
+    /** Under random load, no interval of a second exceeds the limit, and urgent commands are still sent. */
     @Test
-    void noSecondSeesMoreThanItsPart() {
+    void callsInAnySecondStayWithinTheLimit() {
         for (long seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             RecoveryPacer p = new RecoveryPacer(1600);
@@ -37,12 +37,12 @@
                 most = Math.max(most, inSecond);
             }
             assertTrue(most <= p.perSecond() && most > p.perSecond() / 2, most + " of " + p.perSecond());
-            assertTrue(urgent > 1500, urgent + " urgent ones of about 3,700");
+            assertTrue(urgent > 1500, urgent + " urgent calls of about 3,700");
         }
     }
 
     @Test
-    void soManyAreOnTheirWayAtOnce() {
+    void concurrentCallsAreLimitedAndAThirdIsReservedForUrgentOnes() {
         RecoveryPacer p = new RecoveryPacer(160);
         assertEquals(40, p.perSecond());
         int sent = 0;
@@ -54,20 +54,22 @@
         p.callFinished();
         assertFalse(
                 p.tryAcquire(RecoveryPacer.CallKind.ORDINARY, "a", new MonotonicTime(1_000_000)),
-                "the last third is for urgent ones");
+                "a third is reserved for urgent calls");
         assertTrue(p.tryAcquire(RecoveryPacer.CallKind.URGENT, "a", new MonotonicTime(1_000_000)));
     }
 
     @Test
-    void everyPhaseEnds() {
+    void everyPhaseEndsByConditionOrDeadline() {
         RecoveryProgress p = new RecoveryProgress(new MonotonicTime(1), 6000, 26_000);
         RecoveryProgress.Snapshot nothing = new RecoveryProgress.Snapshot(false, false, 100, 0, 50, 9);
-        assertFalse(p.advance(new MonotonicTime(500_000), nothing), "nothing may be commanded before all is read");
+        assertFalse(p.advance(new MonotonicTime(500_000), nothing), "no commands before all records are read");
         RecoveryProgress.Snapshot stuck = new RecoveryProgress.Snapshot(true, false, 100, 0, 50, 9);
         assertTrue(p.advance(new MonotonicTime(500_001), stuck));
         assertFalse(p.advance(new MonotonicTime(503_000), stuck));
-        assertTrue(p.advance(new MonotonicTime(504_001), stuck), "listening holds stops back for 4 s at the most");
-        assertTrue(p.advance(new MonotonicTime(504_002), stuck), "the lease is long over");
+        assertTrue(
+                p.advance(new MonotonicTime(504_001), stuck),
+                "heartbeats are awaited, and preemptions blocked, for 4 s at most");
+        assertTrue(p.advance(new MonotonicTime(504_002), stuck), "the lease has expired");
         assertTrue(p.advance(new MonotonicTime(515_000), stuck));
         assertEquals(RecoveryProgress.Phase.COMPLETE, p.phase());
     }
