--- a/src/main/java/org/beechhoist/controller/context/ControllerContext.java
+++ b/src/main/java/org/beechhoist/controller/context/ControllerContext.java
@@ -36,7 +36,8 @@
     /**
      * Begins the processing of an input.
      *
-     * @param at the monotonic time of the input; the time never goes back, so an earlier one leaves it as it is
+     * @param at the monotonic time of the input; an earlier time than the current one is ignored, so that time never
+     *     goes back
      * @param wall the time of day in milliseconds
      */
     public void beginInput(MonotonicTime at, long wall) {
--- a/src/main/java/org/beechhoist/controller/context/ServiceRequest.java
+++ b/src/main/java/org/beechhoist/controller/context/ServiceRequest.java
@@ -8,7 +8,7 @@
  *
  * @param address the machine's address for {@link ServiceCalls.Target#HOST}, else null
  * @param body null for none
- * @param timeoutMs how long to wait for the answer
+ * @param timeoutMs the timeout of the response
  */
 public record ServiceRequest(
         ServiceCalls.Target target, String address, String method, String path, JsonNode body, long timeoutMs) {}
--- a/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
+++ b/src/main/java/org/beechhoist/controller/worker/AbsenceEvidence.java
@@ -32,7 +32,7 @@
     /**
      * The commands that may still reach a worker.
      *
-     * @param inFlight whether commands that were sent straight to it have no answer yet
+     * @param inFlight whether commands that were sent directly to it have no response yet
      * @param unacknowledgedToken a launch that was sent with this token or a lower one may be executed minutes late
      */
     public record PendingCommands(boolean inFlight, FencingToken unacknowledgedToken) {
--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -30,10 +30,10 @@
     private static final long LAUNCH_RESPONSE_TIMEOUT_MS = 100;
     /**
      * The interval between requests for a new fencing token, which is usually committed within this if the state
-     * service answers.
+     * service responds.
      */
     private static final long TOKEN_ROTATION_INTERVAL_MS = 40;
-    /** The interval between kills of launches that have no answer. */
+    /** The interval between kills of launches without a response. */
     private static final long UNACKNOWLEDGED_KILL_INTERVAL_MS = 400;
     /** The time after a cancellation during which unacknowledged launches are fenced off. */
     private static final long MAX_FENCING_MS = 3000;
@@ -108,7 +108,7 @@
     }
 
     /**
-     * The fencing of a cancelled job's launches that have no answer.
+     * The fencing of a cancelled job's launches without a response.
      *
      * @param term the term in which it began; it ends with it
      * @param token the token that launches of the job were sent with, or a later one
--- a/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
+++ b/src/main/java/org/beechhoist/controller/worker/CommandDispatcher.java
@@ -143,8 +143,8 @@
     }
 
     /**
-     * Kills the job's tasks whose launch has no answer yet; unlike other commands these kills do not wait for that
-     * answer.
+     * Kills the job's tasks whose launch has no response yet; unlike other commands these kills do not wait for that
+     * response.
      */
     void killUnacknowledgedLaunches(Job job) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
--- a/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
+++ b/src/main/java/org/beechhoist/controller/worker/FailureDetector.java
@@ -198,7 +198,7 @@
     }
 
     /**
-     * Handles the answer to a probe.
+     * Handles the response to a probe.
      *
      * @param epoch the epoch of the machine's newest message that was known when the probe was sent
      * @param sequence the sequence number of that message
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -85,7 +85,7 @@
     /**
      * Reconciles the task statuses of a heartbeat with the records; returns the resulting commands.
      *
-     * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
+     * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the response to a command
      */
     public List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, boolean unsolicited) {
         return statusReconciler.reconcile(machine, heartbeat, unsolicited);
@@ -279,7 +279,7 @@
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = clusterState.job(placement.task.job());
             if (job == null) {
-                continue; // its record can't be read: the placement stays as it is
+                continue; // its record can't be read: the placement is left unchanged
             }
             if (shouldRemove(machine, job, placement)) {
                 taskRemoval.remove(job, placement);
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatValidity.java
@@ -18,11 +18,10 @@
      * nothing.
      */
     PREVIOUS_INCARNATION,
-    /** A newer message is known, but arrived only recently: the worker may still wait for the answer to this one. */
+    /** A newer message is known, but arrived only recently: the worker may still wait for the response to this one. */
     SUPERSEDED,
     /**
-     * A newer message is known, and the sender of this one has stopped waiting: it is a copy, or the worker has
-     * restarted.
+     * A newer message is known, and the sender of this one no longer waits: it is a copy, or the worker has restarted.
      */
     DUPLICATE;
 
--- a/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachinePresence.java
@@ -17,7 +17,7 @@
     }
 
     /**
-     * What is known of a machine that has not reported in this term.
+     * The known state of a machine that has not reported in this term.
      *
      * @param holdsTasks whether tasks are placed on it by the records
      * @param listedRunning whether the cloud lists it as running
@@ -29,7 +29,7 @@
 
     /**
      * The time after the beginning of a term at which the first probes are sent. Workers without a leader try node
-     * after node, for a second each; most of those that were probed sooner would be about to report anyway.
+     * after node, for a second each; most of those that were probed sooner are about to report anyway.
      */
     static final long FIRST_PROBE_DELAY_MS = 1000;
 
@@ -39,7 +39,8 @@
      * Assesses a machine.
      *
      * @param sinceMs the time since this term began
-     * @param allReportedMs by when, after the term began, every living machine should have found this node
+     * @param allReportedMs the time after the beginning of the term by which every running machine should have found
+     *     this node
      */
     public static Assessment assess(UnreportedMachine machine, long sinceMs, long allReportedMs) {
         if (!machine.holdsTasks && !machine.listedRunning) {
--- a/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
+++ b/src/main/java/org/beechhoist/controller/worker/MachineReleases.java
@@ -8,6 +8,6 @@
     /** Returns whether the machine has been returned, so that any message that still comes from it is late. */
     boolean isReleased(MachineId machine);
 
-    /** Returns the machine to the cloud, with all its tasks; the cause is for the log. */
+    /** Returns the machine to the cloud, with all its tasks; the cause is only logged. */
     void releaseMachine(Machine machine, String cause);
 }
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -19,8 +19,8 @@
         /** The task is placed, here or elsewhere, with a later attempt than the machine names. */
         PLACED_NEWER_ATTEMPT,
         /**
-         * The task is placed with an older attempt than the machine names, or with this very attempt elsewhere: no
-         * commit allows that.
+         * The task is placed with an older attempt than the machine names, or with the same attempt elsewhere, which no
+         * commit allows.
          */
         PLACED_INCONSISTENT,
         /** The task is done. */
@@ -94,15 +94,15 @@
         REMOVE,
         /** The task is recorded as done; the worker may forget it once that is committed. */
         COMPLETE,
-        /** The task has failed: the job or the machine is to blame. */
+        /** The task has failed: the failure is attributed to the job or the machine. */
         RECORD_FAILURE,
         /** The machine has no capacity for the task: it is avoided for a while, and the task waits again. */
         AVOID_MACHINE,
-        /** The job's description is not there yet: the task waits for a while. */
+        /** The job's description is not available on the worker yet: the task waits for a while. */
         RETRY_LATER,
         /** The task has exited without being done: it waits again. */
         RESCHEDULE,
-        /** Command: end the task at once; it counts as present until it is gone. */
+        /** Command: end the task immediately; it counts as present until it is gone. */
         KILL,
         /** Command: drop the exited attempt from the heartbeats. */
         FORGET,
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -30,17 +30,17 @@
     private static final double SOCKETS_SHARE = 1 / 8.0;
     /**
      * Calls per second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the
-     * sockets as calls a second, 4,000 machines waited half a minute.
+     * sockets as calls per second, 4,000 machines waited half a minute.
      */
     private static final double CALLS_PER_S_PER_SOCKET = 2;
     /**
-     * The share of {@link #perSecond} that may be sent at once, and that is refilled in a second: no second, wherever
-     * it begins, has more calls than the limit.
+     * The share of {@link #perSecond} that may be sent in a burst and that is refilled per second, so that no interval
+     * of a second has more calls than the limit.
      */
     private static final double BURST_SHARE = 0.5;
-    /** The least number of concurrent calls allowed, however few sockets there are. */
+    /** The minimum of the limit on concurrent calls, regardless of the number of sockets. */
     private static final double MIN_CONCURRENT_CALLS = 20;
-    /** The greatest number of concurrent calls allowed. */
+    /** The maximum of the limit on concurrent calls. */
     private static final double MAX_CONCURRENT_CALLS = 300;
 
     private final double maxConcurrent;
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryProgress.java
@@ -29,7 +29,7 @@
             this.label = label;
         }
 
-        /** The phase's name in the operators' view. */
+        /** Returns the phase's name in the operators' view. */
         public String label() {
             return label;
         }
@@ -93,7 +93,7 @@
         return heartbeatIntervalMs * 5 / 4 + 2000;
     }
 
-    /** The current phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -61,7 +61,7 @@
      * absence counts only for placements of earlier terms: launches of this term may be in flight in the response to a
      * heartbeat, which the worker has not read yet.
      *
-     * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the answer to a command
+     * @param unsolicited whether the worker sent the heartbeat by itself; false: it is the response to a command
      */
     List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, boolean unsolicited) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -175,7 +175,7 @@
             } else {
                 unconfirmed += placement.recovered ? 1 : 0;
                 if (unsolicited && neverLaunched && job.isCancelled()) {
-                    // The answer to the kill proves the task gone, sooner than the next heartbeat.
+                    // The response to the kill proves the task gone earlier than the next heartbeat would.
                     dispatcher.kill(machine, placement);
                 }
             }
