--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -25,7 +25,7 @@
 import org.beechhoist.drain.Evictions;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.Selector;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
@@ -210,7 +210,7 @@
         }
         idle = none;
         cordon();
-        if (!read || !disruptions.known() || !migrations.known()) {
+        if (!read || !disruptions.known() || !migrations.isLoaded()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
@@ -300,7 +300,7 @@
             left |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
                 provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && works && progress.paused == null && !migrations.moves(machine.id)) {
+            } else if (!empty && works && progress.paused == null && !migrations.isMigrating(machine.id)) {
                 if (candidates(drain, progress, machine, rooms, out, places)) {
                     lacking.merge(RollingReplacement.kind(machine), 1, Integer::sum);
                 }
@@ -309,7 +309,7 @@
         if (!lacking.isEmpty()) {
             rollouts.makePlace(drain, progress, lacking);
         }
-        boolean told = provisioner.listed()
+        boolean told = provisioner.isListComplete()
                 && context.wallMs() - drain.atMs()
                         > Math.round(1000 * LAGS * settings.cloudLimits().listLagS());
         if (!left && !drain.keep() && progress.begun.isEmpty() && told) {
@@ -346,10 +346,10 @@
 
     // ---- which tasks ----
 
-    private Ending.Need need(Drain drain, long sinceMs) {
+    private TaskTermination.CapacityNeed need(Drain drain, long sinceMs) {
         long by = sinceMs + 1000 * drain.limits().waitS();
         by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
-        return new Ending.Need(context.now().ms() + by - context.wallMs(), true);
+        return new TaskTermination.CapacityNeed(context.now().ms() + by - context.wallMs(), true);
     }
 
     /** Tasks that may leave; whether one of them has no place to go to. */
@@ -389,13 +389,13 @@
             Map<TaskId, MachineId> places) {
         JobSpec spec = job.spec();
         long since = drain.replace() ? run.begun.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        Ending ending = elastic.ending(job, placement, need(drain, since));
-        boolean due = ending.way() != Ending.Way.AT_END
-                && ending.way() != Ending.Way.WITHDRAW
+        TaskTermination ending = elastic.chooseEnding(job, placement, need(drain, since));
+        boolean due = ending.method() != TaskTermination.Method.AT_END
+                && ending.method() != TaskTermination.Method.WITHDRAW
                 && ending.atMs() <= context.now().ms() + EVERY_MS;
         boolean placed = true;
         if (spec.isService() && due) {
-            Machine to = rooms.take(spec);
+            Machine to = rooms.allocate(spec);
             placed = to != null;
             if (placed) {
                 places.put(placement.task, to.id);
@@ -473,14 +473,14 @@
         names.forEach(n ->
                 transaction.put(RUNS + n, counted(runs.get(n), taken.get(n), 1).toNode()));
         moving.forEach((machine, to) ->
-                migrations.relocate(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
+                migrations.addDrainMigration(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
         commit(transaction, done -> {
             if (done) {
                 teams.forEach(t -> disruptions.adopt(t, accounts.get(t)));
                 moving.forEach((machineId, to) -> {
                     Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
-                        migrations.relocated(machineId, machine.cordonedBy, to);
+                        migrations.applyDrainMigration(machineId, machine.cordonedBy, to);
                     }
                 });
                 stopped.forEach(this::stop);
@@ -552,7 +552,7 @@
                 machines,
                 clusterState,
                 machineTypes,
-                (j, p) -> elastic.ending(j, p, need(drain, context.wallMs())),
+                (j, p) -> elastic.chooseEnding(j, p, need(drain, context.wallMs())),
                 context.now().ms());
     }
 
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -15,7 +15,7 @@
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.controller.worker.ColdStartRecovery;
 import org.beechhoist.controller.worker.PreemptionNoticeHandler;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.plan.PlanMachine;
 import org.beechhoist.plan.WidthOptions;
@@ -77,7 +77,7 @@
         long now = context.now().ms();
         Set<MachineId> planned = new HashSet<>();
         Plan next = new Plan(now, planMachines(planned));
-        next.sizes(migrations.sizes());
+        next.setGpuSizes(migrations.requestedSizes());
         addTeamUsage(next, planned);
         placeWaiting(next, order);
         widen(next, order, widths);
@@ -90,7 +90,7 @@
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type == null
-                    || (!admission.usable(machine) && (machine.up || machine.releasing))
+                    || (!admission.isUsable(machine) && (machine.up || machine.releasing))
                     || coldStart.isPresumedAbsent(machine)) {
                 continue;
             }
@@ -108,14 +108,14 @@
                 machine.zone,
                 machine.spot,
                 machine.up,
-                machine.up ? now : provisioner.readyAt(machine, type));
-        planMachine.holds(machine.images.keySet());
+                machine.up ? now : provisioner.expectedReadyAtMs(machine, type));
+        planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
-        for (JobSpec kept : migrations.keptOn(machine.id)) {
+        for (JobSpec kept : migrations.reservedOn(machine.id)) {
             planMachine.occupy(now + UNKNOWN_END_MS, kept.cpus(), kept.gpus(), kept.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
-            planMachine.mayWiden();
+            planMachine.allowElasticGrowth();
         }
         return planMachine;
     }
@@ -129,7 +129,7 @@
                 JobSpec spec = job.spec();
                 planMachine.occupy(
                         estimates.expectedEnd(placement, context.now()).ms(), spec.cpus(), spec.gpus(), spec.memGb());
-                planMachine.image(
+                planMachine.addExpectedImage(
                         spec.image(),
                         placement.runningSince != null
                                 ? now
@@ -142,7 +142,7 @@
     private void addTeamUsage(Plan next, Set<MachineId> planned) {
         long now = context.now().ms();
         for (Settings.Team team : settings.teams().values()) {
-            next.limit(team.name(), team.cpusMax(), team.gpusMax());
+            next.setTeamQuota(team.name(), team.cpusMax(), team.gpusMax());
         }
         for (Job job : clusterState.jobs()) {
             for (Placement placement : job.record.live.values()) {
@@ -151,7 +151,8 @@
                                 || machine != null && (machine.preemptionAt != null || machine.cordonedBy != null)
                         ? preemptionNotices.expectedEnd(machine, placement).ms()
                         : now + UNKNOWN_END_MS;
-                next.use(job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
+                next.addTeamUsage(
+                        job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
             }
         }
     }
@@ -160,23 +161,26 @@
     private void placeWaiting(Plan next, List<Job> order) {
         for (Job job : order) {
             if (expeditedTasks(job) > 0) {
-                next.place(entry(job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.sure(job))), 0));
+                next.place(entry(
+                        job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.regularWaitingCount(job))), 0));
             }
         }
         for (Job job : order) {
             if (job.spec().isGang() && !job.record.live.isEmpty()) {
                 continue; // what is left of a gang ends first, then all of it starts anew
             }
-            int unwidened = job.maxPlaceable(elastic.sure(job)) - expeditedTasks(job) - migrations.underWay(job);
+            int unwidened = job.maxPlaceable(elastic.regularWaitingCount(job))
+                    - expeditedTasks(job)
+                    - migrations.migratingTaskCount(job);
             if (unwidened > 0) {
-                next.place(entry(job, unwidened, ordering.patience(job)));
+                next.place(entry(job, unwidened, ordering.patienceMs(job)));
             }
         }
     }
 
     /** Returns how many of the job's tasks go before all others: expedited ones, and those for which a migration frees capacity. */
     private int expeditedTasks(Job job) {
-        return Math.max(job.expeditedTasks(), migrations.roomsFor(job));
+        return Math.max(job.expeditedTasks(), migrations.pendingMigrationCount(job));
     }
 
     private Plan.Entry entry(Job job, int waiting, long patienceMs) {
@@ -197,22 +201,22 @@
             if (job.record.width == null) {
                 continue;
             }
-            int unwidened = elastic.sure(job);
-            WidthOptions options = elastic.wish(job, unwidened, widths.get(job.id()));
+            int unwidened = elastic.regularWaitingCount(job);
+            WidthOptions options = elastic.wideningOptions(job, unwidened, widths.get(job.id()));
             if (options == null) {
                 continue;
             }
-            if (options.fixed() == null && chosen++ >= MAX_CHOSEN_WIDTHS) {
-                options = options.fixedAt(job.width()); // it stays as wide as it is
+            if (options.fixedWidth() == null && chosen++ >= MAX_CHOSEN_WIDTHS) {
+                options = options.withFixedWidth(job.width()); // it stays as wide as it is
             }
             List<Long> busyUntil = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 busyUntil.add(estimates.expectedEnd(placement, context.now()).ms());
             }
-            long slack = options.untilMs() == Ending.NEVER
+            long slack = options.deadlineMs() == TaskTermination.NEVER
                     ? NO_HURRY_MS
-                    : Math.max(0, options.untilMs() - context.now().ms());
-            next.widen(
+                    : Math.max(0, options.deadlineMs() - context.now().ms());
+            next.placeElastic(
                     entry(job, job.record.waitingCount() - unwidened, Math.round(policy.patience() * slack)),
                     busyUntil,
                     options);
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -16,7 +16,7 @@
 import org.beechhoist.drain.Drain;
 import org.beechhoist.drain.Progress;
 import org.beechhoist.drain.ReplacementSteps;
-import org.beechhoist.floor.Share;
+import org.beechhoist.floor.ServiceShare;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.MachineId;
@@ -38,7 +38,7 @@
     private final FaultTracker faultTracker;
     private final JobOrdering ordering;
     private final MachineLossTracker lossRecovery;
-    private final Supplier<Map<String, Share>> served;
+    private final Supplier<Map<String, ServiceShare>> served;
     /** New machines that were asked for and not answered yet. */
     private final Map<String, Integer> asked = new HashMap<>();
 
@@ -51,7 +51,7 @@
             FaultTracker faultTracker,
             JobOrdering ordering,
             MachineLossTracker lossRecovery,
-            Supplier<Map<String, Share>> served) {
+            Supplier<Map<String, ServiceShare>> served) {
         this.context = context;
         this.clusterState = clusterState;
         this.provisioner = provisioner;
@@ -85,7 +85,7 @@
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = ReplacementSteps.stopReason(health(progress, planner.current()));
+        String stops = ReplacementSteps.stopReason(health(progress, planner.currentPlan()));
         if (stops != null) {
             if (progress.paused == null) {
                 LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
@@ -151,16 +151,16 @@
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
                 Job j = clusterState.job(reservation.job());
-                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStart(j)
+                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStartMs(j)
                         ? 1
                         : 0;
             }
         }
         double least = 1;
         String of = "";
-        for (Map.Entry<String, Share> entry : served.get().entrySet()) {
-            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().value() < least) {
-                least = entry.getValue().value();
+        for (Map.Entry<String, ServiceShare> entry : served.get().entrySet()) {
+            if (entry.getValue().asked() >= LEAST_ASKED && entry.getValue().fraction() < least) {
+                least = entry.getValue().fraction();
                 of = entry.getKey();
             }
         }
@@ -231,7 +231,7 @@
         String[] kind = most.split(" ");
         String type = drain.with() == null ? kind[0] : drain.with();
         long term = clusterState.term();
-        if (provisioner.renting().spare(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
+        if (provisioner.scaleOutPolicy().tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
             if (term == clusterState.term()) {
                 asked.merge(drain.name(), -missing, Integer::sum);
                 had.forEach(h -> progress.spares.put(h, context.wallMs()));
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -12,8 +12,8 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.elastic.Ending;
-import org.beechhoist.elastic.Surplus;
+import org.beechhoist.elastic.SurplusTaskSelector;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.JobId;
@@ -43,7 +43,11 @@
 
     /** Tasks on one machine that could go, and how many tasks that makes room for by when. */
     private record Offer(
-            Machine host, List<Surplus.Choice<Placement>> going, int tasks, long freesAtMs, double lostCpuS) {
+            Machine host,
+            List<SurplusTaskSelector.Candidate<Placement>> going,
+            int tasks,
+            long freesAtMs,
+            double lostCpuS) {
         double lostEach() {
             return lostCpuS / tasks;
         }
@@ -75,7 +79,7 @@
         this.elastic = elastic;
     }
 
-    void run(Plan plan, Map<String, double[]> used) {
+    void reduceForLateJobs(Plan plan, Map<String, double[]> used) {
         List<Job> givers = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (spare(job) > 0) {
@@ -97,9 +101,9 @@
             if (asked++ == MAX_JOBS) {
                 return;
             }
-            if (serve(job, entry.getValue(), mine, admission.overLimit(job, used))) {
+            if (serve(job, entry.getValue(), mine, admission.exceedsTeamLimit(job, used))) {
                 job.nextWidthReductionAt = context.now().plusMs(PAUSE_MS);
-                scaleOut.wait(context.now());
+                scaleOut.ignorePlansUntil(context.now());
             }
         }
     }
@@ -108,7 +112,8 @@
     private static int spare(Job job) {
         return job.record.width == null || job.spec().isService() || job.isCancelled()
                 ? 0
-                : ElasticWidths.staying(job) - job.record.width.allowed().min();
+                : ElasticWidths.retainedTaskCount(job)
+                        - job.record.width.allowed().min();
     }
 
     /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
@@ -116,7 +121,7 @@
         boolean guaranteed =
                 to.withinGuarantee && !to.spec().team().equals(giver.spec().team());
         boolean asUrgent = to.spec().priority().compareTo(giver.spec().priority()) <= 0;
-        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.objectiveOpen(to));
+        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.hasOpenObjective(to));
     }
 
     /** Which jobs begin later than they should, or late enough for a machine to be rented. */
@@ -125,16 +130,16 @@
         Map<Job, Late> out = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
             long bound = bounds.computeIfAbsent(reservation.job(), jobId -> bound(clusterState.job(jobId)));
-            if (!reservation.wide() && reservation.beginMs() > bound) {
+            if (!reservation.beyondGuarantee() && reservation.beginMs() > bound) {
                 Job j = clusterState.job(reservation.job());
                 out.merge(j, new Late(1, reservation.beginMs(), atStake(j, reservation.beginMs())), Late::and);
             }
         }
         for (Job job : clusterState.jobs()) {
-            if (plan.unplaced(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
+            if (plan.unplacedCount(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
                 out.merge(
                         job,
-                        new Late(plan.unplaced(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
+                        new Late(plan.unplacedCount(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
                         Late::and);
             }
         }
@@ -144,10 +149,11 @@
     /** Work may be thrown away for what is promised, not to save a rental. */
     private boolean atStake(Job job, long begin) {
         return job.withinGuarantee
-                || (ordering.objectiveOpen(job)
+                || (ordering.hasOpenObjective(job)
                         && begin
                                 > Math.max(
-                                        ordering.latestStart(job), context.now().ms() + SOON_MS));
+                                        ordering.latestStartMs(job),
+                                        context.now().ms() + SOON_MS));
     }
 
     private long bound(Job job) {
@@ -161,21 +167,21 @@
             return Long.MAX_VALUE;
         }
         long now = context.now().ms();
-        long bound = Math.min(now + scaleOut.rentAfterMs(job), Math.max(ordering.latestStart(job), now));
+        long bound = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStartMs(job), now));
         return Math.max(now + SOON_MS, job.withinGuarantee ? Math.min(bound, now + SOON_MS) : bound);
     }
 
     private long neededBy(Job job) {
         long now = context.now().ms();
-        long latest = ordering.latestStart(job);
-        return ordering.objectiveOpen(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
+        long latest = ordering.latestStartMs(job);
+        return ordering.hasOpenObjective(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
     }
 
     private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
         int tasks = late.tasks;
         List<Offer> offers = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
-            if (!machine.placements.isEmpty() && admission.usable(machine)) {
+            if (!machine.placements.isEmpty() && admission.isUsable(machine)) {
                 Offer offer = offer(machine, job, late, givers, limited);
                 // What may be thrown away for one task's sake is the same whoever gives the room.
                 if (offer != null
@@ -196,11 +202,14 @@
             if (wanted.entrySet().stream().anyMatch(w -> spare(w.getKey()) < w.getValue())) {
                 continue; // given away to an earlier offer
             }
-            for (Surplus.Choice<Placement> c : offer.going) {
-                elastic.leave(
-                        clusterState.job(c.task().task.job()), c.task(), c.ending(), "its room is for " + job.id());
+            for (SurplusTaskSelector.Candidate<Placement> c : offer.going) {
+                elastic.scheduleEnding(
+                        clusterState.job(c.task().task.job()),
+                        c.task(),
+                        c.termination(),
+                        "its room is for " + job.id());
             }
-            offer.host.growthDamping = offer.host.growthDamping.narrowed(
+            offer.host.growthDamping = offer.host.growthDamping.afterNarrowing(
                     context.now().ms(), policy.elastic().settleMs());
             served += offer.tasks;
         }
@@ -212,30 +221,31 @@
         int tasks = late.tasks;
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.FreeResources room =
-                spec.mayRunOn(type, machine.zone, machine.spot) ? admission.freeBeside(machine, type, spec) : null;
+        Admission.FreeResources room = spec.mayRunOn(type, machine.zone, machine.spot)
+                ? admission.freeResourcesAfterPlacing(machine, type, spec)
+                : null;
         if (room == null) {
             return null;
         }
         long fetch = machine.fetchMs(spec, type);
-        Ending.Need need = new Ending.Need(neededBy(job) - fetch, late.atStake);
-        List<Surplus.Choice<Placement>> could = new ArrayList<>();
+        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededBy(job) - fetch, late.atStake);
+        List<SurplusTaskSelector.Candidate<Placement>> could = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
             Job giver = clusterState.job(placement.task.job());
             boolean counts =
                     givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
-            if (counts && ElasticWidths.mayGo(giver, placement)) {
-                could.add(new Surplus.Choice<>(placement, elastic.ending(giver, placement, need)));
+            if (counts && ElasticWidths.mayBeEnded(giver, placement)) {
+                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(giver, placement, need)));
             }
         }
-        could.sort(Surplus.LEAST_LOSS);
-        List<Surplus.Choice<Placement>> going = new ArrayList<>();
+        could.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
+        List<SurplusTaskSelector.Candidate<Placement>> going = new ArrayList<>();
         int fits = limited ? 0 : fits(room, spec, tasks);
         if (fits > 0) {
             return null; // there is room already; something else keeps it waiting
         }
         double given = 0;
-        for (Surplus.Choice<Placement> choice : could) {
+        for (SurplusTaskSelector.Candidate<Placement> choice : could) {
             if (fits >= tasks) {
                 break;
             }
@@ -249,8 +259,10 @@
         if (fits == 0) {
             return null;
         }
-        long frees = going.stream().mapToLong(c -> c.ending().freesAtMs()).max().orElse(0);
-        double lost = going.stream().mapToDouble(c -> c.ending().lostCpuS()).sum();
+        long frees =
+                going.stream().mapToLong(c -> c.termination().freedAtMs()).max().orElse(0);
+        double lost =
+                going.stream().mapToDouble(c -> c.termination().lostCpuS()).sum();
         boolean gains = late.lastBegin == Long.MAX_VALUE || frees + fetch + SOON_MS < late.lastBegin;
         return gains ? new Offer(machine, going, fits, frees, lost) : null;
     }
@@ -258,7 +270,7 @@
     /** How many of the job's tasks fit; {@code room} is what is left once one is there. */
     private static int fits(Admission.FreeResources room, JobSpec spec, int most) {
         int count = 0;
-        for (Admission.FreeResources left = room; count < most && left.enough(); left = left.plus(spec, -1)) {
+        for (Admission.FreeResources left = room; count < most && left.isNonNegative(); left = left.plus(spec, -1)) {
             count++;
         }
         return count;
