--- a/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
+++ b/src/main/java/org/beechhoist/controller/worker/CancellationEnforcer.java
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Returns machines on which the job's tasks are not certain to end before the deadline, while there is time for
-     * that.
+     * Returns to the cloud the machines on which the job's tasks are not certain to end before the deadline, once the
+     * remaining time is no longer than a release takes.
      */
     private void releaseUnreachable(Job job, long deadlineWallMs, String jobState) {
         long leftMs = deadlineWallMs - context.wallMs();
--- a/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
+++ b/src/main/java/org/beechhoist/controller/worker/HeartbeatHandler.java
@@ -218,7 +218,7 @@
         if (validity.isCurrent() || machine.unansweredProbes == 0) {
             machine.lastContactAt = context.now();
         } else {
-            // A copy does not count as a sign of life, but this may be the machine's first heartbeat, so it is probed
+            // A copy does not clear missed heartbeats, but this may be the machine's first heartbeat, so it is probed
             // once more.
             machine.unansweredProbes = 0;
             machine.probeGraceUntil = context.now().plusMs(PROBE_GRACE_MS);
--- a/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
+++ b/src/main/java/org/beechhoist/controller/worker/Reconciliation.java
@@ -98,7 +98,7 @@
         RECORD_FAILURE,
         /** The machine has no capacity for the task: it is avoided for a while, and the task waits again. */
         AVOID_MACHINE,
-        /** The job's description is not available on the worker yet: the task waits for a while. */
+        /** The worker could not find the job's description yet: the task waits for a while. */
         RETRY_LATER,
         /** The task has exited without being done: it waits again. */
         RESCHEDULE,
@@ -111,7 +111,7 @@
          * pending.
          */
         RETAIN,
-        /** No command is sent, and nothing new is placed in the task's capacity: its record is unreadable. */
+        /** No command is sent, and nothing new is placed on its machine: its record is unreadable. */
         IGNORE
     }
 
--- a/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
+++ b/src/main/java/org/beechhoist/controller/worker/RecoveryPacer.java
@@ -29,7 +29,7 @@
     /** The share of the sockets that paced calls may use; the rest is for workers, users and other nodes. */
     private static final double SOCKETS_SHARE = 1 / 8.0;
     /**
-     * Calls per second for each concurrent one. A call to a living machine takes milliseconds; with an eighth of the
+     * Calls per second for each concurrent one. A call to a running machine takes milliseconds; with an eighth of the
      * sockets as calls per second, 4,000 machines waited half a minute.
      */
     private static final double CALLS_PER_S_PER_SOCKET = 2;
--- a/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskStatusReconciler.java
@@ -147,7 +147,7 @@
     /**
      * Removes the placements whose tasks the heartbeat proves gone.
      *
-     * @return how many placements of earlier terms stay unconfirmed
+     * @return the number of placements of earlier terms that stay unconfirmed
      */
     private int removeAbsent(
             Machine machine,
