--- a/src/main/java/org/beechhoist/cli/Warm.java
+++ b/src/main/java/org/beechhoist/cli/Warm.java
@@ -61,7 +61,7 @@
         core.start(now, 0);
         for (int i = 0; i < STEPS; i++) {
             now = now.plusMs(500);
-            List<Effect> effects = core.drain();
+            List<Effect> effects = core.drainEffects();
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Call call && call.target() == ServiceCalls.Target.STATE) {
                     MonotonicTime at = now;
@@ -70,9 +70,9 @@
                             call.method(),
                             call.path(),
                             call.body(),
-                            r -> core.outcome(at, 0, call.id(), CallResult.answered(r.status(), r.body())));
+                            r -> core.handleCallResult(at, 0, call.id(), CallResult.answered(r.status(), r.body())));
                 } else if (effect instanceof Effect.Call outgoing) {
-                    core.outcome(
+                    core.handleCallResult(
                             now,
                             0,
                             outgoing.id(),
@@ -82,11 +82,11 @@
                 }
             }
             if (i == STEPS / 2) {
-                core.request(now, 0, i, "POST", "/v1/jobs", Codec.encode(job()));
-                core.request(now, 0, i + 1L, "GET", "/v1/plan", new byte[0]);
+                core.handleRequest(now, 0, i, "POST", "/v1/jobs", Codec.encode(job()));
+                core.handleRequest(now, 0, i + 1L, "GET", "/v1/plan", new byte[0]);
             }
             state.tick(now.ms());
-            core.time(now, 0);
+            core.handleTimer(now, 0);
         }
         return 0;
     }
--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -40,11 +40,11 @@
     /** What came of a poll. */
     enum Result {
         /** The state that was handed over is the record's now. */
-        SAME,
+        UNCHANGED,
         /** Nothing is known of it, or it has changed: it must be read. */
-        READ,
+        MUST_READ,
         /** The state service was not asked, or did not answer. */
-        REFUSED
+        UNAVAILABLE
     }
 
     private final ControllerContext context;
@@ -62,7 +62,7 @@
         this.store = store;
         this.requests = requests;
         this.mostGuards = 4 * settings.stateLimits().txnOps();
-        this.pace = new Pacer(context, gatherMs(settings));
+        this.pace = new Pacer(context, batchIntervalMs(settings));
     }
 
     /** The job's record was read or written as this version. */
@@ -77,7 +77,7 @@
     /** Hands over the job's state if it is known and certain, in its own time. */
     void poll(JobId jobId, BiConsumer<Result, ObjectNode> then) {
         if (!known.containsKey(jobId)) {
-            then.accept(Result.READ, null);
+            then.accept(Result.MUST_READ, null);
             return;
         }
         waiting.add(new Poll(jobId, then));
@@ -85,12 +85,12 @@
     }
 
     /** Whether enough requests are left for what must not wait for polls. */
-    static boolean spare(TokenBucket requests, MonotonicTime now) {
+    static boolean hasSpareRequests(TokenBucket requests, MonotonicTime now) {
         return requests.available(now) >= 1 + LEFT * requests.capacity();
     }
 
     /** How long questions for polls gather while requests run short, for all nodes' to take no more than their share. */
-    static long gatherMs(Settings settings) {
+    static long batchIntervalMs(Settings settings) {
         return Math.min(
                 LONGEST_GATHER_MS,
                 Math.round(1000
@@ -99,7 +99,7 @@
     }
 
     private boolean allowed() {
-        return spare(requests, context.now()) && requests.tryTake(context.now(), 1);
+        return hasSpareRequests(requests, context.now()) && requests.tryTake(context.now(), 1);
     }
 
     private void ask() {
@@ -112,7 +112,7 @@
         List<Poll> batch = waiting;
         waiting = new ArrayList<>();
         if (!allowed()) {
-            batch.forEach(p -> p.then.accept(Result.REFUSED, null));
+            batch.forEach(p -> p.then.accept(Result.UNAVAILABLE, null));
             return;
         }
         pace.recordRun();
@@ -128,7 +128,7 @@
             if (version == null) {
                 version = known.get(poll.ref);
                 if (version == null) {
-                    poll.then.accept(Result.READ, null);
+                    poll.then.accept(Result.MUST_READ, null);
                     continue;
                 }
                 asked.put(poll.ref, version);
@@ -152,16 +152,16 @@
         for (Poll poll : polls) {
             switch (commit.outcome()) {
                 case COMMITTED ->
-                    poll.then.accept(Result.SAME, asked.get(poll.ref).state.deepCopy());
+                    poll.then.accept(Result.UNCHANGED, asked.get(poll.ref).state.deepCopy());
                 case CONFLICT -> {
                     if (commit.failedKeys().contains(JobRecord.openKey(poll.ref))) {
                         forget(poll.ref);
-                        poll.then.accept(Result.READ, null);
+                        poll.then.accept(Result.MUST_READ, null);
                     } else {
                         waiting.add(poll); // whether all that failed are named is not said: asked again without those
                     }
                 }
-                default -> poll.then.accept(Result.REFUSED, null);
+                default -> poll.then.accept(Result.UNAVAILABLE, null);
             }
         }
     }
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -48,28 +48,29 @@
     }
 
     /** A deadline may have come. */
-    public void time(MonotonicTime now, long wallMs) {
+    public void handleTimer(MonotonicTime now, long wallMs) {
         beginInput(now, wallMs);
         context.runDueTimers();
         settleInput();
     }
 
-    /** When {@link #time} should be called next, at the latest. */
-    public MonotonicTime wakeAt() {
+    /** When {@link #handleTimer} should be called next, at the latest. */
+    public MonotonicTime nextWakeAt() {
         MonotonicTime deadline = context.nextTimerAt();
-        if (leader.wantsPlan() && (deadline == null || leader.nextPlan().isBefore(deadline))) {
-            return leader.nextPlan();
+        if (leader.hasPendingPlanning()
+                && (deadline == null || leader.nextPlanningAt().isBefore(deadline))) {
+            return leader.nextPlanningAt();
         }
         return deadline;
     }
 
     /** Returns what is to be sent and answered since the last call, in order. */
-    public List<Effect> drain() {
+    public List<Effect> drainEffects() {
         return context.drainEffects();
     }
 
     /** How a call ended that an {@link Effect} asked for. */
-    public void outcome(MonotonicTime now, long wallMs, long call, CallResult result) {
+    public void handleCallResult(MonotonicTime now, long wallMs, long call, CallResult result) {
         beginInput(now, wallMs);
         context.completeCall(call, result);
         context.runDueTimers();
@@ -77,13 +78,13 @@
     }
 
     /** What another controller said of itself. */
-    public void peer(MonotonicTime now, long wallMs, PeerState state) {
+    public void handlePeerState(MonotonicTime now, long wallMs, PeerState state) {
         beginInput(now, wallMs);
         peerExchange.receive(state);
     }
 
     /** A request on the public address. Each is answered with one {@link Effect.Respond}, perhaps later. */
-    public void request(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
+    public void handleRequest(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
         beginInput(now, wallMs);
         context.runDueTimers();
         components.router.route(ApiRequest.of(id, method, target, body));
@@ -96,13 +97,13 @@
      */
     private void beginInput(MonotonicTime now, long wallMs) {
         context.beginInput(now, wallMs);
-        if (limits.dividedAsLeader() && !election.holdsLease()) {
+        if (limits.hasLeaderShare() && !election.holdsLease()) {
             limits.divide(false);
         }
     }
 
     private void settleInput() {
-        leader.settleInput();
+        leader.completeInput();
         peerExchange.acknowledgeCancellations();
     }
 
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -88,13 +88,13 @@
                 access.settings(),
                 policy,
                 access.store(),
-                access.requests(),
-                access.writes(),
+                access.requestTokens(),
+                access.writeTokens(),
                 machineTypes,
                 statusDetails::addTo,
                 idempotencyKeys,
                 this::isLeaderShortOfWrites,
-                readiness::isCutOff,
+                readiness::isIsolated,
                 features.keySetRegistryOrNull(),
                 this::cancellationConfirmed,
                 acknowledgements);
@@ -108,8 +108,8 @@
                 context,
                 access.settings(),
                 access.store(),
-                access.requests(),
-                access.writes(),
+                access.requestTokens(),
+                access.writeTokens(),
                 users,
                 this::cronHold)));
     }
@@ -120,7 +120,7 @@
                 MIN_ELECTION_LEASE_MS,
                 Math.min(MAX_ELECTION_LEASE_MS, settings.workers().leaseMs() / WORKER_LEASE_PART));
         return new LeaderElection(
-                context, access.store(), access.requests(), settings.node(), leaseMs, new TermListener());
+                context, access.store(), access.requestTokens(), settings.node(), leaseMs, new TermListener());
     }
 
     /** The APIs of the features that are on; where two handle a path, the first gets the request. */
@@ -134,7 +134,7 @@
     }
 
     private Optional<Leader> activeLeader() {
-        return leader.active() ? Optional.of(leader) : Optional.empty();
+        return leader.isActive() ? Optional.of(leader) : Optional.empty();
     }
 
     private boolean isLeaderShortOfWrites() {
@@ -148,7 +148,7 @@
     /** Why an entry of a cron table is held, or null if it is not or this node does not know. */
     private String cronHold(String table, String entry) {
         return activeLeader()
-                .flatMap(Leader::schedules)
+                .flatMap(Leader::cronController)
                 .map(schedules -> schedules.held(table, entry))
                 .orElse(null);
     }
@@ -158,7 +158,7 @@
         @Override
         public void leadershipWon(FencingToken fencingToken) {
             limits.divide(true);
-            leader.begin();
+            leader.startTerm();
         }
 
         @Override
@@ -166,7 +166,7 @@
             limits.divide(false);
             progress.clearPublished();
             cancellations.reset();
-            leader.end();
+            leader.endTerm();
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -141,11 +141,11 @@
             if (firing == null
                     || (firing.job != null
                             && firing.job.idempotencyKey() != null
-                            && !keys.add(IdempotencyKeys.place(firing.job)))) {
+                            && !keys.add(IdempotencyKeys.recordKey(firing.job)))) {
                 continue;
             }
             if (firing.job != null) {
-                onceKeys.enter(transaction, firing.job, line.keyVersion, context.wallMs());
+                onceKeys.addSubmission(transaction, firing.job, line.keyVersion, context.wallMs());
                 bytes += RECORD_BYTES;
             }
             firings.add(firing);
@@ -192,7 +192,7 @@
                 return null;
             }
             return never == null
-                    ? new Firing(line, catchup, users.bound(job), null, null)
+                    ? new Firing(line, catchup, users.bindToKeySet(job), null, null)
                     : new Firing(line, catchup, null, null, "refused: " + never);
         } catch (MalformedMessageException m) {
             return new Firing(line, catchup, null, null, "refused: " + m.getMessage());
@@ -292,7 +292,7 @@
             boolean same = commit.failedKeys().contains(JobRecord.openKey(firing.job.id()))
                     || commit.failedKeys().contains(JobRecord.endedKey(firing.job.id()));
             boolean key = firing.job.idempotencyKey() != null
-                    && commit.failedKeys().contains(IdempotencyKeys.place(firing.job));
+                    && commit.failedKeys().contains(IdempotencyKeys.recordKey(firing.job));
             if (same || key) {
                 found = true;
                 settle(firing, same ? firing.job.id() : null);
@@ -311,7 +311,7 @@
         lines.due().remove(line); // until that is known
         long expectedEpoch = lines.epoch();
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(IdempotencyKeys.place(firing.job), read -> {
+        store.get(IdempotencyKeys.recordKey(firing.job), read -> {
             if (expectedEpoch != lines.epoch()) {
                 return;
             }
@@ -319,7 +319,7 @@
             if (read.answered()) {
                 line.taken = read.item() == null
                         ? null
-                        : IdempotencyKeys.owner(read.item().value(), context.wallMs());
+                        : IdempotencyKeys.unexpiredJobId(read.item().value(), context.wallMs());
                 line.keyVersion =
                         read.item() == null ? Revision.ABSENT : read.item().version();
             }
--- a/src/main/java/org/beechhoist/controller/DrainModule.java
+++ b/src/main/java/org/beechhoist/controller/DrainModule.java
@@ -14,15 +14,15 @@
     /** @param activeLeader this node's leader while it is active, otherwise empty */
     DrainModule(StateServiceAccess access, MachineTypeCatalog machineTypes, Supplier<Optional<Leader>> activeLeader) {
         this.activeLeader = activeLeader;
-        this.registry = new DrainRegistry(access.context(), access.store(), access.requests(), () -> activeLeader
+        this.registry = new DrainRegistry(access.context(), access.store(), access.requestTokens(), () -> activeLeader
                 .get()
                 .ifPresent(leader -> leader.clusterState().requestReplan()));
         this.api = new DrainApi(
                 access.context(),
                 access.settings(),
                 access.store(),
-                access.requests(),
-                access.writes(),
+                access.requestTokens(),
+                access.writeTokens(),
                 machineTypes,
                 registry);
     }
@@ -39,7 +39,8 @@
 
     @Override
     public void handle(ApiRequest request, ApiResponder responder) {
-        DrainController controller = activeLeader.get().map(Leader::drains).orElse(null);
+        DrainController controller =
+                activeLeader.get().map(Leader::drainController).orElse(null);
         api.handle(request.method(), request.path(), request.body(), controller, responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -26,7 +26,7 @@
     }
 
     /** The key's place in the state service, or null for a job without one. */
-    static String place(JobSpec spec) {
+    static String recordKey(JobSpec spec) {
         return spec.idempotencyKey() == null
                 ? null
                 : "once/"
@@ -36,7 +36,7 @@
     }
 
     /** Adds what makes a job enter: its record, guarded against one of its name, and its key where it has one. */
-    void enter(Transaction transaction, JobSpec spec, Revision keyVersion, long wallMs) {
+    void addSubmission(Transaction transaction, JobSpec spec, Revision keyVersion, long wallMs) {
         String key = JobRecord.openKey(spec.id());
         transaction
                 .guard(key, Revision.ABSENT)
@@ -52,16 +52,16 @@
                     .put("ref", spec.id().text())
                     .put("key", spec.idempotencyKey())
                     .put("until", wallMs + policy.keepMs(spec.jobClass()));
-            transaction.guard(place(spec), keyVersion).put(place(spec), value);
+            transaction.guard(recordKey(spec), keyVersion).put(recordKey(spec), value);
         }
     }
 
-    static int puts(JobSpec spec) {
+    static int putCount(JobSpec spec) {
         return spec.idempotencyKey() == null ? 1 : 2;
     }
 
     /** Whose work the key is, or null where that is long enough ago. */
-    static JobId owner(JsonNode value, long wallMs) {
+    static JobId unexpiredJobId(JsonNode value, long wallMs) {
         String ref = value.path("ref").asText();
         return value.path("until").asLong() > wallMs && JobId.isValid(ref) ? new JobId(ref) : null;
     }
--- a/src/main/java/org/beechhoist/controller/JobReader.java
+++ b/src/main/java/org/beechhoist/controller/JobReader.java
@@ -38,7 +38,7 @@
     }
 
     /** Whether this node reaches neither the state service nor another node: it then sends no requests. */
-    boolean isCutOff() {
+    boolean isIsolated() {
         return cutOff.getAsBoolean();
     }
 
--- a/src/main/java/org/beechhoist/controller/JobStatusDetails.java
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -32,11 +32,11 @@
         Leader leader = activeLeader.get().orElse(null);
         Job job = leader == null ? null : leader.clusterState().job(jobId);
         if (job == null) {
-            OperatorViews.counted(progress.latestCount(jobId, context.now()), state);
+            OperatorViews.addProgress(progress.latestCount(jobId, context.now()), state);
             return;
         }
-        OperatorViews.counted(JobProgress.count(job), state);
-        OperatorViews.promised(leader, jobId, state, context.now().ms());
+        OperatorViews.addProgress(JobProgress.count(job), state);
+        OperatorViews.addPlannedTimes(leader, jobId, state, context.now().ms());
         if (features.drains().isPresent()) {
             state.put("drained", DrainViews.describeDrainedTasks(job, leader.clusterState()));
         }
--- a/src/main/java/org/beechhoist/controller/KeySetModule.java
+++ b/src/main/java/org/beechhoist/controller/KeySetModule.java
@@ -17,12 +17,17 @@
         this.registry = new KeySetRegistry(
                 access.context(),
                 access.store(),
-                access.requests(),
-                access.writes(),
+                access.requestTokens(),
+                access.writeTokens(),
                 access.settings().node(),
                 () -> activeLeader.get().ifPresent(Leader::keySetsChanged));
         this.api = new KeySetApi(
-                access.context(), access.settings(), access.store(), access.requests(), access.writes(), registry);
+                access.context(),
+                access.settings(),
+                access.store(),
+                access.requestTokens(),
+                access.writeTokens(),
+                registry);
     }
 
     /** Which keys jobs are bound to. */
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -54,32 +54,32 @@
     // ---- the term ----
 
     /** Begins a term: this node has won the election. */
-    void begin() {
+    void startTerm() {
         workers.clusterState.reset();
         node.cancellations().reset();
         workers.coldStart.begin();
         scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
-        scheduling.releases.begin();
-        scheduling.migrations.startTerm();
-        features.drains.startTerm();
+        scheduling.releaseController.begin();
+        scheduling.migrationController.startTerm();
+        features.drainController.startTerm();
         workers.loader.reload();
         features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
         features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
-        features.schedules.ifPresent(CronController::begin);
+        features.cronController.ifPresent(CronController::begin);
     }
 
     /** Ends the term: this node has lost the leadership. */
-    void end() {
-        features.schedules.ifPresent(CronController::end);
+    void endTerm() {
+        features.cronController.ifPresent(CronController::end);
         workers.loader.stop();
         workers.clusterState.reset();
         scheduling.planner.endTerm();
     }
 
     /** Whether this node may command workers, and knows all open jobs. */
-    boolean active() {
+    boolean isActive() {
         return workers.loader.isActive();
     }
 
@@ -87,7 +87,7 @@
 
     /** Handles a worker's heartbeat and answers it. */
     void handleHeartbeat(long request, Heartbeat heartbeat) {
-        workers.heartbeats.handle(request, heartbeat);
+        workers.heartbeatHandler.handle(request, heartbeat);
     }
 
     /** A job's cancellation is committed, as another node says or this one is about to confirm to its user. */
@@ -103,7 +103,7 @@
      */
     boolean noTaskCanStart(JobId jobId) {
         Job job = workers.clusterState.job(jobId);
-        return active()
+        return isActive()
                 && (job == null
                         || job.record.live.values().stream().allMatch(p -> !p.launchSent || p.runningSince != null));
     }
@@ -115,19 +115,19 @@
 
     /** A release has changed. */
     void releaseChanged(Release before, Release now) {
-        scheduling.releases.changed(before, now);
+        scheduling.releaseController.changed(before, now);
     }
 
     // ---- what the APIs and views read ----
 
     /** The release controller, which knows the forecast of each release. */
-    ReleaseController releases() {
-        return scheduling.releases;
+    ReleaseController releaseController() {
+        return scheduling.releaseController;
     }
 
     /** The drain controller. */
-    DrainController drains() {
-        return features.drains;
+    DrainController drainController() {
+        return features.drainController;
     }
 
     /** The open jobs and the machines. */
@@ -151,7 +151,7 @@
     }
 
     /** The beginning of the term. */
-    ColdStartRecovery coldStart() {
+    ColdStartRecovery coldStartRecovery() {
         return workers.coldStart;
     }
 
@@ -166,13 +166,13 @@
     }
 
     /** The jobs whose width changes while they run. */
-    ElasticWidths elastic() {
-        return workers.elastic;
+    ElasticWidths elasticWidths() {
+        return workers.elasticWidths;
     }
 
     /** The cron controller; empty where cron is off. */
-    Optional<CronController> schedules() {
-        return features.schedules;
+    Optional<CronController> cronController() {
+        return features.cronController;
     }
 
     // ---- time ----
@@ -183,7 +183,7 @@
             return;
         }
         workers.cancellationEnforcer.enforceAll();
-        if (!active()) {
+        if (!isActive()) {
             workers.provisioner.sendReleasesWithTasks();
             return;
         }
@@ -211,7 +211,7 @@
     private void runTaskComponents() {
         workers.keySetHolds.tick();
         scheduling.preemptionNotices.evictUnfinishableTasks();
-        workers.elastic.reconcileAllWidths();
+        workers.elasticWidths.reconcileAllWidths();
         features.loadShedding.ifPresent(LoadShedding::updateShedJobs);
         workers.clusterState.requestReplan();
         workers.provisioner.updateMachines(scheduling.planner.currentPlan());
@@ -219,16 +219,16 @@
     }
 
     private void runLongTermComponents() {
-        scheduling.releases.tick(scheduling.planner);
-        scheduling.migrations.updateMigrations(scheduling.planner.currentPlan());
-        features.drains.updateDrains(scheduling.planner);
+        scheduling.releaseController.tick(scheduling.planner);
+        scheduling.migrationController.updateMigrations(scheduling.planner.currentPlan());
+        features.drainController.updateDrains(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
         features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
-        features.schedules.ifPresent(CronController::tick);
+        features.cronController.ifPresent(CronController::tick);
     }
 
     /** Plans if a plan is due, commits what the input changed, and continues the plan's search. */
-    void settleInput() {
+    void completeInput() {
         if (mayPlan() && scheduling.planner.isPlanDue()) {
             plan();
         }
@@ -240,10 +240,10 @@
 
     private void plan() {
         workers.keySetHolds.look();
-        scheduling.releases.look();
+        scheduling.releaseController.look();
         Plan plan = scheduling.planner.createPlan();
-        scheduling.migrations.startMovedTasks();
-        scheduling.dispatch.placeDueTasks(plan);
+        scheduling.migrationController.startMovedTasks();
+        scheduling.taskPlacer.placeDueTasks(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
         if (workers.coldStart.mayPreempt()) {
@@ -255,16 +255,16 @@
 
     /** Whether work may be placed: a task that begins while a cancellation may be unknown could not be kept. */
     private boolean mayPlan() {
-        return active() && node.cancellations().mayRenewLeases();
+        return isActive() && node.cancellations().mayRenewLeases();
     }
 
     /** Whether the planner waits for its next plan or step of the search. */
-    boolean wantsPlan() {
+    boolean hasPendingPlanning() {
         return scheduling.planner.hasPendingWork() && mayPlan();
     }
 
     /** When the next plan or step of the search is due. */
-    MonotonicTime nextPlan() {
+    MonotonicTime nextPlanningAt() {
         return scheduling.planner.nextWorkAt();
     }
 }
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -29,15 +29,15 @@
         features = new LeaderFeatures(workers, scheduling, policy, node, modules);
         reachabilityCheck = new LeaderReachabilityCheck(
                 services.context(), services.settings(), workers.clusterState, services.election(), node.peers());
-        stalledJobs =
-                new StalledJobReporter(services.context(), workers.clusterState, workers.elastic, scheduling.planner);
+        stalledJobs = new StalledJobReporter(
+                services.context(), workers.clusterState, workers.elasticWidths, scheduling.planner);
     }
 
     /** Passes a committed end of a job on to all that keep something of it. */
     private void jobEnded(Job job, JsonNode finalState) {
-        node.users().ended(job.id(), finalState);
+        node.userApi().recordEnded(job.id(), finalState);
         workers.lossRecovery.stopTrackingJob(job.id());
         features.serviceShare.ifPresent(share -> share.recordEnded(job));
-        scheduling.releases.ended(job);
+        scheduling.releaseController.ended(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/LeaderFeatures.java
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -17,10 +17,10 @@
  * <p>The fields are assigned in the order in which the components are constructed.
  */
 final class LeaderFeatures {
-    final Optional<CronController> schedules;
+    final Optional<CronController> cronController;
     final Optional<FleetSnapshots> fleetSnapshots;
     final Optional<MinimumServiceShare> serviceShare;
-    final DrainController drains;
+    final DrainController drainController;
     final Optional<LoadShedding> loadShedding;
 
     private final ControllerServices services;
@@ -38,10 +38,10 @@
         this.machineTypes = node.machineTypes();
         this.workers = workers;
         this.scheduling = scheduling;
-        schedules = policy.cron().on() ? Optional.of(createSchedules(node)) : Optional.empty();
+        cronController = policy.cron().on() ? Optional.of(createSchedules(node)) : Optional.empty();
         fleetSnapshots = policy.fleetNotes() ? Optional.of(createFleetSnapshots()) : Optional.empty();
         serviceShare = policy.servedFloor() ? Optional.of(createServiceShare()) : Optional.empty();
-        drains = createDrains(features.drainRegistryOrNull());
+        drainController = createDrains(features.drainRegistryOrNull());
         loadShedding = policy.triage() ? Optional.of(createLoadShedding()) : Optional.empty();
     }
 
@@ -55,7 +55,7 @@
                 services.writeTokens(),
                 workers.clusterState,
                 workers.loader,
-                node.users(),
+                node.userApi(),
                 node.idempotencyKeys());
     }
 
@@ -98,9 +98,9 @@
                 workers.eviction,
                 workers.dispatcher,
                 workers.provisioner,
-                workers.elastic,
-                scheduling.migrations,
-                workers.disruptions,
+                workers.elasticWidths,
+                scheduling.migrationController,
+                workers.disruptionAccounting,
                 createRollingReplacement(),
                 registry);
     }
--- a/src/main/java/org/beechhoist/controller/LeaderRequests.java
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -31,9 +31,9 @@
     }
 
     /** Answers an operators' view; the one of the term's beginning also before all open jobs are known. */
-    void view(long id, String path) {
+    void answerView(long id, String path) {
         boolean available =
-                path.equals(RequestRouter.START_VIEW) ? services.election().holdsLease() : leader.active();
+                path.equals(RequestRouter.COLD_START_VIEW) ? services.election().holdsLease() : leader.isActive();
         if (!available) {
             redirect(id);
             return;
@@ -45,17 +45,17 @@
         long nowMs = context.now().ms();
         return switch (path) {
             case RequestRouter.PLAN_VIEW -> OperatorViews.plan(leader, nowMs);
-            case RequestRouter.HOSTS_VIEW -> OperatorViews.hosts(leader, nowMs);
-            case RequestRouter.FALLS_VIEW -> leader.lossRecovery().view();
-            case RequestRouter.START_VIEW -> leader.coldStart().view();
-            case RequestRouter.SERVED_VIEW ->
+            case RequestRouter.MACHINES_VIEW -> OperatorViews.machines(leader, nowMs);
+            case RequestRouter.LOSS_RECOVERY_VIEW -> leader.lossRecovery().view();
+            case RequestRouter.COLD_START_VIEW -> leader.coldStartRecovery().view();
+            case RequestRouter.SERVICE_SHARE_VIEW ->
                 leader.serviceShare().map(MinimumServiceShare::view).orElseGet(Codec::map);
             default -> OperatorViews.teams(leader, services.settings());
         };
     }
 
     /** Handles a worker's heartbeat. It counts as one that reached this node, whether the node leads or not. */
-    void heartbeat(long id, byte[] body) {
+    void handleHeartbeat(long id, byte[] body) {
         Heartbeat heartbeat;
         try {
             heartbeat = Heartbeat.parse(Codec.decodeMap(body));
--- a/src/main/java/org/beechhoist/controller/NodeReadiness.java
+++ b/src/main/java/org/beechhoist/controller/NodeReadiness.java
@@ -31,12 +31,12 @@
 
     /** Whether the node has loaded what it needs to judge submissions. */
     boolean isLoaded() {
-        return machineTypes.isLoaded() && stateService.everServed();
+        return machineTypes.isLoaded() && stateService.hasEverServed();
     }
 
     /** For how long the state service has not served this node. */
-    long unservedMs() {
-        return stateService.unservedMs();
+    long msSinceServed() {
+        return stateService.msSinceServed();
     }
 
     /**
@@ -44,18 +44,19 @@
      * users go to those that are served; in an outage that all nodes share, leaving would help nobody and cost a growing pause.
      */
     boolean isReady() {
-        boolean refusedAlone = stateService.unservedMs() > STORE_SILENT_MS && peers.isAnotherNodeServing(context.now());
-        return isLoaded() && !refusedAlone && !isCutOff();
+        boolean refusedAlone =
+                stateService.msSinceServed() > STORE_SILENT_MS && peers.isAnotherNodeServing(context.now());
+        return isLoaded() && !refusedAlone && !isIsolated();
     }
 
     /**
      * Whether neither the state service nor any peer reaches this node any more. An outage is answered, by 503, and peers are heard
      * in it; a filter between nodes leaves the state service. Users are answered so at once, workers are sent on.
      */
-    boolean isCutOff() {
-        long quietMs = stateService.unansweredMs();
-        boolean silent =
-                quietMs > STORE_SILENT_MS || stateService.unansweredCalls() >= UNANSWERED_CALLS && quietMs > CUT_OFF_MS;
-        return stateService.everServed() && silent && peers.hasNoMessageWithin(context.now(), CUT_OFF_MS);
+    boolean isIsolated() {
+        long quietMs = stateService.msSinceAnswered();
+        boolean silent = quietMs > STORE_SILENT_MS
+                || stateService.consecutiveUnansweredCalls() >= UNANSWERED_CALLS && quietMs > CUT_OFF_MS;
+        return stateService.hasEverServed() && silent && peers.hasNoMessageWithin(context.now(), CUT_OFF_MS);
     }
 }
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -47,15 +47,15 @@
                 node.put("reason", job.record.failureReason);
             }
         }
-        leader.elastic().counts().forEach((name, count) -> out.withObject("/elastic")
+        leader.elasticWidths().counts().forEach((name, count) -> out.withObject("/elastic")
                 .put(name, count));
-        leader.schedules().ifPresent(schedules -> out.set("cron", schedules.counts()));
+        leader.cronController().ifPresent(schedules -> out.set("cron", schedules.counts()));
         return out.put("searchMoves", leader.planner().searchSteps())
                 .put("searchKept", leader.planner().searchMovesKept());
     }
 
     /** The machines with their states. */
-    static ObjectNode hosts(Leader leader, long nowMs) {
+    static ObjectNode machines(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
         for (Machine machine : leader.clusterState().machines()) {
@@ -111,7 +111,7 @@
     }
 
     /** Counts newer than the record's; a job that is over, or cancelled, stays what it is. */
-    static void counted(JobCount jobCount, ObjectNode state) {
+    static void addProgress(JobCount jobCount, ObjectNode state) {
         String status = state.path("status").asText();
         if (jobCount == null || !(status.equals("queued") || status.equals("running"))) {
             return;
@@ -122,7 +122,7 @@
     }
 
     /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
-    static void promised(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
+    static void addPlannedTimes(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().currentPlan();
         Job job = leader.clusterState().job(jobId);
         if (plan == null || job == null) {
--- a/src/main/java/org/beechhoist/controller/PeerExchange.java
+++ b/src/main/java/org/beechhoist/controller/PeerExchange.java
@@ -38,7 +38,7 @@
 
     /** Once a second: sends this node's state, and the counts of jobs that have changed if it leads. */
     void publishPeriodically() {
-        publisher.publish(leader.active() ? progress.countsToPublish(leader.clusterState()) : List.of());
+        publisher.publish(leader.isActive() ? progress.countsToPublish(leader.clusterState()) : List.of());
     }
 
     /** Takes up what another controller said of itself. */
@@ -74,7 +74,7 @@
         if (isNew) {
             leader.jobCancelled(jobId);
         }
-        if (leader.active()) {
+        if (leader.isActive()) {
             acknowledgements.register(jobId, committedWallMs);
         }
     }
--- a/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
+++ b/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
@@ -53,7 +53,7 @@
                         services.settings().node(),
                         services.election().holdsLease(),
                         services.election().fencingToken(),
-                        readiness.unservedMs(),
+                        readiness.msSinceServed(),
                         readiness.isLoaded(),
                         workerReachability.recentHeartbeats(services.context().now()),
                         limits.writeDemand(),
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -66,7 +66,7 @@
         this.ordering = workers.jobOrdering;
         this.admission = admission;
         this.provisioner = workers.provisioner;
-        this.elastic = workers.elastic;
+        this.elastic = workers.elasticWidths;
         this.coldStart = workers.coldStart;
         this.migrations = migrations;
         this.preemptionNotices = preemptionNotices;
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -63,7 +63,7 @@
         this.clusterState = workers.clusterState;
         this.estimates = workers.estimates;
         this.ordering = workers.jobOrdering;
-        this.elastic = workers.elastic;
+        this.elastic = workers.elasticWidths;
         this.builder = builder;
     }
 
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -169,7 +169,7 @@
         }
         ObjectNode out = Codec.map();
         if (leader != null && !orderAlone) {
-            out.set("releases", leader.releases().view(leader.planner()));
+            out.set("releases", leader.releaseController().view(leader.planner()));
             responder.respond(200, out);
             return;
         }
--- a/src/main/java/org/beechhoist/controller/ReleaseModule.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseModule.java
@@ -13,12 +13,17 @@
     /** @param activeLeader this node's leader while it is active, otherwise empty */
     ReleaseModule(StateServiceAccess access, Supplier<Optional<Leader>> activeLeader) {
         this.activeLeader = activeLeader;
-        this.registry =
-                new ReleaseRegistry(access.context(), access.store(), access.requests(), (before, now) -> activeLeader
+        this.registry = new ReleaseRegistry(
+                access.context(), access.store(), access.requestTokens(), (before, now) -> activeLeader
                         .get()
                         .ifPresent(leader -> leader.releaseChanged(before, now)));
         this.api = new ReleaseApi(
-                access.context(), access.settings(), access.store(), access.requests(), access.writes(), registry);
+                access.context(),
+                access.settings(),
+                access.store(),
+                access.requestTokens(),
+                access.writeTokens(),
+                registry);
     }
 
     /** The releases that are stored. */
--- a/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
+++ b/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
@@ -25,7 +25,7 @@
     private final PeerDirectory peers;
     private double writeDemand;
     private double requestDemand;
-    private boolean dividedAsLeader;
+    private boolean hasLeaderShare;
 
     RequestLimitDivider(StateServiceAccess access, PeerDirectory peers) {
         this.access = access;
@@ -34,34 +34,36 @@
 
     /** Sets the rates of this node's token buckets to its share. */
     void divide(boolean asLeader) {
-        dividedAsLeader = asLeader;
+        hasLeaderShare = asLeader;
         Settings.State limits = access.settings().stateLimits();
-        access.writes().setRate(shareOf(limits.writeRps(), writeDemand, PeerState::writeDemand), MIN_WRITE_BURST);
-        access.requests().setRate(shareOf(limits.rps(), requestDemand, PeerState::requestDemand), MIN_REQUEST_BURST);
+        access.writeTokens().setRate(shareOf(limits.writeRps(), writeDemand, PeerState::writeDemand), MIN_WRITE_BURST);
+        access.requestTokens()
+                .setRate(shareOf(limits.rps(), requestDemand, PeerState::requestDemand), MIN_REQUEST_BURST);
     }
 
     private double shareOf(double limit, double ownDemand, ToDoubleFunction<PeerState> peerDemand) {
         List<RequestShares.Demand> demands =
-                new ArrayList<>(List.of(new RequestShares.Demand(dividedAsLeader, ownDemand)));
+                new ArrayList<>(List.of(new RequestShares.Demand(hasLeaderShare, ownDemand)));
         demands.addAll(peers.peerDemands(access.context().now(), peerDemand));
         return RequestShares.rateOfFirstNode(SAFETY * limit, demands);
     }
 
     /** Once a second: takes up what was asked for since, and what waits to be written. */
     void updateDemand(int pendingWrites) {
-        writeDemand = Math.max(DEMAND_DECAY * writeDemand, access.writes().drainDemand() + pendingWrites);
-        requestDemand = Math.max(DEMAND_DECAY * requestDemand, access.requests().drainDemand());
+        writeDemand = Math.max(DEMAND_DECAY * writeDemand, access.writeTokens().drainDemand() + pendingWrites);
+        requestDemand =
+                Math.max(DEMAND_DECAY * requestDemand, access.requestTokens().drainDemand());
     }
 
     /** Whether the tokens for writes do not suffice for everybody. */
     boolean isShortOfWrites() {
-        return access.writes().available(access.context().now())
-                < SPARE * access.writes().capacity();
+        return access.writeTokens().available(access.context().now())
+                < SPARE * access.writeTokens().capacity();
     }
 
     /** Whether the last division gave this node a leader's share. */
-    boolean dividedAsLeader() {
-        return dividedAsLeader;
+    boolean hasLeaderShare() {
+        return hasLeaderShare;
     }
 
     /** What this node wants to write a second. */
--- a/src/main/java/org/beechhoist/controller/RequestRouter.java
+++ b/src/main/java/org/beechhoist/controller/RequestRouter.java
@@ -10,11 +10,11 @@
 /** Routes the requests on the public address by path and method. */
 final class RequestRouter {
     static final String PLAN_VIEW = "/v1/plan";
-    static final String HOSTS_VIEW = "/v1/hosts";
+    static final String MACHINES_VIEW = "/v1/hosts";
     static final String TEAMS_VIEW = "/v1/teams";
-    static final String FALLS_VIEW = "/v1/falls";
-    static final String START_VIEW = "/v1/start";
-    static final String SERVED_VIEW = "/v1/served";
+    static final String LOSS_RECOVERY_VIEW = "/v1/falls";
+    static final String COLD_START_VIEW = "/v1/start";
+    static final String SERVICE_SHARE_VIEW = "/v1/served";
 
     private static final String METRICS_VIEW = "/v1/metrics";
     private static final String READY = "/ready";
@@ -23,8 +23,15 @@
     private static final String JOB_PREFIX = JOBS + "/";
     private static final String CANCEL = "/cancel";
     private static final String WIDTH = "/width";
-    private static final Set<String> READ_PATHS =
-            Set.of(READY, PLAN_VIEW, HOSTS_VIEW, TEAMS_VIEW, FALLS_VIEW, START_VIEW, SERVED_VIEW, METRICS_VIEW);
+    private static final Set<String> READ_PATHS = Set.of(
+            READY,
+            PLAN_VIEW,
+            MACHINES_VIEW,
+            TEAMS_VIEW,
+            LOSS_RECOVERY_VIEW,
+            COLD_START_VIEW,
+            SERVICE_SHARE_VIEW,
+            METRICS_VIEW);
 
     private static final String GET = "GET";
     private static final String POST = "POST";
@@ -92,11 +99,11 @@
         long id = request.id();
         switch (request.path()) {
             case JOBS -> users.submit(id, request.body());
-            case HEARTBEAT -> leaderRequests.heartbeat(id, request.body());
+            case HEARTBEAT -> leaderRequests.handleHeartbeat(id, request.body());
             case READY -> context.respond(id, readiness.isReady() ? OK : UNAVAILABLE, null);
             case METRICS_VIEW -> context.respond(id, OK, metrics.toNode());
-            case PLAN_VIEW, HOSTS_VIEW, TEAMS_VIEW, FALLS_VIEW, START_VIEW, SERVED_VIEW ->
-                leaderRequests.view(id, request.path());
+            case PLAN_VIEW, MACHINES_VIEW, TEAMS_VIEW, LOSS_RECOVERY_VIEW, COLD_START_VIEW, SERVICE_SHARE_VIEW ->
+                leaderRequests.answerView(id, request.path());
             default -> job(id, request.path().substring(JOB_PREFIX.length()), request.body());
         }
     }
--- a/src/main/java/org/beechhoist/controller/ScheduleStorage.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleStorage.java
@@ -41,8 +41,8 @@
         this.context = access.context();
         this.settings = access.settings();
         this.store = access.store();
-        this.requests = access.requests();
-        this.writes = access.writes();
+        this.requests = access.requestTokens();
+        this.writes = access.writeTokens();
     }
 
     /** The body of an answer that reports an error. */
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -15,9 +15,9 @@
  */
 final class SchedulingComponents {
     final Admission admission;
-    final ReleaseController releases;
-    final TaskPlacer dispatch;
-    final MigrationController migrations;
+    final ReleaseController releaseController;
+    final TaskPlacer taskPlacer;
+    final MigrationController migrationController;
     final PreemptionNoticeHandler preemptionNotices;
     final Planner planner;
     final WidthReduction widthReduction;
@@ -43,11 +43,11 @@
         ControllerContext context = services.context();
         Settings settings = services.settings();
         admission = new Admission(context, settings, machineTypes, workers.clusterState, workers.faultTracker);
-        releases = createReleases();
-        workers.jobOrdering.setReleases(releases);
-        dispatch = new TaskPlacer(
-                context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
-        migrations = createMigrations();
+        releaseController = createReleases();
+        workers.jobOrdering.setReleases(releaseController);
+        taskPlacer = new TaskPlacer(
+                context, workers.clusterState, admission, workers.estimates, workers.elasticWidths, machineTypes);
+        migrationController = createMigrations();
         connectMigrations();
         preemptionNotices = new PreemptionNoticeHandler(
                 context, workers.clusterState, workers.estimates, workers.eviction, workers.dispatcher);
@@ -82,20 +82,21 @@
                 admission,
                 workers.eviction,
                 workers.dispatcher,
-                dispatch,
-                workers.disruptions,
+                taskPlacer,
+                workers.disruptionAccounting,
                 features::disruptionBudgets);
     }
 
     private void connectMigrations() {
-        workers.disruptions.setMigrationPending(migrations::isMigrating);
+        workers.disruptionAccounting.setMigrationPending(migrationController::isMigrating);
         workers.provisioner.setReservedForMigration(
-                machine -> !migrations.reservedOn(machine).isEmpty());
-        admission.setMigrations(migrations);
+                machine -> !migrationController.reservedOn(machine).isEmpty());
+        admission.setMigrations(migrationController);
     }
 
     private Planner createPlanner(SplittableRandom random) {
-        PlanBuilder builder = new PlanBuilder(workers, policy, machineTypes, admission, migrations, preemptionNotices);
+        PlanBuilder builder =
+                new PlanBuilder(workers, policy, machineTypes, admission, migrationController, preemptionNotices);
         return new Planner(workers, policy, random, builder);
     }
 
@@ -108,7 +109,7 @@
                 workers.jobOrdering,
                 admission,
                 workers.provisioner.scaleOutPolicy(),
-                workers.elastic);
+                workers.elasticWidths);
     }
 
     private Preemption createPreemption() {
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -44,12 +44,12 @@
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.pace = new Pacer(context, ConditionalStatusReads.gatherMs(settings));
+        this.pace = new Pacer(context, ConditionalStatusReads.batchIntervalMs(settings));
     }
 
     /** Hands over what the state service holds, or {@link Read#UNKNOWN}. */
     void read(JobId jobId, Consumer<ReadResult> then) {
-        if (ConditionalStatusReads.spare(requests, context.now()) && requests.tryTake(context.now(), 1)) {
+        if (ConditionalStatusReads.hasSpareRequests(requests, context.now()) && requests.tryTake(context.now(), 1)) {
             store.get(JobRecord.openKey(jobId), then);
         } else if (waiting.size() >= MOST_WAITING) {
             then.accept(ReadResult.UNKNOWN);
--- a/src/main/java/org/beechhoist/controller/StateServiceAccess.java
+++ b/src/main/java/org/beechhoist/controller/StateServiceAccess.java
@@ -8,8 +8,12 @@
 /**
  * What a component needs to read and write the state service, whether this node leads or not.
  *
- * @param requests tokens for requests to the state service
- * @param writes tokens for the changes that its transactions make
+ * @param requestTokens tokens for requests to the state service
+ * @param writeTokens tokens for the changes that its transactions make
  */
 record StateServiceAccess(
-        ControllerContext context, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {}
+        ControllerContext context,
+        Settings settings,
+        StoreClient store,
+        TokenBucket requestTokens,
+        TokenBucket writeTokens) {}
--- a/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
+++ b/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
@@ -10,10 +10,10 @@
     private static final int SERVER_ERROR = 500;
 
     private final ControllerContext context;
-    private boolean everServed;
+    private boolean hasEverServed;
     private MonotonicTime lastServed = MonotonicTime.ZERO;
     private MonotonicTime lastAnswered = MonotonicTime.ZERO;
-    private int unansweredCalls;
+    private int consecutiveUnansweredCalls;
 
     StateServiceMonitor(ControllerContext context) {
         this.context = context;
@@ -30,34 +30,34 @@
 
     private void record(CallResult result) {
         if (result.kind() != CallResult.Kind.ANSWERED) {
-            unansweredCalls++;
+            consecutiveUnansweredCalls++;
             return;
         }
-        unansweredCalls = 0;
+        consecutiveUnansweredCalls = 0;
         lastAnswered = context.now();
         if (result.status() < SERVER_ERROR) {
-            everServed = true;
+            hasEverServed = true;
             lastServed = context.now();
         }
     }
 
     /** Whether the state service has ever answered other than by a server error. */
-    boolean everServed() {
-        return everServed;
+    boolean hasEverServed() {
+        return hasEverServed;
     }
 
     /** For how long it has not answered other than by a server error. */
-    long unservedMs() {
+    long msSinceServed() {
         return context.now().since(lastServed);
     }
 
     /** For how long it has not answered at all. */
-    long unansweredMs() {
+    long msSinceAnswered() {
         return context.now().since(lastAnswered);
     }
 
     /** How many calls in a row had no answer of any kind. */
-    int unansweredCalls() {
-        return unansweredCalls;
+    int consecutiveUnansweredCalls() {
+        return consecutiveUnansweredCalls;
     }
 }
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -76,8 +76,8 @@
         this.settings = access.settings();
         this.policy = policy;
         this.store = access.store();
-        this.requests = access.requests();
-        this.writes = access.writes();
+        this.requests = access.requestTokens();
+        this.writes = access.writeTokens();
         this.rules = rules;
         this.reader = jobReads.reader();
         this.reads = jobReads.statusReads();
@@ -118,7 +118,7 @@
             context.respond(request, 200, JobResponses.endedStatus(spec.id(), finalState));
             return;
         }
-        if (reader.isCutOff()) {
+        if (reader.isIsolated()) {
             refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
             return;
         }
@@ -181,16 +181,17 @@
             List<Submission> duplicates = new ArrayList<>();
             int puts = 0;
             Set<String> keys = new HashSet<>();
-            while (!queue.isEmpty() && (batch.isEmpty() || puts + IdempotencyKeys.puts(queue.get(0).spec) <= limit)) {
+            while (!queue.isEmpty()
+                    && (batch.isEmpty() || puts + IdempotencyKeys.putCount(queue.get(0).spec) <= limit)) {
                 Submission submission = queue.get(0);
-                if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.place(submission.spec))) {
+                if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.recordKey(submission.spec))) {
                     break; // the same work twice: the second is answered after the first
                 }
                 queue.remove(0);
                 boolean duplicate =
                         batch.stream().anyMatch(other -> other.spec.id().equals(submission.spec.id()));
                 (duplicate ? duplicates : batch).add(submission);
-                puts += IdempotencyKeys.puts(submission.spec);
+                puts += IdempotencyKeys.putCount(submission.spec);
             }
             writes.takeOrOverdraw(context.now(), puts);
             besideLeader.takeOrOverdraw(context.now(), puts);
@@ -202,7 +203,7 @@
     private void send(List<Submission> batch) {
         Transaction transaction = new Transaction();
         for (Submission submission : batch) {
-            idempotencyKeys.enter(transaction, submission.spec, submission.replacedKey, context.wallMs());
+            idempotencyKeys.addSubmission(transaction, submission.spec, submission.replacedKey, context.wallMs());
         }
         commits++;
         store.commit(transaction, commit -> {
@@ -230,7 +231,7 @@
         if (commit.failedKeys().contains(JobRecord.openKey(spec.id()))
                 || commit.failedKeys().contains(JobRecord.endedKey(spec.id()))) {
             answerKnown(submission.request, spec.id());
-        } else if (spec.idempotencyKey() != null && commit.failedKeys().contains(IdempotencyKeys.place(spec))) {
+        } else if (spec.idempotencyKey() != null && commit.failedKeys().contains(IdempotencyKeys.recordKey(spec))) {
             answerFirstSubmission(submission);
         } else if (spec.keySetBinding() != null
                 && commit.failedKeys()
@@ -247,10 +248,10 @@
     /** The idempotency key is taken: answers with the first submission's job, unless that is longer ago than its class allows. */
     private void answerFirstSubmission(Submission submission) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(IdempotencyKeys.place(submission.spec), read -> {
+        store.get(IdempotencyKeys.recordKey(submission.spec), read -> {
             JobId owner = read.item() == null
                     ? null
-                    : IdempotencyKeys.owner(read.item().value(), context.wallMs());
+                    : IdempotencyKeys.unexpiredJobId(read.item().value(), context.wallMs());
             if (!read.answered()) {
                 refusal.refuse(submission.request, UserApi.STORE_UNAVAILABLE);
             } else if (owner != null) {
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -93,7 +93,7 @@
     }
 
     /** Records the final state of a job. */
-    void ended(JobId jobId, JsonNode state) {
+    void recordEnded(JobId jobId, JsonNode state) {
         reads.forget(jobId);
         reader.cacheEnded(jobId, state);
     }
@@ -114,7 +114,7 @@
     }
 
     /** A job that was not refused, bound to its key set if it needs one. */
-    JobSpec bound(JobSpec spec) {
+    JobSpec bindToKeySet(JobSpec spec) {
         return rules.bindToKeySet(spec);
     }
 
@@ -133,17 +133,17 @@
             reader.read(jobId, true, found -> answerStatus(request, jobId, found));
             return;
         }
-        if (reader.isCutOff()) {
+        if (reader.isIsolated()) {
             refuse(request, STORE_UNAVAILABLE);
             return;
         }
         reads.poll(jobId, (result, state) -> {
             switch (result) {
-                case SAME -> {
+                case UNCHANGED -> {
                     statusDetails.accept(jobId, state);
                     context.respond(request, 200, state);
                 }
-                case READ -> openReads.read(jobId, open -> answerPoll(request, jobId, open));
+                case MUST_READ -> openReads.read(jobId, open -> answerPoll(request, jobId, open));
                 default -> refuse(request, STORE_UNAVAILABLE);
             }
         });
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -43,7 +43,7 @@
     final ColdStartRecovery coldStart;
     final MachineLossTracker lossRecovery;
     final CommandDispatcher dispatcher;
-    final DisruptionAccounting disruptions;
+    final DisruptionAccounting disruptionAccounting;
     final TaskEviction eviction;
     final TaskRemoval taskRemoval;
     final KeySetHolds keySetHolds;
@@ -51,9 +51,9 @@
     final FaultTracker faultTracker;
     final JobOrdering jobOrdering;
     final Provisioner provisioner;
-    final ElasticWidths elastic;
+    final ElasticWidths elasticWidths;
     final PlacementLauncher launcher;
-    final HeartbeatHandler heartbeats;
+    final HeartbeatHandler heartbeatHandler;
     final CancellationEnforcer cancellationEnforcer;
 
     private final Policy policy;
@@ -82,8 +82,8 @@
         coldStart = new ColdStartRecovery(context, settings, clusterState);
         lossRecovery = new MachineLossTracker(context, clusterState);
         dispatcher = new CommandDispatcher(services, state, coldStart, new CommandOutcomes());
-        disruptions = createDisruptions(features.drains().isPresent());
-        eviction = new TaskEviction(clusterState, dispatcher, disruptions);
+        disruptionAccounting = createDisruptions(features.drains().isPresent());
+        eviction = new TaskEviction(clusterState, dispatcher, disruptionAccounting);
         taskRemoval = new TaskRemoval(clusterState, eviction, lossRecovery);
         keySetHolds = new KeySetHolds(
                 context, settings, clusterState, dispatcher, taskRemoval, features.keySetRegistryOrNull());
@@ -91,9 +91,10 @@
         faultTracker = new FaultTracker(context, clusterState);
         jobOrdering = new JobOrdering(context, settings, policy, clusterState, estimates);
         provisioner = createProvisioner();
-        elastic = createElasticWidths();
-        launcher = new PlacementLauncher(clusterState, elastic, taskRemoval, lossRecovery, dispatcher);
-        heartbeats = new HeartbeatHandler(services, state, dispatcher, taskRemoval, faultTracker, provisioner, elastic);
+        elasticWidths = createElasticWidths();
+        launcher = new PlacementLauncher(clusterState, elasticWidths, taskRemoval, lossRecovery, dispatcher);
+        heartbeatHandler = new HeartbeatHandler(
+                services, state, dispatcher, taskRemoval, faultTracker, provisioner, elasticWidths);
         cancellationEnforcer = createCancellationEnforcer();
     }
 
@@ -138,7 +139,7 @@
                 taskRemoval,
                 lossRecovery,
                 coldStart,
-                restarts::workerRestarted);
+                restarts::handleRestart);
     }
 
     private ElasticWidths createElasticWidths() {
@@ -161,7 +162,7 @@
     private final class LoadedState implements StateLoader.Listener {
         @Override
         public void stateLoaded() {
-            heartbeats.reconcileAll();
+            heartbeatHandler.reconcileAll();
         }
 
         @Override
@@ -171,7 +172,7 @@
 
         @Override
         public void jobResized(Job job) {
-            elastic.reconcileWidth(job);
+            elasticWidths.reconcileWidth(job);
         }
     }
 
@@ -179,7 +180,7 @@
     private final class CommandOutcomes implements CommandDispatcher.Listener {
         @Override
         public void heartbeatReceived(Machine machine, Heartbeat heartbeat) {
-            heartbeats.reconcile(machine, heartbeat, false);
+            heartbeatHandler.reconcile(machine, heartbeat, false);
         }
 
         @Override
@@ -204,7 +205,7 @@
 
         @Override
         public void jobCommitted(Job job) {
-            elastic.reconcileWidth(job);
+            elasticWidths.reconcileWidth(job);
         }
 
         @Override
--- a/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
+++ b/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
@@ -37,7 +37,7 @@
     }
 
     /** Starts the machine's record afresh from the new worker's first heartbeat, and requests a newer fencing token. */
-    void workerRestarted(Machine machine, Heartbeat heartbeat) {
+    void handleRestart(Machine machine, Heartbeat heartbeat) {
         LOG.info(
                 "worker restarted: machine={} epoch={} sequence={}",
                 machine.id,
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -117,7 +117,8 @@
             metrics.count(route + " " + status);
             responder.answer(status, type, body, retry);
         });
-        core.request(loop.now(), System.currentTimeMillis(), id, message.method(), message.target(), message.body());
+        core.handleRequest(
+                loop.now(), System.currentTimeMillis(), id, message.method(), message.target(), message.body());
     }
 
     /** The request's kind, for the metrics: one name for all jobs. */
@@ -139,7 +140,8 @@
             return;
         }
         try {
-            core.peer(loop.now(), System.currentTimeMillis(), peerCodec().decode(message.body()));
+            core.handlePeerState(
+                    loop.now(), System.currentTimeMillis(), peerCodec().decode(message.body()));
             responder.answer(200, TEXT, EMPTY, 0);
         } catch (MalformedMessageException e) {
             responder.answer(400, TEXT, e.getMessage().getBytes(StandardCharsets.US_ASCII), 0);
@@ -161,7 +163,7 @@
     }
 
     private void carryOut() {
-        var effects = core.drain();
+        var effects = core.drainEffects();
         while (!effects.isEmpty()) {
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Respond decided) {
@@ -178,13 +180,13 @@
                     tell(tell.state());
                 }
             }
-            effects = core.drain();
+            effects = core.drainEffects();
         }
         plan();
     }
 
     private void plan() {
-        long at = core.wakeAt() == null ? Long.MAX_VALUE : core.wakeAt().ms();
+        long at = core.nextWakeAt() == null ? Long.MAX_VALUE : core.nextWakeAt().ms();
         if (wake == null || at != wakeAt) {
             if (wake != null) {
                 wake.cancel();
@@ -194,7 +196,7 @@
                     ? null
                     : loop.after(at - loop.now().ms(), () -> {
                         wake = null;
-                        core.time(loop.now(), System.currentTimeMillis());
+                        core.handleTimer(loop.now(), System.currentTimeMillis());
                     });
         }
     }
@@ -207,7 +209,10 @@
                     case HOST -> Addresses.parse(call.address());
                 };
         if (address == null || call.isExpired(loop.now())) {
-            loop.after(0, () -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), CallResult.NOT_SENT));
+            loop.after(
+                    0,
+                    () -> core.handleCallResult(
+                            loop.now(), System.currentTimeMillis(), call.id(), CallResult.NOT_SENT));
             return;
         }
         client.request(
@@ -217,7 +222,7 @@
                 call.body() == null ? null : Codec.encode(call.body()),
                 call.timeoutMs(),
                 call.until(),
-                o -> core.outcome(loop.now(), System.currentTimeMillis(), call.id(), read(o)));
+                o -> core.handleCallResult(loop.now(), System.currentTimeMillis(), call.id(), read(o)));
     }
 
     private static CallResult read(HttpClient.Outcome result) {
--- a/src/test/java/org/beechhoist/sim/SimulatedController.java
+++ b/src/test/java/org/beechhoist/sim/SimulatedController.java
@@ -131,7 +131,7 @@
     }
 
     void carryOut() {
-        carryOut(new ArrayDeque<>(core.drain()));
+        carryOut(new ArrayDeque<>(core.drainEffects()));
     }
 
     void carryOut(ArrayDeque<Effect> effects) {
@@ -189,7 +189,7 @@
         if (core == null) {
             return;
         }
-        MonotonicTime at = core.wakeAt();
+        MonotonicTime at = core.nextWakeAt();
         if (at != null) {
             long in = Math.max(0, at.ms() - clock().ms()) + 1;
             int then = life;
@@ -203,7 +203,7 @@
                                 wakeAt = Long.MAX_VALUE;
                             }
                             long from = System.nanoTime();
-                            core.time(clock(), wall());
+                            core.handleTimer(clock(), wall());
                             world.counted.coreNanos += System.nanoTime() - from;
                             carryOut();
                         });
@@ -215,7 +215,7 @@
 
     void outcome(long call, CallResult o) {
         long from = System.nanoTime();
-        core.outcome(clock(), wall(), call, o);
+        core.handleCallResult(clock(), wall(), call, o);
         world.counted.coreNanos += System.nanoTime() - from;
         carryOut();
     }
@@ -225,7 +225,7 @@
             long id = nextRequest++;
             open.put(id, then);
             long from = System.nanoTime();
-            core.request(clock(), wall(), id, method, path, body);
+            core.handleRequest(clock(), wall(), id, method, path, body);
             world.counted.coreNanos += System.nanoTime() - from;
             world.counted.checkinNanos += path.equals("/checkin") ? System.nanoTime() - from : 0;
             if (core != null) {
--- a/src/test/java/org/beechhoist/sim/World.java
+++ b/src/test/java/org/beechhoist/sim/World.java
@@ -545,7 +545,7 @@
                 later(1, () -> {
                     if (n.life == then && n.core != null) {
                         n.input(() -> {
-                            n.core.peer(n.clock(), n.wall(), s);
+                            n.core.handlePeerState(n.clock(), n.wall(), s);
                             n.carryOut();
                         });
                     }
