--- a/src/main/java/org/beechhoist/cli/CronCommands.java
+++ b/src/main/java/org/beechhoist/cli/CronCommands.java
@@ -18,8 +18,8 @@
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.CalendarFile;
 import org.beechhoist.cron.CronTable;
-import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 import picocli.CommandLine;
@@ -86,11 +86,11 @@
 
         private Map<String, Calendar> calendars;
 
-        private List<Entry> read(long since)
+        private List<Schedule> read(long since)
                 throws MalformedMessageException, IOException, CronTable.InvalidTableException {
             calendars = source.read();
-            List<Entry> all = CronTable.parse(base(file), Files.readString(file), since);
-            for (Entry entry : all) {
+            List<Schedule> all = CronTable.parse(base(file), Files.readString(file), since);
+            for (Schedule entry : all) {
                 if (source.dir != null && entry.calendar() != null && !calendars.containsKey(entry.calendar())) {
                     throw new MalformedMessageException("line " + entry.line() + ": calendar = " + entry.calendar()
                             + ": one of those in " + source.dir + " is expected");
@@ -101,7 +101,7 @@
     }
 
     private interface Look {
-        int at(List<Entry> lines) throws MalformedMessageException, IOException;
+        int at(List<Schedule> lines) throws MalformedMessageException, IOException;
     }
 
     private static int look(Table table, long since, Look look) {
@@ -159,7 +159,7 @@
             LocalDate last = until != null ? until : first.plusDays(7);
             return look(table, 0, lines -> {
                 List<Row> rows = new ArrayList<>();
-                for (Entry entry : lines) {
+                for (Schedule entry : lines) {
                     Calendar calendar = table.calendars.get(entry.calendar());
                     Instant begin = first.atStartOfDay(entry.zone()).toInstant();
                     for (Instant instant : Occurrences.between(
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -149,7 +149,7 @@
     private String cronHold(String table, String entry) {
         return activeLeader()
                 .flatMap(Leader::cronController)
-                .map(schedules -> schedules.held(table, entry))
+                .map(schedules -> schedules.holdReason(table, entry))
                 .orElse(null);
     }
 
--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -15,8 +15,8 @@
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
 import org.beechhoist.cron.CronTable;
-import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
@@ -31,12 +31,12 @@
 /** Installs, shows and removes cron tables and calendars; the same on every node. */
 public final class CronApi {
     /** Lines in one answer: each costs a read or two of its last run. */
-    private static final int ROWS = 25;
+    private static final int MAX_LINES_PER_RESPONSE = 25;
 
     /** What only the leader knows of a line: why it is held; null elsewhere. */
-    interface Held {
+    interface HoldReasons {
         /** Why a line is held, or null. */
-        String why(String table, String id);
+        String reason(String table, String id);
     }
 
     private final ControllerContext context;
@@ -44,7 +44,7 @@
     private final TokenBucket requests;
     private final ScheduleStorage storage;
     private final UserApi users;
-    private final Held held;
+    private final HoldReasons holdReasons;
 
     CronApi(
             ControllerContext context,
@@ -53,62 +53,63 @@
             TokenBucket requests,
             TokenBucket writes,
             UserApi users,
-            Held held) {
+            HoldReasons held) {
         this.context = context;
         this.store = store;
         this.requests = requests;
         this.storage = new ScheduleStorage(new StateServiceAccess(context, settings, store, requests, writes));
         this.users = users;
-        this.held = held;
+        this.holdReasons = held;
     }
 
     /** Installs a table, or answers why not. */
-    void install(String table, JsonNode body, ApiResponder responder) {
-        if (!Calendar.validName(table)) {
+    void installTable(String table, JsonNode body, ApiResponder responder) {
+        if (!Calendar.isValidName(table)) {
             responder.respond(
                     400,
-                    ScheduleStorage.error("table = " + table + ": letters, digits, - and _ are expected, at most 60"));
+                    ScheduleStorage.errorBody(
+                            "table = " + table + ": letters, digits, - and _ are expected, at most 60"));
             return;
         }
-        List<Entry> parsed;
+        List<Schedule> parsed;
         try {
             parsed = CronTable.parse(table, Codec.text(body, "text"), context.wallMs() / 1000);
         } catch (CronTable.InvalidTableException | MalformedMessageException e) {
-            responder.respond(400, ScheduleStorage.error(e.getMessage()));
+            responder.respond(400, ScheduleStorage.errorBody(e.getMessage()));
             return;
         }
         storage.readInstalled(responder, installed -> {
-            List<Entry> all = new ArrayList<>();
-            Map<String, Entry> before = new HashMap<>();
+            List<Schedule> all = new ArrayList<>();
+            Map<String, Schedule> before = new HashMap<>();
             if (installed.tables.containsKey(table)) {
-                installed.entries(table).forEach(e -> before.put(e.id(), e));
+                installed.schedules(table).forEach(e -> before.put(e.id(), e));
             }
-            for (Entry entry : parsed) {
-                String refusal = refusal(entry, installed);
+            for (Schedule entry : parsed) {
+                String refusal = refusalReason(entry, installed);
                 if (refusal != null) {
                     responder.respond(
                             refusalStatus(refusal, entry, installed),
-                            ScheduleStorage.error("line " + entry.line() + ": " + refusal));
+                            ScheduleStorage.errorBody("line " + entry.line() + ": " + refusal));
                     return;
                 }
                 // An unchanged line continues where it was: what is due at this very moment is not lost.
                 all.add(
                         before.containsKey(entry.id())
-                                ? entry.withSince(before.get(entry.id()).since())
+                                ? entry.withSince(before.get(entry.id()).sinceS())
                                 : entry);
             }
-            write(table, all, installed, responder);
+            writeTable(table, all, installed, responder);
         });
     }
 
-    private static int refusalStatus(String refusal, Entry entry, InstalledSchedules installed) {
+    private static int refusalStatus(String refusal, Schedule entry, InstalledSchedules installed) {
         if (refusal.equals(SubmissionRules.MACHINE_TYPES_UNKNOWN)) {
             return 503;
         }
         return entry.calendar() != null && !installed.calendars.containsKey(entry.calendar()) ? 400 : 422;
     }
 
-    private String refusal(Entry entry, InstalledSchedules installed) {
+    private String refusalReason(Schedule entry, InstalledSchedules installed) {
         if (entry.calendar() != null && !installed.calendars.containsKey(entry.calendar())) {
             return "calendar = " + entry.calendar() + ": an installed calendar is expected"
                     + (installed.calendars.isEmpty()
@@ -123,11 +124,11 @@
         }
     }
 
-    private void write(String table, List<Entry> all, InstalledSchedules installed, ApiResponder responder) {
+    private void writeTable(String table, List<Schedule> all, InstalledSchedules installed, ApiResponder responder) {
         StoreClient.KeyValue old = installed.tables.get(table);
         long gen = Math.max(
                 context.wallMs(), old == null ? 0 : old.value().path("gen").asLong() + 1);
-        List<ArrayNode> parts = ScheduleStorage.parts(all);
+        List<ArrayNode> parts = ScheduleStorage.splitIntoParts(all);
         ObjectNode meta = Codec.map()
                 .put("gen", gen)
                 .put("chunks", parts.size())
@@ -138,22 +139,22 @@
                 ScheduleStorage.respondUnavailable(responder);
                 return;
             }
-            String key = ScheduleKeys.TABLES + table;
+            String key = ScheduleKeys.TABLES_PREFIX + table;
             Transaction transaction = new Transaction()
                     .guard(key, old == null ? Revision.ABSENT : old.version())
                     .put(key, meta);
-            storage.send(transaction, commit -> {
+            storage.commit(transaction, commit -> {
                 switch (commit.outcome()) {
                     case COMMITTED -> {
                         responder.respond(
                                 old == null ? 201 : 200,
                                 Codec.map().put("table", table).put("lines", all.size()));
-                        storage.removeKeys(installed.stale(table, old));
+                        storage.deleteKeys(installed.partKeysOf(table, old));
                     }
                     case CONFLICT ->
                         responder.respond(
                                 409,
-                                ScheduleStorage.error(
+                                ScheduleStorage.errorBody(
                                         "table " + table + ": another version was installed at this moment"));
                     default -> ScheduleStorage.respondUnavailable(responder);
                 }
@@ -162,26 +163,26 @@
     }
 
     /** Removes a table. */
-    void remove(String table, ApiResponder responder) {
+    void removeTable(String table, ApiResponder responder) {
         storage.readInstalled(responder, installed -> {
             StoreClient.KeyValue old = installed.tables.get(table);
             if (old == null) {
-                responder.respond(404, ScheduleStorage.error("no such table"));
+                responder.respond(404, ScheduleStorage.errorBody("no such table"));
                 return;
             }
-            storage.send(new Transaction().guard(old.key(), old.version()).delete(old.key()), commit -> {
+            storage.commit(new Transaction().guard(old.key(), old.version()).delete(old.key()), commit -> {
                 switch (commit.outcome()) {
                     case COMMITTED -> {
                         responder.respond(200, Codec.map().put("table", table).put("lines", 0));
-                        List<String> keys = new ArrayList<>(installed.stale(table, old));
+                        List<String> keys = new ArrayList<>(installed.partKeysOf(table, old));
                         for (int n = 0; n < old.value().path("chunks").asInt(); n++) {
-                            keys.add(ScheduleKeys.cursor(table, n));
+                            keys.add(ScheduleKeys.cursorKey(table, n));
                         }
-                        storage.removeKeys(keys);
+                        storage.deleteKeys(keys);
                     }
                     case CONFLICT ->
                         responder.respond(
-                                409, ScheduleStorage.error("table " + table + ": it was changed at this moment"));
+                                409, ScheduleStorage.errorBody("table " + table + ": it was changed at this moment"));
                     default -> ScheduleStorage.respondUnavailable(responder);
                 }
             });
@@ -189,7 +190,7 @@
     }
 
     /** Answers with the names of the tables and calendars. */
-    void list(ApiResponder responder) {
+    void listInstalled(ApiResponder responder) {
         storage.readInstalled(responder, installed -> {
             ObjectNode out = Codec.map();
             ArrayNode tables = out.putArray("tables");
@@ -213,13 +214,13 @@
     }
 
     /** A table's lines after one: last run, next run, why it is held. */
-    void show(String table, int after, ApiResponder responder) {
+    void showTable(String table, int after, ApiResponder responder) {
         storage.readInstalled(responder, installed -> {
             if (!installed.tables.containsKey(table)) {
-                responder.respond(404, ScheduleStorage.error("no such table"));
+                responder.respond(404, ScheduleStorage.errorBody("no such table"));
                 return;
             }
-            storage.readAll(ScheduleKeys.CURSORS + table + "/", null, new ArrayList<>(), cursors -> {
+            storage.readAll(ScheduleKeys.CURSORS_PREFIX + table + "/", null, new ArrayList<>(), cursors -> {
                 if (cursors == null) {
                     ScheduleStorage.respondUnavailable(responder);
                     return;
@@ -231,21 +232,22 @@
                                 entry.getKey(),
                                 entry.getValue(),
                                 (a, b) -> a.path(0).asLong() >= b.path(0).asLong() ? a : b)));
-                List<Entry> lines = installed.entries(table);
+                List<Schedule> lines = installed.schedules(table);
                 lines.removeIf(e -> e.line() <= after);
-                lines.sort(Comparator.comparingInt(Entry::line));
-                ObjectNode out = Codec.map().put("table", table).put("more", lines.size() > ROWS);
+                lines.sort(Comparator.comparingInt(Schedule::line));
+                ObjectNode out = Codec.map().put("table", table).put("more", lines.size() > MAX_LINES_PER_RESPONSE);
                 ArrayNode rows = out.putArray("lines");
-                rows(lines.subList(0, Math.min(ROWS, lines.size())), installed, byId, rows);
-                outcomes(rows, 0, () -> responder.respond(200, out));
+                addRows(lines.subList(0, Math.min(MAX_LINES_PER_RESPONSE, lines.size())), installed, byId, rows);
+                addOutcomes(rows, 0, () -> responder.respond(200, out));
             });
         });
     }
 
-    private void rows(List<Entry> lines, InstalledSchedules installed, Map<String, JsonNode> cursors, ArrayNode rows) {
-        for (Entry entry : lines) {
+    private void addRows(
+            List<Schedule> lines, InstalledSchedules installed, Map<String, JsonNode> cursors, ArrayNode rows) {
+        for (Schedule entry : lines) {
             JsonNode cursor = cursors.getOrDefault(entry.id(), Codec.list());
-            long at = Math.max(entry.since(), cursor.path(0).asLong());
+            long at = Math.max(entry.sinceS(), cursor.path(0).asLong());
             Calendar calendar = installed.calendars.get(entry.calendar());
             Instant next = entry.calendar() != null && calendar == null
                     ? null
@@ -271,7 +273,7 @@
             }
             String why = entry.calendar() != null && calendar == null
                     ? "its calendar " + entry.calendar() + " is gone"
-                    : held.why(entry.table(), entry.id());
+                    : holdReasons.reason(entry.table(), entry.id());
             if (why != null) {
                 row.put("held", why);
             }
@@ -279,7 +281,7 @@
     }
 
     /** How the lines' last runs stand, one after the other. */
-    private void outcomes(ArrayNode rows, int from, Runnable then) {
+    private void addOutcomes(ArrayNode rows, int from, Runnable then) {
         int index = from;
         while (index < rows.size() && !rows.get(index).has("last")) {
             index++;
@@ -297,7 +299,7 @@
                             .put("reason", state.get("reason").asText());
                 }
             }
-            outcomes(rows, row + 1, then);
+            addOutcomes(rows, row + 1, then);
         });
     }
 
@@ -307,18 +309,18 @@
         try {
             calendar = Calendar.parse(body, name);
         } catch (MalformedMessageException e) {
-            responder.respond(400, ScheduleStorage.error(e.getMessage()));
+            responder.respond(400, ScheduleStorage.errorBody(e.getMessage()));
             return;
         }
         ObjectNode value = calendar.toNode();
-        if (Codec.jsonBytes(value) > ScheduleStorage.PART_BYTES) {
+        if (Codec.jsonBytes(value) > ScheduleStorage.MAX_PART_BYTES) {
             responder.respond(
                     400,
-                    ScheduleStorage.error("holidays: " + Codec.jsonBytes(value) + " bytes in all, at most "
-                            + ScheduleStorage.PART_BYTES + " are allowed"));
+                    ScheduleStorage.errorBody("holidays: " + Codec.jsonBytes(value) + " bytes in all, at most "
+                            + ScheduleStorage.MAX_PART_BYTES + " are allowed"));
             return;
         }
-        storage.send(new Transaction().put(ScheduleKeys.CALENDARS + name, value), commit -> {
+        storage.commit(new Transaction().put(ScheduleKeys.CALENDARS_PREFIX + name, value), commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 responder.respond(200, Codec.map().put("calendar", name).put("version", calendar.version()));
             } else {
@@ -328,13 +330,13 @@
     }
 
     /** Answers with an installed calendar. */
-    void calendar(String name, ApiResponder responder) {
+    void showCalendar(String name, ApiResponder responder) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(ScheduleKeys.CALENDARS + name, read -> {
+        store.get(ScheduleKeys.CALENDARS_PREFIX + name, read -> {
             if (!read.answered()) {
                 ScheduleStorage.respondUnavailable(responder);
             } else if (read.item() == null) {
-                responder.respond(404, ScheduleStorage.error("no such calendar"));
+                responder.respond(404, ScheduleStorage.errorBody("no such calendar"));
             } else {
                 responder.respond(200, read.item().value());
             }
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -11,14 +11,14 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.config.Settings;
-import org.beechhoist.controller.ScheduleRegistry.Line;
-import org.beechhoist.controller.ScheduleRegistry.Shard;
+import org.beechhoist.controller.ScheduleRegistry.ScheduleState;
+import org.beechhoist.controller.ScheduleRegistry.TablePart;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.LeaderElection;
 import org.beechhoist.controller.state.ClusterState;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.StateLoader;
-import org.beechhoist.cron.Catchup;
+import org.beechhoist.cron.CatchUpDecision;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.StoreClient;
@@ -41,12 +41,12 @@
 final class CronController {
     private static final Logger LOG = LoggerFactory.getLogger(CronController.class);
     /** Writes left to launches and users while many lines are due. */
-    private static final double KEPT_WRITES = 8;
+    private static final double RESERVED_WRITES = 8;
     /** A line that is due for so long is logged, again and again. */
-    private static final long LATE_MS = 60_000;
+    private static final long OVERDUE_LOG_INTERVAL_MS = 60_000;
 
-    private static final int MAX_BYTES = 45_000;
-    private static final int RECORD_BYTES = 1500;
+    private static final int MAX_TRANSACTION_BYTES = 45_000;
+    private static final int ESTIMATED_JOB_RECORD_BYTES = 1500;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -58,9 +58,9 @@
     private final StateLoader loader;
     private final UserApi users;
     private final IdempotencyKeys onceKeys;
-    private final ScheduleRegistry lines;
-    private long fired;
-    private long refused;
+    private final ScheduleRegistry registry;
+    private long firedCount;
+    private long skippedCount;
     private long longestDelayMs;
 
     CronController(
@@ -77,7 +77,7 @@
         this.context = context;
         this.settings = settings;
         this.store = store;
-        this.lines = new ScheduleRegistry(context, store, requests);
+        this.registry = new ScheduleRegistry(context, store, requests);
         this.election = election;
         this.requests = requests;
         this.writes = writes;
@@ -87,57 +87,60 @@
         this.onceKeys = onceKeys;
     }
 
-    void begin() {
-        lines.begin();
+    void startTerm() {
+        registry.startTerm();
     }
 
-    void end() {
-        lines.end();
+    void endTerm() {
+        registry.endTerm();
     }
 
     // ---- firing ----
 
-    void tick() {
-        if (!lines.loaded() || !loader.isActive()) {
+    void fireDueSchedules() {
+        if (!registry.isLoaded() || !loader.isActive()) {
             return;
         }
-        Instant now = lines.wall();
-        Set<Shard> touched = new LinkedHashSet<>();
-        lines.dueAt(now).forEach(l -> touched.add(l.shard));
-        for (Shard shard : touched) {
-            if (!shard.inFlight) {
-                fire(shard, now);
+        Instant now = registry.wallTime();
+        Set<TablePart> touched = new LinkedHashSet<>();
+        registry.updateDueSchedules(now).forEach(l -> touched.add(l.part));
+        for (TablePart shard : touched) {
+            if (!shard.commitInFlight) {
+                fireDueInPart(shard, now);
             }
         }
-        logLate();
+        logOverdueSchedules();
     }
 
     /** One occurrence that a transaction decides. {@code same}: another's submission is its work already. */
-    private record Firing(Line line, Catchup catchup, JobSpec job, JobId same, String outcome) {
-        JobId ref() {
-            return same != null ? same : job == null ? null : job.id();
+    private record Firing(
+            ScheduleState scheduleState, CatchUpDecision catchup, JobSpec job, JobId existingJobId, String skipReason) {
+        JobId jobId() {
+            return existingJobId != null ? existingJobId : job == null ? null : job.id();
         }
     }
 
-    private void fire(Shard shard, Instant now) {
-        double budget = writes.available(context.now()) - KEPT_WRITES;
+    private void fireDueInPart(TablePart shard, Instant now) {
+        double budget = writes.available(context.now()) - RESERVED_WRITES;
         int most = (int) Math.min(settings.stateLimits().txnOps(), Math.floor(budget));
         Transaction transaction = election.guardedTransaction()
-                .guard(ScheduleKeys.TABLES + shard.table, lines.version(shard.table))
-                .guard(shard.key, shard.version);
+                .guard(ScheduleKeys.TABLES_PREFIX + shard.table, registry.tableVersion(shard.table))
+                .guard(shard.cursorKey, shard.cursorVersion);
         List<Firing> firings = new ArrayList<>();
         Set<String> keys = new LinkedHashSet<>();
         int bytes = 0;
-        for (Line line : lines.due()) {
-            if (line.shard != shard) {
+        for (ScheduleState line : registry.dueSchedules()) {
+            if (line.part != shard) {
                 continue;
             }
-            if (most < 3 || transaction.operationCount() + 3 > most || bytes + RECORD_BYTES > MAX_BYTES) {
-                line.held = "the state service's writes are used up";
+            if (most < 3
+                    || transaction.operationCount() + 3 > most
+                    || bytes + ESTIMATED_JOB_RECORD_BYTES > MAX_TRANSACTION_BYTES) {
+                line.holdReason = "the state service's writes are used up";
                 writes.recordMissed(3);
                 continue;
             }
-            Firing firing = decide(line, now);
+            Firing firing = decideOccurrence(line, now);
             if (firing == null
                     || (firing.job != null
                             && firing.job.idempotencyKey() != null
@@ -145,50 +148,51 @@
                 continue;
             }
             if (firing.job != null) {
-                onceKeys.addSubmission(transaction, firing.job, line.keyVersion, context.wallMs());
-                bytes += RECORD_BYTES;
+                onceKeys.addSubmission(transaction, firing.job, line.idempotencyKeyVersion, context.wallMs());
+                bytes += ESTIMATED_JOB_RECORD_BYTES;
             }
             firings.add(firing);
         }
         if (!firings.isEmpty()) {
-            commit(shard, transaction, firings);
+            commitFirings(shard, transaction, firings);
         }
     }
 
     /** What becomes of a line's first occurrence; null where it has to wait, which {@code held} explains. */
-    private Firing decide(Line line, Instant now) {
-        Catchup catchup = Catchup.next(line.entry, lines.calendar(line), line.next, lines.servedSince(), now);
+    private Firing decideOccurrence(ScheduleState line, Instant now) {
+        CatchUpDecision catchup = CatchUpDecision.decide(
+                line.schedule, registry.calendarOf(line), line.nextOccurrence, registry.firstLoadedAt(), now);
         if (catchup.run() == null) {
             return new Firing(line, catchup, null, null, "missed");
         }
-        if (line.taken != null) {
-            return new Firing(line, catchup, null, line.taken, null);
+        if (line.existingJobId != null) {
+            return new Firing(line, catchup, null, line.existingJobId, null);
         }
-        Job last = line.last == null ? null : clusterState.job(line.last);
+        Job last = line.lastJobId == null ? null : clusterState.job(line.lastJobId);
         if (last != null && !last.isCancelled()) {
-            switch (line.entry.overlap()) {
+            switch (line.schedule.overlap()) {
                 case SKIP -> {
-                    return new Firing(line, catchup, null, null, "skipped: " + line.last + " is not over");
+                    return new Firing(line, catchup, null, null, "skipped: " + line.lastJobId + " is not over");
                 }
                 case QUEUE -> {
-                    line.held = "it waits for " + line.last;
+                    line.holdReason = "it waits for " + line.lastJobId;
                     return null;
                 }
                 default -> {
-                    line.held = "it replaces " + line.last;
-                    if (!line.replacing) {
-                        line.replacing = true;
-                        users.cancelReplaced(line.last, gone -> line.replacing = false);
+                    line.holdReason = "it replaces " + line.lastJobId;
+                    if (!line.cancellingPrevious) {
+                        line.cancellingPrevious = true;
+                        users.cancelReplaced(line.lastJobId, gone -> line.cancellingPrevious = false);
                     }
                     return null;
                 }
             }
         }
         try {
-            JobSpec job = line.entry.job(catchup.run());
+            JobSpec job = line.schedule.job(catchup.run());
             String never = users.refusal(job);
             if (SubmissionRules.isTemporaryRefusal(never)) {
-                line.held = never;
+                line.holdReason = never;
                 return null;
             }
             return never == null
@@ -199,91 +203,93 @@
         }
     }
 
-    private void commit(Shard shard, Transaction transaction, List<Firing> firings) {
+    private void commitFirings(TablePart shard, Transaction transaction, List<Firing> firings) {
         Map<String, Firing> byId = new HashMap<>();
-        firings.forEach(f -> byId.put(f.line.entry.id(), f));
+        firings.forEach(f -> byId.put(f.scheduleState.schedule.id(), f));
         ObjectNode value = Codec.map();
-        shard.lines.forEach((id, line) -> {
+        shard.schedules.forEach((id, line) -> {
             Firing firing = byId.get(id);
-            boolean runs = firing != null && firing.ref() != null;
+            boolean runs = firing != null && firing.jobId() != null;
             ArrayNode row = Codec.list()
                     .add(firing == null ? line.cursorS : firing.catchup.cursor().getEpochSecond());
-            JobId jobId = runs ? firing.ref() : line.last;
-            row.add(jobId == null ? "" : jobId.text()).add(runs ? context.wallMs() / 1000 : line.firedS);
-            value.set(id, row.add(line.dropped + (firing == null ? 0 : firing.catchup.dropped() + (runs ? 0 : 1))));
+            JobId jobId = runs ? firing.jobId() : line.lastJobId;
+            row.add(jobId == null ? "" : jobId.text()).add(runs ? context.wallMs() / 1000 : line.lastFiredS);
+            value.set(
+                    id,
+                    row.add(line.skippedCount + (firing == null ? 0 : firing.catchup.skippedCount() + (runs ? 0 : 1))));
         });
-        transaction.put(shard.key, value);
+        transaction.put(shard.cursorKey, value);
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
-        shard.inFlight = true;
-        long expectedEpoch = lines.epoch();
+        shard.commitInFlight = true;
+        long expectedEpoch = registry.epoch();
         store.commit(transaction, commit -> {
-            if (expectedEpoch != lines.epoch()) {
+            if (expectedEpoch != registry.epoch()) {
                 return;
             }
-            shard.inFlight = false;
-            committed(commit, shard, firings, value);
+            shard.commitInFlight = false;
+            handleCommitResult(commit, shard, firings, value);
         });
     }
 
-    private void committed(CommitResult commit, Shard shard, List<Firing> firings, ObjectNode value) {
+    private void handleCommitResult(CommitResult commit, TablePart shard, List<Firing> firings, ObjectNode value) {
         switch (commit.outcome()) {
             case COMMITTED -> {
-                shard.version = commit.revision();
+                shard.cursorVersion = commit.revision();
                 for (Firing f : firings) {
-                    moved(f, value.get(f.line.entry.id()));
+                    recordCommitted(f, value.get(f.scheduleState.schedule.id()));
                 }
             }
             case CONFLICT -> {
                 if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
-                } else if (sameWork(commit, firings)) {
-                    tick(); // the others need not wait
+                } else if (resolveExistingJobs(commit, firings)) {
+                    fireDueSchedules(); // the others need not wait
                 } else {
                     // Our own, late, or another table by now: read what is true and go on from there.
                     LOG.info("cron: a transaction was overtaken on {}", commit.failedKeys());
-                    lines.reload();
+                    registry.reload();
                 }
             }
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             // Repeated, it meets its own change of the cursors if it was applied after all.
-            default -> firings.forEach(f -> f.line.held = "the state service does not answer");
+            default -> firings.forEach(f -> f.scheduleState.holdReason = "the state service does not answer");
         }
     }
 
-    private void moved(Firing firing, JsonNode row) {
-        Line line = firing.line;
-        long delay = context.wallMs() - line.next.toEpochMilli();
-        String where = line.entry.table() + ", line " + line.entry.line() + ", "
-                + line.next.atZone(line.entry.zone()).toOffsetDateTime();
-        if (firing.same != null) {
-            line.last = firing.same;
-            LOG.info("{}: {} is the same work", where, firing.same);
+    private void recordCommitted(Firing firing, JsonNode row) {
+        ScheduleState line = firing.scheduleState;
+        long delay = context.wallMs() - line.nextOccurrence.toEpochMilli();
+        String where = line.schedule.table() + ", line " + line.schedule.line() + ", "
+                + line.nextOccurrence.atZone(line.schedule.zone()).toOffsetDateTime();
+        if (firing.existingJobId != null) {
+            line.lastJobId = firing.existingJobId;
+            LOG.info("{}: {} is the same work", where, firing.existingJobId);
         } else if (firing.job != null) {
-            fired++;
-            longestDelayMs = Math.max(longestDelayMs, firing.catchup.dropped() > 0 ? 0 : delay);
-            line.last = firing.job.id();
-            line.firedS = row.path(2).asLong();
+            firedCount++;
+            longestDelayMs = Math.max(longestDelayMs, firing.catchup.skippedCount() > 0 ? 0 : delay);
+            line.lastJobId = firing.job.id();
+            line.lastFiredS = row.path(2).asLong();
             LOG.info(
                     "{}: {} enters, {} ms after its time{}",
                     where,
                     firing.job.id(),
                     delay,
-                    firing.catchup.dropped() > 0
-                            ? ", for " + (firing.catchup.dropped() + 1) + " that were missed"
+                    firing.catchup.skippedCount() > 0
+                            ? ", for " + (firing.catchup.skippedCount() + 1) + " that were missed"
                             : "");
         } else {
-            refused++;
-            LOG.warn("{}: {}", where, firing.outcome);
+            skippedCount++;
+            LOG.warn("{}: {}", where, firing.skipReason);
         }
         line.cursorS = row.path(0).asLong();
-        line.dropped = row.path(3).asInt();
-        lines.due().remove(line);
-        lines.schedule(line);
+        line.skippedCount = row.path(3).asInt();
+        registry.dueSchedules().remove(line);
+        registry.scheduleNext(line);
     }
 
     /** A key or a ref that is taken: the work is there already, and the line goes on after it. */
-    private boolean sameWork(CommitResult commit, List<Firing> firings) {
+    private boolean resolveExistingJobs(CommitResult commit, List<Firing> firings) {
         boolean found = false;
         for (Firing firing : firings) {
             if (firing.job == null) {
@@ -295,48 +301,49 @@
                     && commit.failedKeys().contains(IdempotencyKeys.recordKey(firing.job));
             if (same || key) {
                 found = true;
-                settle(firing, same ? firing.job.id() : null);
+                findExistingJob(firing, same ? firing.job.id() : null);
             }
         }
         return found;
     }
 
     /** Learns whose work it is; the line's next transaction then moves it on, or takes over a key that has run out. */
-    private void settle(Firing firing, JobId known) {
-        Line line = firing.line;
+    private void findExistingJob(Firing firing, JobId known) {
+        ScheduleState line = firing.scheduleState;
         if (known != null) {
-            line.taken = known;
+            line.existingJobId = known;
             return;
         }
-        lines.due().remove(line); // until that is known
-        long expectedEpoch = lines.epoch();
+        registry.dueSchedules().remove(line); // until that is known
+        long expectedEpoch = registry.epoch();
         requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.recordKey(firing.job), read -> {
-            if (expectedEpoch != lines.epoch()) {
+            if (expectedEpoch != registry.epoch()) {
                 return;
             }
-            lines.due().add(line);
+            registry.dueSchedules().add(line);
             if (read.answered()) {
-                line.taken = read.item() == null
+                line.existingJobId = read.item() == null
                         ? null
                         : IdempotencyKeys.unexpiredJobId(read.item().value(), context.wallMs());
-                line.keyVersion =
+                line.idempotencyKeyVersion =
                         read.item() == null ? Revision.ABSENT : read.item().version();
             }
-            tick();
+            fireDueSchedules();
         });
     }
 
-    private void logLate() {
-        for (Line line : lines.due()) {
-            if (context.now().since(line.dueSince) > LATE_MS && !context.now().isBefore(line.nextLog)) {
-                line.nextLog = context.now().plusMs(LATE_MS);
+    private void logOverdueSchedules() {
+        for (ScheduleState line : registry.dueSchedules()) {
+            if (context.now().since(line.dueSince) > OVERDUE_LOG_INTERVAL_MS
+                    && !context.now().isBefore(line.nextLogAt)) {
+                line.nextLogAt = context.now().plusMs(OVERDUE_LOG_INTERVAL_MS);
                 LOG.warn(
                         "{}, line {}: due for {} s: {}",
-                        line.entry.table(),
-                        line.entry.line(),
+                        line.schedule.table(),
+                        line.schedule.line(),
                         context.now().since(line.dueSince) / 1000,
-                        line.held == null ? "its transaction is on its way" : line.held);
+                        line.holdReason == null ? "its transaction is on its way" : line.holdReason);
             }
         }
     }
@@ -344,10 +351,10 @@
     // ---- what can be seen of it ----
 
     /** Why a line that is due has not run, or null. */
-    String held(String table, String id) {
-        for (Line line : lines.due()) {
-            if (line.entry.table().equals(table) && line.entry.id().equals(id)) {
-                return line.held;
+    String holdReason(String table, String id) {
+        for (ScheduleState line : registry.dueSchedules()) {
+            if (line.schedule.table().equals(table) && line.schedule.id().equals(id)) {
+                return line.holdReason;
             }
         }
         return null;
@@ -355,10 +362,10 @@
 
     ObjectNode counts() {
         return Codec.map()
-                .put("lines", lines.size())
-                .put("due", lines.due().size())
-                .put("fired", fired)
-                .put("passedOver", refused)
+                .put("lines", registry.scheduleCount())
+                .put("due", registry.dueSchedules().size())
+                .put("fired", firedCount)
+                .put("passedOver", skippedCount)
                 .put("longestDelayMs", longestDelayMs);
     }
 }
--- a/src/main/java/org/beechhoist/controller/CronRequests.java
+++ b/src/main/java/org/beechhoist/controller/CronRequests.java
@@ -30,11 +30,11 @@
         String path = request.path();
         try {
             if (path.startsWith(CALENDARS + "/")) {
-                calendar(request, responder);
+                handleCalendar(request, responder);
             } else if (path.equals(TABLES) && !isPost(request)) {
-                api.list(responder);
+                api.listInstalled(responder);
             } else if (path.startsWith(TABLES + "/")) {
-                table(request, responder);
+                handleTable(request, responder);
             } else {
                 responder.respond(NOT_FOUND, Codec.map().put("error", "no such path"));
             }
@@ -43,23 +43,23 @@
         }
     }
 
-    private void calendar(ApiRequest request, ApiResponder responder) throws MalformedMessageException {
+    private void handleCalendar(ApiRequest request, ApiResponder responder) throws MalformedMessageException {
         String name = request.path().substring(CALENDARS.length() + 1);
         if (isPost(request)) {
             api.installCalendar(name, Codec.decodeMap(request.body()), responder);
         } else {
-            api.calendar(name, responder);
+            api.showCalendar(name, responder);
         }
     }
 
-    private void table(ApiRequest request, ApiResponder responder) throws MalformedMessageException {
+    private void handleTable(ApiRequest request, ApiResponder responder) throws MalformedMessageException {
         String name = request.path().substring(TABLES.length() + 1);
         if (!isPost(request)) {
-            api.show(name, firstRow(request.query()), responder);
+            api.showTable(name, afterLine(request.query()), responder);
         } else if (request.path().endsWith(REMOVE)) {
-            api.remove(tableToRemove(request.path()), responder);
+            api.removeTable(tableToRemove(request.path()), responder);
         } else {
-            api.install(name, Codec.decodeMap(request.body()), responder);
+            api.installTable(name, Codec.decodeMap(request.body()), responder);
         }
     }
 
@@ -67,7 +67,7 @@
         return path.substring(TABLES.length() + 1, path.length() - REMOVE.length());
     }
 
-    private static int firstRow(String query) {
+    private static int afterLine(String query) {
         return query.matches(AFTER_PATTERN) ? Integer.parseInt(query.substring(AFTER.length())) : 0;
     }
 
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -28,7 +28,7 @@
     private final MachineTypeCatalog machineTypes;
     private final DrainRegistry drains;
     private final OptimisticUpdater updater;
-    private final CalendarDays calendarDays;
+    private final OpenDaysReader calendarDays;
 
     DrainApi(
             ControllerContext context,
@@ -43,7 +43,7 @@
         this.settings = settings;
         this.drains = drains;
         this.updater = new OptimisticUpdater(context, settings, store, requests, writes);
-        this.calendarDays = new CalendarDays(context, store, requests);
+        this.calendarDays = new OpenDaysReader(context, store, requests);
     }
 
     static boolean handles(String path) {
@@ -188,7 +188,7 @@
             throw new MalformedMessageException(
                     "name = " + name + ": at most " + MAX_DRAINS + " drains are allowed; remove some that are over");
         }
-        calendarDays.of(
+        calendarDays.readOpenDays(
                 described.pauses().calendar(),
                 responder,
                 open -> storeDrain(
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.config.Policy;
-import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
@@ -30,7 +30,7 @@
         return spec.idempotencyKey() == null
                 ? null
                 : "once/"
-                        + Entry.hash(spec.team() + "\n" + spec.idempotencyKey())
+                        + Schedule.hash(spec.team() + "\n" + spec.idempotencyKey())
                                 .toString()
                                 .replaceAll("[^0-9a-zA-Z]", "");
     }
--- a/src/main/java/org/beechhoist/controller/InstalledSchedules.java
+++ b/src/main/java/org/beechhoist/controller/InstalledSchedules.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.beechhoist.cron.Calendar;
-import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.wire.Codec;
@@ -23,14 +23,14 @@
     final Map<String, JsonNode> parts = new TreeMap<>();
 
     /** The lines of an installed table; those that can't be read are left out. */
-    List<Entry> entries(String table) {
-        List<Entry> out = new ArrayList<>();
+    List<Schedule> schedules(String table) {
+        List<Schedule> out = new ArrayList<>();
         JsonNode meta = tables.get(table).value();
         for (int index = 0; index < meta.path("chunks").asInt(); index++) {
             for (JsonNode node : parts.getOrDefault(
-                    ScheduleKeys.definition(table, meta.path("gen").asLong(), index), Codec.list())) {
+                    ScheduleKeys.partKey(table, meta.path("gen").asLong(), index), Codec.list())) {
                 try {
-                    out.add(Entry.parse(table, node));
+                    out.add(Schedule.parse(table, node));
                 } catch (MalformedMessageException m) {
                     // the leader's log names it
                 }
@@ -40,11 +40,11 @@
     }
 
     /** The keys of a table's parts that belong to its older version, none where {@code old} is null. */
-    List<String> stale(String table, StoreClient.KeyValue old) {
+    List<String> partKeysOf(String table, StoreClient.KeyValue old) {
         return old == null
                 ? List.of()
                 : parts.keySet().stream()
-                        .filter(key -> key.startsWith(ScheduleKeys.definitions(table)
+                        .filter(key -> key.startsWith(ScheduleKeys.partPrefix(table)
                                 + old.value().path("gen").asLong() + "/"))
                         .toList();
     }
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -67,12 +67,12 @@
         workers.loader.reload();
         features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
         features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
-        features.cronController.ifPresent(CronController::begin);
+        features.cronController.ifPresent(CronController::startTerm);
     }
 
     /** Ends the term: this node has lost the leadership. */
     void endTerm() {
-        features.cronController.ifPresent(CronController::end);
+        features.cronController.ifPresent(CronController::endTerm);
         workers.loader.stop();
         workers.clusterState.reset();
         scheduling.planner.endTerm();
@@ -224,7 +224,7 @@
         features.drainController.updateDrains(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
         features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
-        features.cronController.ifPresent(CronController::tick);
+        features.cronController.ifPresent(CronController::fireDueSchedules);
     }
 
     /** Plans if a plan is due, commits what the input changed, and continues the plan's search. */
--- a/src/main/java/org/beechhoist/controller/CalendarDays.java
+++ b/src/main/java/org/beechhoist/controller/OpenDaysReader.java
@@ -12,30 +12,30 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /** Which days a named calendar has open, as it is installed now. */
-final class CalendarDays {
+final class OpenDaysReader {
     /** What is done with it. */
-    interface Use {
-        void with(Predicate<LocalDate> open) throws MalformedMessageException;
+    interface OpenDaysAction {
+        void run(Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
 
-    CalendarDays(ControllerContext context, StoreClient store, TokenBucket requests) {
+    OpenDaysReader(ControllerContext context, StoreClient store, TokenBucket requests) {
         this.context = context;
         this.store = store;
         this.requests = requests;
     }
 
     /** All days are open where no calendar is named; what can't be told is answered. */
-    void of(String name, ApiResponder responder, Use use) {
+    void readOpenDays(String name, ApiResponder responder, OpenDaysAction use) {
         if (name == null) {
-            use(d -> true, responder, use);
+            runAction(d -> true, responder, use);
             return;
         }
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(ScheduleKeys.CALENDARS + name, read -> {
+        store.get(ScheduleKeys.CALENDARS_PREFIX + name, read -> {
             if (!read.answered()) {
                 OptimisticUpdater.respondUnavailable(responder);
                 return;
@@ -45,16 +45,16 @@
                     throw new MalformedMessageException("calendar = " + name + ": an installed calendar is expected");
                 }
                 Calendar c = Calendar.parse(read.item().value(), name);
-                use(d -> c.closedReason(d) == null, responder, use);
+                runAction(d -> c.closedReason(d) == null, responder, use);
             } catch (MalformedMessageException e) {
                 responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
             }
         });
     }
 
-    private static void use(Predicate<LocalDate> open, ApiResponder responder, Use use) {
+    private static void runAction(Predicate<LocalDate> open, ApiResponder responder, OpenDaysAction use) {
         try {
-            use.with(open);
+            use.run(open);
         } catch (MalformedMessageException e) {
             responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -35,7 +35,7 @@
     private final TokenBucket requests;
     private final ReleaseRegistry releases;
     private final OptimisticUpdater amending;
-    private final CalendarDays openDays;
+    private final OpenDaysReader openDays;
 
     ReleaseApi(
             ControllerContext context,
@@ -50,7 +50,7 @@
         this.requests = requests;
         this.releases = releases;
         this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
-        this.openDays = new CalendarDays(context, store, requests);
+        this.openDays = new OpenDaysReader(context, store, requests);
     }
 
     /** @param leader null on a node that does not lead: it knows no plan */
@@ -153,10 +153,11 @@
                         throw new OptimisticUpdater.RejectedException(
                                 404, "name = " + name + ": the name of a release that stands is expected");
                     }
-                    openDays.of(described != null ? described.calendar() : before.calendar(), responder, open -> {
-                        ObjectNode next = edit.of(before, open).toNode();
-                        then.complete(next, t -> {}, next);
-                    });
+                    openDays.readOpenDays(
+                            described != null ? described.calendar() : before.calendar(), responder, open -> {
+                                ObjectNode next = edit.of(before, open).toNode();
+                                then.complete(next, t -> {}, next);
+                            });
                 },
                 responder);
     }
--- a/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
-import org.beechhoist.cron.Entry;
 import org.beechhoist.cron.Occurrences;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
@@ -30,39 +30,39 @@
     private static final Logger LOG = LoggerFactory.getLogger(ScheduleRegistry.class);
 
     /** A line, where it has got to, and what holds it. */
-    static final class Line {
-        final Entry entry;
-        final Shard shard;
+    static final class ScheduleState {
+        final Schedule schedule;
+        final TablePart part;
         long cursorS;
-        JobId last;
-        long firedS;
-        int dropped;
-        Instant next;
+        JobId lastJobId;
+        long lastFiredS;
+        int skippedCount;
+        Instant nextOccurrence;
         MonotonicTime dueSince;
-        MonotonicTime nextLog = MonotonicTime.ZERO;
-        String held;
-        boolean replacing;
+        MonotonicTime nextLogAt = MonotonicTime.ZERO;
+        String holdReason;
+        boolean cancellingPrevious;
         /** Whose work its occurrence was found to be, and the version of a key that has run out. */
-        JobId taken;
+        JobId existingJobId;
 
-        Revision keyVersion = Revision.ABSENT;
+        Revision idempotencyKeyVersion = Revision.ABSENT;
 
-        Line(Entry entry, Shard shard) {
-            this.entry = entry;
-            this.shard = shard;
+        ScheduleState(Schedule entry, TablePart shard) {
+            this.schedule = entry;
+            this.part = shard;
         }
     }
 
     /** Lines whose cursors stand in one value. */
-    static final class Shard {
-        final String key;
+    static final class TablePart {
+        final String cursorKey;
         final String table;
-        final Map<String, Line> lines = new LinkedHashMap<>();
-        Revision version = Revision.ABSENT;
-        boolean inFlight;
+        final Map<String, ScheduleState> schedules = new LinkedHashMap<>();
+        Revision cursorVersion = Revision.ABSENT;
+        boolean commitInFlight;
 
-        Shard(String key, String table) {
-            this.key = key;
+        TablePart(String key, String table) {
+            this.cursorKey = key;
             this.table = table;
         }
     }
@@ -72,12 +72,13 @@
     private final TokenBucket requests;
     private final Map<String, Calendar> calendars = new HashMap<>();
     private final Map<String, Revision> tables = new HashMap<>();
-    private final Map<String, Shard> shards = new HashMap<>();
-    private final PriorityQueue<Line> waiting = new PriorityQueue<>(Comparator.comparing((Line l) -> l.next));
-    private final Set<Line> due = new LinkedHashSet<>();
+    private final Map<String, TablePart> parts = new HashMap<>();
+    private final PriorityQueue<ScheduleState> waiting =
+            new PriorityQueue<>(Comparator.comparing((ScheduleState l) -> l.nextOccurrence));
+    private final Set<ScheduleState> dueSchedules = new LinkedHashSet<>();
     private boolean loaded;
     private long epoch;
-    private Instant servedSince;
+    private Instant firstLoadedAt;
 
     ScheduleRegistry(ControllerContext context, StoreClient store, TokenBucket requests) {
         this.context = context;
@@ -85,12 +86,12 @@
         this.requests = requests;
     }
 
-    void begin() {
-        servedSince = null;
+    void startTerm() {
+        firstLoadedAt = null;
         reload();
     }
 
-    void end() {
+    void endTerm() {
         epoch++;
         loaded = false;
         clear();
@@ -99,12 +100,12 @@
     private void clear() {
         calendars.clear();
         tables.clear();
-        shards.clear();
+        parts.clear();
         waiting.clear();
-        due.clear();
+        dueSchedules.clear();
     }
 
-    boolean loaded() {
+    boolean isLoaded() {
         return loaded;
     }
 
@@ -114,59 +115,59 @@
     }
 
     /** Since when this leader has known its schedules. */
-    Instant servedSince() {
-        return servedSince;
+    Instant firstLoadedAt() {
+        return firstLoadedAt;
     }
 
-    Calendar calendar(Line line) {
-        return calendars.get(line.entry.calendar());
+    Calendar calendarOf(ScheduleState line) {
+        return calendars.get(line.schedule.calendar());
     }
 
-    Revision version(String table) {
+    Revision tableVersion(String table) {
         return tables.get(table);
     }
 
-    int size() {
-        return waiting.size() + due.size();
+    int scheduleCount() {
+        return waiting.size() + dueSchedules.size();
     }
 
     /** Lines whose occurrence has come and is not decided. */
-    Set<Line> due() {
-        return due;
+    Set<ScheduleState> dueSchedules() {
+        return dueSchedules;
     }
 
     /** The same, with those that have come by now; no line is looked at before its time. */
-    Set<Line> dueAt(Instant now) {
-        while (!waiting.isEmpty() && !waiting.peek().next.isAfter(now)) {
-            Line line = waiting.poll();
+    Set<ScheduleState> updateDueSchedules(Instant now) {
+        while (!waiting.isEmpty() && !waiting.peek().nextOccurrence.isAfter(now)) {
+            ScheduleState line = waiting.poll();
             line.dueSince = context.now();
-            due.add(line);
+            dueSchedules.add(line);
         }
-        return due;
+        return dueSchedules;
     }
 
-    Instant wall() {
+    Instant wallTime() {
         return Instant.ofEpochMilli(context.wallMs());
     }
 
     /** Puts a line where its next occurrence finds it. */
-    void schedule(Line line) {
+    void scheduleNext(ScheduleState line) {
         line.dueSince = null;
-        line.held = null;
-        line.replacing = false;
-        line.taken = null;
-        line.keyVersion = Revision.ABSENT;
-        Calendar calendar = calendars.get(line.entry.calendar());
-        if (line.entry.calendar() != null && calendar == null) {
+        line.holdReason = null;
+        line.cancellingPrevious = false;
+        line.existingJobId = null;
+        line.idempotencyKeyVersion = Revision.ABSENT;
+        Calendar calendar = calendars.get(line.schedule.calendar());
+        if (line.schedule.calendar() != null && calendar == null) {
             LOG.warn(
                     "table {}, line {}: its calendar {} is gone, it never runs",
-                    line.entry.table(),
-                    line.entry.line(),
-                    line.entry.calendar());
+                    line.schedule.table(),
+                    line.schedule.line(),
+                    line.schedule.calendar());
             return;
         }
-        line.next = Occurrences.next(line.entry, calendar, Instant.ofEpochSecond(line.cursorS));
-        if (line.next != null) {
+        line.nextOccurrence = Occurrences.next(line.schedule, calendar, Instant.ofEpochSecond(line.cursorS));
+        if (line.nextOccurrence != null) {
             waiting.add(line);
         }
     }
@@ -176,30 +177,30 @@
     void reload() {
         long expectedEpoch = ++epoch;
         loaded = false;
-        page(
+        listAllPages(
                 expectedEpoch,
-                ScheduleKeys.DEFINITIONS,
+                ScheduleKeys.DEFINITIONS_PREFIX,
                 null,
                 new ArrayList<>(),
                 null,
-                (definitions, revision) ->
-                        page(expectedEpoch, ScheduleKeys.CURSORS, null, new ArrayList<>(), null, (cursors, later) -> {
-                            build(definitions, cursors);
-                            watch(expectedEpoch, revision);
+                (definitions, revision) -> listAllPages(
+                        expectedEpoch, ScheduleKeys.CURSORS_PREFIX, null, new ArrayList<>(), null, (cursors, later) -> {
+                            rebuild(definitions, cursors);
+                            watchDefinitions(expectedEpoch, revision);
                         }));
     }
 
-    private interface Pages {
-        void all(List<StoreClient.KeyValue> items, Revision first);
+    private interface PagesHandler {
+        void accept(List<StoreClient.KeyValue> items, Revision first);
     }
 
-    private void page(
+    private void listAllPages(
             long expectedEpoch,
             String prefix,
             String after,
             List<StoreClient.KeyValue> items,
             Revision first,
-            Pages then) {
+            PagesHandler then) {
         requests.takeOrOverdraw(context.now(), 1);
         store.list(prefix, after, 500, page -> {
             if (expectedEpoch != epoch) {
@@ -208,7 +209,7 @@
             if (!page.isOk()) {
                 context.schedule(500, () -> {
                     if (expectedEpoch == epoch) {
-                        page(expectedEpoch, prefix, after, items, first, then);
+                        listAllPages(expectedEpoch, prefix, after, items, first, then);
                     }
                 });
                 return;
@@ -216,24 +217,24 @@
             items.addAll(page.items());
             Revision start = first == null ? page.revision() : first;
             if (page.more() && !page.items().isEmpty()) {
-                page(expectedEpoch, prefix, items.get(items.size() - 1).key(), items, start, then);
+                listAllPages(expectedEpoch, prefix, items.get(items.size() - 1).key(), items, start, then);
             } else {
-                then.all(items, start);
+                then.accept(items, start);
             }
         });
     }
 
-    private void build(List<StoreClient.KeyValue> definitions, List<StoreClient.KeyValue> cursors) {
+    private void rebuild(List<StoreClient.KeyValue> definitions, List<StoreClient.KeyValue> cursors) {
         clear();
         Map<String, JsonNode> chunks = new HashMap<>();
         Map<String, JsonNode> metas = new HashMap<>();
         for (StoreClient.KeyValue item : definitions) {
             try {
-                if (item.key().startsWith(ScheduleKeys.CALENDARS)) {
-                    String name = item.key().substring(ScheduleKeys.CALENDARS.length());
+                if (item.key().startsWith(ScheduleKeys.CALENDARS_PREFIX)) {
+                    String name = item.key().substring(ScheduleKeys.CALENDARS_PREFIX.length());
                     calendars.put(name, Calendar.parse(item.value(), name));
-                } else if (item.key().startsWith(ScheduleKeys.TABLES)) {
-                    String name = item.key().substring(ScheduleKeys.TABLES.length());
+                } else if (item.key().startsWith(ScheduleKeys.TABLES_PREFIX)) {
+                    String name = item.key().substring(ScheduleKeys.TABLES_PREFIX.length());
                     tables.put(name, item.version());
                     metas.put(name, item.value());
                 } else {
@@ -247,7 +248,7 @@
         Map<String, Revision> versions = new HashMap<>();
         for (StoreClient.KeyValue item : cursors) {
             versions.put(item.key(), item.version());
-            String table = ScheduleKeys.tableOfCursor(item.key());
+            String table = ScheduleKeys.tableOfCursorKey(item.key());
             item.value()
                     .fields()
                     .forEachRemaining(entry -> byId.merge(
@@ -257,50 +258,50 @@
         }
         metas.forEach((table, meta) -> {
             for (int n = 0; n < meta.path("chunks").asInt(); n++) {
-                JsonNode chunk = chunks.get(
-                        ScheduleKeys.definition(table, meta.path("gen").asLong(), n));
+                JsonNode chunk =
+                        chunks.get(ScheduleKeys.partKey(table, meta.path("gen").asLong(), n));
                 if (chunk == null) {
                     LOG.error("table {}: part {} is missing", table, n);
                     continue;
                 }
-                Shard shard = new Shard(ScheduleKeys.cursor(table, n), table);
-                shard.version = versions.getOrDefault(shard.key, Revision.ABSENT);
-                shards.put(shard.key, shard);
+                TablePart shard = new TablePart(ScheduleKeys.cursorKey(table, n), table);
+                shard.cursorVersion = versions.getOrDefault(shard.cursorKey, Revision.ABSENT);
+                parts.put(shard.cursorKey, shard);
                 for (JsonNode entry : chunk) {
-                    add(shard, entry, byId);
+                    addSchedule(shard, entry, byId);
                 }
             }
         });
         loaded = true;
-        if (servedSince == null) {
-            servedSince = wall();
+        if (firstLoadedAt == null) {
+            firstLoadedAt = wallTime();
         }
         LOG.info("{} cron tables with {} lines to come, {} calendars", tables.size(), waiting.size(), calendars.size());
     }
 
-    private void add(Shard shard, JsonNode node, Map<String, JsonNode> byId) {
+    private void addSchedule(TablePart shard, JsonNode node, Map<String, JsonNode> byId) {
         try {
-            Line line = new Line(Entry.parse(shard.table, node), shard);
-            JsonNode cursor = byId.get(shard.table + "\n" + line.entry.id());
+            ScheduleState line = new ScheduleState(Schedule.parse(shard.table, node), shard);
+            JsonNode cursor = byId.get(shard.table + "\n" + line.schedule.id());
             line.cursorS = Math.max(
-                    line.entry.since(), cursor == null ? 0 : cursor.path(0).asLong());
+                    line.schedule.sinceS(), cursor == null ? 0 : cursor.path(0).asLong());
             if (cursor != null) {
-                line.last = JobId.isValid(cursor.path(1).asText())
+                line.lastJobId = JobId.isValid(cursor.path(1).asText())
                         ? new JobId(cursor.path(1).asText())
                         : null;
-                line.firedS = cursor.path(2).asLong();
-                line.dropped = cursor.path(3).asInt();
+                line.lastFiredS = cursor.path(2).asLong();
+                line.skippedCount = cursor.path(3).asInt();
             }
-            shard.lines.put(line.entry.id(), line);
-            schedule(line);
+            shard.schedules.put(line.schedule.id(), line);
+            scheduleNext(line);
         } catch (MalformedMessageException m) {
             LOG.error("table {}: a line can't be read, left alone: {}", shard.table, m.getMessage());
         }
     }
 
-    private void watch(long expectedEpoch, Revision after) {
+    private void watchDefinitions(long expectedEpoch, Revision after) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.watch(ScheduleKeys.DEFINITIONS, after, 10_000, changes -> {
+        store.watch(ScheduleKeys.DEFINITIONS_PREFIX, after, 10_000, changes -> {
             if (expectedEpoch != epoch) {
                 return;
             }
@@ -315,7 +316,7 @@
             } else {
                 context.schedule(changes.status() == 200 ? 0 : 500, () -> {
                     if (expectedEpoch == epoch) {
-                        watch(expectedEpoch, changes.revision());
+                        watchDefinitions(expectedEpoch, changes.revision());
                     }
                 });
             }
--- a/src/main/java/org/beechhoist/controller/ScheduleStorage.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleStorage.java
@@ -10,7 +10,7 @@
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.cron.Calendar;
-import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.cron.ScheduleKeys;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.StoreClient.CommitResult;
@@ -22,14 +22,14 @@
 /** Reads and writes cron tables and calendars in the state service, on any node. */
 final class ScheduleStorage {
     /** Lines whose cursors share a value. */
-    private static final int PART_LINES = 30;
+    private static final int MAX_LINES_PER_PART = 30;
 
     /** The bytes that a part of a table or a calendar may take, of a value's 8 KiB. */
-    static final int PART_BYTES = 7000;
+    static final int MAX_PART_BYTES = 7000;
 
-    private static final int PUTS_AT_ONCE = 6;
-    private static final int PAGE_ITEMS = 500;
-    private static final long WAIT_MS = 150;
+    private static final int MAX_WRITES_PER_TRANSACTION = 6;
+    private static final int MAX_ITEMS_PER_PAGE = 500;
+    private static final long RETRY_DELAY_MS = 150;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -46,20 +46,20 @@
     }
 
     /** The body of an answer that reports an error. */
-    static ObjectNode error(String text) {
+    static ObjectNode errorBody(String text) {
         return Codec.map().put("error", text);
     }
 
     /** Answers that the state service could not be asked. */
     static void respondUnavailable(ApiResponder responder) {
-        responder.respond(503, error("the state service does not answer, or this node has used its share of it"));
+        responder.respond(503, errorBody("the state service does not answer, or this node has used its share of it"));
     }
 
     /** Reads all values under a prefix; hands over null where it could not be read. */
     void readAll(
             String prefix, String after, List<StoreClient.KeyValue> items, Consumer<List<StoreClient.KeyValue>> then) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.list(prefix, after, PAGE_ITEMS, page -> {
+        store.list(prefix, after, MAX_ITEMS_PER_PAGE, page -> {
             if (!page.isOk()) {
                 then.accept(null);
                 return;
@@ -75,7 +75,7 @@
 
     /** Reads what is installed; answers the request where that can't be read. */
     void readInstalled(ApiResponder responder, Consumer<InstalledSchedules> then) {
-        readAll(ScheduleKeys.DEFINITIONS, null, new ArrayList<>(), items -> {
+        readAll(ScheduleKeys.DEFINITIONS_PREFIX, null, new ArrayList<>(), items -> {
             if (items == null) {
                 respondUnavailable(responder);
                 return;
@@ -83,10 +83,10 @@
             InstalledSchedules in = new InstalledSchedules();
             for (StoreClient.KeyValue item : items) {
                 try {
-                    if (item.key().startsWith(ScheduleKeys.TABLES)) {
-                        in.tables.put(item.key().substring(ScheduleKeys.TABLES.length()), item);
-                    } else if (item.key().startsWith(ScheduleKeys.CALENDARS)) {
-                        String name = item.key().substring(ScheduleKeys.CALENDARS.length());
+                    if (item.key().startsWith(ScheduleKeys.TABLES_PREFIX)) {
+                        in.tables.put(item.key().substring(ScheduleKeys.TABLES_PREFIX.length()), item);
+                    } else if (item.key().startsWith(ScheduleKeys.CALENDARS_PREFIX)) {
+                        String name = item.key().substring(ScheduleKeys.CALENDARS_PREFIX.length());
                         in.calendars.put(name, Calendar.parse(item.value(), name));
                     } else {
                         in.parts.put(item.key(), item.value());
@@ -100,16 +100,16 @@
     }
 
     /** Divides a table into parts. Lines that run together are kept together, so that one write moves the cursors of many. */
-    static List<ArrayNode> parts(List<Entry> all) {
-        List<Entry> sorted = new ArrayList<>(all);
-        sorted.sort(Comparator.comparing((Entry entry) -> entry.expression() + " " + entry.zone())
-                .thenComparing(Entry::id));
+    static List<ArrayNode> splitIntoParts(List<Schedule> all) {
+        List<Schedule> sorted = new ArrayList<>(all);
+        sorted.sort(Comparator.comparing((Schedule entry) -> entry.expression() + " " + entry.zone())
+                .thenComparing(Schedule::id));
         List<ArrayNode> out = new ArrayList<>();
-        int bytes = PART_BYTES;
-        for (Entry entry : sorted) {
+        int bytes = MAX_PART_BYTES;
+        for (Schedule entry : sorted) {
             ObjectNode node = entry.toNode();
             int size = Codec.jsonBytes(node);
-            if (bytes + size > PART_BYTES || out.get(out.size() - 1).size() >= PART_LINES) {
+            if (bytes + size > MAX_PART_BYTES || out.get(out.size() - 1).size() >= MAX_LINES_PER_PART) {
                 out.add(Codec.list());
                 bytes = 0;
             }
@@ -126,17 +126,18 @@
             return;
         }
         int count = (int) Math.min(
-                Math.min(PUTS_AT_ONCE, settings.stateLimits().txnOps()), Math.floor(writes.available(context.now())));
+                Math.min(MAX_WRITES_PER_TRANSACTION, settings.stateLimits().txnOps()),
+                Math.floor(writes.available(context.now())));
         if (count < 1) {
-            context.schedule(WAIT_MS, () -> writeParts(table, gen, parts, from, then));
+            context.schedule(RETRY_DELAY_MS, () -> writeParts(table, gen, parts, from, then));
             return;
         }
         Transaction transaction = new Transaction();
         int to = Math.min(parts.size(), from + count);
         for (int index = from; index < to; index++) {
-            transaction.put(ScheduleKeys.definition(table, gen, index), parts.get(index));
+            transaction.put(ScheduleKeys.partKey(table, gen, index), parts.get(index));
         }
-        send(transaction, commit -> {
+        commit(transaction, commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 writeParts(table, gen, parts, to, then);
             } else {
@@ -146,24 +147,24 @@
     }
 
     /** Commits a transaction, even where the node's share is used up. */
-    void send(Transaction transaction, Consumer<CommitResult> then) {
+    void commit(Transaction transaction, Consumer<CommitResult> then) {
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         store.commit(transaction, then);
     }
 
     /** Deletes keys that nothing refers to any more; those that are left after a failure do no harm. */
-    void removeKeys(List<String> keys) {
+    void deleteKeys(List<String> keys) {
         if (keys.isEmpty()) {
             return;
         }
-        if (writes.available(context.now()) < PUTS_AT_ONCE) {
-            context.schedule(WAIT_MS, () -> removeKeys(keys));
+        if (writes.available(context.now()) < MAX_WRITES_PER_TRANSACTION) {
+            context.schedule(RETRY_DELAY_MS, () -> deleteKeys(keys));
             return;
         }
         Transaction transaction = new Transaction();
-        List<String> first = keys.subList(0, Math.min(PUTS_AT_ONCE, keys.size()));
+        List<String> first = keys.subList(0, Math.min(MAX_WRITES_PER_TRANSACTION, keys.size()));
         first.forEach(transaction::delete);
-        send(transaction, commit -> removeKeys(keys.subList(first.size(), keys.size())));
+        commit(transaction, commit -> deleteKeys(keys.subList(first.size(), keys.size())));
     }
 }
--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -32,9 +32,9 @@
         Map<LocalDate, String> holidays,
         Map<LocalDate, String> workdays) {
     /** Largest number of exceptional days, so that a calendar fits into one value of the state service. */
-    public static final int MAX_DAYS = 180;
+    public static final int MAX_EXCEPTION_DAYS = 180;
 
-    private static final int MAX_NAME = 60;
+    private static final int MAX_NAME_LENGTH = 60;
     /** Letters to which the stored form abbreviates a weekday, and the fewest that are accepted. */
     private static final int WEEKDAY_LETTERS = 3;
 
@@ -51,8 +51,8 @@
     }
 
     /** Returns whether the text can be the name of a calendar. */
-    public static boolean validName(String text) {
-        return text != null && text.matches("[A-Za-z0-9_-]{1," + MAX_NAME + "}");
+    public static boolean isValidName(String text) {
+        return text != null && text.matches("[A-Za-z0-9_-]{1," + MAX_NAME_LENGTH + "}");
     }
 
     /** Returns the stored form. */
@@ -71,9 +71,9 @@
 
     /** Reads the form that {@link #toNode} writes; a calendar in a TOML file has the same form. */
     public static Calendar parse(JsonNode node, String name) throws MalformedMessageException {
-        if (!validName(name)) {
+        if (!isValidName(name)) {
             throw new MalformedMessageException(
-                    "calendar = " + name + ": letters, digits, - and _ are expected, at most " + MAX_NAME);
+                    "calendar = " + name + ": letters, digits, - and _ are expected, at most " + MAX_NAME_LENGTH);
         }
         Set<DayOfWeek> week = EnumSet.noneOf(DayOfWeek.class);
         for (String text : node.has("business")
@@ -86,9 +86,9 @@
         }
         Calendar calendar = new Calendar(
                 name, Codec.text(node, "version"), week, readDays(node, "holidays"), readDays(node, "workdays"));
-        if (calendar.holidays.size() + calendar.workdays.size() > MAX_DAYS) {
+        if (calendar.holidays.size() + calendar.workdays.size() > MAX_EXCEPTION_DAYS) {
             throw new MalformedMessageException("holidays: " + (calendar.holidays.size() + calendar.workdays.size())
-                    + " days, at most " + MAX_DAYS + " are allowed; leave out years that are over");
+                    + " days, at most " + MAX_EXCEPTION_DAYS + " are allowed; leave out years that are over");
         }
         return calendar;
     }
--- a/src/main/java/org/beechhoist/cron/CalendarFile.java
+++ b/src/main/java/org/beechhoist/cron/CalendarFile.java
@@ -25,9 +25,9 @@
  */
 public final class CalendarFile {
     /** Days of one event that are read. */
-    private static final int MOST_DAYS = 400;
+    private static final int MAX_EVENT_DAYS = 400;
     /** Occurrences of one recurring event that are read. */
-    private static final int MOST_OCCURRENCES = MOST_DAYS * 10;
+    private static final int MAX_EVENT_OCCURRENCES = MAX_EVENT_DAYS * 10;
 
     private CalendarFile() {}
 
@@ -90,12 +90,12 @@
                 : day(event.getDateEnd().getValue(), zone);
         long length = Math.max(1, end.toEpochDay() - first.toEpochDay());
         DateIterator dates = event.getDateIterator(TimeZone.getTimeZone(zone));
-        for (int i = 0; dates.hasNext() && i < MOST_OCCURRENCES; i++) {
+        for (int i = 0; dates.hasNext() && i < MAX_EVENT_OCCURRENCES; i++) {
             LocalDate date = day(dates.next(), zone);
             if (!date.isBefore(until)) {
                 return;
             }
-            for (long k = 0; k < length && k < MOST_DAYS; k++) {
+            for (long k = 0; k < length && k < MAX_EVENT_DAYS; k++) {
                 if (!date.plusDays(k).isBefore(from)) {
                     days.put(date.plusDays(k), what);
                 }
--- a/src/main/java/org/beechhoist/cron/Catchup.java
+++ b/src/main/java/org/beechhoist/cron/CatchUpDecision.java
@@ -10,13 +10,13 @@
  *
  * @param run the occurrence to run now; null: none
  * @param cursor the occurrence up to which the schedule is processed once that is done
- * @param dropped number of occurrences that are skipped for good
+ * @param skippedCount number of occurrences that are skipped for good
  */
-public record Catchup(Instant run, Instant cursor, int dropped) {
+public record CatchUpDecision(Instant run, Instant cursor, int skippedCount) {
     /** Longer than an ordinary change of leader takes; occurrences within that time are late and not missed. */
-    public static final Duration LEADER_CHANGE = Duration.ofSeconds(120);
+    public static final Duration MAX_LEADER_CHANGE = Duration.ofSeconds(120);
     /** Missed occurrences that are handled in one step; further ones are skipped in later steps. */
-    private static final int STEP = 2000;
+    private static final int MAX_MISSED_PER_STEP = 2000;
 
     /**
      * Decides what a schedule does next.
@@ -27,25 +27,30 @@
      * @param servedSince since when the present leader has known its schedules
      * @param now the current time
      */
-    public static Catchup next(Entry entry, Calendar calendar, Instant first, Instant servedSince, Instant now) {
-        Instant missedBefore = servedSince.minus(LEADER_CHANGE);
+    public static CatchUpDecision decide(
+            Schedule entry, Calendar calendar, Instant first, Instant servedSince, Instant now) {
+        Instant missedBefore = servedSince.minus(MAX_LEADER_CHANGE);
         if (!first.isBefore(missedBefore)) {
-            return new Catchup(first, first, 0);
+            return new CatchUpDecision(first, first, 0);
         }
         // A single run stands for all occurrences until the leader served again, also for those that would count as
         // late.
-        Instant end = entry.missed() == Entry.Missed.ONCE ? servedSince : missedBefore;
+        Instant end = entry.missed() == Schedule.Missed.ONCE ? servedSince : missedBefore;
         Instant upTo = end.isBefore(now) ? end : now;
-        List<Instant> missed = Occurrences.between(entry, calendar, first.minusMillis(1), upTo, STEP);
+        List<Instant> missed = Occurrences.between(entry, calendar, first.minusMillis(1), upTo, MAX_MISSED_PER_STEP);
         Instant last = missed.get(missed.size() - 1);
-        boolean more = missed.size() == STEP;
+        boolean more = missed.size() == MAX_MISSED_PER_STEP;
         return switch (entry.missed()) {
-            case NONE -> new Catchup(null, last, missed.size());
+            case NONE -> new CatchUpDecision(null, last, missed.size());
             case ONCE ->
-                more ? new Catchup(null, missed.get(STEP - 2), STEP - 1) : new Catchup(last, last, missed.size() - 1);
+                more
+                        ? new CatchUpDecision(null, missed.get(MAX_MISSED_PER_STEP - 2), MAX_MISSED_PER_STEP - 1)
+                        : new CatchUpDecision(last, last, missed.size() - 1);
             case ALL -> {
-                int drop = more ? STEP - entry.mostMissed() : missed.size() - entry.mostMissed();
-                yield drop > 0 ? new Catchup(null, missed.get(drop - 1), drop) : new Catchup(first, first, 0);
+                int drop = more ? MAX_MISSED_PER_STEP - entry.maxMissedRuns() : missed.size() - entry.maxMissedRuns();
+                yield drop > 0
+                        ? new CatchUpDecision(null, missed.get(drop - 1), drop)
+                        : new CatchUpDecision(first, first, 0);
             }
         };
     }
--- a/src/main/java/org/beechhoist/cron/CronTable.java
+++ b/src/main/java/org/beechhoist/cron/CronTable.java
@@ -44,16 +44,16 @@
     /** Thrown by ANTLR's error listener, which can't declare a checked exception. */
     private static final class SyntaxError extends RuntimeException {
         private static final long serialVersionUID = 1;
-        private final transient InvalidTableException why;
+        private final transient InvalidTableException tableException;
 
         SyntaxError(InvalidTableException why) {
             super(why.getMessage(), why, false, false);
-            this.why = why;
+            this.tableException = why;
         }
     }
 
     /** Ends the reading at the first syntax error. */
-    private static final class RefusingListener extends BaseErrorListener {
+    private static final class ThrowingErrorListener extends BaseErrorListener {
         @Override
         public void syntaxError(
                 Recognizer<?, ?> recognizer,
@@ -89,16 +89,16 @@
     }
 
     private static final Set<String> OPTIONS = Set.of("missed", "most", "overlap", "once_key");
-    /** Digits of {@link Entry#MOST_MISSED}. */
-    private static final int MOST_MISSED_DIGITS = 3;
+    /** Digits of {@link Schedule#MAX_MISSED_RUNS}. */
+    private static final int MAX_MISSED_RUNS_DIGITS = 3;
     /** Hexadecimal digits of a schedule's id. */
     private static final int ID_LENGTH = 16;
 
     private final String name;
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<Schedule> schedules = new ArrayList<>();
     private final Map<String, ObjectNode> jobs = new HashMap<>();
     private final Map<String, String> settings = new TreeMap<>();
-    private final Set<String> ids = new HashSet<>();
+    private final Set<String> usedIds = new HashSet<>();
     private ZoneId zone;
     private String calendar;
     private boolean nextBusinessDay;
@@ -116,10 +116,10 @@
      * @param sinceS occurrences after this moment count, in seconds since 1970
      * @throws InvalidTableException if the text is not a valid table
      */
-    public static List<Entry> parse(String name, String text, long sinceS) throws InvalidTableException {
+    public static List<Schedule> parse(String name, String text, long sinceS) throws InvalidTableException {
         CrontabLexer lexer = new CrontabLexer(CharStreams.fromString(text.endsWith("\n") ? text : text + "\n"));
         CrontabParser parser = new CrontabParser(new CommonTokenStream(lexer));
-        BaseErrorListener refuse = new RefusingListener();
+        BaseErrorListener refuse = new ThrowingErrorListener();
         lexer.removeErrorListeners();
         parser.removeErrorListeners();
         lexer.addErrorListener(refuse);
@@ -129,9 +129,9 @@
             for (CrontabParser.LineContext line : parser.table().line()) {
                 table.readLine(line, sinceS);
             }
-            return table.entries;
+            return table.schedules;
         } catch (SyntaxError e) {
-            throw e.why;
+            throw e.tableException;
         }
     }
 
@@ -175,7 +175,7 @@
                     line.setting().NAME().getText(),
                     line.setting().value() == null ? "" : text(line.setting().value()));
         } else if (line.entry() != null) {
-            addEntry(line.entry(), sinceS);
+            addSchedule(line.entry(), sinceS);
         }
     }
 
@@ -217,43 +217,47 @@
         }
     }
 
-    private void addEntry(CrontabParser.EntryContext entryContext, long sinceS) throws InvalidTableException {
+    private void addSchedule(CrontabParser.EntryContext entryContext, long sinceS) throws InvalidTableException {
         String job = text(entryContext.name());
-        ObjectNode template = definedJob(entryContext, job);
+        ObjectNode template = findJobTemplate(entryContext, job);
         ObjectNode made = template.deepCopy();
         if (!made.has("owner")) {
             made.put("owner", team);
         }
         Map<String, CrontabParser.OptionContext> options = readOptions(entryContext, made);
-        Entry.Missed missed = choice(options.get("missed"), Entry.Missed.class, Entry.Missed.ONCE);
-        Entry.Overlap overlap = choice(options.get("overlap"), Entry.Overlap.class, Entry.Overlap.QUEUE);
-        int most = options.containsKey("most") ? mostMissed(options.get("most").value()) : 1;
+        Schedule.Missed missed = readEnumOption(options.get("missed"), Schedule.Missed.class, Schedule.Missed.ONCE);
+        Schedule.Overlap overlap =
+                readEnumOption(options.get("overlap"), Schedule.Overlap.class, Schedule.Overlap.QUEUE);
+        int most = options.containsKey("most")
+                ? readMaxMissedRuns(options.get("most").value())
+                : 1;
         String once =
                 options.containsKey("once_key") ? text(options.get("once_key").value()) : null;
         Expression expression = ExpressionReader.read(entryContext.when());
         String content = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|" + made + "|"
                 + missed + "|" + overlap + "|" + once;
-        Entry entry = new Entry(
+        Schedule entry = new Schedule(
                 name,
-                unusedId(content),
+                uniqueId(content),
                 entryContext.getStart().getLine(),
                 expression,
                 zone,
                 calendar,
                 nextBusinessDay,
                 job,
-                Entry.filled(made, settings),
+                Schedule.substituteVariables(made, settings),
                 missed,
                 most,
                 overlap,
-                Entry.filledText(once, settings),
+                Schedule.substituteVariablesOrNull(once, settings),
                 sinceS);
-        check(entry, entryContext);
-        entries.add(entry);
+        validate(entry, entryContext);
+        schedules.add(entry);
     }
 
     /** The template of the line's job, after a check that all that the line needs stands above it. */
-    private ObjectNode definedJob(CrontabParser.EntryContext entryContext, String job) throws InvalidTableException {
+    private ObjectNode findJobTemplate(CrontabParser.EntryContext entryContext, String job)
+            throws InvalidTableException {
         ObjectNode template = jobs.get(job);
         if (template == null) {
             throw invalid(
@@ -287,30 +291,30 @@
         return options;
     }
 
-    private static int mostMissed(CrontabParser.ValueContext valueContext) throws InvalidTableException {
+    private static int readMaxMissedRuns(CrontabParser.ValueContext valueContext) throws InvalidTableException {
         if (valueContext.INT() == null
-                || valueContext.getText().length() > MOST_MISSED_DIGITS
-                || Integer.parseInt(valueContext.getText()) > Entry.MOST_MISSED) {
-            throw invalid(valueContext, "a number from 0 to " + Entry.MOST_MISSED + " is expected");
+                || valueContext.getText().length() > MAX_MISSED_RUNS_DIGITS
+                || Integer.parseInt(valueContext.getText()) > Schedule.MAX_MISSED_RUNS) {
+            throw invalid(valueContext, "a number from 0 to " + Schedule.MAX_MISSED_RUNS + " is expected");
         }
         return Integer.parseInt(valueContext.getText());
     }
 
     /** The id of a schedule by its content; a line that says the same as earlier ones is given a number. */
-    private String unusedId(String content) {
-        String id = hexadecimalHash(content);
-        for (int i = 2; !ids.add(id); i++) {
-            id = hexadecimalHash(content + "|" + i);
+    private String uniqueId(String content) {
+        String id = hexHash(content);
+        for (int i = 2; !usedIds.add(id); i++) {
+            id = hexHash(content + "|" + i);
         }
         return id.substring(0, Math.min(ID_LENGTH, id.length()));
     }
 
-    private static String hexadecimalHash(String text) {
-        return Entry.hash(text).toString().replaceAll("[^0-9a-fA-F]", "");
+    private static String hexHash(String text) {
+        return Schedule.hash(text).toString().replaceAll("[^0-9a-fA-F]", "");
     }
 
-    private static void check(Entry entry, CrontabParser.EntryContext entryContext) throws InvalidTableException {
-        Instant since = Instant.ofEpochSecond(entry.since());
+    private static void validate(Schedule entry, CrontabParser.EntryContext entryContext) throws InvalidTableException {
+        Instant since = Instant.ofEpochSecond(entry.sinceS());
         try {
             entry.job(since);
         } catch (MalformedMessageException e) {
@@ -321,8 +325,8 @@
         }
     }
 
-    private static <T extends Enum<T>> T choice(CrontabParser.OptionContext optionContext, Class<T> type, T fallback)
-            throws InvalidTableException {
+    private static <T extends Enum<T>> T readEnumOption(
+            CrontabParser.OptionContext optionContext, Class<T> type, T fallback) throws InvalidTableException {
         if (optionContext == null) {
             return fallback;
         }
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -30,7 +30,7 @@
         boolean anyDay,
         boolean anyWeekday) {
     private static final int DAYS_PER_WEEK = 7;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
     /** Flags in the stored form. */
     private static final int EVERY_HOUR = 1;
 
@@ -39,7 +39,7 @@
     private static final int ALL_FLAGS = EVERY_HOUR | ANY_DAY | ANY_WEEKDAY;
 
     /** Returns whether the line names the date, without regard to calendars. */
-    boolean matches(LocalDate date) {
+    boolean matchesDate(LocalDate date) {
         if ((months >> date.getMonthValue() & 1) == 0) {
             return false;
         }
@@ -48,11 +48,11 @@
         return anyDay || anyWeekday ? day && weekday : day || weekday;
     }
 
-    boolean minute(int minute) {
+    boolean matchesMinute(int minute) {
         return (minutes >> minute & 1) == 1;
     }
 
-    boolean hour(int hour) {
+    boolean matchesHour(int hour) {
         return (hours >> hour & 1) == 1;
     }
 
@@ -70,19 +70,19 @@
     static Expression parse(JsonNode node) throws MalformedMessageException {
         int flags = (int) Codec.wholeNumber(node, "free", 0, ALL_FLAGS);
         return new Expression(
-                bits(node, "m"),
-                (int) bits(node, "h"),
-                (int) bits(node, "d"),
-                (int) bits(node, "mo"),
-                (int) bits(node, "w"),
+                parseBits(node, "m"),
+                (int) parseBits(node, "h"),
+                (int) parseBits(node, "d"),
+                (int) parseBits(node, "mo"),
+                (int) parseBits(node, "w"),
                 (flags & EVERY_HOUR) != 0,
                 (flags & ANY_DAY) != 0,
                 (flags & ANY_WEEKDAY) != 0);
     }
 
-    private static long bits(JsonNode node, String field) throws MalformedMessageException {
+    private static long parseBits(JsonNode node, String field) throws MalformedMessageException {
         try {
-            return Long.parseUnsignedLong(Codec.text(node, field), HEXADECIMAL);
+            return Long.parseUnsignedLong(Codec.text(node, field), HEX_RADIX);
         } catch (NumberFormatException e) {
             throw new MalformedMessageException(field + ": a set of bits in hexadecimal is expected");
         }
--- a/src/main/java/org/beechhoist/cron/ExpressionReader.java
+++ b/src/main/java/org/beechhoist/cron/ExpressionReader.java
@@ -34,11 +34,11 @@
     private static final int LAST_DAY = 31;
     private static final int LAST_MONTH = 12;
     /** Weekday 7 is Sunday as well as 0. */
-    private static final int SUNDAY_AGAIN = 7;
+    private static final int ALTERNATIVE_SUNDAY = 7;
 
     private static final int ALL_WEEKDAYS = 0x7f;
     /** Longer numbers are out of every field's range, and could be too long for an int. */
-    private static final int MOST_DIGITS = 4;
+    private static final int MAX_NUMBER_DIGITS = 4;
 
     private ExpressionReader() {}
 
@@ -53,13 +53,13 @@
                     new CrontabParser(new CommonTokenStream(new CrontabLexer(CharStreams.fromString(fields))));
             return read(parser.when());
         }
-        long weekdays = bits(whenContext.dayOfWeek, 0, SUNDAY_AGAIN, WEEKDAYS, 0);
-        weekdays = (weekdays | weekdays >> SUNDAY_AGAIN) & ALL_WEEKDAYS;
+        long weekdays = readBits(whenContext.dayOfWeek, 0, ALTERNATIVE_SUNDAY, WEEKDAYS, 0);
+        weekdays = (weekdays | weekdays >> ALTERNATIVE_SUNDAY) & ALL_WEEKDAYS;
         return new Expression(
-                bits(whenContext.minute, 0, LAST_MINUTE, List.of(), 0),
-                (int) bits(whenContext.hour, 0, LAST_HOUR, List.of(), 0),
-                (int) bits(whenContext.dayOfMonth, 1, LAST_DAY, List.of(), 1),
-                (int) bits(whenContext.month, 1, LAST_MONTH, MONTHS, 1),
+                readBits(whenContext.minute, 0, LAST_MINUTE, List.of(), 0),
+                (int) readBits(whenContext.hour, 0, LAST_HOUR, List.of(), 0),
+                (int) readBits(whenContext.dayOfMonth, 1, LAST_DAY, List.of(), 1),
+                (int) readBits(whenContext.month, 1, LAST_MONTH, MONTHS, 1),
                 (int) weekdays,
                 whenContext.hour.getText().equals("*"),
                 whenContext.dayOfMonth.getText().startsWith("*"),
@@ -67,20 +67,20 @@
     }
 
     /** The values that a field names as a bit set; {@code first} is the value of the first of the names. */
-    private static long bits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
+    private static long readBits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
             throws CronTable.InvalidTableException {
         long out = 0;
         for (CrontabParser.ItemContext itemContext : field.item()) {
-            int from = itemContext.STAR() != null ? least : point(itemContext.from, least, most, names, first);
+            int from = itemContext.STAR() != null ? least : readValue(itemContext.from, least, most, names, first);
             int to = from;
             if (itemContext.STAR() != null || itemContext.to == null && itemContext.step != null) {
                 to = most;
             } else if (itemContext.to != null) {
-                to = point(itemContext.to, least, most, names, first);
+                to = readValue(itemContext.to, least, most, names, first);
             }
             int step = 1;
             if (itemContext.step != null) {
-                step = itemContext.step.getText().length() > MOST_DIGITS
+                step = itemContext.step.getText().length() > MAX_NUMBER_DIGITS
                         ? 0
                         : Integer.parseInt(itemContext.step.getText());
                 if (step < 1 || step > most) {
@@ -97,7 +97,7 @@
         return out;
     }
 
-    private static int point(
+    private static int readValue(
             CrontabParser.PointContext pointContext, int least, int most, List<String> names, int first)
             throws CronTable.InvalidTableException {
         String expected = "a number from " + least + " to " + most
@@ -110,7 +110,7 @@
             }
             return index + first;
         }
-        int value = pointContext.getText().length() > MOST_DIGITS ? -1 : Integer.parseInt(pointContext.getText());
+        int value = pointContext.getText().length() > MAX_NUMBER_DIGITS ? -1 : Integer.parseInt(pointContext.getText());
         if (value < least || value > most) {
             throw CronTable.invalid(pointContext, expected);
         }
--- a/src/main/java/org/beechhoist/cron/Occurrences.java
+++ b/src/main/java/org/beechhoist/cron/Occurrences.java
@@ -19,25 +19,25 @@
  */
 public final class Occurrences {
     /** Days that are searched: more than from one 29 February on a given weekday to the next, across a century without a leap day. */
-    private static final int MOST_DAYS = 366 * 41;
+    private static final int MAX_SEARCH_DAYS = 366 * 41;
 
     /** Closed days in a row of which occurrences can move to the next business day. */
-    private static final int LONGEST_CLOSED = 60;
+    private static final int MAX_CONSECUTIVE_CLOSED_DAYS = 60;
 
     private static final int HOURS_PER_DAY = 24;
     private static final int MINUTES_PER_HOUR = 60;
-    private static final int S_PER_MINUTE = 60;
+    private static final int SECONDS_PER_MINUTE = 60;
 
     private Occurrences() {}
 
     /** Returns the first occurrence after the moment, or null if there is none within 41 years. */
-    public static Instant next(Entry entry, Calendar calendar, Instant after) {
+    public static Instant next(Schedule entry, Calendar calendar, Instant after) {
         LocalDate day =
                 LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         List<Instant> found = new ArrayList<>(1);
-        for (int i = 0; i < MOST_DAYS; i++, day = day.plusDays(1)) {
+        for (int i = 0; i < MAX_SEARCH_DAYS; i++, day = day.plusDays(1)) {
             if (runsOn(entry, calendar, day)) {
-                addLocalTimes(entry, day, after, Instant.MAX, 1, found);
+                addOccurrences(entry, day, after, Instant.MAX, 1, found);
                 if (!found.isEmpty()) {
                     return found.get(0);
                 }
@@ -47,7 +47,7 @@
     }
 
     /** Returns the occurrences after one moment and up to another, at most {@code most}, earlier ones first. */
-    public static List<Instant> between(Entry entry, Calendar calendar, Instant after, Instant upTo, int most) {
+    public static List<Instant> between(Schedule entry, Calendar calendar, Instant after, Instant upTo, int most) {
         List<Instant> out = new ArrayList<>();
         LocalDate last =
                 LocalDateTime.ofInstant(upTo, entry.zone()).toLocalDate().plusDays(1);
@@ -55,7 +55,7 @@
                 LocalDateTime.ofInstant(after, entry.zone()).toLocalDate().minusDays(1);
         for (; !day.isAfter(last) && out.size() < most; day = day.plusDays(1)) {
             if (runsOn(entry, calendar, day)) {
-                addLocalTimes(entry, day, after, upTo, most, out);
+                addOccurrences(entry, day, after, upTo, most, out);
             }
         }
         return out;
@@ -63,23 +63,23 @@
 
     /** Reports each day from one to before another that the line names and its calendar has closed, with the reason. */
     public static void reportClosedDays(
-            Entry entry, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> report) {
+            Schedule entry, Calendar calendar, LocalDate from, LocalDate until, BiConsumer<LocalDate, String> report) {
         for (LocalDate date = from; calendar != null && date.isBefore(until); date = date.plusDays(1)) {
-            String closed = entry.expression().matches(date) ? calendar.closedReason(date) : null;
+            String closed = entry.expression().matchesDate(date) ? calendar.closedReason(date) : null;
             if (closed != null) {
                 report.accept(date, closed);
             }
         }
     }
 
-    private static boolean runsOn(Entry entry, Calendar calendar, LocalDate day) {
+    private static boolean runsOn(Schedule entry, Calendar calendar, LocalDate day) {
         if (calendar == null) {
-            return entry.expression().matches(day);
+            return entry.expression().matchesDate(day);
         }
         if (calendar.closedReason(day) != null) {
             return false;
         }
-        if (entry.expression().matches(day)) {
+        if (entry.expression().matchesDate(day)) {
             return true;
         }
         if (!entry.nextBusinessDay()) {
@@ -87,8 +87,10 @@
         }
         // Occurrences on the closed days just before are moved to this day.
         LocalDate date = day.minusDays(1);
-        for (int i = 0; i < LONGEST_CLOSED && calendar.closedReason(date) != null; i++, date = date.minusDays(1)) {
-            if (entry.expression().matches(date)) {
+        for (int i = 0;
+                i < MAX_CONSECUTIVE_CLOSED_DAYS && calendar.closedReason(date) != null;
+                i++, date = date.minusDays(1)) {
+            if (entry.expression().matchesDate(date)) {
                 return true;
             }
         }
@@ -96,19 +98,21 @@
     }
 
     /** Adds the day's occurrences after one moment and up to another, in order, until there are {@code most} in all. */
-    private static void addLocalTimes(
-            Entry entry, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
+    private static void addOccurrences(
+            Schedule entry, LocalDate day, Instant after, Instant upTo, int most, List<Instant> out) {
         Expression expression = entry.expression();
         if (expression.everyHour()) {
-            addRealMinutes(expression, day, entry.zone(), after, upTo, most, out);
+            addEveryHourOccurrences(expression, day, entry.zone(), after, upTo, most, out);
             return;
         }
         ZoneRules rules = entry.zone().getRules();
         Instant last = after;
         for (int hour = 0; hour < HOURS_PER_DAY; hour++) {
-            for (int minute = 0; expression.hour(hour) && minute < MINUTES_PER_HOUR && out.size() < most; minute++) {
-                Instant instant = expression.minute(minute)
-                        ? instant(rules, LocalDateTime.of(day, LocalTime.of(hour, minute)))
+            for (int minute = 0;
+                    expression.matchesHour(hour) && minute < MINUTES_PER_HOUR && out.size() < most;
+                    minute++) {
+                Instant instant = expression.matchesMinute(minute)
+                        ? resolveLocalTime(rules, LocalDateTime.of(day, LocalTime.of(hour, minute)))
                         : last;
                 if (instant.isAfter(last) && !instant.isAfter(upTo)) { // several times in one gap are one occurrence
                     out.add(instant);
@@ -118,7 +122,7 @@
         }
     }
 
-    private static Instant instant(ZoneRules rules, LocalDateTime local) {
+    private static Instant resolveLocalTime(ZoneRules rules, LocalDateTime local) {
         List<ZoneOffset> valid = rules.getValidOffsets(local);
         if (!valid.isEmpty()) {
             return local.toInstant(valid.get(0)); // of two, the first to come
@@ -127,7 +131,7 @@
         return gap.getInstant();
     }
 
-    private static void addRealMinutes(
+    private static void addEveryHourOccurrences(
             Expression expression,
             LocalDate day,
             ZoneId zone,
@@ -139,13 +143,14 @@
         Instant instant = day.atStartOfDay(zone).toInstant();
         if (instant.isBefore(after)) {
             instant = instant.plusSeconds(
-                    (after.getEpochSecond() - instant.getEpochSecond()) / S_PER_MINUTE * S_PER_MINUTE);
+                    (after.getEpochSecond() - instant.getEpochSecond()) / SECONDS_PER_MINUTE * SECONDS_PER_MINUTE);
         }
         for (;
                 instant.isBefore(end) && !instant.isAfter(upTo) && out.size() < most;
-                instant = instant.plusSeconds(S_PER_MINUTE)) {
+                instant = instant.plusSeconds(SECONDS_PER_MINUTE)) {
             if (instant.isAfter(after)
-                    && expression.minute(LocalDateTime.ofInstant(instant, zone).getMinute())) {
+                    && expression.matchesMinute(
+                            LocalDateTime.ofInstant(instant, zone).getMinute())) {
                 out.add(instant);
             }
         }
--- a/src/main/java/org/beechhoist/cron/Entry.java
+++ b/src/main/java/org/beechhoist/cron/Schedule.java
@@ -35,12 +35,12 @@
  * @param jobName the name of the job in the table
  * @param template the fields of the job
  * @param missed what becomes of missed occurrences
- * @param mostMissed how many missed occurrences are run if all should be
+ * @param maxMissedRuns how many missed occurrences are run if all should be
  * @param overlap what becomes of an occurrence while the previous run is not over
- * @param onceKey the job's idempotency key, with variables; null: none
- * @param since occurrences after this moment count, in seconds since 1970
+ * @param idempotencyKey the job's idempotency key, with variables; null: none
+ * @param sinceS occurrences after this moment count, in seconds since 1970
  */
-public record Entry(
+public record Schedule(
         String table,
         String id,
         int line,
@@ -51,10 +51,10 @@
         String jobName,
         ObjectNode template,
         Missed missed,
-        int mostMissed,
+        int maxMissedRuns,
         Overlap overlap,
-        String onceKey,
-        long since) {
+        String idempotencyKey,
+        long sinceS) {
     /** What becomes of occurrences at which the service was down; the names are stored in lower case. */
     public enum Missed {
         /** One run stands for all missed occurrences. */
@@ -76,13 +76,13 @@
     }
 
     /** Largest number of missed occurrences that can be run afterwards. */
-    public static final int MOST_MISSED = 100;
+    public static final int MAX_MISSED_RUNS = 100;
 
     private static final Pattern VARIABLE = Pattern.compile("\\{([A-Za-z_][A-Za-z0-9_]*)}");
 
     /** Returns this schedule with another moment after which its occurrences count. */
-    public Entry withSince(long sinceS) {
-        return new Entry(
+    public Schedule withSince(long sinceS) {
+        return new Schedule(
                 table,
                 id,
                 line,
@@ -93,9 +93,9 @@
                 jobName,
                 template,
                 missed,
-                mostMissed,
+                maxMissedRuns,
                 overlap,
-                onceKey,
+                idempotencyKey,
                 sinceS);
     }
 
@@ -126,7 +126,7 @@
                 jobName);
     }
 
-    private static String filled(String text, Map<String, String> variables) {
+    private static String substituteVariables(String text, Map<String, String> variables) {
         Matcher matcher = VARIABLE.matcher(text);
         StringBuilder out = new StringBuilder();
         while (matcher.find()) {
@@ -143,12 +143,13 @@
         template.fields().forEachRemaining(entry -> {
             if (entry.getValue().isTextual()) {
                 node.set(
-                        entry.getKey(), TextNode.valueOf(filled(entry.getValue().textValue(), variables)));
+                        entry.getKey(),
+                        TextNode.valueOf(substituteVariables(entry.getValue().textValue(), variables)));
             }
         });
         node.put("ref", jobId(at).text());
-        if (onceKey != null) {
-            node.put("onceKey", filled(onceKey, variables));
+        if (idempotencyKey != null) {
+            node.put("onceKey", substituteVariables(idempotencyKey, variables));
         }
         return JobSpec.parse(node)
                 .withOrigin(table + ", line " + line + ", " + at.atZone(zone).toOffsetDateTime());
@@ -163,23 +164,23 @@
                 .put("zone", zone.getId())
                 .put("job", jobName)
                 .put("missed", missed.name().toLowerCase(Locale.ROOT))
-                .put("most", mostMissed)
+                .put("most", maxMissedRuns)
                 .put("overlap", overlap.name().toLowerCase(Locale.ROOT))
-                .put("since", since);
+                .put("since", sinceS);
         if (calendar != null) {
             node.put("calendar", calendar).put("next", nextBusinessDay);
         }
-        if (onceKey != null) {
-            node.put("once", onceKey);
+        if (idempotencyKey != null) {
+            node.put("once", idempotencyKey);
         }
         node.set("template", template);
         return node;
     }
 
     /** Reads the stored form. */
-    public static Entry parse(String table, JsonNode node) throws MalformedMessageException {
+    public static Schedule parse(String table, JsonNode node) throws MalformedMessageException {
         try {
-            return new Entry(
+            return new Schedule(
                     table,
                     Codec.text(node, "id"),
                     (int) Codec.wholeNumber(node, "line", 1, Integer.MAX_VALUE),
@@ -190,7 +191,7 @@
                     Codec.text(node, "job"),
                     (ObjectNode) node.get("template"),
                     Missed.valueOf(Codec.text(node, "missed").toUpperCase(Locale.ROOT)),
-                    (int) Codec.wholeNumber(node, "most", 0, MOST_MISSED),
+                    (int) Codec.wholeNumber(node, "most", 0, MAX_MISSED_RUNS),
                     Overlap.valueOf(Codec.text(node, "overlap").toUpperCase(Locale.ROOT)),
                     node.path("once").textValue(),
                     Codec.wholeNumber(node, "since", 0, Long.MAX_VALUE));
@@ -200,18 +201,18 @@
     }
 
     /** Replaces the table's own variables in the template; done once, when the table is read. */
-    static ObjectNode filled(ObjectNode template, Map<String, String> settings) {
+    static ObjectNode substituteVariables(ObjectNode template, Map<String, String> settings) {
         ObjectNode out = template.deepCopy();
         Map<String, String> known = new TreeMap<>(settings);
         template.fields().forEachRemaining(entry -> {
             if (entry.getValue().isTextual()) {
-                out.put(entry.getKey(), filled(entry.getValue().textValue(), known));
+                out.put(entry.getKey(), substituteVariables(entry.getValue().textValue(), known));
             }
         });
         return out;
     }
 
-    static String filledText(String text, Map<String, String> settings) {
-        return text == null ? null : filled(text, settings);
+    static String substituteVariablesOrNull(String text, Map<String, String> settings) {
+        return text == null ? null : substituteVariables(text, settings);
     }
 }
--- a/src/main/java/org/beechhoist/cron/ShipDates.java
+++ b/src/main/java/org/beechhoist/cron/ShipDates.java
@@ -15,7 +15,7 @@
 
 /** Reads ship dates from an iCalendar file (RFC 5545): its events by name, each of which occurs once. */
 public final class ShipDates {
-    private static final int MOST_EVENTS = 500;
+    private static final int MAX_EVENTS = 500;
 
     private ShipDates() {}
 
@@ -51,8 +51,8 @@
             if (out.put(name, dateTime.toString()) != null) {
                 throw new MalformedMessageException("event " + name + ": it is there twice");
             }
-            if (out.size() > MOST_EVENTS) {
-                throw new MalformedMessageException("at most " + MOST_EVENTS + " events are allowed");
+            if (out.size() > MAX_EVENTS) {
+                throw new MalformedMessageException("at most " + MAX_EVENTS + " events are allowed");
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/cron/package-info.java
+++ b/src/main/java/org/beechhoist/cron/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Decisions about jobs that a cron table submits.
  *
- * <p>{@link org.beechhoist.cron.CronTable} reads a table's text into schedules ({@link org.beechhoist.cron.Entry}). {@link
+ * <p>{@link org.beechhoist.cron.CronTable} reads a table's text into schedules ({@link org.beechhoist.cron.Schedule}). {@link
  * org.beechhoist.cron.Occurrences} computes when a schedule runs, with regard to time zones and a {@link org.beechhoist.cron.Calendar};
- * {@link org.beechhoist.cron.Catchup} decides what becomes of occurrences that were missed. {@link org.beechhoist.cron.CalendarFile} and
+ * {@link org.beechhoist.cron.CatchUpDecision} decides what becomes of occurrences that were missed. {@link org.beechhoist.cron.CalendarFile} and
  * {@link org.beechhoist.cron.ShipDates} read files for the command line.
  *
  * <p>The package owns the stored forms of schedules and calendars and their keys ({@link org.beechhoist.cron.ScheduleKeys}) but no state of
--- a/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
+++ b/src/test/java/org/beechhoist/corpus/StoredRecordsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Set;
 import org.beechhoist.cron.Calendar;
-import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.drain.Account;
 import org.beechhoist.drain.DisruptionBudget;
 import org.beechhoist.drain.Drain;
@@ -129,7 +129,7 @@
     private static JsonNode entries(JsonNode stored) throws MalformedMessageException {
         var out = Codec.list();
         for (JsonNode entry : stored) {
-            out.add(Entry.parse("table", entry).toNode());
+            out.add(Schedule.parse("table", entry).toNode());
         }
         return out;
     }
--- a/src/test/java/org/beechhoist/cron/OccurrencesTest.java
+++ b/src/test/java/org/beechhoist/cron/OccurrencesTest.java
@@ -22,7 +22,7 @@
 class OccurrencesTest {
     static final String HEAD = "team ours\njob j { cores = 1.0, memGb = 1, bundle = \"i\" }\n";
 
-    static Entry line(String zone, String line) {
+    static Schedule line(String zone, String line) {
         try {
             return CronTable.parse("t", HEAD + "zone " + zone + "\n" + line + "\n", 0)
                     .get(0);
@@ -32,7 +32,7 @@
     }
 
     private static String runs(String zone, String fields, String from, int most) {
-        Entry e = line(zone, fields + " j");
+        Schedule e = line(zone, fields + " j");
         return Occurrences.between(
                         e, null, Instant.parse(from), Instant.parse(from).plus(Duration.ofDays(4000)), most)
                 .stream()
@@ -93,7 +93,7 @@
     /** Written by hand from the two calendars: a month's end and Golden Week, Holy Week and what moves behind it. */
     @Test
     void calendarsLeaveDaysOutOrMoveThem() {
-        Entry skip = line("Asia/Tokyo", "calendar jp holiday skip\n30 1 * * 1-5 j");
+        Schedule skip = line("Asia/Tokyo", "calendar jp holiday skip\n30 1 * * 1-5 j");
         List<String> days = Occurrences.between(
                         skip, japan(), Instant.parse("2026-04-27T00:00:00Z"), Instant.parse("2026-05-09T00:00:00Z"), 99)
                 .stream()
@@ -110,7 +110,7 @@
                         "2026-05-05 holiday: Children's Day",
                         "2026-05-06 holiday: substitute holiday"),
                 why);
-        Entry next = line("America/Costa_Rica", "calendar cr holiday next\n0 5 * * 4,6 j");
+        Schedule next = line("America/Costa_Rica", "calendar cr holiday next\n0 5 * * 4,6 j");
         days = Occurrences.between(
                         next,
                         costaRica(),
@@ -134,7 +134,7 @@
     /** Rider payouts on the 1st and 15th, or the next business day in Costa Rica: all of 2026, written by hand. */
     @Test
     void aYearOfPayoutsByHand() {
-        Entry e = line("America/Costa_Rica", "calendar cr holiday next\n0 5 1,15 * * j");
+        Schedule e = line("America/Costa_Rica", "calendar cr holiday next\n0 5 1,15 * * j");
         assertEquals(
                 "01-02 01-15 02-02 02-16 03-02 03-16 04-01 04-15 05-04 05-15 06-01 06-15 07-01 07-15 08-03 08-17 09-01 09-16 10-01 "
                         + "10-15 11-02 11-16 12-01 12-15",
@@ -168,7 +168,7 @@
             String zone = zones.get(r.nextInt(zones.size()));
             Instant from = Instant.parse("2027-02-01T00:00:00Z").plusSeconds(r.nextInt(400) * 86_400L);
             Instant until = from.plus(Duration.ofDays(40));
-            Entry e = line(zone, fields + " j");
+            Schedule e = line(zone, fields + " j");
             assertEquals(
                     new PlainCron(fields, zone, Map.of(), true, false).between(from, until),
                     Occurrences.between(e, null, from, until, 100_000),
@@ -213,8 +213,8 @@
 
     @Test
     void aLineIsTheSameWhereverItStandsAndOtherwiseNot() {
-        Entry a = line("UTC", "0 0 * * * j");
-        Entry b = line("UTC", "\n\n# later\n0 0 * * *   j");
+        Schedule a = line("UTC", "0 0 * * * j");
+        Schedule b = line("UTC", "\n\n# later\n0 0 * * *   j");
         assertEquals(a.id(), b.id());
         assertNotEquals(a.id(), line("UTC", "0 0 * * * j pieces=2").id());
         assertEquals(a.jobId(Instant.ofEpochSecond(60)), b.jobId(Instant.ofEpochSecond(60)));
@@ -226,34 +226,35 @@
     void whatWasMissed() {
         Instant back = Instant.parse("2026-06-01T10:30:00Z");
         Instant first = Instant.parse("2026-06-01T07:00:00Z");
-        Entry once = line("UTC", "0 * * * * j");
+        Schedule once = line("UTC", "0 * * * * j");
         assertEquals(
-                new Catchup(back, back, 5),
-                Catchup.next(line("UTC", "0,30 10 * * * j"), null, Instant.parse("2026-05-30T10:00:00Z"), back, back),
+                new CatchUpDecision(back, back, 5),
+                CatchUpDecision.decide(
+                        line("UTC", "0,30 10 * * * j"), null, Instant.parse("2026-05-30T10:00:00Z"), back, back),
                 "the one at the very return is the one run");
         assertEquals(
-                new Catchup(Instant.parse("2026-06-01T10:00:00Z"), Instant.parse("2026-06-01T10:00:00Z"), 3),
-                Catchup.next(once, null, first, back, back));
+                new CatchUpDecision(Instant.parse("2026-06-01T10:00:00Z"), Instant.parse("2026-06-01T10:00:00Z"), 3),
+                CatchUpDecision.decide(once, null, first, back, back));
         assertEquals(
-                new Catchup(null, Instant.parse("2026-06-01T10:00:00Z"), 4),
-                Catchup.next(line("UTC", "0 * * * * j missed=none"), null, first, back, back));
-        Entry all = line("UTC", "0 * * * * j missed=all most=2");
+                new CatchUpDecision(null, Instant.parse("2026-06-01T10:00:00Z"), 4),
+                CatchUpDecision.decide(line("UTC", "0 * * * * j missed=none"), null, first, back, back));
+        Schedule all = line("UTC", "0 * * * * j missed=all most=2");
         assertEquals(
-                new Catchup(null, Instant.parse("2026-06-01T08:00:00Z"), 2),
-                Catchup.next(all, null, first, back, back));
+                new CatchUpDecision(null, Instant.parse("2026-06-01T08:00:00Z"), 2),
+                CatchUpDecision.decide(all, null, first, back, back));
         Instant ninth = Instant.parse("2026-06-01T09:00:00Z");
-        assertEquals(new Catchup(ninth, ninth, 0), Catchup.next(all, null, ninth, back, back));
+        assertEquals(new CatchUpDecision(ninth, ninth, 0), CatchUpDecision.decide(all, null, ninth, back, back));
         assertEquals(
-                new Catchup(first, first, 0),
-                Catchup.next(once, null, first, first, back),
+                new CatchUpDecision(first, first, 0),
+                CatchUpDecision.decide(once, null, first, first, back),
                 "a leader was there: it is late, not missed");
-        Entry minutes = line("UTC", "* * * * * j");
+        Schedule minutes = line("UTC", "* * * * * j");
         Instant year = back.minus(Duration.ofDays(300));
         int dropped = 0;
         Instant at = year;
         for (int i = 0; i < 1000; i++) {
-            Catchup c = Catchup.next(minutes, null, at, back, back);
-            dropped += c.dropped();
+            CatchUpDecision c = CatchUpDecision.decide(minutes, null, at, back, back);
+            dropped += c.skippedCount();
             if (c.run() != null) {
                 assertTrue(Duration.between(c.run(), back).toSeconds() <= 180, c.toString());
                 assertTrue(dropped > 300 * 1440 - 10);
