--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -24,22 +24,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the next leader needs of the machines before they speak: written a part at a time, at a stated share of the changes,
- * and read while the records are. Only hints: what the cloud lists and what machines say replaces them.
+ * Stores snapshots of the known machines for the next leader, which uses them until the first heartbeats arrive. One part is
+ * written at a time, at a fixed share of the write rate; all parts are read while the job records are loaded. The snapshots are
+ * hints: the cloud's machine list and heartbeats override them.
  */
 final class FleetSnapshots {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSnapshots.class);
-    /** Written only where this much of a full budget of changes is left. */
+    /** The share of the write budget that must be free for a snapshot to be written. */
     private static final double MIN_FREE_WRITE_SHARE = 0.6;
-    /** Of the allowed changes, what the notes may take. */
+    /** The share of the allowed write rate that snapshots may use. */
     private static final double MAX_WRITE_SHARE = 0.02;
-    /** A part that has not changed is written again after this long, so that its age tells that somebody led. */
+    /** The age at which an unchanged part is written again, so that a recent part shows that a leader was active. */
     private static final long REFRESH_INTERVAL_MS = 120_000;
 
     private static final long MAX_AGE_MS = 600_000;
     private static final long FIRST_WRITE_DELAY_MS = 15_000;
     private static final long READ_RETRY_DELAY_MS = 500;
     private static final int MAX_READ_RETRIES = 6;
+    private static final int READ_PAGE_ITEMS = 100;
+    private static final int MS_PER_S = 1000;
+    private static final double MIN_WRITES_PER_S = 0.02;
+    private static final int MS_PER_MINUTE = 60_000;
     private static final int MAX_IMAGES_PER_MACHINE = 8;
     private static final int TYPICAL_MACHINE_BYTES = 80;
 
@@ -58,7 +63,7 @@
     private boolean writeInFlight;
     private int nextPart;
     private int partCount = 1;
-    /** The largest machine that was met, in bytes. */
+    /** The largest size of a machine's entry seen in this process, in bytes. */
     private int maxMachineBytes = TYPICAL_MACHINE_BYTES;
 
     FleetSnapshots(
@@ -78,7 +83,7 @@
         this.clusterState = clusterState;
     }
 
-    /** A new leadership begins: what the last one noted is read. */
+    /** Starts a new term: resets the state and reads the snapshots of the previous leader. */
     void startTerm() {
         writtenParts.clear();
         storedParts.clear();
@@ -91,70 +96,70 @@
 
     // ---- reading ----
 
-    private void readSnapshots(String after, List<FleetSnapshot> whole, int unread, int tries) {
+    private void readSnapshots(String after, List<FleetSnapshot> snapshots, int malformed, int retries) {
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
-        store.list(FleetSnapshot.PREFIX, after, 100, page -> {
+        store.list(FleetSnapshot.PREFIX, after, READ_PAGE_ITEMS, page -> {
             if (term != clusterState.term()) {
                 return;
             }
             if (!page.isOk()) {
-                if (tries < MAX_READ_RETRIES) {
+                if (retries < MAX_READ_RETRIES) {
                     context.schedule(READ_RETRY_DELAY_MS, () -> {
                         if (term == clusterState.term()) {
-                            readSnapshots(after, whole, unread, tries + 1);
+                            readSnapshots(after, snapshots, malformed, retries + 1);
                         }
                     });
                 }
                 return;
             }
-            int bad = unread;
+            int malformedCount = malformed;
             for (StoreClient.KeyValue item : page.items()) {
                 try {
                     FleetSnapshot snapshot = FleetSnapshot.parse(item.value());
                     if (!FleetSnapshot.key(snapshot.part()).equals(item.key())) {
-                        throw new MalformedMessageException("part: it stands at " + item.key());
+                        throw new MalformedMessageException("part: does not match its key " + item.key());
                     }
-                    whole.add(snapshot);
+                    snapshots.add(snapshot);
                     storedParts.add(snapshot.part());
                 } catch (MalformedMessageException e) {
-                    LOG.debug("{}: {}", item.key(), e.getMessage());
-                    bad++;
+                    LOG.debug("fleet snapshot part ignored: key={} error=\"{}\"", item.key(), e.getMessage());
+                    malformedCount++;
                 }
             }
             if (page.more() && !page.items().isEmpty()) {
-                readSnapshots(page.items().get(page.items().size() - 1).key(), whole, bad, 0);
+                readSnapshots(page.items().get(page.items().size() - 1).key(), snapshots, malformedCount, 0);
             } else {
-                applySnapshots(whole, bad);
+                applySnapshots(snapshots, malformedCount);
             }
         });
     }
 
-    private void applySnapshots(List<FleetSnapshot> whole, int bad) {
-        List<FleetSnapshot> usable = whole.stream()
+    private void applySnapshots(List<FleetSnapshot> snapshots, int malformedCount) {
+        List<FleetSnapshot> usable = snapshots.stream()
                 .filter(s -> Math.abs(context.wallMs() - s.wallMs()) < MAX_AGE_MS)
                 .toList();
-        if (bad > 0 || usable.size() < whole.size()) {
+        if (malformedCount > 0 || usable.size() < snapshots.size()) {
             LOG.warn(
-                    "notes on the fleet: {} parts taken, {} too old, {} torn or foreign: the cloud's list and reports tell the rest",
+                    "fleet snapshot incomplete: usableParts={} expiredParts={} malformedParts={}",
                     usable.size(),
-                    whole.size() - usable.size(),
-                    bad);
+                    snapshots.size() - usable.size(),
+                    malformedCount);
         }
-        long taken = FleetSnapshot.merged(usable).values().stream()
+        long addedCount = FleetSnapshot.merged(usable).values().stream()
                 .filter(this::addIfUnknown)
                 .count();
-        if (taken > 0) {
-            LOG.info("notes on the fleet: {} machines known before they speak", taken);
+        if (addedCount > 0) {
+            LOG.info("fleet snapshot applied: machines={}", addedCount);
             clusterState.requestReplan();
         }
     }
 
-    /** Whether it was not known yet. */
+    /** Adds the machine unless it is known already, and returns whether it was added. */
     private boolean addIfUnknown(FleetSnapshot.Machine machine) {
         Machine known = clusterState.machine(machine.id());
         if (known.isTypeKnown()) {
-            return false; // it has spoken, or the list was quicker
+            return false; // known from a heartbeat or the cloud's list, which are newer
         }
         known.type = machine.type();
         known.zone = machine.zone();
@@ -171,7 +176,7 @@
 
     // ---- writing ----
 
-    /** Looks at one part, and writes it if it has changed and writes are to spare. */
+    /** Checks the next part and writes it if it has changed or is old, provided that enough of the write budget is free. */
     void writeNextPart() {
         if (writeInFlight
                 || context.now().isBefore(nextWriteAt)
@@ -194,7 +199,7 @@
             }
             return;
         }
-        // The fleet was larger once: what it was cut into then is in the way of nobody, but stale.
+        // Deletes parts left from a larger fleet, which had more parts: they do no harm but are stale.
         storedParts.stream().filter(p -> p >= partCount).findFirst().ifPresent(p -> write(p, null, null));
     }
 
@@ -224,7 +229,7 @@
         }
         long rented =
                 known.rentedAt == null ? 0 : context.wallMs() - context.now().since(known.rentedAt);
-        // To the minute: the clocks' wander would make every part differ every time.
+        // Rounded to the minute: otherwise clock drift would change every part on each write.
         return new FleetSnapshot.Machine(
                 known.id,
                 known.address,
@@ -232,7 +237,7 @@
                 known.zone,
                 known.spot,
                 known.epoch,
-                rented / 60_000 * 60_000,
+                rented / MS_PER_MINUTE * MS_PER_MINUTE,
                 images);
     }
 
--- a/src/main/java/org/beechhoist/controller/MachineCapacity.java
+++ b/src/main/java/org/beechhoist/controller/MachineCapacity.java
@@ -2,7 +2,7 @@
 
 import org.beechhoist.wire.JobSpec;
 
-/** The free capacity of a machine that boots or is about to be rented. */
+/** The free capacity of a machine that is booting or about to be rented. */
 final class MachineCapacity {
     final MachineOffer offer;
     private double cpus;
@@ -16,7 +16,7 @@
         memGb = offer.type.memGb();
     }
 
-    /** Takes what one task needs, and returns false where it does not fit. */
+    /** Deducts the resources of one task, or returns false if the task does not fit. */
     boolean tryTake(JobSpec spec) {
         if (cpus < spec.cpus() || gpus < spec.gpus() || memGb < spec.memGb()) {
             return false;
--- a/src/main/java/org/beechhoist/controller/MachineOffer.java
+++ b/src/main/java/org/beechhoist/controller/MachineOffer.java
@@ -4,20 +4,20 @@
 import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.MonotonicTime;
 
-/** A kind of machine that can be rented: its type, its zone, and whether it is a spot machine. */
+/** A combination of machine type, zone and spot or ordinary rental that the cloud offers. */
 final class MachineOffer {
     private static final double MIN_AMOUNT = 0.01;
 
     final MachineType type;
     final String zone;
     final boolean spot;
-    /** Machines requested and not answered yet. */
+    /** Machines requested whose request is not answered yet. */
     int pendingCount;
 
     MonotonicTime refusedUntil = MonotonicTime.ZERO;
-    /** When it was last refused or granted in part only; null: not since it was granted in full. */
+    /** The time of the last refusal or partial grant; null if there was none since the last full grant. */
     MonotonicTime shortageAt;
-    /** Machines that the current plan needs. */
+    /** Machines still to be requested for the current plan. */
     int neededCount;
 
     MachineOffer(MachineType type, String zone, boolean spot) {
@@ -26,7 +26,7 @@
         this.spot = spot;
     }
 
-    /** Returns a key that is the same for offers of one kind whose prices differ. */
+    /** Returns a key that does not depend on the price. */
     String key() {
         return type.name() + "/" + zone + "/" + spot;
     }
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -43,10 +43,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room for a large task by moving smaller ones, where GPUs enough are free in pieces. A move is written before the first
- * stop, {@code mv/HOST}: for whom, which tasks, where each has its place. From there on a leader, whichever it is, goes by what
- * the records say of those tasks: on the old machine they are stopped with time to save, gone they begin in their place, there
- * they are done. The place is kept for each, and the room for whom it was made.
+ * Migrates tasks off a machine, either to free capacity for a large task where enough GPUs are free but fragmented over several
+ * machines, or to drain the machine. A migration is stored under {@code mv/HOST} before the first task is stopped: the job or
+ * drain that it is for, the tasks, and the target machine of each. From then on any leader continues it from the task records: a
+ * task still on the source machine is stopped with time to save a checkpoint, a stopped task is started on its target, and a task
+ * that runs on its target is done. Each target's capacity is reserved for its task, and the freed capacity for the large job.
  */
 final class MigrationController {
     static final String PREFIX = "mv/";
@@ -54,18 +55,24 @@
     private static final Logger LOG = LoggerFactory.getLogger(MigrationController.class);
     private static final long SEARCH_INTERVAL_MS = 2000;
     private static final long MAX_MIGRATION_MS = 150_000;
-    /** A task is not moved again so soon. */
+    /** The time for which a moved task is not moved again. */
     private static final long MIN_MOVE_INTERVAL_MS = 300_000;
 
+    /** Migrations at a time that free capacity for a job. */
     private static final int MAX_JOB_MIGRATIONS = 4;
+    /** Open tasks of one job that count towards the demand for their size. */
+    private static final int MAX_COUNTED_TASKS_PER_JOB = 64;
+    /** The factor by which earlier demand for a size decays on each call. */
+    private static final double DEMAND_DECAY = 0.999;
+
     private static final long READ_RETRY_DELAY_MS = 700;
 
-    /** Tasks that leave a machine, each with a place kept: for a large one's sake, or because the machine is emptied. */
+    /** The tasks that are moved off one machine, with the target reserved for each: for a large job or for a drain. */
     private static final class Migration {
         private final MachineId source;
-        /** Null where the machine is emptied. */
+        /** The job that capacity is freed for; null for a drain. */
         private final JobId forJob;
-        /** Whose machine it is, where it is emptied; else null. */
+        /** The name of the drain; null where capacity is freed for a job. */
         private final String drain;
 
         private final long startedWallMs;
@@ -90,7 +97,7 @@
         }
 
         private static Migration parse(String key, JsonNode node) {
-            Migration making = new Migration(
+            Migration migration = new Migration(
                     new MachineId(key.substring(PREFIX.length())),
                     node.hasNonNull("for") ? new JobId(node.path("for").asText()) : null,
                     node.hasNonNull("drain") ? node.path("drain").asText() : null,
@@ -98,15 +105,15 @@
             for (int i = 0; i + 1 < node.path("moves").size(); i += 2) {
                 TaskId task = TaskId.parse(node.get("moves").get(i).asText());
                 if (task != null) {
-                    making.targets.put(
+                    migration.targets.put(
                             task, new MachineId(node.get("moves").get(i + 1).asText()));
                 }
             }
-            return making;
+            return migration;
         }
 
         private String reason() {
-            return drain != null ? "drain " + drain : "room for " + forJob;
+            return drain != null ? "drain " + drain : "capacity for " + forJob;
         }
     }
 
@@ -126,12 +133,12 @@
     private final PrefixReader prefixReader;
     private final DisruptionAccounting disruptions;
     private final Map<MachineId, Migration> migrations = new TreeMap<>();
-    /** By the time of day when a task was last moved. */
+    /** The wall-clock time at which each task was last moved. */
     private final Map<TaskId, Long> movedAtWallMs = new HashMap<>();
 
     private final Map<Double, Double> sizeDemand = new HashMap<>();
     private boolean loaded;
-    /** Whether what the last leader had in hand is being read, or was. */
+    /** Whether loading the previous leader's migrations has been started in this term. */
     private boolean loadStarted;
 
     private boolean writeInFlight;
@@ -174,14 +181,14 @@
                 (j, p) -> !policy.drains() || isAllowedByBudgets(budgets.get(), j, p));
     }
 
-    /** Whether the budgets that somebody declared for its team and class allow that it is moved. */
+    /** Returns whether the disruption budgets declared for the task's team and class allow moving it. */
     private boolean isAllowedByBudgets(Budgets budgets, Job job, Placement placement) {
         JobSpec spec = job.spec();
         if (!budgets.isDeclared(spec.team(), spec.jobClass())) {
             return true;
         }
         Account account = disruptions.copies().getOrDefault(spec.team(), new Account());
-        Account.DisruptionRequest ask = new Account.DisruptionRequest(
+        Account.DisruptionRequest request = new Account.DisruptionRequest(
                 placement.task,
                 spec.jobClass(),
                 spec.isService(),
@@ -189,11 +196,11 @@
                 DisruptionAccounting.lostCpuS(spec, placement, context.now()));
         DisruptionBudget own = budgets.ofClass(spec.team(), spec.jobClass());
         return disruptions.known()
-                && account.refusalReason(budgets.ofTeam(spec.team()), ask, context.wallMs()) == null
-                && (own == null || account.refusalReason(own, ask, context.wallMs()) == null);
+                && account.refusalReason(budgets.ofTeam(spec.team()), request, context.wallMs()) == null
+                && (own == null || account.refusalReason(own, request, context.wallMs()) == null);
     }
 
-    /** A new leadership begins: what the last one had in hand is read before anything is moved. */
+    /** Starts a new term: the previous leader's migrations are loaded before any task is moved. */
     void startTerm() {
         migrations.clear();
         movedAtWallMs.clear();
@@ -221,9 +228,13 @@
         prefixReader.read(
                 PREFIX,
                 item -> {
-                    Migration move = Migration.parse(item.key(), item.value());
-                    migrations.put(move.source, move);
-                    LOG.info("{}, {}: it is gone on with, {} moves", move.source, move.reason(), move.targets.size());
+                    Migration migration = Migration.parse(item.key(), item.value());
+                    migrations.put(migration.source, migration);
+                    LOG.info(
+                            "migration resumed: machine={} reason=\"{}\" tasks={}",
+                            migration.source,
+                            migration.reason(),
+                            migration.targets.size());
                 },
                 () -> loadRecentMoves(term));
     }
@@ -254,9 +265,9 @@
         });
     }
 
-    // ---- what the plan must know ----
+    // ---- planning ----
 
-    /** How often which size is asked for, by tasks that are open; what asked before fades. */
+    /** Returns how often each task size in GPUs is requested by open tasks; earlier demand decays by 0.1 % per call. */
     GpuSizeDistribution requestedSizes() {
         if (!policy.packing() || !hasGpuTypes()) {
             return GpuSizeDistribution.NONE;
@@ -266,46 +277,46 @@
             if (job.spec().gpus() > 0 && !job.isCancelled()) {
                 now.merge(
                         job.spec().gpus(),
-                        (double) Math.min(64, job.spec().tasks() - job.record.done.size()),
+                        (double) Math.min(MAX_COUNTED_TASKS_PER_JOB, job.spec().tasks() - job.record.done.size()),
                         Double::sum);
             }
         }
-        sizeDemand.replaceAll((g, n) -> n * 0.999);
+        sizeDemand.replaceAll((g, n) -> n * DEMAND_DECAY);
         now.forEach((g, n) -> sizeDemand.merge(g, n, Math::max));
         return new GpuSizeDistribution(sizeDemand);
     }
 
-    /** For how many tasks of the job room is being made: they come first, and hold what comes free for them. */
+    /** Returns the number of tasks of the job that capacity is being freed for; they are planned first, and it is reserved for them. */
     int pendingMigrationCount(Job job) {
         int count = 0;
-        for (Migration m : migrations.values()) {
-            count += job.id().equals(m.forJob) && !isUsedByJob(m) ? 1 : 0;
+        for (Migration migration : migrations.values()) {
+            count += job.id().equals(migration.forJob) && !isUsedByJob(migration) ? 1 : 0;
         }
         return count;
     }
 
-    /** Tasks of the job that wait for the place that is kept for them: no other is planned. */
+    /** Returns the number of tasks of the job that wait to start on a target reserved for them; none of them is planned elsewhere. */
     int migratingTaskCount(Job job) {
         int count = 0;
-        for (Migration move : migrations.values()) {
-            for (TaskId t : move.targets.keySet()) {
+        for (Migration migration : migrations.values()) {
+            for (TaskId t : migration.targets.keySet()) {
                 count += t.job().equals(job.id()) && awaitsPlacement(t) ? 1 : 0;
             }
         }
         return count;
     }
 
-    /** Places that are kept on the machine for tasks on their way to it. */
+    /** Returns the specs of the tasks that are migrating to the machine, one for each reservation. */
     List<JobSpec> reservedOn(MachineId machine) {
         if (migrations.isEmpty()) {
             return List.of();
         }
         List<JobSpec> out = new ArrayList<>();
-        for (Migration move : migrations.values()) {
-            move.targets.forEach((task, to) -> {
+        for (Migration migration : migrations.values()) {
+            migration.targets.forEach((task, to) -> {
                 Job job = clusterState.job(task.job());
                 if (to.equals(machine) && job != null && !job.record.live.containsKey(task.index())
-                        || to.equals(machine) && isOnSource(move, task)) {
+                        || to.equals(machine) && isOnSource(migration, task)) {
                     out.add(job.spec());
                 }
             });
@@ -313,16 +324,16 @@
         return out;
     }
 
-    /** Whether the room on the machine is kept for another job than this one. */
+    /** Returns whether the machine's freed capacity is reserved for another job. */
     boolean isReservedForAnotherJob(MachineId machine, JobId job) {
-        Migration m = migrations.get(machine);
-        return m != null && !job.equals(m.forJob);
+        Migration migration = migrations.get(machine);
+        return migration != null && !job.equals(migration.forJob);
     }
 
-    private boolean isOnSource(Migration making, TaskId task) {
+    private boolean isOnSource(Migration migration, TaskId task) {
         Job job = clusterState.job(task.job());
         Placement p = job == null ? null : job.record.live.get(task.index());
-        return p != null && p.machine.equals(making.source);
+        return p != null && p.machine.equals(migration.source);
     }
 
     private boolean awaitsPlacement(TaskId task) {
@@ -334,116 +345,129 @@
                 && !job.record.done.contains(task.index());
     }
 
-    /** Whether the one that room was made for is there. */
-    private boolean isUsedByJob(Migration making) {
-        Job j = making.forJob == null ? null : clusterState.job(making.forJob);
-        return j != null && j.record.live.values().stream().anyMatch(p -> p.machine.equals(making.source));
+    /** Returns whether a task of the job that capacity was freed for is on the source machine. */
+    private boolean isUsedByJob(Migration migration) {
+        Job j = migration.forJob == null ? null : clusterState.job(migration.forJob);
+        return j != null && j.record.live.values().stream().anyMatch(p -> p.machine.equals(migration.source));
     }
 
-    // ---- going on ----
+    // ---- progress ----
 
-    /** Before a plan is carried out: what is gone from the old machine begins in its place. */
+    /** Starts tasks that have left the source machine on their targets; runs before a plan is carried out. */
     void startMovedTasks() {
-        for (Migration move : migrations.values()) {
-            for (Map.Entry<TaskId, MachineId> entry : move.targets.entrySet()) {
+        for (Migration migration : migrations.values()) {
+            for (Map.Entry<TaskId, MachineId> entry : migration.targets.entrySet()) {
                 Machine to = clusterState.findMachine(entry.getValue());
                 if (awaitsPlacement(entry.getKey()) && to != null) {
                     Job job = clusterState.job(entry.getKey().job());
                     if (dispatch.place(job, entry.getKey().index(), to)) {
                         movedAtWallMs.put(entry.getKey(), context.wallMs());
-                        LOG.info("{} goes on on {}, moved from {}", entry.getKey(), to.id, move.source);
+                        LOG.info(
+                                "migrated task started: task={} machine={} from={}",
+                                entry.getKey(),
+                                to.id,
+                                migration.source);
                     }
                 }
             }
         }
     }
 
+    /** Advances all migrations, and starts another where one is worthwhile; the plan may be null. */
     void updateMigrations(Plan plan) {
         if (!isEnabled() || !loaded) {
             if (isEnabled() && !loadStarted) {
-                loadMigrations(); // machine types came to be known only now
+                loadMigrations(); // the machine types were not loaded when the term began
             }
             return;
         }
         movedAtWallMs.values().removeIf(at -> context.wallMs() - at > MIN_MOVE_INTERVAL_MS);
-        for (Migration m : List.copyOf(migrations.values())) {
-            advance(m);
+        for (Migration migration : List.copyOf(migrations.values())) {
+            advance(migration);
         }
-        long rooms = migrations.values().stream().filter(m -> m.forJob != null).count();
+        long jobMigrations = migrations.values().stream()
+                .filter(migration -> migration.forJob != null)
+                .count();
         if (plan != null
                 && policy.moves()
                 && hasGpuTypes()
                 && context.now().ms() >= nextSearchAtMs
                 && !writeInFlight
-                && rooms < MAX_JOB_MIGRATIONS) {
+                && jobMigrations < MAX_JOB_MIGRATIONS) {
             nextSearchAtMs = context.now().ms() + SEARCH_INTERVAL_MS;
             startBestMigration(plan);
         }
     }
 
-    private void advance(Migration making) {
-        Job large = making.forJob == null ? null : clusterState.job(making.forJob);
-        Machine from = clusterState.findMachine(making.source);
-        boolean senseless = making.drain != null
+    private void advance(Migration migration) {
+        Job large = migration.forJob == null ? null : clusterState.job(migration.forJob);
+        Machine from = clusterState.findMachine(migration.source);
+        boolean obsolete = migration.drain != null
                 ? from == null
-                        || !making.drain.equals(from.cordonedBy)
-                        || context.wallMs() - making.startedWallMs > MAX_MIGRATION_MS
+                        || !migration.drain.equals(from.cordonedBy)
+                        || context.wallMs() - migration.startedWallMs > MAX_MIGRATION_MS
                 : large == null
                         || large.isCancelled()
                         || large.keySetHold != null
-                        || context.wallMs() - making.startedWallMs > MAX_MIGRATION_MS
-                        || large.record.waitingCount() == 0 && !isUsedByJob(making);
-        boolean over = true;
-        for (Map.Entry<TaskId, MachineId> entry : List.copyOf(making.targets.entrySet())) {
+                        || context.wallMs() - migration.startedWallMs > MAX_MIGRATION_MS
+                        || large.record.waitingCount() == 0 && !isUsedByJob(migration);
+        boolean finished = true;
+        for (Map.Entry<TaskId, MachineId> entry : List.copyOf(migration.targets.entrySet())) {
             Job job = clusterState.job(entry.getKey().job());
             Placement placement =
                     job == null ? null : job.record.live.get(entry.getKey().index());
-            if (placement != null && placement.machine.equals(making.source)) {
-                if (senseless && !placement.stopRequested) {
-                    making.targets.remove(entry.getKey()); // it stays where it is
+            if (placement != null && placement.machine.equals(migration.source)) {
+                if (obsolete && !placement.stopRequested) {
+                    migration.targets.remove(entry.getKey()); // the task stays on the source machine
                 } else if (!placement.stopRequested && placement.launchSent && mayStop(job)) {
                     LOG.info(
-                            "{} is moved from {} to {}: {}",
+                            "task migration started: task={} from={} to={} reason=\"{}\"",
                             entry.getKey(),
-                            making.source,
+                            migration.source,
                             entry.getValue(),
-                            making.reason());
-                    eviction.evict(placement, making.drain != null ? Cause.DRAIN : Cause.MOVE);
-                    dispatcher.dispatch(clusterState.machine(making.source));
-                    over = false;
+                            migration.reason());
+                    eviction.evict(placement, migration.drain != null ? Cause.DRAIN : Cause.MOVE);
+                    dispatcher.dispatch(clusterState.machine(migration.source));
+                    finished = false;
                 } else {
-                    over = false;
+                    finished = false;
                 }
             } else if (awaitsPlacement(entry.getKey())) {
                 Machine to = clusterState.findMachine(entry.getValue());
                 if (to == null || !admission.usable(to)) {
-                    making.targets.remove(entry.getKey()); // its place is lost: it is planned like any other
+                    migration.targets.remove(entry.getKey()); // the target is lost: the task is planned like any other
                 } else {
-                    over = false;
+                    finished = false;
                 }
             }
         }
-        boolean taken = isUsedByJob(making);
-        if (over && (taken || senseless || making.drain != null)) {
+        boolean usedByJob = isUsedByJob(migration);
+        if (finished && (usedByJob || obsolete || migration.drain != null)) {
             finish(
-                    making,
-                    making.drain != null ? "all have left" : taken ? "it is taken" : "it is not needed any more");
+                    migration,
+                    migration.drain != null
+                            ? "all tasks have left"
+                            : usedByJob ? "capacity is used" : "no longer needed");
         }
     }
 
-    private void finish(Migration move, String why) {
+    private void finish(Migration migration, String why) {
         if (writeInFlight) {
             return;
         }
-        LOG.info("{}, {}: {}", move.source, move.reason(), why);
+        LOG.info("migration ended: machine={} reason=\"{}\" outcome=\"{}\"", migration.source, migration.reason(), why);
         ObjectNode recent = Codec.map();
         movedAtWallMs.forEach((t, at) -> recent.put(t.toString(), at));
-        write(election.guardedTransaction().delete(PREFIX + move.source.text()).put(RECENT_KEY, recent), commit -> {
-            if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                migrations.remove(move.source, move);
-                clusterState.requestReplan();
-            }
-        });
+        write(
+                election.guardedTransaction()
+                        .delete(PREFIX + migration.source.text())
+                        .put(RECENT_KEY, recent),
+                commit -> {
+                    if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
+                        migrations.remove(migration.source, migration);
+                        clusterState.requestReplan();
+                    }
+                });
     }
 
     private void write(Transaction transaction, Consumer<CommitResult> then) {
@@ -459,10 +483,10 @@
         });
     }
 
-    // ---- looking ----
+    // ---- search ----
 
     private void startBestMigration(Plan plan) {
-        MigrationSearch.Proposal wish = search.findMigration(
+        MigrationSearch.Proposal proposal = search.findMigration(
                 plan,
                 new MigrationSearch.ActiveMigrations(
                         migratingTasks(),
@@ -471,61 +495,63 @@
                         this::pendingMigrationCount,
                         this::zoneOfMigrations),
                 requestedSizes());
-        if (wish != null) {
-            startMigration(wish.large(), wish.moves());
+        if (proposal != null) {
+            startMigration(proposal.large(), proposal.moves());
         }
     }
 
     private Set<TaskId> migratingTasks() {
         Set<TaskId> out = new HashSet<>();
-        migrations.values().forEach(m -> out.addAll(m.targets.keySet()));
+        migrations.values().forEach(migration -> out.addAll(migration.targets.keySet()));
         return out;
     }
 
-    /** Where room is being made for the job, or null. */
+    /** Returns the zone in which capacity is being freed for the job, or null. */
     private String zoneOfMigrations(Job job) {
         return migrations.values().stream()
-                .filter(m -> m.forJob.equals(job.id()) && clusterState.findMachine(m.source) != null)
-                .map(m -> clusterState.findMachine(m.source).zone)
+                .filter(migration ->
+                        migration.forJob.equals(job.id()) && clusterState.findMachine(migration.source) != null)
+                .map(migration -> clusterState.findMachine(migration.source).zone)
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Of a service one replica leaves at a time: the next once that one runs in its place. */
+    /** Returns whether a task of the job may be stopped: of a service only while all replicas run, so one at a time. */
     private static boolean mayStop(Job job) {
         return !job.spec().isService() || MigrationSearch.allReplicasRunning(job);
     }
 
     private void startMigration(Job large, DefragmentationSearch.Result found) {
-        Migration move = new Migration(found.machine(), large.id(), null, context.wallMs());
-        found.moves().forEach(o -> move.targets.put(o.task(), o.to()));
-        Transaction transaction = election.guardedTransaction().put(PREFIX + move.source.text(), move.toNode());
-        Map<String, Account> charged = chargeTeams(move);
+        Migration migration = new Migration(found.machine(), large.id(), null, context.wallMs());
+        found.moves().forEach(o -> migration.targets.put(o.task(), o.to()));
+        Transaction transaction =
+                election.guardedTransaction().put(PREFIX + migration.source.text(), migration.toNode());
+        Map<String, Account> charged = chargeTeams(migration);
         charged.forEach((team, a) -> disruptions.into(transaction, team, a));
-        // Nothing is stopped before it is written.
+        // The migration is stored before any task is stopped.
         write(transaction, commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 charged.forEach(disruptions::adopt);
-                migrations.put(move.source, move);
+                migrations.put(migration.source, migration);
                 LOG.info(
-                        "room on {} for {}: {} tasks are moved, {} GPU s",
-                        move.source,
-                        move.forJob,
-                        move.targets.size(),
+                        "migration started: machine={} job={} tasks={} costGpuS={}",
+                        migration.source,
+                        migration.forJob,
+                        migration.targets.size(),
                         Math.round(found.costGpuS()));
                 clusterState.requestReplan();
             }
         });
     }
 
-    /** What moving costs their teams, where accounts are kept. */
-    private Map<String, Account> chargeTeams(Migration making) {
+    /** Returns the teams' disruption accounts with the moves charged; empty where no accounts are kept. */
+    private Map<String, Account> chargeTeams(Migration migration) {
         Map<String, Account> out = new TreeMap<>();
         if (!policy.drains()) {
             return out;
         }
         Map<String, Account> all = disruptions.copies();
-        for (TaskId task : making.targets.keySet()) {
+        for (TaskId task : migration.targets.keySet()) {
             Job job = clusterState.job(task.job());
             Placement placement = job == null ? null : job.record.live.get(task.index());
             if (placement != null) {
@@ -544,30 +570,30 @@
         return out;
     }
 
-    // ---- machines that are emptied ----
+    // ---- drains ----
 
-    /** Whether tasks of the machine are on their way, or about to be. */
+    /** Returns whether a migration off the machine is in progress. */
     boolean isMigrating(MachineId machine) {
         return migrations.containsKey(machine);
     }
 
-    /** Whether what earlier leaders had in hand is known. */
+    /** Returns whether the migrations of earlier leaders have been loaded. */
     boolean isLoaded() {
         return loaded;
     }
 
-    /** Tasks leave a machine that is emptied, each for a place that is kept: written with the rest of the transaction. */
+    /** Adds the migration of tasks off a drained machine to the transaction; each target is reserved for its task. */
     void addDrainMigration(Transaction transaction, MachineId machine, String drain, Map<TaskId, MachineId> to) {
-        Migration making = new Migration(machine, null, drain, context.wallMs());
-        making.targets.putAll(to);
-        transaction.put(PREFIX + machine.text(), making.toNode());
+        Migration migration = new Migration(machine, null, drain, context.wallMs());
+        migration.targets.putAll(to);
+        transaction.put(PREFIX + machine.text(), migration.toNode());
     }
 
-    /** That transaction is made. */
+    /** Registers a migration whose transaction has been committed. */
     void applyDrainMigration(MachineId machine, String drain, Map<TaskId, MachineId> to) {
-        Migration move = new Migration(machine, null, drain, context.wallMs());
-        move.targets.putAll(to);
-        migrations.put(machine, move);
+        Migration migration = new Migration(machine, null, drain, context.wallMs());
+        migration.targets.putAll(to);
+        migrations.put(machine, migration);
         clusterState.requestReplan();
     }
 }
--- a/src/main/java/org/beechhoist/controller/MigrationSearch.java
+++ b/src/main/java/org/beechhoist/controller/MigrationSearch.java
@@ -23,29 +23,38 @@
 import org.beechhoist.wire.TaskId;
 
 /**
- * Who lacks room though enough is free in pieces, and what moving makes it cheapest. A model over several machines of one zone gets
- * one room after the other, in a zone that has what all of its tasks need.
+ * Finds a job whose tasks fit on no machine although enough GPUs are free in fragments, and the cheapest moves that free capacity
+ * for one of them. For a job with several tasks in one zone, capacity is freed for one task after another, in a zone that has
+ * enough for all of them.
  */
 final class MigrationSearch {
-    /** Who begins this soon by the plan needs no room made. */
+    /** A job whose planned start is closer than this needs no migration. */
     private static final long IMMINENT_START_MS = 10_000;
-    /** A job that has just come is planned first. */
+    /** The age below which a job is not considered: it is planned first. */
     private static final long MIN_JOB_AGE_MS = 2000;
 
     private static final long MAX_GAIN_MS = 240_000;
-    /** What moving costs, in GPU seconds, against what the large task gains. */
+    /** The highest accepted cost of the moves in GPU seconds, for each GPU second that the large task gains. */
     private static final double MAX_COST_PER_GAIN = 0.5;
 
+    /** The time until a stopped task is confirmed gone. */
     private static final double STOP_CONFIRMATION_S = 3;
+    /** The run time below which a task without checkpoints may be moved. */
     private static final double MAX_UNSAVED_RUN_S = 15;
+
     private static final int MAX_MOVES_PER_TEAM = 3;
+    private static final int MS_PER_S = 1000;
     private static final double EPSILON = 1e-6;
     private static final String NO_ZONE = "";
 
     /**
-     * What is under way already.
+     * The migrations in progress.
      *
-     * @param tasks that are on their way, {@code rooms} machines on which room is made, {@code lately} tasks that were moved and rest now
+     * @param tasks the tasks that are migrating
+     * @param machines the machines that tasks are migrating from
+     * @param recentlyMoved the tasks that were moved too recently to be moved again
+     * @param pendingCount returns the number of a job's tasks that capacity is being freed for
+     * @param zoneFor returns the zone in which capacity is being freed for a job, or null
      */
     record ActiveMigrations(
             Set<TaskId> tasks,
@@ -54,14 +63,14 @@
             ToIntFunction<Job> pendingCount,
             Function<Job, String> zoneFor) {}
 
-    /** Whom to make room for, and how. */
+    /** A worthwhile migration: the job that capacity is freed for, and the moves that free it. */
     record Proposal(Job large, DefragmentationSearch.Result moves) {}
 
     private final ControllerContext context;
     private final MachineTypeCatalog machineTypes;
     private final ClusterState clusterState;
     private final Admission admission;
-    /** Whether its team's budget allows that a task is moved. */
+    /** Tests whether the team's disruption budget allows moving a task. */
     private final BiPredicate<Job, Placement> withinBudget;
 
     MigrationSearch(
@@ -77,37 +86,37 @@
         this.admission = admission;
     }
 
-    /** The first that moving is worth it for, or null. */
-    Proposal findMigration(Plan plan, ActiveMigrations hand, GpuSizeDistribution sizes) {
+    /** Returns a migration for the first job whose gain outweighs the cost of the moves, or null. */
+    Proposal findMigration(Plan plan, ActiveMigrations active, GpuSizeDistribution sizes) {
         Map<String, double[]> used = clusterState.teamResourceUsage();
         for (Job large : clusterState.jobs()) {
-            if (!needsMigration(large, plan, used, hand)) {
+            if (!needsMigration(large, plan, used, active)) {
                 continue;
             }
             DefragmentationSearch.Result found = DefragmentationSearch.findCheapest(
-                    requestedResources(large.spec()), candidateMachines(large, hand), this::mayRunOn, sizes);
+                    requestedResources(large.spec()), candidateMachines(large, active), this::mayRunOn, sizes);
             long waits = plan.plannedStart(large.id()) == null
                     ? MAX_GAIN_MS
                     : Math.min(
                             MAX_GAIN_MS,
                             plan.plannedStart(large.id()) - context.now().ms());
             if (found != null
-                    && found.costGpuS() <= MAX_COST_PER_GAIN * large.spec().gpus() * waits / 1000) {
+                    && found.costGpuS() <= MAX_COST_PER_GAIN * large.spec().gpus() * waits / MS_PER_S) {
                 return new Proposal(large, found);
             }
         }
         return null;
     }
 
-    private boolean needsMigration(Job job, Plan plan, Map<String, double[]> used, ActiveMigrations hand) {
+    private boolean needsMigration(Job job, Plan plan, Map<String, double[]> used, ActiveMigrations active) {
         JobSpec spec = job.spec();
-        boolean plain = spec.gpus() > 1 && !spec.isGang() && !spec.antiAffinity();
-        if (!plain
+        boolean independent = spec.gpus() > 1 && !spec.isGang() && !spec.antiAffinity();
+        if (!independent
                 || job.isCancelled()
                 || job.keySetHold != null
                 || job.isSuspect()
                 || job.shed
-                || job.record.waitingCount() <= hand.pendingCount.applyAsInt(job)
+                || job.record.waitingCount() <= active.pendingCount.applyAsInt(job)
                 || job.notBefore.ms() > context.now().ms()
                 || context.now().since(job.submittedAt) < MIN_JOB_AGE_MS
                 || admission.overLimit(job, used)) {
@@ -129,8 +138,8 @@
         return machine != null && s.mayRunOn(machineTypes.get(machine.type), machine.zone, machine.spot);
     }
 
-    /** The only zone that room may be made in; null: any; {@link #NO_ZONE}: none has what all of the job's tasks need. */
-    private String requiredZone(Job large, ActiveMigrations hand) {
+    /** Returns the zone that capacity must be freed in; null: any zone; {@link #NO_ZONE}: no zone has enough for all the job's tasks. */
+    private String requiredZone(Job large, ActiveMigrations active) {
         JobSpec spec = large.spec();
         if (!spec.sameZone()) {
             return null;
@@ -139,14 +148,15 @@
         if (!live.isEmpty()) {
             return live.size() == 1
                     ? live.keySet().iterator().next()
-                    : NO_ZONE; // "" too: a machine that nobody has described may be anywhere
+                    : NO_ZONE; // also "", the unknown zone: such a machine may be in any zone
         }
-        String begun = hand.zoneFor.apply(large);
-        if (begun != null) {
-            return begun;
+        String currentZone = active.zoneFor.apply(large);
+        if (currentZone != null) {
+            return currentZone;
         }
-        // What can be made free counts whole: the zone with the most of it, if that is enough for all.
-        Map<String, Integer> fit = new HashMap<>();
+        // Capacity that moves could free counts as free: takes the zone with the most of it, if that is enough for all
+        // tasks.
+        Map<String, Integer> fittingTasks = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
             if (type != null && spec.mayRunOn(type, machine.zone, machine.spot) && admission.usable(machine)) {
@@ -155,48 +165,51 @@
                     Job job = clusterState.job(placement.task.job());
                     gpus -= job == null
                             ? type.gpus()
-                            : isMovable(job, placement, large, Map.of(), hand)
+                            : isMovable(job, placement, large, Map.of(), active)
                                     ? 0
                                     : job.spec().gpus();
                 }
-                fit.merge(machine.zone, (int) Math.max(0, Math.floor(gpus / spec.gpus() + EPSILON)), Integer::sum);
+                fittingTasks.merge(
+                        machine.zone, (int) Math.max(0, Math.floor(gpus / spec.gpus() + EPSILON)), Integer::sum);
             }
         }
-        return fit.entrySet().stream()
+        return fittingTasks.entrySet().stream()
                 .filter(e -> e.getValue() >= large.record.waitingCount())
                 .max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
                 .map(Map.Entry::getKey)
                 .orElse(NO_ZONE);
     }
 
-    private List<DefragmentationSearch.MachineSnapshot> candidateMachines(Job large, ActiveMigrations hand) {
-        Map<String, Integer> ofTeam = new HashMap<>();
-        hand.tasks.forEach(t -> ofTeam.merge(
+    private List<DefragmentationSearch.MachineSnapshot> candidateMachines(Job large, ActiveMigrations active) {
+        Map<String, Integer> movesByTeam = new HashMap<>();
+        active.tasks.forEach(t -> movesByTeam.merge(
                 clusterState.job(t.job()) == null
                         ? ""
                         : clusterState.job(t.job()).spec().team(),
                 1,
                 Integer::sum));
-        String only = requiredZone(large, hand);
+        String requiredZone = requiredZone(large, active);
         List<DefragmentationSearch.MachineSnapshot> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
-            Admission.FreeResources free =
-                    type == null || type.gpus() == 0 || !admission.usable(machine) || hand.machines.contains(machine.id)
-                            ? null
-                            : admission.free(machine, type);
+            Admission.FreeResources free = type == null
+                            || type.gpus() == 0
+                            || !admission.usable(machine)
+                            || active.machines.contains(machine.id)
+                    ? null
+                    : admission.free(machine, type);
             if (free == null) {
                 continue;
             }
             List<DefragmentationSearch.MovableTask> movable = new ArrayList<>();
-            boolean may = large.spec().mayRunOn(type, machine.zone, machine.spot)
-                    && (only == null || only.equals(machine.zone));
-            for (Placement placement : may ? machine.placements.values() : List.<Placement>of()) {
+            boolean mayTake = large.spec().mayRunOn(type, machine.zone, machine.spot)
+                    && (requiredZone == null || requiredZone.equals(machine.zone));
+            for (Placement placement : mayTake ? machine.placements.values() : List.<Placement>of()) {
                 Job job = clusterState.job(placement.task.job());
                 if (job != null
                         && job != large
-                        && !hand.tasks.contains(placement.task)
-                        && isMovable(job, placement, large, ofTeam, hand)) {
+                        && !active.tasks.contains(placement.task)
+                        && isMovable(job, placement, large, movesByTeam, active)) {
                     movable.add(new DefragmentationSearch.MovableTask(
                             placement.task, requestedResources(job.spec()), moveCostGpuS(job, placement)));
                 }
@@ -204,15 +217,18 @@
             out.add(new DefragmentationSearch.MachineSnapshot(
                     machine.id,
                     new DefragmentationSearch.Resources(free.cpus(), free.gpus(), free.memGb()),
-                    may,
+                    mayTake,
                     movable));
         }
         return out;
     }
 
-    /** Equal urgency may be moved, more urgent work is left alone; and what needs others, a place, or has done much that it can't save. */
+    /**
+     * Returns whether a task may be moved for the large job. Tasks of equal or lower priority may; tasks of higher priority, of gangs
+     * or with zone rules, and tasks that would lose much work for want of checkpoints may not.
+     */
     private boolean isMovable(
-            Job job, Placement placement, Job large, Map<String, Integer> ofTeam, ActiveMigrations hand) {
+            Job job, Placement placement, Job large, Map<String, Integer> movesByTeam, ActiveMigrations active) {
         JobSpec spec = job.spec();
         if (!placement.launchSent
                 || placement.stopRequested
@@ -223,23 +239,26 @@
                 || job.isCancelled()
                 || spec.gpus() >= large.spec().gpus()
                 || spec.priority().compareTo(large.spec().priority()) < 0
-                || hand.recentlyMoved.contains(placement.task)
-                || ofTeam.getOrDefault(spec.team(), 0) >= MAX_MOVES_PER_TEAM
+                || active.recentlyMoved.contains(placement.task)
+                || movesByTeam.getOrDefault(spec.team(), 0) >= MAX_MOVES_PER_TEAM
                 || !withinBudget.test(job, placement)) {
             return false;
         }
         if (spec.isService()) {
-            // One replica away at a time, and never the only one.
+            // At most one replica is away at a time, and a single replica is never moved.
             return spec.tasks() > 1 && allReplicasRunning(job);
         }
-        return spec.checkpointEveryS() > 0 || context.now().since(placement.runningSince) < 1000 * MAX_UNSAVED_RUN_S;
+        return spec.checkpointEveryS() > 0
+                || context.now().since(placement.runningSince) < MS_PER_S * MAX_UNSAVED_RUN_S;
     }
 
+    /** Returns whether every task of the job is running and none is being stopped. */
     static boolean allReplicasRunning(Job job) {
         return job.record.live.size() == job.spec().tasks()
                 && job.record.live.values().stream().allMatch(o -> o.runningSince != null && !o.stopRequested);
     }
 
+    /** Returns the cost of moving a task, in GPU seconds. */
     private double moveCostGpuS(Job job, Placement placement) {
         JobSpec spec = job.spec();
         double ran = context.now().since(placement.runningSince) / 1000.0;
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -38,7 +38,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Manages the rented machines: lists them, has more rented, and releases idle, lost and failed ones. */
+/** Manages the rented machines: lists them, rents more through {@link ScaleOutPolicy}, and releases idle, lost and failed ones. */
 public final class Provisioner implements MachineReleases {
     private static final Logger LOG = LoggerFactory.getLogger(Provisioner.class);
     private static final int MAX_MACHINES_PER_RETURN = 100;
@@ -49,24 +49,24 @@
     private static final int MAX_REMEMBERED_RELEASES = 4000;
     /** The expected time until a machine that runs already sends its first heartbeat. */
     private static final long FIRST_HEARTBEAT_MS = 3000;
-    /** From this long before its expected start on, a machine is expected after half of its delay again. */
+    /** The time before the expected start from which the estimate is extended by half of the machine's delay. */
     private static final long STARTUP_RECHECK_MS = 2000;
     /** The startup time in milliseconds per stated second, with a margin of a tenth. */
     private static final long EXPECTED_STARTUP_MS_PER_S = 1100;
-    /** How long after a preemption notice a machine is released; the cloud's answer proves that its tasks are gone. */
+    /** The time from a preemption notice to the release; the cloud's answer proves that the tasks are gone. */
     private static final long PREEMPTION_RELEASE_MS = 500;
-    /** How long a new term waits for the first complete list before it rents machines without it. */
+    /** The time that a new term waits for the first complete list before it rents machines without one. */
     private static final long FIRST_LIST_TIMEOUT_MS = 15_000;
-    /** An unlisted machine is released only when it has not been heard of for this long. */
+    /** The time without a heartbeat after which an unlisted machine is released. */
     private static final long UNLISTED_HEARTBEAT_TIMEOUT_MS = 6000;
-    /** How long after the stated lag of the list a machine may still be missing from it. */
+    /** The margin added to the configured list lag before a missing machine counts as unlisted. */
     private static final int LIST_LAG_MARGIN_S = 5;
 
     private static final int CALL_TIMEOUT_MS = 5000;
     private static final int MS_PER_S = 1000;
     /** The part of the cloud's request limit that this node uses. */
     private static final double CLOUD_CALL_SHARE = 0.8;
-    /** How long a machine of an unknown type may take to start. */
+    /** The startup time allowed for a machine of an unknown type. */
     private static final double UNKNOWN_TYPE_STARTUP_S = 120;
 
     private static final int STARTUP_TIMEOUT_FACTOR = 3;
@@ -159,7 +159,7 @@
     /** Returns when a machine that is not up is expected to be ready, in milliseconds. */
     long expectedReadyAtMs(Machine machine, MachineType type) {
         if (machine.listedRunning) {
-            return context.now().ms() + FIRST_HEARTBEAT_MS; // it runs, and only has to reach this node
+            return context.now().ms() + FIRST_HEARTBEAT_MS; // it runs already; only its first heartbeat is missing
         }
         long expected = (machine.rentedAt == null ? context.now().ms() : machine.rentedAt.ms())
                 + Math.round(EXPECTED_STARTUP_MS_PER_S * type.startupS());
@@ -167,7 +167,7 @@
         return late > -STARTUP_RECHECK_MS ? context.now().ms() + Math.max(FIRST_HEARTBEAT_MS, late / 2) : expected;
     }
 
-    /** Checks the machines, releases and lists them, and rents what the plan needs; the plan may be null. */
+    /** Checks, releases and lists machines, and rents those that the plan needs; the plan may be null. */
     void updateMachines(Plan plan) {
         if (context.now().isBefore(nextRunAt)) {
             return;
@@ -175,7 +175,8 @@
         nextRunAt = context.now().plusMs(RUN_INTERVAL_MS);
         checkMachines(plan);
         if (context.now().since(nextListAt) > LIST_OVERDUE_MS) {
-            startListing(); // first, or with few calls or many lost machines the other calls would always precede it
+            startListing(); // listed before the releases, which would otherwise use up all calls when calls are few or
+            // many machines are lost
         }
         sendReturns(true);
         boolean mayRent = isListComplete || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
@@ -186,12 +187,12 @@
         sendReturns(false);
     }
 
-    /** Sends only the releases that are due with tasks; used while the cluster state is uncertain. */
+    /** Sends only the releases of machines that hold tasks; used while the cluster state is uncertain. */
     void sendReleasesWithTasks() {
         sendReturns(true);
     }
 
-    // ---- the list ----
+    // ---- machine list ----
 
     private void startListing() {
         if (!context.now().isBefore(nextListAt) && !listInFlight && calls.tryTake(context.now(), 1)) {
@@ -239,7 +240,7 @@
             if (!found.containsKey(machine.id)
                     && old
                     && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_HEARTBEAT_TIMEOUT_MS) {
-                releaseMachine(machine, "the cloud doesn't list it any more");
+                releaseMachine(machine, "no longer in the cloud's machine list");
             }
         }
     }
@@ -262,7 +263,7 @@
         machine.listedRunning = node.path("status").asText().equals("running");
         machine.confirmedPresent = true;
         if (node.path("status").asText().equals("failed")) {
-            releaseMachine(machine, "it failed");
+            releaseMachine(machine, "failed according to the cloud");
         }
     }
 
@@ -298,11 +299,11 @@
         }
     }
 
-    /** Releases a machine that is not up when it is given up with its tasks or did not start in time. */
+    /** Releases a machine that is not up if it is considered gone with its tasks or did not start in time. */
     private void checkNotUp(Machine machine) {
         MachineType type = machineTypes.get(machine.type);
         if (!machine.placements.isEmpty() && failureDetector.shouldReleaseSilent(machine)) {
-            releaseMachine(machine, "it holds tasks and has not reported to this leader");
+            releaseMachine(machine, "holds tasks but sent no heartbeat to this leader");
             return;
         }
         MonotonicTime since = machine.rentedAt == null ? clusterState.lastContactAt(machine) : machine.rentedAt;
@@ -311,29 +312,29 @@
                 : Math.max(STARTUP_TIMEOUT_FACTOR * type.startupS(), type.startupS() + STARTUP_TIMEOUT_MARGIN_S);
         if (context.now().since(since) > MS_PER_S * allowedS
                 && context.now().since(clusterState.lastContactAt(machine)) > failureDetector.heartbeatTimeoutMs()) {
-            releaseMachine(machine, "it never came up");
+            releaseMachine(machine, "startup timed out");
         }
     }
 
     /** Releases a running machine that is lost, preempted, faulty or idle. */
     private void checkRunning(Machine machine, Set<MachineId> planned) {
         if (failureDetector.shouldReleaseSilent(machine)) {
-            releaseMachine(machine, "it is silent");
+            releaseMachine(machine, "no heartbeats");
         } else if (failureDetector.shouldReleaseUnreachable(machine)) {
-            releaseMachine(machine, "it speaks but does not hear");
+            releaseMachine(machine, "sends heartbeats but receives no commands");
         } else if (machine.preemptionAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
-            releaseMachine(machine, "it is about to be taken and empty");
+            releaseMachine(machine, "preemption notice and no tasks");
         } else if (machine.preemptionAt != null && context.now().since(machine.preemptionAt) > PREEMPTION_RELEASE_MS) {
-            releaseMachine(machine, "its notice has run out");
+            releaseMachine(machine, "preemption notice expired");
         } else if (faultTracker.isMachineFaulty(machine)) {
-            releaseMachine(machine, "jobs of several users failed on it");
+            releaseMachine(machine, "jobs of several users failed on this machine");
         } else if (isNeeded(machine, planned)) {
             machine.idleSince = null;
         } else if (machine.idleSince == null) {
             machine.idleSince = context.now();
         } else if (context.now().since(machine.idleSince)
                 > (machine.spot ? policy.idleSpotMs() : policy.idleOrdinaryMs())) {
-            releaseMachine(machine, "it idles");
+            releaseMachine(machine, "idle");
         }
     }
 
@@ -346,7 +347,7 @@
                 || reservedForMigration.test(machine.id);
     }
 
-    /** Sends release calls, several at once: five hundred lost machines take five calls, and their tasks wait for them. */
+    /** Sends release calls, several at a time: 500 lost machines take five calls, and their tasks cannot restart before those. */
     private void sendReturns(boolean withTasks) {
         List<Machine> due = lossRecovery.machinesToRelease(withTasks);
         for (int from = 0;
--- a/src/main/java/org/beechhoist/controller/RentalRequest.java
+++ b/src/main/java/org/beechhoist/controller/RentalRequest.java
@@ -7,10 +7,10 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * One request to the cloud for machines, under a name that stays the same when the request is repeated.
+ * A rental request to the cloud, under a name that stays the same when the request is repeated.
  *
- * @param requestedAt when it was sent first
- * @param then receives the machines that were granted, perhaps none
+ * @param requestedAt the time at which it was first sent
+ * @param then receives the granted machines, possibly none
  */
 record RentalRequest(
         String offerKey,
--- a/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
+++ b/src/main/java/org/beechhoist/controller/ScaleOutPolicy.java
@@ -31,28 +31,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides which machines are rented: those for tasks that the plan cannot start in time. */
+/** Rents machines for tasks that the plan cannot start in time. */
 final class ScaleOutPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutPolicy.class);
     private static final int MAX_MACHINES_PER_RENTAL = 50;
     private static final long NO_CAPACITY_PAUSE_MS = 20_000;
-    /** How long no machine of the kind is requested after the cloud refused a request as malformed. */
+    /** The pause in requests for an offer after the cloud refused one as malformed. */
     private static final long MALFORMED_PAUSE_MS = 300_000;
 
     private static final long RETRY_DELAY_MS = 1500;
     private static final int CALL_TIMEOUT_MS = 5000;
     private static final int MS_PER_S = 1000;
-    /** How long after a refusal the cloud is assumed to have no more machines of the kind. */
+    /** The time after a refusal for which an offer is assumed to have no capacity. */
     private static final long SHORTAGE_DURATION_MS = 60_000;
-    /** The least delay of a task's start for which a machine is rented. */
+    /** The shortest start delay of a task for which a machine is rented. */
     private static final long MIN_TOLERATED_DELAY_MS = 5000;
-    /** The delay of a task's start for which a machine is rented however large the task's slack is. */
+    /** The start delay for which a machine is rented even if the task has more slack. */
     private static final long MAX_TOLERATED_DELAY_MS = 45_000;
-    /** How many tasks of a job that are not in the plan count. */
+    /** The number of unplanned tasks of one job that are considered. */
     private static final int MAX_UNPLACED_TASKS_PER_JOB = 500;
-    /** A rental must let some task start at least this much earlier. */
+    /** The least time by which a rental must bring forward a task's start. */
     private static final long MIN_GAIN_MS = 5000;
-    /** Rentals of one kind in one run. */
+    /** Rental requests for one offer in one run. */
     private static final int MAX_RENTALS_PER_OFFER = 3;
 
     private final ControllerContext context;
@@ -107,7 +107,7 @@
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineOffer offer = new MachineOffer(type, zone, spot);
                     MachineOffer old = offers.get(offer.key());
-                    if (old == null || old.type != type) { // prices move
+                    if (old == null || old.type != type) { // prices change
                         if (old != null) {
                             offer.pendingCount = old.pendingCount;
                             offer.refusedUntil = old.refusedUntil;
@@ -124,7 +124,7 @@
         return out;
     }
 
-    /** Returns whether more machines for such a task may be available: some suitable kind was not refused lately. */
+    /** Returns whether more machines for such a task may be available: a suitable offer had no recent refusal. */
     boolean mayHaveCapacityFor(JobSpec spec) {
         for (MachineOffer offer : offers.values()) {
             if (offer.suits(spec)
@@ -135,23 +135,23 @@
         return offers.isEmpty();
     }
 
-    /** Notes that capacity is being freed now: earlier plans do not reflect that, and nothing is rented for them. */
+    /** Ignores plans made until now, which do not reflect capacity that is being freed: no machines are rented for them. */
     void ignorePlansUntil(MonotonicTime now) {
         lastRented = lastRented.isBefore(now) ? now : lastRented;
     }
 
-    /** Rents what the plan needs. A plan older than the last rental's answer does not know those machines: ignored. */
+    /** Rents the machines that the plan needs. Ignores a plan older than the last grant, since it lacks the granted machines. */
     void rentFor(Plan plan) {
         if (plan.createdAtMs() <= lastRented.ms()) {
             return;
         }
         List<MachineOffer> all = refreshOffers();
-        List<MachineCapacity> spaces = pendingSpaces(all);
-        Map<MachineId, MachineCapacity> booting = bootingSpaces();
+        List<MachineCapacity> capacities = pendingCapacities(all);
+        Map<MachineId, MachineCapacity> booting = bootingCapacities();
         Map<Job, List<Long>> late = lateStarts(plan, booting);
-        spaces.addAll(booting.values());
-        late.forEach((job, begins) -> requestMachines(job, begins, all, spaces));
-        requestForUnplaced(plan, all, spaces);
+        capacities.addAll(booting.values());
+        late.forEach((job, begins) -> requestMachines(job, begins, all, capacities));
+        requestForUnplaced(plan, all, capacities);
         for (MachineOffer offer : all) {
             for (int i = 0;
                     i < MAX_RENTALS_PER_OFFER && offer.neededCount > 0 && calls.tryTake(context.now(), 1);
@@ -163,18 +163,18 @@
         }
     }
 
-    private static List<MachineCapacity> pendingSpaces(List<MachineOffer> all) {
-        List<MachineCapacity> spaces = new ArrayList<>();
+    private static List<MachineCapacity> pendingCapacities(List<MachineOffer> all) {
+        List<MachineCapacity> capacities = new ArrayList<>();
         for (MachineOffer offer : all) {
             for (int i = 0; i < offer.pendingCount; i++) {
-                spaces.add(new MachineCapacity(offer));
+                capacities.add(new MachineCapacity(offer));
             }
         }
-        return spaces;
+        return capacities;
     }
 
-    /** Returns the capacity of the machines that boot. */
-    private Map<MachineId, MachineCapacity> bootingSpaces() {
+    /** Returns the capacity of the machines that are booting. */
+    private Map<MachineId, MachineCapacity> bootingCapacities() {
         Map<MachineId, MachineCapacity> booting = new LinkedHashMap<>();
         for (Machine machine : clusterState.machines()) {
             if (!machine.up && !machine.releasing && machine.isTypeKnown() && !machine.listedRunning) {
@@ -187,7 +187,7 @@
         return booting;
     }
 
-    /** Returns the planned starts that are too late, by job, and takes what the plan uses from the booting machines. */
+    /** Returns the planned starts that are too late, by job, and deducts the plan's reservations from the booting machines. */
     private Map<Job, List<Long>> lateStarts(Plan plan, Map<MachineId, MachineCapacity> booting) {
         long now = context.now().ms();
         Map<Job, Long> toleratedDelays = new HashMap<>();
@@ -196,9 +196,9 @@
             Job job = clusterState.job(reservation.job());
             long begin = job == null ? now : reservation.beginMs();
             if (!reservation.machineUp()) {
-                MachineCapacity space = booting.get(reservation.machine());
-                if (space != null) {
-                    space.tryTake(reservation.spec());
+                MachineCapacity capacity = booting.get(reservation.machine());
+                if (capacity != null) {
+                    capacity.tryTake(reservation.spec());
                 }
             }
             if (job != null
@@ -211,14 +211,14 @@
         return late;
     }
 
-    private void requestForUnplaced(Plan plan, List<MachineOffer> all, List<MachineCapacity> spaces) {
+    private void requestForUnplaced(Plan plan, List<MachineOffer> all, List<MachineCapacity> capacities) {
         for (Job job : clusterState.jobs()) {
             int unplaced = job.isCancelled() || job.isSuspect() || !job.notBefore.isBefore(context.now())
                     ? 0
                     : plan.unplacedCount(job.id());
             if (unplaced > 0) {
                 List<Long> never = Collections.nCopies(Math.min(MAX_UNPLACED_TASKS_PER_JOB, unplaced), Long.MAX_VALUE);
-                requestMachines(job, never, all, spaces);
+                requestMachines(job, never, all, capacities);
             }
         }
     }
@@ -229,30 +229,30 @@
     }
 
     /**
-     * Returns how long a task may wait before a machine is rented for tasks like it: a share of its slack. Even if the
-     * task begins before that machine is up, other tasks wait behind it. When machines were rented only where the task
-     * itself gained, they were always busy and every task waited about as long as a machine takes to boot.
+     * Returns how long a task may wait before a machine is rented: a share of its slack. The machine serves queued tasks even if this
+     * one starts earlier elsewhere. When machines were rented only if the task itself gained, all machines were always busy and every
+     * task waited for about the boot time of a machine.
      */
     long toleratedDelayMs(Job job) {
         if (job.record.width != null) {
-            return MIN_TOLERATED_DELAY_MS; // its guaranteed width is wanted at once, not one round of tasks after the
-            // other
+            // The guaranteed width must run at once, not in successive rounds of tasks.
+            return MIN_TOLERATED_DELAY_MS;
         }
         double share = policy.patience()
                 * Math.max(0, jobOrdering.latestStart(job) - context.now().ms());
         return Math.max(MIN_TOLERATED_DELAY_MS, Math.min(MAX_TOLERATED_DELAY_MS, Math.round(share)));
     }
 
-    /** Requests spot machines for an earlier start, and ordinary ones only where the latest start would be missed. */
-    private void requestMachines(Job job, List<Long> begins, List<MachineOffer> all, List<MachineCapacity> spaces) {
+    /** Requests spot machines to start tasks earlier, and ordinary ones only where the latest start would be missed. */
+    private void requestMachines(Job job, List<Long> begins, List<MachineOffer> all, List<MachineCapacity> capacities) {
         JobSpec spec = job.spec();
         long latest = jobOrdering.latestStart(job);
-        int tried = 0; // a space too small for one of the job's tasks is too small for the next
+        int tried = 0; // capacity too small for one of the job's tasks is too small for the next
         for (long begin : begins) {
             boolean fitted = false;
-            while (!fitted && tried < spaces.size()) {
-                MachineCapacity space = spaces.get(tried);
-                fitted = space.offer.suits(spec) && space.tryTake(spec);
+            while (!fitted && tried < capacities.size()) {
+                MachineCapacity capacity = capacities.get(tried);
+                fitted = capacity.offer.suits(spec) && capacity.tryTake(spec);
                 tried += fitted ? 0 : 1;
             }
             if (fitted) {
@@ -263,13 +263,13 @@
                 continue;
             }
             best.neededCount++;
-            MachineCapacity space = new MachineCapacity(best);
-            space.tryTake(spec);
-            spaces.add(space);
+            MachineCapacity capacity = new MachineCapacity(best);
+            capacity.tryTake(spec);
+            capacities.add(capacity);
         }
     }
 
-    /** Returns the cheapest offer worth renting for a task that would begin then; null: there is none. */
+    /** Returns the cheapest offer worth renting for a task that would otherwise begin at {@code begin}, or null. */
     private MachineOffer bestOffer(Job job, long begin, long latest, List<MachineOffer> all) {
         JobSpec spec = job.spec();
         MachineOffer best = null;
@@ -301,9 +301,9 @@
     }
 
     /**
-     * Rents standby machines independently of the plan, and returns false where none may be requested now.
+     * Rents standby machines independently of the plan, and returns false if none may be requested now.
      *
-     * @param then receives the machines that were granted, perhaps none
+     * @param then receives the granted machines, possibly none
      */
     boolean tryRentStandby(String type, String zone, boolean spot, int number, Consumer<List<MachineId>> then) {
         MachineOffer offer = refreshOffers().stream()
@@ -318,7 +318,7 @@
         return true;
     }
 
-    /** Rents under a name that is used for nothing else; the request is repeated until there is an answer. */
+    /** Rents machines under a unique rental name; the request is repeated until it is answered. */
     private void rent(MachineOffer offer, int number, String name, Consumer<List<MachineId>> then) {
         offer.pendingCount += number;
         ObjectNode body = Codec.map()
