--- a/src/main/java/org/beechhoist/controller/FleetSnapshots.java
+++ b/src/main/java/org/beechhoist/controller/FleetSnapshots.java
@@ -250,9 +250,10 @@
         }
         writeInFlight = true;
         nextWriteAt = context.now()
-                .plusMs(Math.round(1000
+                .plusMs(Math.round(MS_PER_S
                         / Math.max(
-                                0.02, MAX_WRITE_SHARE * settings.stateLimits().writeRps())));
+                                MIN_WRITES_PER_S,
+                                MAX_WRITE_SHARE * settings.stateLimits().writeRps())));
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
         long term = clusterState.term();
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -128,7 +128,7 @@
     private final Admission admission;
     private final TaskEviction eviction;
     private final CommandDispatcher dispatcher;
-    private final Dispatch dispatch;
+    private final TaskPlacer dispatch;
     private final MigrationSearch search;
     private final PrefixReader prefixReader;
     private final DisruptionAccounting disruptions;
@@ -156,7 +156,7 @@
             Admission admission,
             TaskEviction eviction,
             CommandDispatcher dispatcher,
-            Dispatch dispatch,
+            TaskPlacer dispatch,
             DisruptionAccounting disruptions,
             Supplier<Budgets> budgets) {
         this.context = context;
@@ -434,7 +434,7 @@
                 }
             } else if (awaitsPlacement(entry.getKey())) {
                 Machine to = clusterState.findMachine(entry.getValue());
-                if (to == null || !admission.usable(to)) {
+                if (to == null || !admission.isUsable(to)) {
                     migration.targets.remove(entry.getKey()); // the target is lost: the task is planned like any other
                 } else {
                     finished = false;
