--- a/src/main/java/org/beechhoist/cli/ReleaseCommands.java
+++ b/src/main/java/org/beechhoist/cli/ReleaseCommands.java
@@ -40,7 +40,7 @@
         public Integer call() {
             return TomlFile.use(file, given -> {
                 String name = Codec.text(given, "name");
-                Release.described(name, given);
+                Release.parseDescription(name, given);
                 return UserCommands.ask(nodes, "POST", PATH + "/" + name + "/put", change.to(given.deepCopy()), name);
             });
         }
@@ -78,7 +78,7 @@
                     ObjectNode body = change.to(((ObjectNode) given).deepCopy())
                             .put("name", entry.getKey())
                             .put("ship", entry.getValue());
-                    Release.described(entry.getKey(), body);
+                    Release.parseDescription(entry.getKey(), body);
                     int code =
                             UserCommands.ask(nodes, "POST", PATH + "/" + entry.getKey() + "/put", body, entry.getKey());
                     if (code != 0) {
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -43,7 +43,7 @@
                 .guard(JobRecord.endedKey(spec.id()), Revision.ABSENT)
                 .put(key, new JobRecord(spec, wallMs).toNode());
         if (spec.keySetBinding() != null) {
-            keys.guard(
+            keys.addGuard(
                     transaction,
                     spec.keySetBinding().keySet()); // a submission that races a revocation is decided by the store
         }
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -14,7 +14,7 @@
 import org.beechhoist.controller.state.DurationEstimates;
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.floor.StarvingJobSelector;
-import org.beechhoist.release.ShipOrder;
+import org.beechhoist.release.ReleaseOrder;
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.JobSpec;
 
@@ -63,7 +63,7 @@
 
     /** Returns the job's position, by its release, among jobs of the same rank. */
     long releaseOrderKey(Job job) {
-        return releases == null ? ShipOrder.NONE : releases.key(job);
+        return releases == null ? ReleaseOrder.NO_KEY : releases.orderKey(job);
     }
 
     /**
@@ -121,7 +121,7 @@
 
     /** Returns whether the job has a release or an objective that can still be met. */
     boolean hasOpenObjective(Job job) {
-        return releaseOrderKey(job) != ShipOrder.NONE
+        return releaseOrderKey(job) != ReleaseOrder.NO_KEY
                 || latestStartByObjective(job)
                         < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
     }
@@ -199,7 +199,7 @@
      * release would begin in its place.
      */
     long patienceMs(Job job) {
-        return releaseOrderKey(job) != ShipOrder.NONE
+        return releaseOrderKey(job) != ReleaseOrder.NO_KEY
                 ? 0
                 : Math.round(policy.patience()
                         * Math.max(0, latestStartMs(job) - context.now().ms()));
--- a/src/main/java/org/beechhoist/controller/JobStatusDetails.java
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -28,7 +28,7 @@
 
     /** Adds what is known of the job to its state. */
     void addTo(JobId jobId, ObjectNode state) {
-        features.keySets().ifPresent(module -> module.registry().tell(state));
+        features.keySets().ifPresent(module -> module.registry().addHoldDetails(state));
         Leader leader = activeLeader.get().orElse(null);
         Job job = leader == null ? null : leader.clusterState().job(jobId);
         if (job == null) {
--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -65,7 +65,7 @@
     }
 
     /** @param clusterState of the leading node, or null: who is bound to a set is known there alone */
-    void request(String method, String path, byte[] body, ClusterState clusterState, ApiResponder responder) {
+    void handle(String method, String path, byte[] body, ClusterState clusterState, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         try {
@@ -134,7 +134,7 @@
         List<String> classes =
                 Codec.isAbsent(node, "classes") ? List.of() : Codec.textList(node.get("classes"), "classes");
         List<String> fingerprints = Codec.textList(node.get("fingerprints"), "fingerprints");
-        if (keys.known() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
+        if (keys.isLoaded() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
             throw new MalformedMessageException("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
         }
         change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, by), responder);
@@ -142,12 +142,12 @@
 
     /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
     private void change(String name, boolean clears, Edit edit, ApiResponder responder) {
-        if (!KeySet.validName(name)) {
+        if (!KeySet.isValidName(name)) {
             responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
             return;
         }
         amending.updateAsync(
-                KeySetRegistry.SETS + name,
+                KeySetRegistry.SETS_PREFIX + name,
                 (before, then) -> {
                     KeySet next;
                     try {
@@ -161,10 +161,10 @@
                             next.toNode(),
                             transaction -> {
                                 transaction.put(
-                                        KeySetRegistry.NUMBERS + name,
-                                        Codec.map().put("number", next.number()));
-                                if (clears && keys.snapshot().marks().containsKey(name)) {
-                                    transaction.delete(KeySetRegistry.MARKS + name);
+                                        KeySetRegistry.CHANGE_NUMBERS_PREFIX + name,
+                                        Codec.map().put("number", next.changeNumber()));
+                                if (clears && keys.snapshot().mismatches().containsKey(name)) {
+                                    transaction.delete(KeySetRegistry.MISMATCHES_PREFIX + name);
                                 }
                             },
                             shown(next));
@@ -191,7 +191,7 @@
         }
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
-        store.commit(new Transaction().put(KeySetRegistry.REQUIRED, value), commit -> {
+        store.commit(new Transaction().put(KeySetRegistry.REQUIRED_KEY, value), commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
                 responder.respond(200, value);
             } else {
@@ -204,27 +204,27 @@
 
     private ObjectNode shown(KeySet keySet) {
         ObjectNode node = keySet.toNode();
-        KeySets.Mark mark = keys.snapshot().marks().get(keySet.name());
+        KeySets.Mismatch mark = keys.snapshot().mismatches().get(keySet.name());
         if (mark != null) {
             node.putObject("mismatch")
-                    .put("saw", mark.saw())
-                    .put("known", mark.known())
-                    .put("since", mark.atMs())
-                    .put("by", mark.node());
+                    .put("saw", mark.found())
+                    .put("known", mark.expected())
+                    .put("since", mark.detectedAtMs())
+                    .put("by", mark.detectedBy());
         }
         return node;
     }
 
     private void list(ApiResponder responder) {
-        if (!keys.known()) {
+        if (!keys.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
             return;
         }
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("keysets");
-        for (KeySets.Known known : keys.snapshot().sets().values()) {
+        for (KeySets.StoredKeySet known : keys.snapshot().sets().values()) {
             if (known.set() != null) {
-                KeySet.Version version = known.set().approved();
+                KeySet.Version version = known.set().approvedVersion();
                 ObjectNode row = rows.addObject()
                         .put("name", known.set().name())
                         .put("owner", known.set().owner())
@@ -232,19 +232,19 @@
                 row.put("approved", version == null ? null : version.version());
                 row.put(
                         "mismatch",
-                        keys.snapshot().marks().containsKey(known.set().name()));
+                        keys.snapshot().mismatches().containsKey(known.set().name()));
             }
         }
         ArrayNode classes = out.putObject("required").putArray("classes");
-        keys.snapshot().classes().forEach(classes::add);
+        keys.snapshot().requiredClasses().forEach(classes::add);
         ArrayNode teams = ((ObjectNode) out.get("required")).putArray("teams");
-        keys.snapshot().teams().forEach(teams::add);
+        keys.snapshot().requiredTeams().forEach(teams::add);
         responder.respond(200, out);
     }
 
     private void show(String name, ApiResponder responder) {
-        KeySets.Known known = keys.snapshot().sets().get(name);
-        if (!keys.known()) {
+        KeySets.StoredKeySet known = keys.snapshot().sets().get(name);
+        if (!keys.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
         } else if (known == null || known.set() == null) {
             responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
@@ -275,7 +275,7 @@
                     .put("ref", job.id().text())
                     .put("version", pin.version())
                     .put("digest", pin.digest())
-                    .put("held", job.keySetHold == null ? null : job.keySetHold.why());
+                    .put("held", job.keySetHold == null ? null : job.keySetHold.reason());
             List<String> machines = new ArrayList<>();
             for (Placement p : job.record.live.values()) {
                 machines.add(p.task.index() + " on " + p.machine.text());
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -11,7 +11,7 @@
 import org.beechhoist.controller.worker.CommandDispatcher;
 import org.beechhoist.controller.worker.JobHolds;
 import org.beechhoist.controller.worker.TaskRemoval;
-import org.beechhoist.keyset.Verdict;
+import org.beechhoist.keyset.RunDecision;
 import org.beechhoist.store.Placement;
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.WorkerCommand;
@@ -25,8 +25,8 @@
  */
 public final class KeySetHolds implements CommitGuards, JobHolds {
     private static final Logger LOG = LoggerFactory.getLogger(KeySetHolds.class);
-    private static final Verdict OFF =
-            new Verdict(Verdict.Kind.NOT_KNOWN, 0, "this node", "key sets are off on the leading node");
+    private static final RunDecision OFF =
+            new RunDecision(RunDecision.Kind.UNKNOWN, 0, "this node", "key sets are off on the leading node");
 
     private final ControllerContext context;
     private final Settings settings;
@@ -54,31 +54,31 @@
     }
 
     /** A key set has changed: all jobs are looked at before anything else is decided. */
-    void changed() {
+    void requestRecheck() {
         due = true;
         clusterState.requestReplan();
     }
 
     /** Before each plan: who may not run, by what is known of the sets now. */
-    void look() {
+    void checkDueJobs() {
         for (Job job : clusterState.jobs()) {
             if (job.spec().keySetBinding() != null
                     && !job.isCancelled()
-                    && (due || job.keySetHold == Verdict.NOT_KNOWN)) {
-                look(job);
+                    && (due || job.keySetHold == RunDecision.UNKNOWN)) {
+                checkJob(job);
             }
         }
         due = false;
     }
 
     /** Once a turn: a version's time to drain may be over. */
-    void tick() {
+    void checkAllJobs() {
         due = true;
-        look();
+        checkDueJobs();
     }
 
-    private void look(Job job) {
-        Verdict verdict = keys == null ? OFF : keys.verdict(job.spec().keySetBinding());
+    private void checkJob(Job job) {
+        RunDecision verdict = keys == null ? OFF : keys.runDecision(job.spec().keySetBinding());
         boolean was = job.isHeld();
         job.keySetHold = verdict.mayRun() ? null : verdict;
         if (job.isHeld() && !was) {
@@ -88,8 +88,8 @@
                     job.id(),
                     job.record.live.size(),
                     job.spec().keySetBinding(),
-                    verdict.why(),
-                    verdict.by());
+                    verdict.reason(),
+                    verdict.decidedBy());
             clusterState.requestReplan();
         } else if (was && !job.isHeld()) {
             LOG.info("{} goes on: key set {}", job.id(), job.spec().keySetBinding());
@@ -131,8 +131,8 @@
         return job.uncommittedPlacements == 0
                 || job.spec().keySetBinding() == null
                 || keys != null
-                        && keys.sure(job.spec().keySetBinding().keySet())
-                        && keys.verdict(job.spec().keySetBinding()).mayRun();
+                        && keys.isUpToDate(job.spec().keySetBinding().keySet())
+                        && keys.runDecision(job.spec().keySetBinding()).mayRun();
     }
 
     /** The guard that a job's new placements need; null: none. */
@@ -140,21 +140,23 @@
     public String guardKey(Job job) {
         return job.uncommittedPlacements == 0 || job.spec().keySetBinding() == null
                 ? null
-                : KeySetRegistry.SETS + job.spec().keySetBinding().keySet();
+                : KeySetRegistry.SETS_PREFIX + job.spec().keySetBinding().keySet();
     }
 
     @Override
     public void addGuard(Transaction transaction, Job job) {
-        keys.guard(transaction, job.spec().keySetBinding().keySet());
+        keys.addGuard(transaction, job.spec().keySetBinding().keySet());
     }
 
     /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
     @Override
     public boolean handleGuardConflict(Set<String> failed) {
-        if (keys == null || failed.isEmpty() || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS))) {
+        if (keys == null
+                || failed.isEmpty()
+                || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS_PREFIX))) {
             return false;
         }
         LOG.info("commit overtaken by a change of {}", failed);
-        return keys.overtaken(failed, this::changed);
+        return keys.refreshConflicting(failed, this::requestRecheck);
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetModule.java
+++ b/src/main/java/org/beechhoist/controller/KeySetModule.java
@@ -43,6 +43,6 @@
     @Override
     public void handle(ApiRequest request, ApiResponder responder) {
         ClusterState known = activeLeader.get().map(Leader::clusterState).orElse(null);
-        api.request(request.method(), request.path(), request.body(), known, responder);
+        api.handle(request.method(), request.path(), request.body(), known, responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetRegistry.java
+++ b/src/main/java/org/beechhoist/controller/KeySetRegistry.java
@@ -14,7 +14,7 @@
 import org.beechhoist.controller.state.PrefixWatch;
 import org.beechhoist.keyset.KeySet;
 import org.beechhoist.keyset.KeySets;
-import org.beechhoist.keyset.Verdict;
+import org.beechhoist.keyset.RunDecision;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.store.Transaction;
@@ -33,10 +33,10 @@
  */
 final class KeySetRegistry {
     static final String PREFIX = "ks/";
-    static final String SETS = "ks/set/";
-    static final String NUMBERS = "ks/num/";
-    static final String MARKS = "ks/bad/";
-    static final String REQUIRED = "ks/must";
+    static final String SETS_PREFIX = "ks/set/";
+    static final String CHANGE_NUMBERS_PREFIX = "ks/num/";
+    static final String MISMATCHES_PREFIX = "ks/bad/";
+    static final String REQUIRED_KEY = "ks/must";
     private static final Logger LOG = LoggerFactory.getLogger(KeySetRegistry.class);
     private static final long AGAIN_MS = 500;
 
@@ -50,11 +50,11 @@
     /** Something has changed: who may run is to be looked at anew. */
     private final Runnable changed;
 
-    private final Map<String, KeySets.Known> sets = new TreeMap<>();
+    private final Map<String, KeySets.StoredKeySet> sets = new TreeMap<>();
     private final Map<String, Number> numbers = new HashMap<>();
-    private final Map<String, KeySets.Mark> marks = new HashMap<>();
+    private final Map<String, KeySets.Mismatch> marks = new HashMap<>();
     /** Seen here and not stored yet. */
-    private final Map<String, KeySets.Mark> toMark = new HashMap<>();
+    private final Map<String, KeySets.Mismatch> toMark = new HashMap<>();
 
     private final Set<String> classes = new TreeSet<>();
     private final Set<String> teams = new TreeSet<>();
@@ -86,39 +86,39 @@
     // ---- what follows from it ----
 
     /** What the job is bound to, or null: nothing is known yet. */
-    KeySets.Binding bind(JobSpec spec) {
+    KeySets.BindingDecision bind(JobSpec spec) {
         return known ? snapshot.bind(spec.team(), spec.jobClass(), spec.keySet()) : null;
     }
 
-    Verdict verdict(KeySetBinding pin) {
-        return known ? snapshot.verdict(pin, context.wallMs()) : Verdict.NOT_KNOWN;
+    RunDecision runDecision(KeySetBinding pin) {
+        return known ? snapshot.runDecision(pin, context.wallMs()) : RunDecision.UNKNOWN;
     }
 
     KeySets snapshot() {
         return snapshot;
     }
 
-    boolean known() {
+    boolean isLoaded() {
         return known;
     }
 
     /** Whether what is known of the set may be relied on, under its guard. */
-    boolean sure(String set) {
+    boolean isUpToDate(String set) {
         return known && !behind.contains(set);
     }
 
     /** The transaction is made only if the set is as it is known here. */
-    void guard(Transaction transaction, String set) {
-        transaction.guard(SETS + set, snapshot.revision(set));
+    void addGuard(Transaction transaction, String set) {
+        transaction.guard(SETS_PREFIX + set, snapshot.revision(set));
     }
 
     /** Whether the transaction failed for a set that has changed; what is known of it is read again, and {@code then} follows. */
-    boolean overtaken(Set<String> failed, Runnable then) {
+    boolean refreshConflicting(Set<String> failed, Runnable then) {
         boolean any = false;
         for (String key : failed) {
-            if (key.startsWith(SETS)) {
+            if (key.startsWith(SETS_PREFIX)) {
                 any = true;
-                refresh(key.substring(SETS.length()), then);
+                refresh(key.substring(SETS_PREFIX.length()), then);
             }
         }
         return any;
@@ -127,7 +127,7 @@
     private void refresh(String set, Runnable then) {
         behind.add(set);
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(SETS + set, read -> {
+        store.get(SETS_PREFIX + set, read -> {
             if (!read.answered()) {
                 context.schedule(AGAIN_MS, () -> refresh(set, then));
                 return;
@@ -137,7 +137,9 @@
                 sets.remove(set);
             } else if (sets.get(set) == null
                     || sets.get(set).revision().compareTo(read.item().version()) < 0) {
-                sets.put(set, new KeySets.Known(read(read.item()), read.item().version()));
+                sets.put(
+                        set,
+                        new KeySets.StoredKeySet(read(read.item()), read.item().version()));
             }
             behind.remove(set);
             renew();
@@ -146,23 +148,23 @@
     }
 
     /** Adds to an open job's state that it is held, since when, by whom and why. */
-    void tell(ObjectNode state) {
+    void addHoldDetails(ObjectNode state) {
         JsonNode pin = state.get("keySet");
         if (pin == null) {
             return;
         }
         try {
-            Verdict verdict = verdict(KeySetBinding.parse(pin));
+            RunDecision verdict = runDecision(KeySetBinding.parse(pin));
             if (!verdict.mayRun()) {
                 ObjectNode held = state.putObject("held");
                 held.put("set", pin.path("set").asText())
                         .put("version", pin.path("version").asLong())
-                        .put("by", verdict.by())
-                        .put("why", verdict.why());
+                        .put("by", verdict.decidedBy())
+                        .put("why", verdict.reason());
                 if (verdict.sinceMs() > 0) {
                     held.put("since", verdict.sinceMs());
                 }
-                state.put("reason", "held: key set " + pin.path("set").asText() + ": " + verdict.why());
+                state.put("reason", "held: key set " + pin.path("set").asText() + ": " + verdict.reason());
             }
         } catch (MalformedMessageException e) {
             LOG.debug("{}", e.getMessage());
@@ -180,7 +182,7 @@
     }
 
     private void changes(List<StoreClient.KeyValue> log) {
-        Map<String, KeySets.Known> before = new HashMap<>(sets);
+        Map<String, KeySets.StoredKeySet> before = new HashMap<>(sets);
         log.forEach(this::take);
         if (!known) {
             LOG.info("{} key sets, {} classes and {} teams need one", sets.size(), classes.size(), teams.size());
@@ -206,36 +208,36 @@
     private void take(StoreClient.KeyValue item) {
         String key = item.key();
         boolean gone = item.value() == null;
-        if (key.startsWith(SETS)) {
-            String name = key.substring(SETS.length());
-            KeySets.Known old = sets.get(name);
+        if (key.startsWith(SETS_PREFIX)) {
+            String name = key.substring(SETS_PREFIX.length());
+            KeySets.StoredKeySet old = sets.get(name);
             if (gone) {
                 sets.remove(name);
             } else if (old == null || old.revision().compareTo(item.version()) < 0) {
-                sets.put(name, new KeySets.Known(read(item), item.version()));
+                sets.put(name, new KeySets.StoredKeySet(read(item), item.version()));
             }
-        } else if (key.startsWith(NUMBERS)) {
-            String name = key.substring(NUMBERS.length());
+        } else if (key.startsWith(CHANGE_NUMBERS_PREFIX)) {
+            String name = key.substring(CHANGE_NUMBERS_PREFIX.length());
             if (gone) {
                 numbers.remove(name);
             } else {
                 numbers.put(name, new Number(item.value().path("number").asLong(), item.version()));
             }
-        } else if (key.startsWith(MARKS)) {
-            String name = key.substring(MARKS.length());
+        } else if (key.startsWith(MISMATCHES_PREFIX)) {
+            String name = key.substring(MISMATCHES_PREFIX.length());
             toMark.remove(name);
             if (gone) {
                 marks.remove(name);
             } else {
                 marks.put(
                         name,
-                        new KeySets.Mark(
+                        new KeySets.Mismatch(
                                 item.value().path("at").asLong(),
                                 item.value().path("node").asText(),
                                 item.value().path("saw").asText(),
                                 item.value().path("known").asText()));
             }
-        } else if (key.equals(REQUIRED)) {
+        } else if (key.equals(REQUIRED_KEY)) {
             classes.clear();
             teams.clear();
             if (!gone) {
@@ -246,7 +248,7 @@
     }
 
     /** Whether somebody has written over the set: every change of ours moves its number in the same transaction. */
-    private void look(String name, KeySets.Known before, KeySets.Known now) {
+    private void look(String name, KeySets.StoredKeySet before, KeySets.StoredKeySet now) {
         Number number = numbers.get(name);
         if (now.set() == null
                 || marks.containsKey(name)
@@ -254,39 +256,39 @@
             return;
         }
         KeySet old = before == null ? null : before.set();
-        String saw = KeySets.tampered(old, now.set(), number == null ? null : number.number);
+        String saw = KeySets.findTampering(old, now.set(), number == null ? null : number.number);
         if (saw == null && (number == null || !number.revision.equals(now.revision()))) {
-            saw = "change " + now.set().number() + " of another hand";
+            saw = "change " + now.set().changeNumber() + " of another hand";
         }
         if (saw == null) {
             return;
         }
-        String should = old != null && old.approved() != null
-                ? old.approved().digest()
+        String should = old != null && old.approvedVersion() != null
+                ? old.approvedVersion().digest()
                 : "change " + (number == null ? "?" : String.valueOf(number.number));
         LOG.error(
                 "key set {}: mismatch: {} stands there, {} is what was known; jobs that are bound to it are held",
                 name,
                 saw,
                 should);
-        KeySets.Mark mark = new KeySets.Mark(context.wallMs(), node, saw, should);
+        KeySets.Mismatch mark = new KeySets.Mismatch(context.wallMs(), node, saw, should);
         marks.put(name, mark);
         toMark.put(name, mark);
     }
 
     /** Tells all nodes, those to come too. */
     private void mark() {
-        for (Map.Entry<String, KeySets.Mark> entry : List.copyOf(toMark.entrySet())) {
-            KeySets.Mark mark = entry.getValue();
+        for (Map.Entry<String, KeySets.Mismatch> entry : List.copyOf(toMark.entrySet())) {
+            KeySets.Mismatch mark = entry.getValue();
             Transaction transaction = new Transaction()
-                    .guard(MARKS + entry.getKey(), Revision.ABSENT)
+                    .guard(MISMATCHES_PREFIX + entry.getKey(), Revision.ABSENT)
                     .put(
-                            MARKS + entry.getKey(),
+                            MISMATCHES_PREFIX + entry.getKey(),
                             Codec.map()
-                                    .put("at", mark.atMs())
-                                    .put("node", mark.node())
-                                    .put("saw", mark.saw())
-                                    .put("known", mark.known()));
+                                    .put("at", mark.detectedAtMs())
+                                    .put("node", mark.detectedBy())
+                                    .put("saw", mark.found())
+                                    .put("known", mark.expected()));
             requests.takeOrOverdraw(context.now(), 1);
             writes.takeOrOverdraw(context.now(), 1);
             store.commit(transaction, commit -> {
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -61,7 +61,7 @@
         scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
-        scheduling.releaseController.begin();
+        scheduling.releaseController.startTerm();
         scheduling.migrationController.startTerm();
         features.drainController.startTerm();
         workers.loader.reload();
@@ -110,12 +110,12 @@
 
     /** A key set has changed. */
     void keySetsChanged() {
-        workers.keySetHolds.changed();
+        workers.keySetHolds.requestRecheck();
     }
 
     /** A release has changed. */
     void releaseChanged(Release before, Release now) {
-        scheduling.releaseController.changed(before, now);
+        scheduling.releaseController.handleReleaseChange(before, now);
     }
 
     // ---- what the APIs and views read ----
@@ -209,7 +209,7 @@
     }
 
     private void runTaskComponents() {
-        workers.keySetHolds.tick();
+        workers.keySetHolds.checkAllJobs();
         scheduling.preemptionNotices.evictUnfinishableTasks();
         workers.elasticWidths.reconcileAllWidths();
         features.loadShedding.ifPresent(LoadShedding::updateShedJobs);
@@ -219,7 +219,7 @@
     }
 
     private void runLongTermComponents() {
-        scheduling.releaseController.tick(scheduling.planner);
+        scheduling.releaseController.updateForecasts(scheduling.planner);
         scheduling.migrationController.updateMigrations(scheduling.planner.currentPlan());
         features.drainController.updateDrains(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
@@ -239,8 +239,8 @@
     }
 
     private void plan() {
-        workers.keySetHolds.look();
-        scheduling.releaseController.look();
+        workers.keySetHolds.checkDueJobs();
+        scheduling.releaseController.updateOrder();
         Plan plan = scheduling.planner.createPlan();
         scheduling.migrationController.startMovedTasks();
         scheduling.taskPlacer.placeDueTasks(plan);
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -38,6 +38,6 @@
         node.userApi().recordEnded(job.id(), finalState);
         workers.lossRecovery.stopTrackingJob(job.id());
         features.serviceShare.ifPresent(share -> share.recordEnded(job));
-        scheduling.releaseController.ended(job);
+        scheduling.releaseController.recordEndedJob(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -16,7 +16,7 @@
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 import org.beechhoist.floor.ServiceShare;
-import org.beechhoist.release.ShipOrder;
+import org.beechhoist.release.ReleaseOrder;
 import org.beechhoist.store.Placement;
 import org.beechhoist.triage.Capacity;
 import org.beechhoist.triage.Demand;
@@ -96,7 +96,7 @@
                     k -> scaleOut.mayHaveCapacityFor(spec));
             Long due = ordering.earliestAchievableDueMs(job);
             boolean late = due == null && ordering.hasCompletionLimit(spec);
-            if (late && !more && ordering.releaseOrderKey(job) == ShipOrder.NONE) {
+            if (late && !more && ordering.releaseOrderKey(job) == ReleaseOrder.NO_KEY) {
                 missed.add(job);
             }
             overloaded |= !more;
@@ -112,7 +112,7 @@
                     length,
                     due == null ? Demand.NO_DEADLINE : due,
                     late,
-                    more || begun || job.prioritized || ordering.releaseOrderKey(job) != ShipOrder.NONE));
+                    more || begun || job.prioritized || ordering.releaseOrderKey(job) != ReleaseOrder.NO_KEY));
         }
         Set<JobId> now = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
         if (!now.isEmpty()) {
--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -54,7 +54,7 @@
     }
 
     /** @param leader null on a node that does not lead: it knows no plan */
-    void request(String method, String path, byte[] body, Leader leader, ApiResponder responder) {
+    void handle(String method, String path, byte[] body, Leader leader, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
         int slash = rest.lastIndexOf('/');
@@ -71,13 +71,15 @@
             } else if (verb.equals("move") && post) {
                 String who = text(node, "who");
                 String why = text(node, "why");
-                var ship = Release.time("ship", Codec.text(node, "ship"));
+                var ship = Release.parseDateTime("ship", Codec.text(node, "ship"));
                 change(
                         name,
                         null,
-                        (before, open) -> before.moved(
+                        (before, open) -> before.withShipDate(
                                 ship,
-                                inTime(ship.toString(), Release.due(ship, before.zone(), before.leadDays(), open)),
+                                inTime(
+                                        ship.toString(),
+                                        Release.computeDueMs(ship, before.zone(), before.leadDays(), open)),
                                 who,
                                 context.wallMs(),
                                 why),
@@ -85,7 +87,7 @@
             } else if (verb.equals("remove") && post) {
                 String who = text(node, "who");
                 String why = text(node, "why");
-                change(name, null, (before, open) -> before.remove(who, context.wallMs(), why), responder);
+                change(name, null, (before, open) -> before.withRemoval(who, context.wallMs(), why), responder);
             } else {
                 responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             }
@@ -114,23 +116,23 @@
     private void put(String name, JsonNode node, ApiResponder responder) throws MalformedMessageException {
         String who = text(node, "who");
         String why = text(node, "why");
-        Release described = Release.described(name, node);
+        Release described = Release.parseDescription(name, node);
         if (described.team() != null && !settings.teams().containsKey(described.team())) {
             throw new MalformedMessageException("team = " + described.team() + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
-        if (releases.known(name) == null && releases.size() >= MOST_RELEASES) {
+        if (releases.find(name) == null && releases.size() >= MOST_RELEASES) {
             throw new MalformedMessageException(
                     "name = " + name + ": at most " + MOST_RELEASES + " releases are allowed, removed ones too");
         }
         change(
                 name,
                 described,
-                (before, open) -> described.put(
+                (before, open) -> described.withPut(
                         before,
                         inTime(
                                 described.ship().toString(),
-                                Release.due(described.ship(), described.zone(), described.leadDays(), open)),
+                                Release.computeDueMs(described.ship(), described.zone(), described.leadDays(), open)),
                         who,
                         context.wallMs(),
                         why),
@@ -140,7 +142,7 @@
     /** @param described what is put, or null: what stands is changed */
     private void change(String name, Release described, Edit edit, ApiResponder responder) {
         amending.updateAsync(
-                ReleaseRegistry.SETS + name,
+                ReleaseRegistry.RELEASES_PREFIX + name,
                 (node, then) -> {
                     Release before;
                     try {
@@ -164,7 +166,7 @@
 
     /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
     private void list(Leader leader, boolean orderAlone, ApiResponder responder) {
-        if (!releases.read()) {
+        if (!releases.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
             return;
         }
@@ -190,14 +192,14 @@
     }
 
     private void show(String name, ApiResponder responder) {
-        Release release = releases.known(name);
-        if (!releases.read()) {
+        Release release = releases.find(name);
+        if (!releases.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
         } else if (release == null) {
             responder.respond(404, OptimisticUpdater.errorBody("no such release"));
         } else {
             requests.takeOrOverdraw(context.now(), 1);
-            store.get(ReleaseController.REORDERED + name, read -> {
+            store.get(ReleaseController.REORDERED_PREFIX + name, read -> {
                 ObjectNode node = release.toNode();
                 if (read.item() != null) {
                     node.set("reordered", read.item().value());
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -18,8 +18,8 @@
 import org.beechhoist.release.Calibration;
 import org.beechhoist.release.Forecast;
 import org.beechhoist.release.Release;
+import org.beechhoist.release.ReleaseOrder;
 import org.beechhoist.release.Releases;
-import org.beechhoist.release.ShipOrder;
 import org.beechhoist.store.StoreClient;
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.store.Transaction;
@@ -31,9 +31,9 @@
 /** The leader's side of the release calendar: which jobs go first for it, what was done of each release, and whether it will be met. */
 final class ReleaseController {
     /** What is done of each release: jobs, tasks, CPU seconds, and when the last job ended. Hints, written now and then. */
-    static final String TALLY = "rl/tally";
+    static final String TALLIES_KEY = "rl/tally";
     /** Which jobs' order a change has changed. */
-    static final String REORDERED = "rl/moved/";
+    static final String REORDERED_PREFIX = "rl/moved/";
 
     private static final Logger LOG = LoggerFactory.getLogger(ReleaseController.class);
     private static final long LOOK_EVERY_MS = 5000;
@@ -99,7 +99,7 @@
     }
 
     /** A new leadership begins. */
-    void begin() {
+    void startTerm() {
         keys = Map.of();
         tallies.clear();
         risks.clear();
@@ -117,16 +117,16 @@
     // ---- the order ----
 
     /** Before each plan: the order of all open jobs, by what is stored alone. */
-    void look() {
+    void updateOrder() {
         keys = on() ? keys(releases.snapshot()) : Map.of();
     }
 
     private Map<JobId, Long> keys(Releases of) {
-        List<ShipOrder.Open> open = new ArrayList<>();
+        List<ReleaseOrder.OpenJob> open = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled()) {
-                job.release = of.of(job.spec());
-                open.add(new ShipOrder.Open(
+                job.release = of.releaseOf(job.spec());
+                open.add(new ReleaseOrder.OpenJob(
                         job.id(),
                         job.release,
                         job.record.submittedWallMs,
@@ -135,12 +135,12 @@
                                 * Math.max(1, job.spec().estimateS())));
             }
         }
-        return ShipOrder.keys(open, context.wallMs());
+        return ReleaseOrder.sortKeys(open, context.wallMs());
     }
 
-    /** The smaller the earlier; {@link ShipOrder#NONE} for a job that no release speaks for. */
-    long key(Job job) {
-        return keys.getOrDefault(job.id(), ShipOrder.NONE);
+    /** The smaller the earlier; {@link ReleaseOrder#NO_KEY} for a job that no release speaks for. */
+    long orderKey(Job job) {
+        return keys.getOrDefault(job.id(), ReleaseOrder.NO_KEY);
     }
 
     /** The factory moment of what it counts for, by the time of day, or null. */
@@ -149,9 +149,9 @@
     }
 
     /** A release has changed: who moved it is in its history; which jobs go in another order for it is written beside it. */
-    void changed(Release before, Release now) {
+    void handleReleaseChange(Release before, Release now) {
         Map<JobId, Long> old = keys;
-        look();
+        updateOrder();
         clusterState.requestReplan();
         Release release = now != null ? now : before;
         if (release == null) {
@@ -160,7 +160,7 @@
         List<JobId> moved = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (job.record.waitingCount() > 0
-                    && !old.getOrDefault(job.id(), ShipOrder.NONE).equals(key(job))) {
+                    && !old.getOrDefault(job.id(), ReleaseOrder.NO_KEY).equals(orderKey(job))) {
                 moved.add(job.id());
             }
         }
@@ -171,10 +171,10 @@
                 release.ship(),
                 release.zone(),
                 moved.size());
-        ObjectNode value = Codec.map().put("number", release.number()).put("jobs", moved.size());
+        ObjectNode value = Codec.map().put("number", release.changeNumber()).put("jobs", moved.size());
         ArrayNode names = value.putArray("first");
         moved.stream().sorted().limit(MOST_TOLD).forEach(m -> names.add(m.text()));
-        write(election.guardedTransaction().put(REORDERED + release.name(), value));
+        write(election.guardedTransaction().put(REORDERED_PREFIX + release.name(), value));
     }
 
     private void write(Transaction transaction) {
@@ -186,8 +186,8 @@
     // ---- what is done, and whether it will be met ----
 
     /** The job is over, by its tasks. */
-    void ended(Job job) {
-        Release release = on() && !job.isCancelled() ? releases.snapshot().of(job.spec()) : null;
+    void recordEndedJob(Job job) {
+        Release release = on() && !job.isCancelled() ? releases.snapshot().releaseOf(job.spec()) : null;
         if (release != null) {
             Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
             tallies.put(
@@ -205,7 +205,7 @@
         }
     }
 
-    void tick(Planner planner) {
+    void updateForecasts(Planner planner) {
         if (!on()) {
             return;
         }
@@ -236,7 +236,7 @@
                 && writes.available(context.now()) >= PLENTY * writes.capacity()) {
             next.writeMs = context.now().ms() + WRITE_EVERY_MS;
             tallyDirty = false;
-            write(election.guardedTransaction().put(TALLY, tallyNode()));
+            write(election.guardedTransaction().put(TALLIES_KEY, tallyNode()));
         }
     }
 
@@ -246,7 +246,7 @@
         if (open.isEmpty()) {
             Tally tally = tallies.get(release.name());
             if (tally != null && !before.isEmpty()) {
-                before.forEach(s -> calibration.seen(s[0], s[1], tally.lastMs));
+                before.forEach(s -> calibration.addOutcome(s[0], s[1], tally.lastMs));
                 tallyDirty = true;
             }
             before.clear();
@@ -276,7 +276,7 @@
         tallied = true;
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
-        store.get(TALLY, read -> {
+        store.get(TALLIES_KEY, read -> {
             if (term != clusterState.term()) {
                 return;
             }
@@ -288,7 +288,7 @@
                 for (Map.Entry<String, JsonNode> entry : read.item().value().properties()) {
                     JsonNode row = entry.getValue();
                     if (entry.getKey().equals(RATIOS)) {
-                        row.forEach(x -> calibration.add(x.asDouble() / 100));
+                        row.forEach(x -> calibration.addRatio(x.asDouble() / 100));
                         continue;
                     }
                     Tally tally = tallies.getOrDefault(entry.getKey(), new Tally(0, 0, 0, 0));
@@ -307,7 +307,7 @@
     private Map<String, List<Job>> jobsOf() {
         Map<String, List<Job>> out = new LinkedHashMap<>();
         for (Job job : clusterState.jobs()) {
-            Release release = job.isCancelled() ? null : releases.snapshot().of(job.spec());
+            Release release = job.isCancelled() ? null : releases.snapshot().releaseOf(job.spec());
             if (release != null) {
                 out.computeIfAbsent(release.name(), k -> new ArrayList<>()).add(job);
             }
@@ -349,9 +349,9 @@
             }
         }
         long said = plannedEnd(jobs, planner);
-        long end = said == 0 ? 0 : calibration.middle(context.wallMs(), said);
+        long end = said == 0 ? 0 : calibration.medianEndMs(context.wallMs(), said);
         return Forecast.of(
-                new Forecast.Facts(jobs.size(), held, unplanned, limited, end, longest),
+                new Forecast.Inputs(jobs.size(), held, unplanned, limited, end, longest),
                 release.dueMs(),
                 context.wallMs());
     }
@@ -408,7 +408,9 @@
             node.put("endsInS", (forecast.endMs() - context.wallMs()) / 1000.0)
                     .put("slackS", forecast.slackMs() / 1000.0)
                     .put("endsInSByPlan", (said - context.wallMs()) / 1000.0)
-                    .put("nineOfTenInS", (calibration.late(context.wallMs(), said) - context.wallMs()) / 1000.0)
+                    .put(
+                            "nineOfTenInS",
+                            (calibration.percentile90EndMs(context.wallMs(), said) - context.wallMs()) / 1000.0)
                     .put("forecastsSeen", calibration.size());
         }
         if (jobs.isEmpty() && tally.lastMs > 0) {
--- a/src/main/java/org/beechhoist/controller/ReleaseModule.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseModule.java
@@ -39,6 +39,6 @@
     @Override
     public void handle(ApiRequest request, ApiResponder responder) {
         Leader leader = activeLeader.get().orElse(null);
-        api.request(request.method(), request.path(), request.body(), leader, responder);
+        api.handle(request.method(), request.path(), request.body(), leader, responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
@@ -15,12 +15,12 @@
 
 /** What a node knows of the release calendar: read once, then followed. */
 final class ReleaseRegistry {
-    static final String SETS = "rl/set/";
+    static final String RELEASES_PREFIX = "rl/set/";
     private static final Logger LOG = LoggerFactory.getLogger(ReleaseRegistry.class);
 
     /** A release was put, moved or removed, {@code before} or {@code now} being null where there was or is none. */
     interface Listener {
-        void changed(Release before, Release now);
+        void releaseChanged(Release before, Release now);
     }
 
     private final ControllerContext context;
@@ -39,19 +39,19 @@
     }
 
     void start() {
-        new PrefixWatch(context, store, requests, SETS, known::clear, this::take, this::changes).start();
+        new PrefixWatch(context, store, requests, RELEASES_PREFIX, known::clear, this::take, this::changes).start();
     }
 
     Releases snapshot() {
         return snapshot;
     }
 
-    boolean read() {
+    boolean isLoaded() {
         return read;
     }
 
     /** The release, removed ones too, or null. */
-    Release known(String name) {
+    Release find(String name) {
         return known.get(name);
     }
 
@@ -60,19 +60,19 @@
     }
 
     private void take(StoreClient.KeyValue item) {
-        String name = item.key().substring(SETS.length());
+        String name = item.key().substring(RELEASES_PREFIX.length());
         try {
             if (item.value() == null) {
                 known.remove(name);
             } else {
                 Release release = Release.parse(item.value());
                 Release old = known.get(name);
-                if (old != null && old.number() > release.number()) {
+                if (old != null && old.changeNumber() > release.changeNumber()) {
                     LOG.error(
                             "release {}: change {} stands after change {}: somebody else has written it; {} is kept",
                             name,
-                            release.number(),
-                            old.number(),
+                            release.changeNumber(),
+                            old.changeNumber(),
                             old.ship());
                     return;
                 }
@@ -94,12 +94,12 @@
         }
         snapshot = new Releases(known.values());
         if (first) {
-            listener.changed(null, null);
+            listener.releaseChanged(null, null);
             return;
         }
         for (StoreClient.KeyValue item : log) {
-            String name = item.key().substring(SETS.length());
-            listener.changed(before.get(name), known.get(name));
+            String name = item.key().substring(RELEASES_PREFIX.length());
+            listener.releaseChanged(before.get(name), known.get(name));
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/StalledJobReporter.java
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -43,7 +43,7 @@
 
     private String cause(Job job) {
         if (job.keySetHold != null) {
-            return "held: " + job.keySetHold.why();
+            return "held: " + job.keySetHold.reason();
         }
         if (ElasticWidths.pauseReason(job) != null) {
             return ElasticWidths.pauseReason(job);
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -130,12 +130,13 @@
     }
 
     private void enter(long request, JobSpec spec) {
-        KeySets.Binding binding = rules.keySetBinding(spec);
+        KeySets.BindingDecision binding = rules.keySetBinding(spec);
         if (binding == null) {
             refusal.refuse(request, SubmissionRules.KEY_SETS_UNKNOWN);
             return;
         }
-        String permanent = rules.permanentRefusal(spec) == null ? binding.refusal() : rules.permanentRefusal(spec);
+        String permanent =
+                rules.permanentRefusal(spec) == null ? binding.refusalReason() : rules.permanentRefusal(spec);
         if (permanent != null) {
             // A job that was accepted once, when there were other machine types, is never refused later.
             reader.read(spec.id(), requests.tryTake(context.now(), 1), found -> {
@@ -235,10 +236,12 @@
             answerFirstSubmission(submission);
         } else if (spec.keySetBinding() != null
                 && commit.failedKeys()
-                        .contains(KeySetRegistry.SETS + spec.keySetBinding().keySet())) {
+                        .contains(KeySetRegistry.SETS_PREFIX
+                                + spec.keySetBinding().keySet())) {
             rules.keySets()
-                    .overtaken(
-                            Set.of(KeySetRegistry.SETS + spec.keySetBinding().keySet()),
+                    .refreshConflicting(
+                            Set.of(KeySetRegistry.SETS_PREFIX
+                                    + spec.keySetBinding().keySet()),
                             () -> enter(submission.request, spec.withKeySetBinding(null)));
         } else {
             queue.add(submission);
--- a/src/main/java/org/beechhoist/controller/SubmissionRules.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionRules.java
@@ -13,7 +13,7 @@
     /** The refusal of a job with a key set until the key sets have been read. */
     static final String KEY_SETS_UNKNOWN = "the key sets are not read yet";
 
-    private static final KeySets.Binding UNBOUND = new KeySets.Binding(null, null);
+    private static final KeySets.BindingDecision UNBOUND = new KeySets.BindingDecision(null, null);
     /** By how much a sum of CPUs or GPUs may exceed a limit because of rounding. */
     private static final double ROUNDING = 1e-6;
 
@@ -45,14 +45,14 @@
 
     /** Why a job of a schedule can't be submitted, temporarily ({@link #isTemporaryRefusal}) or for ever; null if it can. */
     String refusal(JobSpec spec) {
-        KeySets.Binding binding = keySetBinding(spec);
+        KeySets.BindingDecision binding = keySetBinding(spec);
         if (!machineTypes.isLoaded()) {
             return MACHINE_TYPES_UNKNOWN;
         }
         if (binding == null) {
             return KEY_SETS_UNKNOWN;
         }
-        return binding.refusal() != null ? binding.refusal() : permanentRefusal(spec);
+        return binding.refusalReason() != null ? binding.refusalReason() : permanentRefusal(spec);
     }
 
     /** A job that was not refused, bound to its key set if it needs one. */
@@ -61,7 +61,7 @@
     }
 
     /** The version of its key set that a job would be bound to, or null while the key sets are not read. */
-    KeySets.Binding keySetBinding(JobSpec spec) {
+    KeySets.BindingDecision keySetBinding(JobSpec spec) {
         return keySets == null ? UNBOUND : keySets.bind(spec);
     }
 
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.beechhoist.elastic.TaskTermination;
-import org.beechhoist.keyset.Verdict;
+import org.beechhoist.keyset.RunDecision;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.CommittedTasks;
 import org.beechhoist.store.JobRecord;
@@ -88,7 +88,7 @@
     /** Whether nothing of it has begun for so long that it goes first. */
     public boolean starving;
     /** Why its key set forbids that tasks start, and perhaps that they run; null: it does not. */
-    public Verdict keySetHold;
+    public RunDecision keySetHold;
 
     /** Since when the key set holds it, by the time of day. */
     public long heldSinceMs;
@@ -108,7 +108,7 @@
         this.committedFailures = record.failures;
         this.committedTasks = CommittedTasks.of(record);
         this.recordedTasks = CommittedTasks.of(record);
-        this.keySetHold = record.spec.keySetBinding() == null ? null : Verdict.NOT_KNOWN;
+        this.keySetHold = record.spec.keySetBinding() == null ? null : RunDecision.UNKNOWN;
     }
 
     /** The job's id. */
@@ -150,7 +150,7 @@
 
     /** Whether its key set holds it: no task of it may run. */
     public boolean isHeld() {
-        return keySetHold != null && keySetHold.held();
+        return keySetHold != null && keySetHold.isHeld();
     }
 
     /** How many more of its tasks go first now. */
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -18,16 +18,16 @@
  *
  * @param owner the team that it is for
  * @param classes the classes of jobs that it is for; empty: all jobs of that team
- * @param number the number of its last change; it only grows, and is stored beside the record too ({@code ks/num/NAME}), so that
+ * @param changeNumber the number of its last change; it only grows, and is stored beside the record too ({@code ks/num/NAME}), so that
  *     an old record that somebody writes again is noticed
  * @param versions the oldest first
  */
-public record KeySet(String name, String owner, List<String> classes, long number, List<Version> versions) {
+public record KeySet(String name, String owner, List<String> classes, long changeNumber, List<Version> versions) {
     /** The most versions of a set. */
-    public static final int MOST_VERSIONS = 20;
+    public static final int MAX_VERSION_COUNT = 20;
 
     /** The most fingerprints of a version. */
-    public static final int MOST_FINGERPRINTS = 16;
+    public static final int MAX_FINGERPRINT_COUNT = 16;
 
     private static final int MOST_NAME = 64;
     private static final int MOST_TEXT = 120;
@@ -61,22 +61,23 @@
      * One version of a set.
      *
      * @param digest the digest of what it holds, as it was proposed
-     * @param who who changed it last
-     * @param atMs when, by the time of day
-     * @param why the reason for that change
-     * @param drainUntilMs until when jobs that are bound to a superseded version may run
+     * @param changedBy who changed it last
+     * @param changedAtMs when, by the time of day
+     * @param reason the reason for that change
+     * @param drainDeadlineMs until when jobs that are bound to a superseded version may run
      */
     public record Version(
             long version,
             List<String> fingerprints,
             String digest,
             State state,
-            String who,
-            long atMs,
-            String why,
-            long drainUntilMs) {
+            String changedBy,
+            long changedAtMs,
+            String reason,
+            long drainDeadlineMs) {
         Version withState(State next, Change change, long drainUntil) {
-            return new Version(version, fingerprints, digest, next, change.who, change.atMs, change.why, drainUntil);
+            return new Version(
+                    version, fingerprints, digest, next, change.author, change.atMs, change.reason, drainUntil);
         }
     }
 
@@ -85,22 +86,22 @@
      *
      * @param atMs by the time of day
      */
-    public record Change(String who, long atMs, String why) {
+    public record Change(String author, long atMs, String reason) {
         /** Checks that who and why are given and not too long. */
         public Change {
-            if (who.isBlank() || who.length() > MOST_TEXT) {
+            if (author.isBlank() || author.length() > MOST_TEXT) {
                 throw new IllegalArgumentException(
-                        "who = \"" + who + "\": 1 to " + MOST_TEXT + " characters are expected");
+                        "who = \"" + author + "\": 1 to " + MOST_TEXT + " characters are expected");
             }
-            if (why.isBlank() || why.length() > MOST_TEXT) {
+            if (reason.isBlank() || reason.length() > MOST_TEXT) {
                 throw new IllegalArgumentException(
-                        "why = \"" + why + "\": 1 to " + MOST_TEXT + " characters are expected");
+                        "why = \"" + reason + "\": 1 to " + MOST_TEXT + " characters are expected");
             }
         }
     }
 
     /** Returns whether the text can be a set's name. */
-    public static boolean validName(String name) {
+    public static boolean isValidName(String name) {
         return name.matches(NAME);
     }
 
@@ -120,7 +121,7 @@
     }
 
     /** Returns the digest computed from what the version holds now, whatever digest is stored with it. */
-    public String digestNow(Version version) {
+    public String computeDigest(Version version) {
         return digest(name, owner, version.version, version.fingerprints);
     }
 
@@ -133,7 +134,7 @@
     }
 
     /** Returns the approved version, or null. */
-    public Version approved() {
+    public Version approvedVersion() {
         return versions.stream()
                 .filter(one -> one.state == State.APPROVED)
                 .findFirst()
@@ -150,7 +151,7 @@
     public static KeySet propose(
             KeySet before, String name, String owner, List<String> classes, List<String> fingerprints, Change change)
             throws MalformedMessageException {
-        if (!validName(name)) {
+        if (!isValidName(name)) {
             throw new MalformedMessageException("name = " + name + ": a to z, 0 to 9, dot, dash and underline, "
                     + MOST_NAME + " at most, are expected");
         }
@@ -160,20 +161,20 @@
         }
         checkFingerprints(fingerprints);
         List<Version> all = new ArrayList<>(before == null ? List.of() : before.versions);
-        if (all.size() == MOST_VERSIONS) {
+        if (all.size() == MAX_VERSION_COUNT) {
             removeOldest(all, change.atMs);
         }
         long next = all.isEmpty() ? 1 : all.get(all.size() - 1).version + 1;
         List<String> sorted = fingerprints.stream().sorted().toList();
         String digest = digest(name, owner, next, sorted);
-        all.add(new Version(next, sorted, digest, State.PROPOSED, change.who, change.atMs, change.why, 0));
-        return new KeySet(name, owner, List.copyOf(classes), before == null ? 1 : before.number + 1, all);
+        all.add(new Version(next, sorted, digest, State.PROPOSED, change.author, change.atMs, change.reason, 0));
+        return new KeySet(name, owner, List.copyOf(classes), before == null ? 1 : before.changeNumber + 1, all);
     }
 
     private static void checkFingerprints(List<String> fingerprints) throws MalformedMessageException {
-        if (fingerprints.isEmpty() || fingerprints.size() > MOST_FINGERPRINTS) {
+        if (fingerprints.isEmpty() || fingerprints.size() > MAX_FINGERPRINT_COUNT) {
             throw new MalformedMessageException(
-                    "fingerprints: 1 to " + MOST_FINGERPRINTS + " are expected, not " + fingerprints.size());
+                    "fingerprints: 1 to " + MAX_FINGERPRINT_COUNT + " are expected, not " + fingerprints.size());
         }
         for (String fingerprint : fingerprints) {
             if (!fingerprint.matches(FINGERPRINT)) {
@@ -189,9 +190,9 @@
     /** Removes the oldest version unless it is in use. Jobs that are bound to it are held from then on, as if it had never existed. */
     private static void removeOldest(List<Version> versions, long nowMs) throws MalformedMessageException {
         Version oldest = versions.get(0);
-        if (oldest.state != State.REVOKED && !(oldest.state == State.SUPERSEDED && oldest.drainUntilMs < nowMs)) {
+        if (oldest.state != State.REVOKED && !(oldest.state == State.SUPERSEDED && oldest.drainDeadlineMs < nowMs)) {
             throw new MalformedMessageException(
-                    "versions: " + MOST_VERSIONS + " at most, and version " + oldest.version + " is still in use");
+                    "versions: " + MAX_VERSION_COUNT + " at most, and version " + oldest.version + " is still in use");
         }
         versions.remove(0);
     }
@@ -204,14 +205,14 @@
     public KeySet approve(long version, String digest, long drainUntilMs, Change change)
             throws MalformedMessageException {
         Version keyVersion = existing(version);
-        if (!keyVersion.digest.equals(digest) || !digestNow(keyVersion).equals(digest)) {
+        if (!keyVersion.digest.equals(digest) || !computeDigest(keyVersion).equals(digest)) {
             throw new MalformedMessageException(
-                    "digest = " + digest + ": version " + version + " holds " + digestNow(keyVersion));
+                    "digest = " + digest + ": version " + version + " holds " + computeDigest(keyVersion));
         }
         if (keyVersion.state == State.APPROVED) {
             return changed(keyVersion, keyVersion);
         }
-        Version last = approved();
+        Version last = approvedVersion();
         if (last != null && last.version > version && keyVersion.state != State.REVOKED) {
             throw new MalformedMessageException("version = " + version + ": version " + last.version
                     + " is approved; only a newer one may follow, or one that was revoked");
@@ -240,7 +241,7 @@
                 name,
                 owner,
                 classes,
-                number + 1,
+                changeNumber + 1,
                 versions.stream().map(one -> one == from ? to : one).toList());
     }
 
@@ -248,7 +249,7 @@
 
     /** Returns the set as it is stored and shown. */
     public ObjectNode toNode() {
-        ObjectNode node = Codec.map().put("name", name).put("owner", owner).put("number", number);
+        ObjectNode node = Codec.map().put("name", name).put("owner", owner).put("number", changeNumber);
         ArrayNode otherClasses = node.putArray("classes");
         classes.forEach(otherClasses::add);
         ArrayNode all = node.putArray("versions");
@@ -257,11 +258,11 @@
                     .put("version", version.version)
                     .put("digest", version.digest)
                     .put("state", version.state.text())
-                    .put("who", version.who)
-                    .put("at", version.atMs)
-                    .put("why", version.why);
-            if (version.drainUntilMs > 0) {
-                row.put("drainUntil", version.drainUntilMs);
+                    .put("who", version.changedBy)
+                    .put("at", version.changedAtMs)
+                    .put("why", version.reason);
+            if (version.drainDeadlineMs > 0) {
+                row.put("drainUntil", version.drainDeadlineMs);
             }
             ArrayNode prints = row.putArray("fingerprints");
             version.fingerprints.forEach(prints::add);
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -11,12 +11,16 @@
  * All key sets as a node knows them at one moment; immutable.
  *
  * @param sets by name
- * @param marks mismatches by the set's name: a node has seen the set hold something else than it did, and nobody has approved it
+ * @param mismatches mismatches by the set's name: a node has seen the set hold something else than it did, and nobody has approved it
  *     since
- * @param classes every job of these classes must be bound to a set
- * @param teams every job of these teams must be bound to a set
+ * @param requiredClasses every job of these classes must be bound to a set
+ * @param requiredTeams every job of these teams must be bound to a set
  */
-public record KeySets(Map<String, Known> sets, Map<String, Mark> marks, Set<String> classes, Set<String> teams) {
+public record KeySets(
+        Map<String, StoredKeySet> sets,
+        Map<String, Mismatch> mismatches,
+        Set<String> requiredClasses,
+        Set<String> requiredTeams) {
     /** No key sets. */
     public static final KeySets NONE = new KeySets(Map.of(), Map.of(), Set.of(), Set.of());
 
@@ -25,19 +29,19 @@
      *
      * @param set null if the record can't be read
      */
-    public record Known(KeySet set, Revision revision) {}
+    public record StoredKeySet(KeySet set, Revision revision) {}
 
     /**
      * A mismatch that was seen.
      *
-     * @param atMs when, by the time of day
-     * @param node which node saw it
-     * @param saw what the set held
-     * @param known what it should hold
+     * @param detectedAtMs when, by the time of day
+     * @param detectedBy which node saw it
+     * @param found what the set held
+     * @param expected what it should hold
      */
-    public record Mark(long atMs, String node, String saw, String known) {
-        String text() {
-            return "it holds " + saw + ", " + known + " is what was known, seen by " + node;
+    public record Mismatch(long detectedAtMs, String detectedBy, String found, String expected) {
+        String description() {
+            return "it holds " + found + ", " + expected + " is what was known, seen by " + detectedBy;
         }
     }
 
@@ -45,17 +49,17 @@
      * What a submission is bound to, or why it is refused.
      *
      * @param keySetBinding null: it is bound to no set, and need not be
-     * @param refusal why it can't be accepted; null: it can
+     * @param refusalReason why it can't be accepted; null: it can
      */
-    public record Binding(KeySetBinding keySetBinding, String refusal) {
-        private static Binding refused(String why) {
-            return new Binding(null, why);
+    public record BindingDecision(KeySetBinding keySetBinding, String refusalReason) {
+        private static BindingDecision refused(String why) {
+            return new BindingDecision(null, why);
         }
     }
 
     /** Returns the revision of the set's record. */
     public Revision revision(String set) {
-        Known known = sets.get(set);
+        StoredKeySet known = sets.get(set);
         return known == null ? Revision.ABSENT : known.revision;
     }
 
@@ -65,24 +69,24 @@
      *
      * @param named the set that the job names, or null
      */
-    public Binding bind(String team, String jobClass, String named) {
+    public BindingDecision bind(String team, String jobClass, String named) {
         if (named != null) {
-            Known known = sets.get(named);
+            StoredKeySet known = sets.get(named);
             if (known == null || known.set == null) {
-                return Binding.refused("keySet = " + named + ": no such key set");
+                return BindingDecision.refused("keySet = " + named + ": no such key set");
             }
             if (!isFor(known.set, team, jobClass)) {
-                return Binding.refused("keySet = " + named + ": it is for " + known.set.owner()
+                return BindingDecision.refused("keySet = " + named + ": it is for " + known.set.owner()
                         + (known.set.classes().isEmpty() ? "" : " and " + known.set.classes()));
             }
             return bound(known.set);
         }
-        if (!classes.contains(jobClass) && !teams.contains(team)) {
-            return new Binding(null, null);
+        if (!requiredClasses.contains(jobClass) && !requiredTeams.contains(team)) {
+            return new BindingDecision(null, null);
         }
         Map<String, KeySet> fitting = new TreeMap<>();
-        for (Known known : sets.values()) {
-            if (known.set != null && isFor(known.set, team, jobClass) && known.set.approved() != null) {
+        for (StoredKeySet known : sets.values()) {
+            if (known.set != null && isFor(known.set, team, jobClass) && known.set.approvedVersion() != null) {
                 fitting.put(known.set.name(), known.set);
             }
         }
@@ -92,27 +96,27 @@
                 .toList();
         List<KeySet> left = forClass.isEmpty() ? List.copyOf(fitting.values()) : forClass;
         if (left.isEmpty()) {
-            return Binding.refused(
+            return BindingDecision.refused(
                     "keySet: jobs of " + team + " and " + jobClass + " need an approved key set, and there is none");
         }
         if (left.size() > 1) {
-            return Binding.refused(
+            return BindingDecision.refused(
                     "keySet: one of " + left.stream().map(KeySet::name).toList() + " is expected");
         }
         return bound(left.get(0));
     }
 
-    private Binding bound(KeySet keySet) {
-        KeySet.Version version = keySet.approved();
+    private BindingDecision bound(KeySet keySet) {
+        KeySet.Version version = keySet.approvedVersion();
         if (version == null) {
-            return Binding.refused("keySet = " + keySet.name() + ": no version of it is approved");
+            return BindingDecision.refused("keySet = " + keySet.name() + ": no version of it is approved");
         }
-        Mark mark = marks.get(keySet.name());
-        if (mark != null || !keySet.digestNow(version).equals(version.digest())) {
-            return Binding.refused("keySet = " + keySet.name() + ": mismatch, "
-                    + (mark != null ? mark.text() : "it does not hold what was approved"));
+        Mismatch mark = mismatches.get(keySet.name());
+        if (mark != null || !keySet.computeDigest(version).equals(version.digest())) {
+            return BindingDecision.refused("keySet = " + keySet.name() + ": mismatch, "
+                    + (mark != null ? mark.description() : "it does not hold what was approved"));
         }
-        return new Binding(new KeySetBinding(keySet.name(), version.version(), version.digest()), null);
+        return new BindingDecision(new KeySetBinding(keySet.name(), version.version(), version.digest()), null);
     }
 
     private static boolean isFor(KeySet keySet, String team, String jobClass) {
@@ -124,38 +128,39 @@
      * Returns whether a job that is bound so may run: only if the set still has exactly this version with exactly this content, and it
      * is approved, or superseded and may still be drained.
      */
-    public Verdict verdict(KeySetBinding binding, long nowMs) {
-        Known known = sets.get(binding.keySet());
+    public RunDecision runDecision(KeySetBinding binding, long nowMs) {
+        StoredKeySet known = sets.get(binding.keySet());
         if (known == null) {
-            return Verdict.held(0, "the state service", "the key set is gone");
+            return RunDecision.held(0, "the state service", "the key set is gone");
         }
-        Mark mark = marks.get(binding.keySet());
+        Mismatch mark = mismatches.get(binding.keySet());
         if (mark != null) {
-            return Verdict.held(mark.atMs, mark.node, "mismatch: " + mark.text());
+            return RunDecision.held(mark.detectedAtMs, mark.detectedBy, "mismatch: " + mark.description());
         }
         KeySet.Version version = known.set == null ? null : known.set.version(binding.version());
         if (version == null) {
-            return Verdict.held(
+            return RunDecision.held(
                     0,
                     "the state service",
                     known.set == null ? "mismatch: the key set can't be read" : "the version is gone");
         }
-        String now = known.set.digestNow(version);
+        String now = known.set.computeDigest(version);
         if (!now.equals(binding.digest()) || !version.digest().equals(binding.digest())) {
-            return Verdict.held(
+            return RunDecision.held(
                     0, "the state service", "mismatch: it holds " + now + ", the job is bound to " + binding.digest());
         }
         return switch (version.state()) {
-            case APPROVED -> Verdict.MAY_RUN;
+            case APPROVED -> RunDecision.MAY_RUN;
             case SUPERSEDED ->
-                nowMs < version.drainUntilMs()
-                        ? Verdict.MAY_RUN
-                        : Verdict.held(
-                                version.drainUntilMs(),
-                                version.who(),
-                                "superseded, and its time to drain is over: " + version.why());
-            case REVOKED -> Verdict.held(version.atMs(), version.who(), "revoked: " + version.why());
-            case PROPOSED -> Verdict.held(version.atMs(), version.who(), "it is not approved");
+                nowMs < version.drainDeadlineMs()
+                        ? RunDecision.MAY_RUN
+                        : RunDecision.held(
+                                version.drainDeadlineMs(),
+                                version.changedBy(),
+                                "superseded, and its time to drain is over: " + version.reason());
+            case REVOKED ->
+                RunDecision.held(version.changedAtMs(), version.changedBy(), "revoked: " + version.reason());
+            case PROPOSED -> RunDecision.held(version.changedAtMs(), version.changedBy(), "it is not approved");
         };
     }
 
@@ -166,21 +171,22 @@
      * @param before the set as it was known, or null
      * @param number the number of its last change as stored beside it, or null
      */
-    public static String tampered(KeySet before, KeySet now, Long number) {
+    public static String findTampering(KeySet before, KeySet now, Long number) {
         if (now == null) {
             return null; // its verdict says so
         }
         for (KeySet.Version version : now.versions()) {
             KeySet.Version old = before == null ? null : before.version(version.version());
-            if (!now.digestNow(version).equals(version.digest())) {
-                return now.digestNow(version);
+            if (!now.computeDigest(version).equals(version.digest())) {
+                return now.computeDigest(version);
             }
             if (old != null && !old.digest().equals(version.digest())) {
                 return version.digest();
             }
         }
-        if (before != null && now.number() < before.number() || number != null && number != now.number()) {
-            return "change " + now.number();
+        if (before != null && now.changeNumber() < before.changeNumber()
+                || number != null && number != now.changeNumber()) {
+            return "change " + now.changeNumber();
         }
         return null;
     }
--- a/src/main/java/org/beechhoist/release/Calibration.java
+++ b/src/main/java/org/beechhoist/release/Calibration.java
@@ -12,7 +12,7 @@
  */
 public final class Calibration {
     /** How many of the latest ratios are kept. */
-    public static final int MOST = 60;
+    public static final int MAX_RATIO_COUNT = 60;
 
     private static final int ENOUGH = 8;
     /** A forecast of less than this is right or wrong by chance. */
@@ -25,16 +25,16 @@
     private final Deque<Double> ratios = new ArrayDeque<>();
 
     /** @param madeAtMs when it was said that all is over at {@code saidMs}; it was at {@code wasMs} */
-    public void seen(long madeAtMs, long saidMs, long wasMs) {
+    public void addOutcome(long madeAtMs, long saidMs, long wasMs) {
         if (saidMs - madeAtMs >= LEAST_MS && wasMs > madeAtMs) {
-            add((double) (wasMs - madeAtMs) / (saidMs - madeAtMs));
+            addRatio((double) (wasMs - madeAtMs) / (saidMs - madeAtMs));
         }
     }
 
     /** Adds the ratio of the time that something took to the time that was forecast. */
-    public void add(double ratio) {
+    public void addRatio(double ratio) {
         ratios.addLast(Math.max(LEAST, Math.min(MOST_TIMES, ratio)));
-        if (ratios.size() > MOST) {
+        if (ratios.size() > MAX_RATIO_COUNT) {
             ratios.removeFirst();
         }
     }
@@ -64,12 +64,12 @@
     }
 
     /** When it will be over, by the plan's word. */
-    public long middle(long nowMs, long saidMs) {
+    public long medianEndMs(long nowMs, long saidMs) {
         return nowMs + Math.round(at(0.5) * (saidMs - nowMs));
     }
 
     /** By when nine of ten were over. */
-    public long late(long nowMs, long saidMs) {
+    public long percentile90EndMs(long nowMs, long saidMs) {
         return nowMs + Math.round(at(HIGH) * (saidMs - nowMs));
     }
 }
--- a/src/main/java/org/beechhoist/release/Forecast.java
+++ b/src/main/java/org/beechhoist/release/Forecast.java
@@ -16,47 +16,53 @@
     /**
      * What is known of its open jobs.
      *
-     * @param jobs that are open, {@code held} of them by their key set
-     * @param unplanned tasks that have no place in the plan
-     * @param limited whether the team's limit keeps some of them waiting
-     * @param endMs when the last of those that are planned is over
-     * @param longestMs the longest task's estimate
+     * @param openJobs that are open, {@code held} of them by their key set
+     * @param unplannedTasks tasks that have no place in the plan
+     * @param quotaLimited whether the team's limit keeps some of them waiting
+     * @param plannedEndMs when the last of those that are planned is over
+     * @param longestTaskMs the longest task's estimate
      */
-    public record Facts(int jobs, int held, int unplanned, boolean limited, long endMs, long longestMs) {}
+    public record Inputs(
+            int openJobs,
+            int heldJobs,
+            int unplannedTasks,
+            boolean quotaLimited,
+            long plannedEndMs,
+            long longestTaskMs) {}
 
     /** The forecast for a release that is due at {@code dueMs}. */
-    public static Forecast of(Facts facts, long dueMs, long nowMs) {
-        if (facts.jobs == 0) {
+    public static Forecast of(Inputs facts, long dueMs, long nowMs) {
+        if (facts.openJobs == 0) {
             return new Forecast(0, dueMs - nowMs, null);
         }
-        long slack = facts.endMs == 0 ? 0 : dueMs - facts.endMs;
-        if (facts.held > 0) {
-            return new Forecast(facts.endMs, slack, "key set: " + facts.held + " of its jobs are held");
+        long slack = facts.plannedEndMs == 0 ? 0 : dueMs - facts.plannedEndMs;
+        if (facts.heldJobs > 0) {
+            return new Forecast(facts.plannedEndMs, slack, "key set: " + facts.heldJobs + " of its jobs are held");
         }
         if (nowMs > dueMs) {
-            return new Forecast(facts.endMs, slack, "overdue");
+            return new Forecast(facts.plannedEndMs, slack, "overdue");
         }
-        if (facts.endMs == 0 || facts.unplanned > 0) {
+        if (facts.plannedEndMs == 0 || facts.unplannedTasks > 0) {
             // Out of the plan's sight; whether that is late can be told only where the moment is near.
-            boolean near = dueMs - nowMs < 10 * Math.max(facts.longestMs, LEAST_SPARE_MS);
+            boolean near = dueMs - nowMs < 10 * Math.max(facts.longestTaskMs, LEAST_SPARE_MS);
             return new Forecast(
                     0,
                     0,
                     !near
                             ? null
-                            : facts.limited
+                            : facts.quotaLimited
                                     ? "limit: its team may use no more"
-                                    : "machines: " + facts.unplanned + " tasks have no place in the plan");
+                                    : "machines: " + facts.unplannedTasks + " tasks have no place in the plan");
         }
-        long spare = Math.max(LEAST_SPARE_MS, Math.round(SPARE * (facts.endMs - nowMs)));
+        long spare = Math.max(LEAST_SPARE_MS, Math.round(SPARE * (facts.plannedEndMs - nowMs)));
         if (slack >= spare) {
-            return new Forecast(facts.endMs, slack, null);
+            return new Forecast(facts.plannedEndMs, slack, null);
         }
         return new Forecast(
-                facts.endMs,
+                facts.plannedEndMs,
                 slack,
-                facts.limited
+                facts.quotaLimited
                         ? "limit: its team may use no more"
-                        : nowMs + facts.longestMs > dueMs ? "one long task" : "machines");
+                        : nowMs + facts.longestTaskMs > dueMs ? "one long task" : "machines");
     }
 }
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -21,7 +21,7 @@
  * @param leadDays business days of {@code calendar} that the factory needs before it; all days where there is no calendar
  * @param team whose jobs count for it, and {@code jobClass} and {@code image}; null: any. With none of them only jobs that name it
  * @param dueMs the factory moment, by the time of day: computed when it was put or moved, so that all nodes have the same
- * @param number of its last change; it only grows
+ * @param changeNumber of its last change; it only grows
  * @param history the oldest first
  */
 public record Release(
@@ -36,25 +36,25 @@
         String jobClass,
         String image,
         long dueMs,
-        long number,
+        long changeNumber,
         boolean removed,
-        List<Past> history) {
-    public static final int MOST_LEAD_DAYS = 60;
+        List<HistoryEntry> history) {
+    public static final int MAX_LEAD_DAYS = 60;
     private static final int MOST_HISTORY = 20;
     private static final int MOST_TEXT = 120;
     private static final int LONGEST_BACK_DAYS = 400;
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
 
     /** One change: who moved which date when, and why. */
-    public record Past(String what, String who, long atMs, String why, String from, String to) {}
+    public record HistoryEntry(String action, String author, long atMs, String reason, String from, String to) {}
 
     /** Whether the text can be a release's name. */
-    public static boolean validName(String name) {
+    public static boolean isValidName(String name) {
         return name.matches(NAME);
     }
 
     /** The moment by which the factory needs the images: the ship date less its lead, at the same hour by the clock there. */
-    public static long due(LocalDateTime ship, ZoneId zone, int leadDays, Predicate<LocalDate> open)
+    public static long computeDueMs(LocalDateTime ship, ZoneId zone, int leadDays, Predicate<LocalDate> open)
             throws MalformedMessageException {
         LocalDate day = ship.toLocalDate();
         int left = leadDays;
@@ -74,12 +74,12 @@
     }
 
     /** What a person puts: checked, without the moment, which needs the calendar. */
-    public static Release described(String name, JsonNode node) throws MalformedMessageException {
-        if (!validName(name)) {
+    public static Release parseDescription(String name, JsonNode node) throws MalformedMessageException {
+        if (!isValidName(name)) {
             throw new MalformedMessageException(
                     "name = " + name + ": 1 to 64 letters, digits, dots, dashes and underlines are expected");
         }
-        LocalDateTime ship = time("ship", Codec.text(node, "ship"));
+        LocalDateTime ship = parseDateTime("ship", Codec.text(node, "ship"));
         ZoneId zone;
         try {
             zone = ZoneId.of(Codec.text(node, "zone"));
@@ -87,7 +87,7 @@
             throw new MalformedMessageException(
                     "zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
         }
-        int lead = Codec.isAbsent(node, "leadDays") ? 0 : (int) Codec.wholeNumber(node, "leadDays", 0, MOST_LEAD_DAYS);
+        int lead = Codec.isAbsent(node, "leadDays") ? 0 : (int) Codec.wholeNumber(node, "leadDays", 0, MAX_LEAD_DAYS);
         return new Release(
                 name,
                 text(node, "maker"),
@@ -110,7 +110,7 @@
      *
      * @param field names it in the exception's message
      */
-    public static LocalDateTime time(String field, String text) throws MalformedMessageException {
+    public static LocalDateTime parseDateTime(String field, String text) throws MalformedMessageException {
         try {
             return LocalDateTime.parse(text);
         } catch (DateTimeParseException e) {
@@ -133,19 +133,32 @@
     }
 
     /** The change of this release that makes it what is described, and its moment; {@code before} is null for the first. */
-    public Release put(Release before, long due, String who, long atMs, String why) {
+    public Release withPut(Release before, long due, String who, long atMs, String why) {
         return change(before, this, due, before == null || before.removed ? "put" : "put again", who, atMs, why);
     }
 
     /** The release with another ship date, and the change in its history. */
-    public Release moved(LocalDateTime to, long due, String who, long atMs, String why) {
+    public Release withShipDate(LocalDateTime to, long due, String who, long atMs, String why) {
         Release next = new Release(
-                name, maker, factory, to, zone, leadDays, calendar, team, jobClass, image, due, number, false, history);
+                name,
+                maker,
+                factory,
+                to,
+                zone,
+                leadDays,
+                calendar,
+                team,
+                jobClass,
+                image,
+                due,
+                changeNumber,
+                false,
+                history);
         return change(this, next, due, "moved", who, atMs, why);
     }
 
     /** The removed release, and the change in its history. */
-    public Release remove(String who, long atMs, String why) {
+    public Release withRemoval(String who, long atMs, String why) {
         Release out = change(this, this, dueMs, "removed", who, atMs, why);
         return new Release(
                 name,
@@ -159,16 +172,17 @@
                 jobClass,
                 image,
                 dueMs,
-                out.number,
+                out.changeNumber,
                 true,
                 out.history);
     }
 
     private static Release change(
             Release before, Release to, long due, String what, String who, long atMs, String why) {
-        List<Past> past = new ArrayList<>(before == null ? List.of() : before.history);
-        past.add(new Past(what, who, atMs, why, before == null ? "" : before.ship.toString(), to.ship.toString()));
-        List<Past> kept = past.subList(Math.max(0, past.size() - MOST_HISTORY), past.size());
+        List<HistoryEntry> past = new ArrayList<>(before == null ? List.of() : before.history);
+        past.add(new HistoryEntry(
+                what, who, atMs, why, before == null ? "" : before.ship.toString(), to.ship.toString()));
+        List<HistoryEntry> kept = past.subList(Math.max(0, past.size() - MOST_HISTORY), past.size());
         return new Release(
                 to.name,
                 to.maker,
@@ -181,7 +195,7 @@
                 to.jobClass,
                 to.image,
                 due,
-                before == null ? 1 : before.number + 1,
+                before == null ? 1 : before.changeNumber + 1,
                 false,
                 List.copyOf(kept));
     }
@@ -200,14 +214,14 @@
                 .put("class", jobClass)
                 .put("bundle", image)
                 .put("due", dueMs)
-                .put("number", number)
+                .put("number", changeNumber)
                 .put("removed", removed);
         ArrayNode past = node.putArray("history");
         history.forEach(earlier -> past.addObject()
-                .put("what", earlier.what)
-                .put("who", earlier.who)
+                .put("what", earlier.action)
+                .put("who", earlier.author)
                 .put("at", earlier.atMs)
-                .put("why", earlier.why)
+                .put("why", earlier.reason)
                 .put("from", earlier.from)
                 .put("to", earlier.to));
         return node;
@@ -218,12 +232,12 @@
         if (node == null) {
             throw new MalformedMessageException("not a release");
         }
-        Release release = described(
+        Release release = parseDescription(
                 Codec.text(node, "name"),
                 node.path("factory").asText().isEmpty() ? ((ObjectNode) node.deepCopy()).putNull("factory") : node);
-        List<Past> history = new ArrayList<>();
+        List<HistoryEntry> history = new ArrayList<>();
         for (JsonNode earlier : node.path("history")) {
-            history.add(new Past(
+            history.add(new HistoryEntry(
                     Codec.text(earlier, "what"),
                     Codec.text(earlier, "who"),
                     earlier.path("at").asLong(),
--- a/src/main/java/org/beechhoist/release/ShipOrder.java
+++ b/src/main/java/org/beechhoist/release/ReleaseOrder.java
@@ -15,42 +15,42 @@
  * <p>A maker for whom everything is due tomorrow overtakes others with no more than three quarters of the work that is open; beyond that its
  * jobs go as if they had no release. Without others there is nobody to overtake, and no bound.
  */
-public final class ShipOrder {
+public final class ReleaseOrder {
     /** The key of a job without a release, and of one that is beyond its maker's bound. */
-    public static final long NONE = Long.MAX_VALUE;
+    public static final long NO_KEY = Long.MAX_VALUE;
 
     private static final long OVERDUE = 1L << 60;
     private static final double MOST_OF_ALL = 0.75;
 
-    /** @param cpuS all that the job asked for when it was submitted, done or not: the same for every leader */
-    public record Open(JobId job, Release release, long submittedMs, double cpuS) {}
+    /** @param requestedCpuS all that the job asked for when it was submitted, done or not: the same for every leader */
+    public record OpenJob(JobId job, Release release, long submittedMs, double requestedCpuS) {}
 
-    private ShipOrder() {}
+    private ReleaseOrder() {}
 
     /** The smaller the earlier; only jobs that have a release within its maker's bound are in it. */
-    public static Map<JobId, Long> keys(List<Open> open, long nowMs) {
+    public static Map<JobId, Long> sortKeys(List<OpenJob> open, long nowMs) {
         double all = 0;
         Map<String, Double> ofMaker = new HashMap<>();
-        List<Open> released = new ArrayList<>();
-        for (Open job : open) {
-            all += job.cpuS;
+        List<OpenJob> released = new ArrayList<>();
+        for (OpenJob job : open) {
+            all += job.requestedCpuS;
             if (job.release != null) {
                 released.add(job);
-                ofMaker.merge(job.release.maker(), job.cpuS, Double::sum);
+                ofMaker.merge(job.release.maker(), job.requestedCpuS, Double::sum);
             }
         }
-        released.sort(Comparator.comparingLong((Open o) -> key(o.release, nowMs))
-                .thenComparingLong(Open::submittedMs)
-                .thenComparing(Open::job));
+        released.sort(Comparator.comparingLong((OpenJob o) -> key(o.release, nowMs))
+                .thenComparingLong(OpenJob::submittedMs)
+                .thenComparing(OpenJob::job));
         Map<JobId, Long> out = new HashMap<>();
         Map<String, Double> taken = new HashMap<>();
-        for (Open job : released) {
+        for (OpenJob job : released) {
             String maker = job.release.maker();
             double before = taken.getOrDefault(maker, 0.0);
             boolean alone = ofMaker.get(maker) > all - 1e-6;
-            if (alone || before == 0 || before + job.cpuS <= MOST_OF_ALL * all + 1e-6) {
+            if (alone || before == 0 || before + job.requestedCpuS <= MOST_OF_ALL * all + 1e-6) {
                 out.put(job.job, key(job.release, nowMs));
-                taken.put(maker, before + job.cpuS);
+                taken.put(maker, before + job.requestedCpuS);
             }
         }
         return out;
--- a/src/main/java/org/beechhoist/release/Releases.java
+++ b/src/main/java/org/beechhoist/release/Releases.java
@@ -35,7 +35,7 @@
     }
 
     /** What the job counts for: what it names, else the nearest that fits it; null: nothing. A name that nobody has put is nothing. */
-    public Release of(JobSpec spec) {
+    public Release releaseOf(JobSpec spec) {
         if (spec.release() != null) {
             return byName.get(spec.release());
         }
--- a/src/test/java/org/beechhoist/sim/KeySetRules.java
+++ b/src/test/java/org/beechhoist/sim/KeySetRules.java
@@ -94,9 +94,9 @@
         KeySet.Version v = s == null ? null : s.version(pin.version());
         boolean good = v != null
                 && v.digest().equals(pin.digest())
-                && s.digestNow(v).equals(pin.digest())
+                && s.computeDigest(v).equals(pin.digest())
                 && (v.state() == KeySet.State.APPROVED
-                        || v.state() == KeySet.State.SUPERSEDED && w.wall() < v.drainUntilMs() + 1000);
+                        || v.state() == KeySet.State.SUPERSEDED && w.wall() < v.drainDeadlineMs() + 1000);
         placedUnderRevoked += good ? 0 : 1;
     }
 
--- a/src/test/java/org/beechhoist/sim/KeySetTest.java
+++ b/src/test/java/org/beechhoist/sim/KeySetTest.java
@@ -448,7 +448,7 @@
         KeySet next = KeySet.propose(approved, "release", "blue", List.of(), List.of(TWO), by);
         KeySet rotated = next.approve(2, next.version(2).digest(), 5000, by);
         assertEquals(KeySet.State.SUPERSEDED, rotated.version(1).state());
-        assertEquals(5000, rotated.version(1).drainUntilMs());
+        assertEquals(5000, rotated.version(1).drainDeadlineMs());
         assertEquals(KeySet.parse(Codec.decodeMap(Codec.encode(rotated.toNode()))), rotated);
         for (org.junit.jupiter.api.function.Executable bad : List.<org.junit.jupiter.api.function.Executable>of(
                 () -> s.approve(1, "0", 0, by),
--- a/src/test/java/org/beechhoist/sim/KeySetTrial.java
+++ b/src/test/java/org/beechhoist/sim/KeySetTrial.java
@@ -42,7 +42,7 @@
             if (w.now > 8000 && w.now < ENDS_MS) {
                 String set = "set-" + w.random.nextInt(SETS);
                 if (r.set(set) != null
-                        && r.set(set).approved() != null
+                        && r.set(set).approvedVersion() != null
                         && !w.keys("ks/bad/").contains("ks/bad/" + set)) {
                     w.submit(
                             "sign",
@@ -109,7 +109,7 @@
                 }
                 default -> {
                     KeySet.Version v = s.versions().get(s.versions().size() - 1);
-                    if (v.state() == KeySet.State.REVOKED && s.digestNow(v).equals(v.digest())) {
+                    if (v.state() == KeySet.State.REVOKED && s.computeDigest(v).equals(v.digest())) {
                         did[3]++;
                         r.approve(s.name(), v.version(), v.digest(), 15);
                     }
@@ -147,9 +147,9 @@
             KeySet.Version v = s.version(pin.version());
             boolean may = !bad.containsKey(pin.keySet())
                     && v != null
-                    && s.digestNow(v).equals(pin.digest())
+                    && s.computeDigest(v).equals(pin.digest())
                     && (v.state() == KeySet.State.APPROVED
-                            || v.state() == KeySet.State.SUPERSEDED && w.wall() < v.drainUntilMs());
+                            || v.state() == KeySet.State.SUPERSEDED && w.wall() < v.drainDeadlineMs());
             held += may ? 0 : 1;
             if (may) {
                 open.add(j.spec.id().text());
--- a/src/test/java/org/beechhoist/sim/ReleaseTest.java
+++ b/src/test/java/org/beechhoist/sim/ReleaseTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.beechhoist.config.Policy;
 import org.beechhoist.release.Release;
-import org.beechhoist.release.ShipOrder;
+import org.beechhoist.release.ReleaseOrder;
 import org.beechhoist.standin.StateService;
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
@@ -196,35 +196,35 @@
         java.util.function.Predicate<LocalDate> week = d -> d.getDayOfWeek().getValue() <= 5;
         assertEquals(
                 LocalDateTime.of(2026, 12, 17, 9, 0).atZone(tokyo).toInstant().toEpochMilli(),
-                Release.due(monday, tokyo, 2, week));
+                Release.computeDueMs(monday, tokyo, 2, week));
         assertEquals(
                 LocalDateTime.of(2026, 12, 19, 9, 0).atZone(tokyo).toInstant().toEpochMilli(),
-                Release.due(monday, tokyo, 2, d -> true));
+                Release.computeDueMs(monday, tokyo, 2, d -> true));
         ZoneId berlin = ZoneId.of("Europe/Berlin");
         assertEquals(
                 java.time.Instant.parse("2026-03-29T01:30:00Z").toEpochMilli(),
-                Release.due(LocalDateTime.of(2026, 3, 29, 2, 30), berlin, 0, week),
+                Release.computeDueMs(LocalDateTime.of(2026, 3, 29, 2, 30), berlin, 0, week),
                 "the gap");
         assertEquals(
                 java.time.Instant.parse("2026-10-25T00:30:00Z").toEpochMilli(),
-                Release.due(LocalDateTime.of(2026, 10, 25, 2, 30), berlin, 0, week),
+                Release.computeDueMs(LocalDateTime.of(2026, 10, 25, 2, 30), berlin, 0, week),
                 "twice");
-        assertThrows(MalformedMessageException.class, () -> Release.due(monday, tokyo, 2, d -> false));
+        assertThrows(MalformedMessageException.class, () -> Release.computeDueMs(monday, tokyo, 2, d -> false));
     }
 
     /** The order: nearest first, what is late after it, and no maker over everybody; for every leader the same. */
     @Test
     void theOrder() throws MalformedMessageException {
         long now = 1_000_000;
-        List<ShipOrder.Open> open = new ArrayList<>();
+        List<ReleaseOrder.OpenJob> open = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            open.add(new ShipOrder.Open(new JobId("job-1" + i), release("greedy", now + 500), i, 100));
+            open.add(new ReleaseOrder.OpenJob(new JobId("job-1" + i), release("greedy", now + 500), i, 100));
         }
-        open.add(new ShipOrder.Open(new JobId("job-20"), release("late", now - 1000), 0, 100));
-        open.add(new ShipOrder.Open(new JobId("job-21"), release("later", now - 5000), 0, 100));
-        open.add(new ShipOrder.Open(new JobId("job-22"), release("far", now + 9000), 0, 100));
-        open.add(new ShipOrder.Open(new JobId("job-30"), null, 0, 100));
-        Map<JobId, Long> keys = ShipOrder.keys(open, now);
+        open.add(new ReleaseOrder.OpenJob(new JobId("job-20"), release("late", now - 1000), 0, 100));
+        open.add(new ReleaseOrder.OpenJob(new JobId("job-21"), release("later", now - 5000), 0, 100));
+        open.add(new ReleaseOrder.OpenJob(new JobId("job-22"), release("far", now + 9000), 0, 100));
+        open.add(new ReleaseOrder.OpenJob(new JobId("job-30"), null, 0, 100));
+        Map<JobId, Long> keys = ReleaseOrder.sortKeys(open, now);
         assertEquals(
                 12,
                 keys.keySet().stream().filter(r -> r.text().startsWith("job-1")).count(),
@@ -234,10 +234,10 @@
         assertTrue(keys.get(new JobId("job-20")) < keys.get(new JobId("job-21")));
         assertEquals(null, keys.get(new JobId("job-30")));
         java.util.Collections.reverse(open);
-        assertEquals(keys, ShipOrder.keys(open, now));
+        assertEquals(keys, ReleaseOrder.sortKeys(open, now));
         assertEquals(
                 12,
-                ShipOrder.keys(
+                ReleaseOrder.sortKeys(
                                 open.stream()
                                         .filter(o -> o.release() != null
                                                 && o.release().maker().equals("greedy"))
