--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -13,108 +13,108 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * The committed cancellations that this node knows, from its own users, from the records or from another node. Each of them is
- * certain, whatever its source, and stops work at once; but only the records hold all of them, and how fresh the knowledge of the
- * records is decides whether workers' leases may be renewed.
+ * The committed cancellations known to this node from its own users, the records or other nodes. A cancellation from any of these
+ * sources is final and takes effect at once, but only the records hold all of them: workers' leases may be renewed only while the
+ * records were read recently enough.
  */
 public final class CancellationRegistry {
-    /** A cancellation is remembered for this many times as long as a task may continue after it. */
-    private static final int REMEMBERED_TIMES = 4;
+    /** A cancellation is kept for this many times the time that a task may continue after it. */
+    private static final int RETENTION_FACTOR = 4;
 
-    private static final int MAX_REMEMBERED = 10_000;
-    /** The most cancellations in one message to another node. */
-    private static final int MAX_IN_MESSAGE = 200;
+    private static final int MAX_KNOWN_COUNT = 10_000;
+    /** Maximum number of cancellations in one message to another node. */
+    private static final int MAX_MESSAGE_COUNT = 200;
 
-    private static final int MAX_NEWEST_IN_MESSAGE = 100;
+    private static final int MAX_NEWEST_MESSAGE_COUNT = 100;
 
     private final ControllerContext context;
     private final Freshness freshness;
     private final long cancelMs;
-    /** The time of day at which each was committed, in the order in which this node learned of them. */
-    private final Map<JobId, Long> known = new LinkedHashMap<>();
-    /** Those of them that this node has confirmed to its users. */
-    private final Map<JobId, Long> confirmedHere = new LinkedHashMap<>();
-    /** All cancellations committed before this time have been read from the records; null: not yet in this term. */
+    /** Commit time of each cancellation (time of day), in the order in which this node learned of them. */
+    private final Map<JobId, Long> committedAtMs = new LinkedHashMap<>();
+    /** Commit times of the cancellations that this node has confirmed to its users. */
+    private final Map<JobId, Long> confirmedLocally = new LinkedHashMap<>();
+    /** All cancellations committed before this time have been read from the records; null if none were read in this term. */
     private MonotonicTime completeAsOf;
 
-    /** Creates a registry that knows of no cancellation. */
+    /** Creates an empty registry. */
     public CancellationRegistry(ControllerContext context, Settings settings) {
         this.context = context;
         this.freshness = settings.freshness();
         this.cancelMs = settings.workers().cancelMs();
     }
 
-    /** Forgets how fresh the knowledge of the records is, for a term begins or ends. */
+    /** Discards the time up to which the records are known; called when a term begins or ends. */
     public void reset() {
         completeAsOf = null;
     }
 
-    /** Notes that all cancellations committed before the request sent at this time are known and applied. */
+    /** Records that all cancellations committed before this send time of a request are known and applied. */
     void markCompleteAsOf(MonotonicTime sent) {
         completeAsOf = completeAsOf == null || completeAsOf.isBefore(sent) ? sent : completeAsOf;
     }
 
-    /** Until when workers' leases may be renewed. */
+    /** Returns the time until which workers' leases may be renewed. */
     public MonotonicTime leasesRenewableUntil() {
         return freshness.renewUntil(completeAsOf);
     }
 
-    /** Whether the knowledge of the records is fresh enough for workers' leases to be renewed now. */
+    /** Returns whether the records were read recently enough for workers' leases to be renewed now. */
     public boolean mayRenewLeases() {
         return context.now().isBefore(leasesRenewableUntil());
     }
 
-    /** How long the next watch request may stay open; 0, for an answer at once, where the last answer is long ago, as after an outage. */
+    /** Returns how long the next watch request may stay open; 0 requests an immediate answer if the last one is too old, as after an outage. */
     long watchHoldMs() {
         return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.holdMs()
                 ? freshness.holdMs()
                 : 0;
     }
 
-    /** Whether a committed cancellation of the job is known. */
+    /** Returns whether a committed cancellation of the job is known. */
     public boolean isCancelled(JobId jobId) {
-        return known.containsKey(jobId);
+        return committedAtMs.containsKey(jobId);
     }
 
-    /** The time of day at which the job's cancellation was committed; 0 where none is known. */
+    /** Returns the time of day at which the job's cancellation was committed, or 0 if none is known. */
     public long cancelledAtWallMs(JobId jobId) {
-        return known.getOrDefault(jobId, 0L);
+        return committedAtMs.getOrDefault(jobId, 0L);
     }
 
-    /** Records a committed cancellation; true if it was not known before. */
+    /** Records a committed cancellation; returns true if it was not known before. */
     public boolean record(JobId jobId, long wallMs) {
-        if (known.putIfAbsent(jobId, wallMs) != null) {
+        if (committedAtMs.putIfAbsent(jobId, wallMs) != null) {
             return false;
         }
-        evictOld();
+        removeExpired();
         return true;
     }
 
-    /** Records that a cancellation has been confirmed to a user of this node: the other nodes are to be informed at once. */
+    /** Records that a cancellation was confirmed to a user of this node, so that the other nodes are informed at once. */
     public void recordConfirmed(JobId jobId, long wallMs) {
-        confirmedHere.put(jobId, wallMs);
+        confirmedLocally.put(jobId, wallMs);
     }
 
-    private void evictOld() {
-        long before = context.wallMs() - REMEMBERED_TIMES * cancelMs;
-        known.values().removeIf(at -> at < before);
-        while (known.size() > MAX_REMEMBERED) {
-            known.remove(known.keySet().iterator().next());
+    private void removeExpired() {
+        long before = context.wallMs() - RETENTION_FACTOR * cancelMs;
+        committedAtMs.values().removeIf(at -> at < before);
+        while (committedAtMs.size() > MAX_KNOWN_COUNT) {
+            committedAtMs.remove(committedAtMs.keySet().iterator().next());
         }
     }
 
-    /** What is sent to the other nodes now: the newest cancellations, and of the others those that were committed first. */
+    /** Returns the cancellations to send to the other nodes: the newest ones, then those of the rest that were committed first. */
     public List<CancelledJob> cancellationsForPeers() {
-        confirmedHere.values().removeIf(at -> context.wallMs() - at > cancelMs);
+        confirmedLocally.values().removeIf(at -> context.wallMs() - at > cancelMs);
         List<CancelledJob> all = new ArrayList<>();
-        confirmedHere.forEach((jobId, at) -> all.add(new CancelledJob(jobId, at)));
-        if (all.size() <= MAX_IN_MESSAGE) {
+        confirmedLocally.forEach((jobId, at) -> all.add(new CancelledJob(jobId, at)));
+        if (all.size() <= MAX_MESSAGE_COUNT) {
             return all;
         }
-        List<CancelledJob> out = new ArrayList<>(all.subList(all.size() - MAX_NEWEST_IN_MESSAGE, all.size()));
-        all.subList(0, all.size() - MAX_NEWEST_IN_MESSAGE).stream()
+        List<CancelledJob> out = new ArrayList<>(all.subList(all.size() - MAX_NEWEST_MESSAGE_COUNT, all.size()));
+        all.subList(0, all.size() - MAX_NEWEST_MESSAGE_COUNT).stream()
                 .sorted(Comparator.comparingLong(CancelledJob::wallMs))
-                .limit(MAX_IN_MESSAGE - MAX_NEWEST_IN_MESSAGE)
+                .limit(MAX_MESSAGE_COUNT - MAX_NEWEST_MESSAGE_COUNT)
                 .forEach(out::add);
         return out;
     }
--- a/src/main/java/org/beechhoist/controller/state/ChangeLog.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLog.java
@@ -13,28 +13,28 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * Which slots of the change log are in use, and which jobs' changes they hold. A slot is free once every job in it has ended or
- * has a record that holds the same; it is then overwritten, so the log needs no deletions.
+ * Index of the used slots of the change log and of the jobs whose changes they hold. A slot becomes free once every job in it has
+ * ended or has a record that includes the changes; free slots are overwritten, so the log needs no deletions.
  */
 public final class ChangeLog {
-    /** Beyond this many segments the oldest are consolidated in new ones, for the next leader has to read them all. */
-    private static final int CROWDED_SEGMENTS = 40;
+    /** Above this count the oldest segments are consolidated into new ones, because the next leader has to read all segments. */
+    private static final int MAX_SEGMENT_COUNT = 40;
 
     private record Segment(long number, int slot, Set<JobId> jobs) {}
 
-    private final TreeMap<Long, Segment> inUse = new TreeMap<>();
-    private final Map<JobId, Deque<Segment>> byJob = new HashMap<>();
-    private final BitSet slots = new BitSet();
+    private final TreeMap<Long, Segment> segmentsByNumber = new TreeMap<>();
+    private final Map<JobId, Deque<Segment>> segmentsByJob = new HashMap<>();
+    private final BitSet usedSlots = new BitSet();
     private long lastNumber;
 
     void reset() {
-        inUse.clear();
-        byJob.clear();
-        slots.clear();
+        segmentsByNumber.clear();
+        segmentsByJob.clear();
+        usedSlots.clear();
         lastNumber = 0;
     }
 
-    /** The number of the newest segment that was written or attempted. */
+    /** Returns the number of the newest segment that was written or attempted. */
     long lastNumber() {
         return lastNumber;
     }
@@ -47,64 +47,65 @@
         return ++lastNumber;
     }
 
-    /** Reserves a free slot; it is in use until {@link #releaseSlot}, or until all jobs of its segment are forgotten. */
+    /** Reserves a free slot; it stays in use until {@link #releaseSlot}, or until all jobs of its segment are removed. */
     int reserveSlot() {
-        int slot = slots.nextClearBit(0);
-        slots.set(slot);
+        int slot = usedSlots.nextClearBit(0);
+        usedSlots.set(slot);
         return slot;
     }
 
     /** Frees a reserved slot that was not written. */
     void releaseSlot(int slot) {
-        slots.clear(slot);
+        usedSlots.clear(slot);
     }
 
     /** Records that the state service holds a segment with changes of these jobs. */
     void recordSegment(long number, int slot, Collection<JobId> jobs) {
         if (jobs.isEmpty()) {
-            slots.clear(slot);
+            usedSlots.clear(slot);
             return;
         }
-        slots.set(slot);
+        usedSlots.set(slot);
         Segment segment = new Segment(number, slot, new HashSet<>(jobs));
-        inUse.put(number, segment);
-        jobs.forEach(j -> byJob.computeIfAbsent(j, k -> new ArrayDeque<>(2)).add(segment));
+        segmentsByNumber.put(number, segment);
+        jobs.forEach(
+                j -> segmentsByJob.computeIfAbsent(j, k -> new ArrayDeque<>(2)).add(segment));
     }
 
-    /** Forgets the job's changes, for it has ended or its record holds them all. */
+    /** Removes the job from all segments, because it has ended or its record includes all its changes. */
     void removeJob(JobId job) {
-        Deque<Segment> of = byJob.remove(job);
-        if (of == null) {
+        Deque<Segment> segments = segmentsByJob.remove(job);
+        if (segments == null) {
             return;
         }
-        for (Segment segment : of) {
+        for (Segment segment : segments) {
             segment.jobs.remove(job);
             if (segment.jobs.isEmpty()) {
-                inUse.remove(segment.number);
-                slots.clear(segment.slot);
+                segmentsByNumber.remove(segment.number);
+                usedSlots.clear(segment.slot);
             }
         }
     }
 
-    /** Whether the log holds changes that the job's record lacks. */
+    /** Returns whether the log holds changes that are missing from the job's record. */
     boolean hasChangesOf(JobId job) {
-        return byJob.containsKey(job);
+        return segmentsByJob.containsKey(job);
     }
 
-    /** Whether there are so many segments that the oldest should be consolidated. */
+    /** Returns whether the oldest segments should be consolidated. */
     boolean needsConsolidation() {
-        return inUse.size() > CROWDED_SEGMENTS;
+        return segmentsByNumber.size() > MAX_SEGMENT_COUNT;
     }
 
     int segmentCount() {
-        return inUse.size();
+        return segmentsByNumber.size();
     }
 
-    /** The jobs that keep the oldest segments in use: those of whole segments, until there are {@code most} or more. */
-    Set<JobId> jobsInOldestSegments(int most) {
+    /** Returns the jobs of the oldest segments, segment by segment, until there are {@code minCount} or more. */
+    Set<JobId> jobsInOldestSegments(int minCount) {
         Set<JobId> out = new LinkedHashSet<>();
-        for (Segment segment : inUse.values()) {
-            if (out.size() >= most) {
+        for (Segment segment : segmentsByNumber.values()) {
+            if (out.size() >= minCount) {
                 break;
             }
             out.addAll(segment.jobs);
--- a/src/main/java/org/beechhoist/controller/state/ChangeLogReplay.java
+++ b/src/main/java/org/beechhoist/controller/state/ChangeLogReplay.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Replays the stored segments of the change log on the job records that were read before them. */
+/** Replays the stored segments of the change log on the job records, which are read before the segments. */
 final class ChangeLogReplay {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeLogReplay.class);
 
@@ -31,7 +31,7 @@
     /**
      * Brings the job records up to date with the log.
      *
-     * @return false if a segment can't be read: the state is not known then
+     * @return false if a segment can't be read, which leaves the state unknown
      */
     boolean replay(List<StoreClient.KeyValue> items) {
         changeLog.reset();
@@ -49,7 +49,7 @@
         return true;
     }
 
-    /** Parses the segments with their slots; jobs whose changes can't be read are ignored from now on. */
+    /** Parses the segments and their slots; jobs whose changes can't be read are ignored from now on. */
     private boolean parseSegments(List<StoreClient.KeyValue> items, Map<ChangeLogSegment, Integer> slots) {
         Set<JobId> unreadable = new HashSet<>();
         for (StoreClient.KeyValue item : items) {
@@ -57,24 +57,27 @@
                 ChangeLogSegment segment = ChangeLogSegment.parse(item.value(), this::taskCount, unreadable);
                 slots.put(segment, Integer.parseInt(item.key().substring(ChangeLogSegment.PREFIX.length())));
             } catch (MalformedMessageException | NumberFormatException e) {
-                LOG.error("log segment unreadable, nothing is started: key={} cause={}", item.key(), e.getMessage());
+                LOG.error(
+                        "change log segment unreadable, no tasks are started: key={} cause={}",
+                        item.key(),
+                        e.getMessage());
                 return false;
             }
         }
         for (JobId jobId : unreadable) {
-            LOG.error("log entry unreadable, job and its tasks ignored: job={}", jobId);
+            LOG.error("change log entry unreadable, job and its tasks ignored: job={}", jobId);
             clusterState.ignoreUnreadable(jobId);
         }
         return true;
     }
 
-    /** The number of the job's tasks, or -1 where the job is not open. */
+    /** Returns the number of the job's tasks, or -1 if the job is not open. */
     private int taskCount(JobId jobId) {
         Job job = clusterState.job(jobId);
         return job == null ? -1 : job.spec().tasks();
     }
 
-    /** For each job that was consolidated, the last segment whose changes replace all earlier ones of it. */
+    /** Returns, for each consolidated job, the number of the last segment whose changes replace all earlier ones. */
     private static Map<JobId, Long> firstEffectiveNumbers(Set<ChangeLogSegment> segments) {
         Map<JobId, Long> out = new HashMap<>();
         for (ChangeLogSegment segment : segments) {
@@ -87,7 +90,7 @@
         return out;
     }
 
-    /** Applies the segment's changes of the jobs whose records do not hold them yet. */
+    /** Applies the segment's changes to the job records that do not include them yet. */
     private void applySegment(ChangeLogSegment segment, int slot, Map<JobId, Long> firstNumbers) {
         changeLog.advanceLastNumber(segment.number());
         Set<JobId> applied = new HashSet<>();
--- a/src/main/java/org/beechhoist/controller/state/ClusterState.java
+++ b/src/main/java/org/beechhoist/controller/state/ClusterState.java
@@ -15,14 +15,14 @@
 import org.beechhoist.wire.MachineId;
 import org.beechhoist.wire.MonotonicTime;
 
-/** What the leader holds in memory: the open jobs, the machines, and which jobs the state service does not hold as they are here. */
+/** The state that the leader holds in memory: open jobs, machines, and the jobs with changes that are not yet written to the state service. */
 public final class ClusterState {
-    /** Covers the clock drift of two machines and rounding, as a factor of a worker's lease. */
-    private static final double LEASE_SLACK = 1.002;
+    /** Factor on a worker's lease that covers rounding and the clock drift between two machines. */
+    private static final double LEASE_DRIFT_FACTOR = 1.002;
 
     private static final long LEASE_MARGIN_MS = 1000;
 
-    private static final int MAX_REMEMBERED_ENDED = 2000;
+    private static final int MAX_ENDED_JOB_COUNT = 2000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -30,12 +30,12 @@
     private final Map<MachineId, Machine> machines = new TreeMap<>();
     /** Jobs with changes that are still to be written. */
     private final Set<Job> dirtyJobs = new LinkedHashSet<>();
-    /** CPU milliseconds that each team has used, as far as is known in this term. */
+    /** CPU milliseconds used by each team in this term, as far as known. */
     private final Map<String, Double> teamCpuMs = new HashMap<>();
-    /** Jobs whose record, or whose part of the change log, can't be read: only that they exist is known. */
+    /** Jobs whose record or change log entries can't be read; only their ids are known. */
     private final Set<JobId> unreadableJobs = new HashSet<>();
 
-    private final Set<JobId> endedJobs = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_ENDED);
+    private final Set<JobId> endedJobs = BoundedCollections.insertionOrderedSet(MAX_ENDED_JOB_COUNT);
     private MonotonicTime termBeganAt = MonotonicTime.ZERO;
     private long term;
     private boolean replanRequested;
@@ -46,7 +46,7 @@
         this.settings = settings;
     }
 
-    /** Forgets everything, for a term begins or ends. */
+    /** Clears the state of the previous term; called when a term begins or ends. */
     public void reset() {
         term++;
         termBeganAt = context.now();
@@ -57,24 +57,24 @@
         teamCpuMs.clear();
     }
 
-    /** When this term began. */
+    /** Returns the time at which this term began. */
     public MonotonicTime termStartedAt() {
         return termBeganAt;
     }
 
-    /** A number that changes when a term begins or ends: results of calls of an earlier one are ignored. */
+    /** Returns a number that changes when a term begins or ends; results of calls from an earlier term are ignored. */
     public long term() {
         return term;
     }
 
     // ---- jobs ----
 
-    /** All open jobs that can be read, in the order in which they were added. */
+    /** Returns all readable open jobs in the order in which they were added. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
-    /** The open job, or null. */
+    /** Returns the open job with this id, or null. */
     public Job job(JobId jobId) {
         return jobs.get(jobId);
     }
@@ -87,29 +87,29 @@
         jobs.remove(job.id());
     }
 
-    /** Removes a job whose final state is committed: changes of it that are still watched are out of date. */
+    /** Removes a job whose final state is committed; later watch events for it are outdated and ignored. */
     void markEnded(Job job) {
         removeJob(job);
         endedJobs.add(job.id());
     }
 
-    /** Ignores a job whose stored data can't be read; its tasks are ignored too. */
+    /** Marks a job as unreadable; the job and its tasks are ignored from now on. */
     void ignoreUnreadable(JobId jobId) {
         jobs.remove(jobId);
         unreadableJobs.add(jobId);
     }
 
-    /** Whether the job is ignored, for its stored data can't be read. */
+    /** Returns whether the job is ignored because its stored data can't be read. */
     public boolean isUnreadable(JobId jobId) {
         return unreadableJobs.contains(jobId);
     }
 
-    /** Whether the final state of the job was lately committed by this leader. */
+    /** Returns whether this leader has recently committed the final state of the job. */
     boolean hasRecentlyEnded(JobId jobId) {
         return endedJobs.contains(jobId);
     }
 
-    /** Removes all jobs and forgets which were to be written, for they are read anew; returns the jobs as they were. */
+    /** Removes all jobs and pending writes before the records are read again; returns the removed jobs. */
     Map<JobId, Job> removeAllJobs() {
         Map<JobId, Job> old = new HashMap<>(jobs);
         jobs.clear();
@@ -118,7 +118,7 @@
         return old;
     }
 
-    /** Notes that the job has changes that are to be written. */
+    /** Marks the job as having changes to be written. */
     public void markDirty(Job job) {
         if (!job.dirty) {
             job.dirty = true;
@@ -127,12 +127,12 @@
         }
     }
 
-    /** Jobs with changes that are to be written, in the order in which they were marked. */
+    /** Returns the jobs with changes to be written, in the order in which they were marked. */
     Collection<Job> dirtyJobs() {
         return dirtyJobs;
     }
 
-    /** Notes that the job's changes are being written. */
+    /** Marks the job's changes as being written. */
     void markInFlight(Job job) {
         job.dirty = false;
         dirtyJobs.remove(job);
@@ -141,17 +141,17 @@
 
     // ---- machines ----
 
-    /** All known machines, ordered by id. */
+    /** Returns all known machines, ordered by id. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
-    /** The machine; it is added if it was not known. */
+    /** Returns the machine with this id, adding it if it is unknown. */
     public Machine machine(MachineId id) {
         return machines.computeIfAbsent(id, k -> new Machine(k, context.now()));
     }
 
-    /** The machine, or null. */
+    /** Returns the machine with this id, or null. */
     public Machine findMachine(MachineId id) {
         return machines.get(id);
     }
@@ -161,16 +161,16 @@
         return machines.remove(id);
     }
 
-    /** When the worker's lease has certainly run out, whichever node answered it last and whenever its epoch began. */
+    /** Returns the time by which the worker's lease has expired, regardless of which node answered it last and when its epoch began. */
     public MonotonicTime leaseExpiry(Machine machine) {
         MonotonicTime last = machine.lastAnsweredAt == null || machine.lastAnsweredAt.isBefore(termBeganAt)
                 ? termBeganAt
                 : machine.lastAnsweredAt;
         last = last.isBefore(machine.epochFirstSeenAt) ? machine.epochFirstSeenAt : last;
-        return last.plusMs((long) (settings.workers().leaseMs() * LEASE_SLACK) + LEASE_MARGIN_MS);
+        return last.plusMs((long) (settings.workers().leaseMs() * LEASE_DRIFT_FACTOR) + LEASE_MARGIN_MS);
     }
 
-    /** When the machine was last heard of in this term, or when the term began. */
+    /** Returns the time of the last contact with the machine in this term, or the start of the term if there was none. */
     public MonotonicTime lastContactAt(Machine machine) {
         return machine.lastContactAt == null || machine.lastContactAt.isBefore(termBeganAt)
                 ? termBeganAt
@@ -179,17 +179,17 @@
 
     // ---- teams ----
 
-    /** Adds CPU milliseconds that the team's tasks have used. */
+    /** Adds CPU milliseconds used by the team's tasks. */
     public void addTeamUsage(String team, double cpuMs) {
         teamCpuMs.merge(team, cpuMs, Double::sum);
     }
 
-    /** CPU milliseconds that each team has used, as far as is known in this term. */
+    /** Returns the CPU milliseconds used by each team in this term, as far as known. */
     public Map<String, Double> teamCpuMs() {
         return teamCpuMs;
     }
 
-    /** The CPUs and GPUs of each team's tasks that may be on machines. */
+    /** Returns, for each team, the CPUs and GPUs of its tasks that may be on machines. */
     public Map<String, double[]> teamResourceUsage() {
         Map<String, double[]> used = new HashMap<>();
         for (Job job : jobs.values()) {
@@ -202,17 +202,17 @@
 
     // ---- planning ----
 
-    /** Requests a new plan, for something has changed that it should consider. */
+    /** Requests a new plan because of a change that affects planning. */
     public void requestReplan() {
         replanRequested = true;
     }
 
-    /** Whether a new plan has been requested since the last one. */
+    /** Returns whether a new plan has been requested since the last one was made. */
     public boolean replanRequested() {
         return replanRequested;
     }
 
-    /** Notes that a new plan has been made. */
+    /** Clears the request for a new plan; called once the plan has been made. */
     public void markReplanned() {
         replanRequested = false;
     }
--- a/src/main/java/org/beechhoist/controller/state/CommitGuards.java
+++ b/src/main/java/org/beechhoist/controller/state/CommitGuards.java
@@ -3,25 +3,25 @@
 import java.util.Set;
 import org.beechhoist.store.Transaction;
 
-/** Conditions beyond a job's own version under which its new placements may be written. */
+/** Conditions on writing a job's new placements, in addition to the version of its record. */
 public interface CommitGuards {
     /**
-     * Whether the job's placements may be written now. The decision is made on the same version that {@link #addGuard} names in the
-     * transaction.
+     * Returns whether the job's placements may be written now. The decision is based on the version that {@link #addGuard} adds to
+     * the transaction.
      */
     boolean mayWrite(Job job);
 
-    /** The key that guards the job's new placements, or null where none does. */
+    /** Returns the key that guards the job's new placements, or null if there is none. */
     String guardKey(Job job);
 
-    /** Adds the guard of {@link #guardKey} to the transaction. */
+    /** Adds the guard on {@link #guardKey} to the transaction. */
     void addGuard(Transaction transaction, Job job);
 
     /**
-     * Whether a transaction failed for these guards alone.
+     * Handles a conflict and returns whether only guards of this interface failed.
      *
-     * @param failed all keys whose guard failed
-     * @return true if none of them is a job's: the other writes can be sent again at once
+     * @param failedKeys all keys whose guard failed
+     * @return true if none of them is a job's key, so that the other writes can be sent again at once
      */
-    boolean handleGuardConflict(Set<String> failed);
+    boolean handleGuardConflict(Set<String> failedKeys);
 }
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -19,84 +19,85 @@
 import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
 
-/** An open job as the leader holds it in memory: its record, what of it is committed, and what decisions about it need. */
+/** An open job in the leader's memory: its record, the committed part of it, and the inputs of scheduling decisions. */
 public final class Job {
-    /** Failed tasks on this many machines, and this many failures, make a job suspect. */
-    private static final int SUSPECT_MACHINES = 2;
+    /** A job is suspect if its tasks failed on this many machines and its failures reach {@link #SUSPECT_FAILURE_COUNT}. */
+    private static final int SUSPECT_MACHINE_COUNT = 2;
 
-    private static final int SUSPECT_FAILURES = 3;
-    /** This many failures alone make it suspect: an earlier leader counted them, and on which machines is not stored. */
-    private static final int SUSPECT_BEFORE = 8;
+    private static final int SUSPECT_FAILURE_COUNT = 3;
+    /** This many failures alone make a job suspect: an earlier leader may have counted them, and the machines are not stored. */
+    private static final int SUSPECT_TOTAL_FAILURE_COUNT = 8;
 
-    /** The record, with changes that are not written yet. */
+    /** The record, including changes that are not written yet. */
     public final JobRecord record;
 
     /** The version of the stored record. */
     Revision version;
-    /** The record's chunks as last committed, so that only changed ones are written. */
+    /** The record's chunks as last committed; only chunks that differ are written. */
     Map<String, ArrayNode> chunks = new HashMap<>();
 
-    /** Whether it has changes that are to be written, and since when. */
+    /** True if the job has changes to be written. */
     boolean dirty;
 
+    /** The time at which the job became dirty. */
     MonotonicTime dirtySince = MonotonicTime.ZERO;
-    /** Whether a transaction with its changes is in flight. */
+    /** True while a transaction with changes of the job is in flight. */
     public boolean inFlight;
-    /** The watched change of the record that arrived while a commit of the job was in flight, or null. */
+    /** The watched change of the record that arrived during a commit of the job, or null. */
     StoreClient.KeyValue pendingChange;
-    /** The time of day at which its cancellation was committed, where that became known before the record was read; else 0. */
+    /** The commit time (time of day) of a cancellation that became known before the record with it was read; otherwise 0. */
     public long outOfBandCancelledAtMs;
-    /** The number of placements that are not committed yet: their launches wait for that. */
+    /** The number of placements that are not committed yet; their launches wait for the commit. */
     public int uncommittedPlacements;
-    /** When the job was accepted, computed from the time of day in its record. */
+    /** The time at which the job was accepted, computed from the time of day in its record. */
     public final MonotonicTime submittedAt;
 
-    /** No task of it is placed before this time. */
+    /** No task of the job is placed before this time. */
     public MonotonicTime notBefore = MonotonicTime.ZERO;
-    /** No other task is preempted for it before this time. */
+    /** No other task is preempted for the job before this time. */
     public MonotonicTime nextPreemptionAt = MonotonicTime.ZERO;
-    /** No other job's width is reduced, and no other task preempted, for it before this time. */
+    /** No other job's width is reduced, and no other task preempted, for the job before this time. */
     public MonotonicTime nextWidthReductionAt = MonotonicTime.ZERO;
-    /** Tasks that are to be ended, and how; most are not stopped yet. */
+    /** The decided ending of each placement whose task is to be ended; most are not stopped yet. */
     public final Map<Placement, Ending> endings = new LinkedHashMap<>();
-    /** The width that the state service holds. */
+    /** The width stored in the state service. */
     public int committedWidth;
     /** The number of failures in the stored record. */
     int committedFailures;
-    /** Its tasks as the state service holds them in the record and the change log. */
+    /** The job's tasks as stored in the record and the change log together. */
     CommittedTasks committedTasks;
-    /** Its tasks as the state service holds them in the record alone. */
+    /** The job's tasks as stored in the record alone. */
     CommittedTasks recordedTasks;
 
-    /** The machines on which tasks of it have failed, as far as this leader knows. */
+    /** The machines on which tasks of the job have failed, as far as this leader knows. */
     public final Set<MachineId> failedOnMachines = new HashSet<>();
-    /** The number of back-offs after failures for which the job itself was found to be at fault. */
+    /** The number of back-offs after failures that were attributed to the job itself. */
     public int failureBackoffs;
 
-    /** When it last made progress, was released from a hold or was reported as stalled, as far as is known. */
+    /** The last known time at which the job made progress, was released from a hold or was reported as stalled. */
     public MonotonicTime lastProgressAt;
-    /** Whether it fits its team's guarantee together with the team's earlier open jobs. */
+    /** True if the job fits its team's guaranteed quota together with the team's earlier open jobs. */
     public boolean withinGuarantee;
-    /** Whether it is prioritized, for the share of its class, its team or its class's largest jobs is below the minimum. */
+    /** True if the job is prioritized because the service share of its class, its team or its class's largest jobs is below the minimum. */
     public boolean prioritized;
     /**
-     * How many of its tasks are to begin before those of other jobs, for nothing of it has begun for long; none of its tasks is
-     * to be stopped while it is {@link #starving}.
+     * The number of live and done tasks up to which the job's tasks start before those of other jobs. It is set because no task of
+     * the job has started for long; none of its tasks is stopped while the job is {@link #starving}.
      */
     public int expeditedLimit;
 
-    /** Whether nothing of it has begun for so long that it goes first. */
+    /** True if no task of the job has started for so long that the job takes precedence. */
     public boolean starving;
-    /** Why its key set forbids that tasks start, and perhaps that they run; null: it does not. */
+    /** The key set verdict that prevents tasks from starting, and possibly from running; null if there is none. */
     public Verdict keySetHold;
 
-    /** Since when the key set holds it, by the time of day. */
+    /** The time of day since which the key set holds the job. */
     public long heldSinceMs;
-    /** The release that it counts for, as of the last plan, or null. */
+    /** The release that the job belongs to as of the last plan, or null. */
     public Release release;
-    /** The groups whose service share it counts for: its class, its team and its class's largest jobs; null until computed. */
+    /** The groups whose service share includes the job: its class, its team and its class's largest jobs; null until computed. */
     public Set<String> shareGroups;
-    /** Whether it is shed under overload, so that other jobs meet their deadlines. */
+    /** True if the job is shed under overload so that other jobs meet their deadlines. */
     public boolean shed;
 
     Job(JobRecord record, Revision version, MonotonicTime submitted) {
@@ -111,84 +112,84 @@
         this.keySetHold = record.spec.keySetBinding() == null ? null : Verdict.NOT_KNOWN;
     }
 
-    /** The job's id. */
+    /** Returns the job's id. */
     public JobId id() {
         return record.spec.id();
     }
 
-    /** What was submitted. */
+    /** Returns the specification as submitted. */
     public JobSpec spec() {
         return record.spec;
     }
 
-    /** The width that was decided for it; without one, any number of its tasks may be live. */
+    /** Returns the target width, or the maximum integer if the number of live tasks is not limited. */
     public int width() {
         return record.width == null ? Integer.MAX_VALUE : record.width.target();
     }
 
-    /** Whether tasks of the other job may be stopped for tasks of this one. */
+    /** Returns whether tasks of the other job may be stopped in favor of tasks of this job. */
     public boolean mayPreempt(Job other) {
         if (other.prioritized || other.starving) {
-            return false; // it would be prioritized again, and stopped again
+            return false; // it would be prioritized and preempted over and over
         }
         int comparison = spec().priority().compareTo(other.spec().priority());
         boolean borrowed = !other.withinGuarantee && !other.spec().team().equals(spec().team());
-        // A guarantee could take back borrowed machines from jobs of higher priority too, but these suffer most from
+        // A guaranteed quota doesn't reclaim borrowed machines from jobs of higher priority: these suffer most from
         // waiting.
         return comparison < 0 || (comparison == 0 && withinGuarantee && borrowed);
     }
 
     /**
-     * Whether it may have been submitted with a mistake: several tasks failed, on more than one machine as far as this leader
-     * knows, and none is done. One task of it at a time is tried then, and no task is stopped and no machine rented for it.
+     * Returns whether the job is probably faulty: several tasks failed, on more than one machine as far as this leader knows, and
+     * none is done. Only one task of a suspect job is tried at a time, and no task is stopped and no machine rented for it.
      */
     public boolean isSuspect() {
         return record.done.size() == 0
-                && (failedOnMachines.size() >= SUSPECT_MACHINES && record.failures >= SUSPECT_FAILURES
-                        || record.failures >= SUSPECT_BEFORE);
+                && (failedOnMachines.size() >= SUSPECT_MACHINE_COUNT && record.failures >= SUSPECT_FAILURE_COUNT
+                        || record.failures >= SUSPECT_TOTAL_FAILURE_COUNT);
     }
 
-    /** Whether its key set holds it: no task of it may run. */
+    /** Returns whether the key set holds the job, so that none of its tasks may run. */
     public boolean isHeld() {
         return keySetHold != null && keySetHold.held();
     }
 
-    /** How many more of its tasks go first now. */
+    /** Returns how many more of the job's tasks take precedence over those of other jobs. */
     public int expeditedTasks() {
         return Math.max(0, expeditedLimit - record.live.size() - record.done.size());
     }
 
-    /** Whether a task of it is live or done. */
+    /** Returns whether a task of the job is live or done. */
     public boolean hasStarted() {
         return !record.live.isEmpty() || record.done.size() > 0;
     }
 
-    /** How many of its waiting tasks may be placed now. */
+    /** Returns how many of the job's waiting tasks may be placed now. */
     public int maxPlaceable(int waiting) {
         return isSuspect() ? Math.min(waiting, record.live.isEmpty() ? 1 : 0) : waiting;
     }
 
-    /** Whether its cancellation is known to be committed, from its record or from another source. */
+    /** Returns whether the job's cancellation is known to be committed, from its record or from another source. */
     public boolean isCancelled() {
         return record.isCancelled() || outOfBandCancelledAtMs > 0;
     }
 
-    /** The time of day at which its cancellation was committed. */
+    /** Returns the time of day at which the job's cancellation was committed. */
     public long cancelledAtMs() {
         return record.isCancelled() ? record.cancelledAtWallMs : outOfBandCancelledAtMs;
     }
 
-    /** Whether its stored record is known to have changed since it was read: a commit under that version would fail. */
+    /** Returns whether the stored record has changed since it was read, so that a commit under the read version would fail. */
     boolean isRecordOutdated() {
         return outOfBandCancelledAtMs > 0 && !record.isCancelled();
     }
 
-    /** Its final state once no task of it is live. */
+    /** Returns the final state of the job once none of its tasks is live. */
     String finalState() {
         return record.isCancelled() ? "cancelled" : "done";
     }
 
-    /** Whether the state service holds it as the leader does. */
+    /** Returns whether all changes of the job are stored in the state service. */
     public boolean isPersisted() {
         return !dirty && !inFlight;
     }
--- a/src/main/java/org/beechhoist/controller/state/JobRecordReader.java
+++ b/src/main/java/org/beechhoist/controller/state/JobRecordReader.java
@@ -9,7 +9,7 @@
 import org.beechhoist.wire.MonotonicTime;
 import org.beechhoist.wire.Revision;
 
-/** Turns stored items of open jobs into the jobs that the leader holds in memory. */
+/** Creates in-memory jobs from the stored records of open jobs. */
 final class JobRecordReader {
     private final ControllerContext context;
     private final RecordSizes sizes;
@@ -21,12 +21,12 @@
         this.cancellations = cancellations;
     }
 
-    /** Whether the key is that of a chunk of a record, with some of the job's tasks. */
+    /** Returns whether the key is that of a record chunk, which holds some of the job's tasks. */
     static boolean isChunkKey(String key) {
         return key.indexOf('/', JobRecord.OPEN_PREFIX.length()) >= 0;
     }
 
-    /** The job whose record, or chunk of a record, the key names. */
+    /** Returns the id of the job from the key of its record or record chunk. */
     static JobId jobIdOf(String key) {
         int slash = key.indexOf('/', JobRecord.OPEN_PREFIX.length());
         return new JobId(key.substring(JobRecord.OPEN_PREFIX.length(), slash < 0 ? key.length() : slash));
@@ -38,7 +38,7 @@
         return record;
     }
 
-    /** Creates the job of a record, and exchanges with the registry what each knows of the job's cancellation. */
+    /** Creates the job of a record; a cancellation known to the record or to the registry is copied to the other. */
     Job newJob(JobRecord record, Revision version) {
         MonotonicTime submitted = context.now().plusMs(Math.min(0, record.submittedWallMs - context.wallMs()));
         Job job = new Job(record, version, submitted);
--- a/src/main/java/org/beechhoist/controller/state/LeaderState.java
+++ b/src/main/java/org/beechhoist/controller/state/LeaderState.java
@@ -1,13 +1,13 @@
 package org.beechhoist.controller.state;
 
 /**
- * What a leader knows, passed as one object to the parts that read most of it.
+ * The state of a leader, passed as one object to components that read most of it.
  *
  * @param clusterState the open jobs and the machines
- * @param loader says whether the cluster state holds all open records
- * @param machineTypes the cloud's machine types with their prices
- * @param estimates how long tasks are expected to run
- * @param cancellations committed cancellations, and how fresh that knowledge is
+ * @param loader loads the open records and reports whether all of them are in the cluster state
+ * @param machineTypes the cloud's machine types and their prices
+ * @param estimates expected task durations
+ * @param cancellations known committed cancellations and the time up to which they are complete
  */
 public record LeaderState(
         ClusterState clusterState,
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -17,99 +17,99 @@
 import org.beechhoist.wire.TaskId;
 import org.beechhoist.wire.WorkerCommand;
 
-/** What the leader knows of one machine and its worker. */
+/** The leader's view of one machine and its worker. */
 public final class Machine {
     /** The machine's id. */
     public final MachineId id;
     /** The worker's address. */
     public String address;
-    /** The name of the machine type; null: not known yet. */
+    /** The name of the machine type, or null if it is not known yet. */
     public String type;
-    /** The zone that it is in. */
+    /** The machine's zone. */
     public String zone;
-    /** Whether it is a spot machine. */
+    /** True for a spot machine. */
     public boolean spot;
 
     /** The epoch of the worker's newest message. */
     public long epoch;
     /** The sequence number of the worker's newest message. */
     public long sequence;
-    /** When the worker's epoch was first heard of: its lease can have begun as late as that, even if nothing was answered. */
+    /** The time at which the worker's epoch first became known; its lease may have begun as late as that, even without an answer. */
     public MonotonicTime epochFirstSeenAt = MonotonicTime.ZERO;
-    /** When the newest message of the worker arrived; a heartbeat that is older can be no more than a copy. */
+    /** The arrival time of the newest message of the worker; an older heartbeat can only be a copy. */
     public MonotonicTime newestMessageAt = MonotonicTime.ZERO;
-    /** Whether its newest message is a heartbeat that was answered with 200. */
+    /** True if the newest message is a heartbeat that was answered with 200. */
     public boolean newestMessageAnswered;
-    /** Whether a command or probe since its newest message had no answer: the worker may have counted it all the same. */
+    /** True if a command or probe since the newest message had no answer; the worker may still have counted it. */
     public boolean callsUnanswered;
-    /** Whether messages reach it; messages from it do not prove that. */
+    /** The state of message delivery to the machine; messages from it do not prove delivery. */
     public MachineReachability reachability;
-    /** Whether it is known to exist: the cloud has listed or rented it, or it has answered in this term. A heartbeat may be a copy. */
+    /** True if the cloud has listed or rented the machine, or it has answered in this term. A heartbeat is no proof: it may be a copy. */
     public boolean confirmedPresent;
-    /** A heartbeat that has seen no newer token than this may be of a previous incarnation: an earlier worker of the same name. */
+    /** A heartbeat with this token or an older one may be of a previous incarnation, an earlier worker of the same name. */
     public FencingToken previousIncarnationToken = FencingToken.NONE;
-    /** The newest heartbeat sent to {@code /checkin}: only these prove that a task is absent. */
+    /** The newest heartbeat sent to {@code /checkin}; only such heartbeats prove that a task is absent. */
     public Heartbeat lastHeartbeat;
 
-    /** When it was last heard of, or null; an old heartbeat does not count while probes of it are unanswered. */
+    /** The time of the last contact, or null; an old heartbeat does not count while probes are unanswered. */
     public MonotonicTime lastContactAt;
-    /** When this node last answered a heartbeat with 200, or null; the worker's lease can't begin later. */
+    /** The time at which this node last answered a heartbeat with 200, or null; the worker's lease can't begin later. */
     public MonotonicTime lastAnsweredAt;
-    /** When the cloud takes it, by its preemption notice; null: no notice was given. */
+    /** The time at which the cloud takes the machine according to a preemption notice, or null without a notice. */
     public MonotonicTime preemptionAt;
-    /** The drain that empties it, or null; nothing new is placed there. */
+    /** The drain that cordons the machine, or null; no new task is placed on a cordoned machine. */
     public String cordonedBy;
-    /** The drain for whose rolling replacement it is reserved, or null; a reserved machine is not returned for being idle. */
+    /** The drain whose rolling replacement reserves the machine, or null; a reserved machine is not returned when idle. */
     public String reservedForDrain;
 
-    /** Placements by which tasks may be on it, from the records. */
+    /** The recorded placements of tasks that may be on the machine. */
     public final Map<TaskId, Placement> placements = new HashMap<>();
-    /** The number of unknown tasks: running tasks that no record explains. */
+    /** The number of unknown tasks: running tasks that are in no record. */
     public int unknownTasks;
-    /** The number of placements of earlier terms that its newest heartbeat neither shows nor proves to be gone. */
+    /** The number of placements of earlier terms that the newest heartbeat neither shows nor proves absent. */
     public int unconfirmedPlacements;
 
-    /** The number of command messages sent straight to the worker that are not answered yet. */
+    /** The number of unanswered command messages sent directly to the worker. */
     public int commandsInFlight;
-    /** A launch without an answer that was sent with this token or a lower one may still be executed, minutes late. */
+    /** An unanswered launch sent with this token or a lower one may still be executed, minutes late. */
     public FencingToken unacknowledgedToken = FencingToken.NONE;
 
-    /** Commands that are to be sent to the worker. */
+    /** Commands to be sent to the worker. */
     public final List<WorkerCommand> outbox = new ArrayList<>();
 
-    /** Whether it is being returned to the cloud. */
+    /** True while the machine is being returned to the cloud. */
     public boolean releasing;
-    /** The time of day by which a task on it must have ended. */
+    /** The time of day by which the tasks that have to stop must have ended. */
     public long stopDeadlineMs = Long.MAX_VALUE;
-    /** Whether the cloud was asked to end it and has not answered yet. */
+    /** True while a request to the cloud to end the machine is unanswered. */
     public boolean releaseInFlight;
-    /** Whether it was asked for its status and has not answered yet. */
+    /** True while a probe of the machine is unanswered. */
     public boolean probeInFlight;
-    /** How many probes in a row had no answer. */
+    /** The number of consecutive unanswered probes. */
     public int unansweredProbes;
-    /** When it last answered a probe. */
+    /** The time at which the machine last answered a probe. */
     public MonotonicTime probeAnsweredAt = MonotonicTime.ZERO;
-    /** Until this time it is not given up: an old heartbeat of it has arrived, and it is probed. */
+    /** The machine is not treated as lost before this time, because an old heartbeat has arrived and it is being probed. */
     public MonotonicTime probeGraceUntil = MonotonicTime.ZERO;
 
-    /** When it was rented, or null where that is not known. */
+    /** The time at which the machine was rented, or null if not known. */
     public MonotonicTime rentedAt;
-    /** Whether its worker has sent a heartbeat. */
+    /** True if the worker has sent a heartbeat. */
     public boolean up;
-    /** Whether the cloud lists it as running; it may have sent no heartbeat in this term yet. */
+    /** True if the cloud lists the machine as running; it may not have sent a heartbeat in this term yet. */
     public boolean listedRunning;
 
-    /** Since when it has no task, or null. */
+    /** The time since which the machine has no task, or null. */
     public MonotonicTime idleSince;
-    /** Nothing is placed on it before this time, for tasks have lately failed there. */
+    /** No task is placed on the machine before this time, because tasks have recently failed there. */
     public MonotonicTime avoidUntil = MonotonicTime.ZERO;
-    /** Decides when elastic jobs may grow onto it again. */
+    /** Damps the growth of elastic jobs onto the machine. */
     public Damping growthDamping = Damping.NONE;
-    /** The epoch that the images are of, where an earlier leader noted them; 0: none did. */
+    /** The worker epoch of the images if an earlier leader stored them, otherwise 0. */
     public long imagesEpoch;
-    /** The images that it should hold, least recently used first, with their sizes in GB. */
+    /** The images expected in the cache with their sizes in GB, least recently used first. */
     public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
-    /** The jobs whose tasks have failed on it since a task last completed there, and how many of each. */
+    /** The number of failed tasks by job since a task last completed on the machine. */
     public final Map<JobId, Integer> failuresByJob = new HashMap<>();
 
     Machine(MachineId id, MonotonicTime now) {
@@ -117,12 +117,12 @@
         this.reachability = MachineReachability.initial(now);
     }
 
-    /** Whether its machine type is known. */
+    /** Returns whether the machine type is known. */
     public boolean isTypeKnown() {
         return type != null;
     }
 
-    /** Records the newest message of its worker. */
+    /** Records the newest message of the worker. */
     public void recordNewestMessage(Heartbeat heartbeat, MonotonicTime now) {
         epochFirstSeenAt =
                 heartbeat.epoch() == epoch && epochFirstSeenAt != MonotonicTime.ZERO ? epochFirstSeenAt : now;
@@ -133,40 +133,40 @@
         callsUnanswered = false;
     }
 
-    /** Records that it has answered a probe or command of this term. */
+    /** Records that the machine has answered a probe or command of this term. */
     public void recordAnswer(MonotonicTime now) {
         reachability = reachability.afterProof(now);
         confirmedPresent = true;
     }
 
-    /** Records that a probe or command had no answer; where this node itself is late, that proves nothing about the machine. */
-    public void recordUnansweredCall(MonotonicTime now, boolean late) {
-        reachability = late ? reachability : reachability.afterMissedMessages(1, now);
+    /** Records an unanswered probe or command; if this node itself is lagging, that proves nothing about the machine. */
+    public void recordUnansweredCall(MonotonicTime now, boolean lagging) {
+        reachability = lagging ? reachability : reachability.afterMissedMessages(1, now);
         callsUnanswered = true;
     }
 
-    /** Whether it is about to be taken, returned or drained: no task is launched there, whatever was decided before. */
+    /** Returns whether the machine is being preempted, returned or drained; then no task is launched there, not even a placed one. */
     public boolean isLeaving() {
         return preemptionAt != null || releasing || cordonedBy != null;
     }
 
     /**
-     * The number of tasks whose launch was sent to it.
+     * Returns the number of tasks whose launch was sent to the machine.
      *
-     * @param seen whether those are counted that its heartbeats have shown, or those that they have not
+     * @param reported true to count the tasks that its heartbeats have shown, false to count those that they have not
      */
-    public int countLaunched(boolean seen) {
+    public int countLaunched(boolean reported) {
         return (int) placements.values().stream()
-                .filter(p -> p.launchSent && seen == p.reported)
+                .filter(p -> p.launchSent && reported == p.reported)
                 .count();
     }
 
-    /** How long a task of the job would wait for its image on this machine, in milliseconds. */
+    /** Returns how long a task of the job would wait for its image on this machine, in milliseconds. */
     public long fetchMs(JobSpec spec, MachineType type) {
         return images.containsKey(spec.image()) ? 0 : Math.round(1000 * spec.imageGb() / type.fetchGbPerS());
     }
 
-    /** Records that it holds the image; the least recently used ones are dropped where the cache is full. */
+    /** Records that the machine holds the image; evicts the least recently used images if the cache is full. */
     public void cacheImage(String image, double gb, double cacheGb) {
         images.put(image, gb);
         double sum = images.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineTypeCatalog.java
@@ -11,43 +11,47 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's machine types with their current prices; every node holds them, to check submissions. */
+/** The cloud's machine types with their current prices; every node holds them to validate submissions. */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-    private static final long REFRESH_MS = 30_000;
+    private static final long REFRESH_INTERVAL_MS = 30_000;
+    private static final long FIRST_RETRY_INTERVAL_MS = 1000;
+    private static final long RETRY_INTERVAL_MS = 5000;
+    private static final long REQUEST_TIMEOUT_MS = 4000;
+
     private final ControllerContext context;
     private Map<String, MachineType> types = Map.of();
-    private boolean unexpectedLogged;
+    private boolean parseErrorLogged;
 
-    /** Creates a catalog without types; {@link #start} begins to read them. */
+    /** Creates an empty catalog; {@link #start} begins to read the machine types. */
     public MachineTypeCatalog(ControllerContext context) {
         this.context = context;
     }
 
-    /** Reads the types from the cloud, now and then regularly. */
+    /** Reads the machine types from the cloud now and at regular intervals from then on. */
     public void start() {
-        context.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, 4000, result -> {
+        context.call(ServiceCalls.Target.CLOUD, null, "GET", "/machine_types", null, REQUEST_TIMEOUT_MS, result -> {
             boolean read = false;
             if (result.isOk() && result.body().path("hosttypes").isArray()) {
                 read = replaceAll(result.body().get("hosttypes"));
             }
-            context.schedule(read ? REFRESH_MS : retryMs(), this::start);
+            context.schedule(read ? REFRESH_INTERVAL_MS : retryMs(), this::start);
         });
     }
 
     private long retryMs() {
-        return types.isEmpty() ? 1000 : 5000;
+        return types.isEmpty() ? FIRST_RETRY_INTERVAL_MS : RETRY_INTERVAL_MS;
     }
 
     private boolean replaceAll(JsonNode list) {
         Map<String, MachineType> next = new LinkedHashMap<>();
         for (JsonNode node : list) {
             try {
-                MachineType t = MachineType.parse(node);
-                next.put(t.name(), t);
+                MachineType type = MachineType.parse(node);
+                next.put(type.name(), type);
             } catch (MalformedMessageException e) {
-                if (!unexpectedLogged) {
-                    unexpectedLogged = true;
+                if (!parseErrorLogged) {
+                    parseErrorLogged = true;
                     LOG.warn("machine type unreadable: cause={}", e.getMessage());
                 }
                 return false;
@@ -59,17 +63,17 @@
         return !next.isEmpty();
     }
 
-    /** Whether the types have been read. */
+    /** Returns whether the machine types have been read. */
     public boolean isLoaded() {
         return !types.isEmpty();
     }
 
-    /** The type of this name, or null. */
+    /** Returns the machine type with this name, or null. */
     public MachineType get(String name) {
         return name == null ? null : types.get(name);
     }
 
-    /** All types, in the cloud's order. */
+    /** Returns all machine types, in the cloud's order. */
     public Collection<MachineType> all() {
         return types.values();
     }
--- a/src/main/java/org/beechhoist/controller/state/OptimisticUpdater.java
+++ b/src/main/java/org/beechhoist/controller/state/OptimisticUpdater.java
@@ -15,13 +15,13 @@
 import org.beechhoist.wire.Revision;
 
 /**
- * A user's change of one record: the record is read, edited and committed under its version, and all that again where another
- * change was committed first.
+ * Applies a user's change to one record with optimistic concurrency: reads the record, edits it and commits it under the version
+ * that was read, and starts over if another change was committed first.
  */
 public final class OptimisticUpdater {
-    private static final int MAX_ATTEMPTS = 6;
+    private static final int MAX_CONFLICT_COUNT = 6;
 
-    /** Thrown by an edit that rejects the change: the HTTP status and the error text of the answer. */
+    /** Thrown by an edit that rejects the change; carries the HTTP status and the error text of the response. */
     public static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1;
         private final int status;
@@ -33,20 +33,20 @@
         }
     }
 
-    /** Decides how the record changes, at once or later. */
+    /** Computes the change of a record, immediately or asynchronously. */
     public interface Edit {
         /**
          * Edits the record.
          *
-         * @param before the stored record, or null where there is none
-         * @param then is called with the result, at once or later
+         * @param before the stored record, or null if there is none
+         * @param completion receives the result, immediately or later
          */
-        void apply(JsonNode before, Completion then) throws MalformedMessageException, RejectedException;
+        void apply(JsonNode before, Completion completion) throws MalformedMessageException, RejectedException;
     }
 
-    /** Decides at once how the record changes. */
+    /** Computes the change of a record immediately. */
     public interface ImmediateEdit {
-        /** Returns the new record for the stored one (null where there is none); null deletes the record. */
+        /** Returns the new record for the stored one (null if there is none); a null result deletes the record. */
         ObjectNode apply(JsonNode before) throws MalformedMessageException, RejectedException;
     }
 
@@ -55,14 +55,14 @@
         /**
          * Commits the result.
          *
-         * @param value the new record; null deletes it
-         * @param more adds what else is written in the same transaction
-         * @param shown the body of the answer
+         * @param value the new record, or null to delete it
+         * @param additions adds further writes to the same transaction
+         * @param responseBody the body of the response
          */
-        void complete(ObjectNode value, Consumer<Transaction> more, ObjectNode shown);
+        void complete(ObjectNode value, Consumer<Transaction> additions, ObjectNode responseBody);
     }
 
-    private final int valueBytes;
+    private final int maxValueBytes;
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
@@ -71,46 +71,46 @@
     /**
      * Creates the updater.
      *
-     * @param requests tokens for requests to the state service
-     * @param writes tokens for the changes that its transactions make
+     * @param requests rate limit of requests to the state service
+     * @param writes rate limit of writes to the state service
      */
     public OptimisticUpdater(
             ControllerContext context, Settings settings, StoreClient store, TokenBucket requests, TokenBucket writes) {
-        this.valueBytes = settings.stateLimits().valueBytes();
+        this.maxValueBytes = settings.stateLimits().valueBytes();
         this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
     }
 
-    /** Returns the body of an answer with this error text. */
+    /** Returns a response body with this error text. */
     public static ObjectNode errorBody(String text) {
         return Codec.map().put("error", text);
     }
 
-    /** Answers that the state service does not answer or its records are not read yet. */
+    /** Responds with 503 because the state service does not answer or its records are not read yet. */
     public static void respondUnavailable(ApiResponder responder) {
         responder.respond(503, errorBody("the state service does not answer, or what it holds is not read yet"));
     }
 
-    /** Makes a change that is decided at once; the answer is the record after it. */
+    /** Applies an immediate edit; the response body is the new record. */
     public void update(String key, ImmediateEdit edit, ApiResponder responder) {
         updateAsync(
                 key,
-                (before, then) -> {
+                (before, completion) -> {
                     ObjectNode next = edit.apply(before);
-                    then.complete(next, t -> {}, next == null ? Codec.map() : next);
+                    completion.complete(next, t -> {}, next == null ? Codec.map() : next);
                 },
                 responder);
     }
 
-    /** Makes a change that may be decided later. */
+    /** Applies an edit that may complete later. */
     public void updateAsync(String key, Edit edit, ApiResponder responder) {
-        updateLater(key, edit, responder, 0);
+        updateAsync(key, edit, responder, 0);
     }
 
-    private void updateLater(String key, Edit edit, ApiResponder responder, int races) {
-        if (!requests.tryTake(context.now(), 1) || races > MAX_ATTEMPTS) {
+    private void updateAsync(String key, Edit edit, ApiResponder responder, int conflicts) {
+        if (!requests.tryTake(context.now(), 1) || conflicts > MAX_CONFLICT_COUNT) {
             respondUnavailable(responder);
             return;
         }
@@ -121,11 +121,12 @@
             }
             Revision version =
                     read.item() == null ? Revision.ABSENT : read.item().version();
-            Runnable again = () -> updateLater(key, edit, responder, races + 1);
+            Runnable retry = () -> updateAsync(key, edit, responder, conflicts + 1);
             try {
                 edit.apply(
                         read.item() == null ? null : read.item().value(),
-                        (value, more, shown) -> commit(key, version, value, more, shown, responder, again));
+                        (value, additions, responseBody) ->
+                                commit(key, version, value, additions, responseBody, responder, retry));
             } catch (MalformedMessageException e) {
                 responder.respond(400, errorBody(e.getMessage()));
             } catch (RejectedException e) {
@@ -134,18 +135,18 @@
         });
     }
 
-    /** Commits the edited record under the version that was read; {@code again} is run where another update was committed first. */
+    /** Commits the edited record under the version that was read; runs {@code retry} if another update was committed first. */
     private void commit(
             String key,
             Revision version,
             ObjectNode value,
-            Consumer<Transaction> more,
-            ObjectNode shown,
+            Consumer<Transaction> additions,
+            ObjectNode responseBody,
             ApiResponder responder,
-            Runnable again) {
-        if (value != null && Codec.jsonBytes(value) > valueBytes) {
-            String text =
-                    key + ": with this change it takes more than " + valueBytes + " bytes, as much as a value may have";
+            Runnable retry) {
+        if (value != null && Codec.jsonBytes(value) > maxValueBytes) {
+            String text = key + ": with this change it takes more than " + maxValueBytes
+                    + " bytes, as much as a value may have";
             responder.respond(400, errorBody(text));
             return;
         }
@@ -155,21 +156,21 @@
         } else {
             transaction.put(key, value);
         }
-        more.accept(transaction);
+        additions.accept(transaction);
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         store.commit(transaction, commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                responder.respond(200, shown);
+                responder.respond(200, responseBody);
             } else if (commit.outcome() == CommitResult.Outcome.CONFLICT) {
-                again.run();
+                retry.run();
             } else {
                 respondUnavailable(responder);
             }
         });
     }
 
-    static void reject(ApiResponder responder, RejectedException refused) {
-        responder.respond(refused.status, errorBody(refused.getMessage()));
+    static void reject(ApiResponder responder, RejectedException rejection) {
+        responder.respond(rejection.status, errorBody(rejection.getMessage()));
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
+++ b/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
@@ -13,17 +13,17 @@
     /** The rank of writes that nobody waits for. */
     private static final int DEFERRED_RANK = 10;
     /** Finished tasks are gathered this long before their job is written for them alone. */
-    private static final long DEFER_MS = 2000;
+    private static final long MAX_DEFER_MS = 2000;
     /** A write that has waited this long is not overtaken by smaller ones any more. */
-    private static final long STARVED_MS = 1000;
+    private static final long MAX_OVERTAKEN_MS = 1000;
 
-    private static final long FOLD_EVERY_MS = 1000;
+    private static final long COMPACTION_INTERVAL_MS = 1000;
     /** A younger job will end before long, so its record is not written only to shorten the log. */
-    private static final long FOLD_AGE_MS = 60_000;
+    private static final long MIN_COMPACTION_AGE_MS = 60_000;
 
-    private static final int MAX_FOLDED_RECORDS = 2;
-    private static final int MAX_CONSOLIDATED_JOBS = 100;
-    private static final int MAX_CONSOLIDATED_SEGMENTS = 2;
+    private static final int MAX_COMPACTED_RECORD_COUNT = 2;
+    private static final int MAX_CONSOLIDATED_JOB_COUNT = 100;
+    private static final int MAX_CONSOLIDATED_SEGMENT_COUNT = 2;
 
     private record DueWrite(Job job, int rank) {}
 
@@ -32,9 +32,9 @@
     private final ChangeLog changeLog;
     private final CommitGuards guards;
     private final BooleanSupplier logAllowed;
-    private MonotonicTime nextFold = MonotonicTime.ZERO;
+    private MonotonicTime nextCompactionAt = MonotonicTime.ZERO;
     /** Whether changes run short, so that ends of jobs are written with one change instead of two. */
-    private boolean writesScarce;
+    private boolean writeBudgetLow;
 
     /** Creates the selector; {@code logAllowed} says whether changes may be written to the change log. */
     PendingWriteSelector(
@@ -63,7 +63,7 @@
      * @param scarce whether changes run short
      */
     void addDueWrites(WriteBatch batch, boolean spare, boolean scarce) {
-        writesScarce = scarce;
+        writeBudgetLow = scarce;
         List<DueWrite> due = new ArrayList<>();
         List<Job> deferred = new ArrayList<>();
         for (Job job : new ArrayList<>(clusterState.dirtyJobs())) {
@@ -73,7 +73,7 @@
         for (DueWrite next : due) {
             if (!addToBatch(batch, next.job)
                     && next.rank < DEFERRED_RANK
-                    && context.now().since(next.job.dirtySince) > STARVED_MS) {
+                    && context.now().since(next.job.dirtySince) > MAX_OVERTAKEN_MS) {
                 break; // let the budget fill up for it instead of always spending it on smaller writes
             }
         }
@@ -99,7 +99,7 @@
         int rank = writeRank(job);
         // A finished task frees its machine without this write: the worker's heartbeat proves the end, to a later
         // leader too.
-        if (rank == DEFERRED_RANK && !(spare && context.now().since(job.dirtySince) >= DEFER_MS)) {
+        if (rank == DEFERRED_RANK && !(spare && context.now().since(job.dirtySince) >= MAX_DEFER_MS)) {
             deferred.add(job);
         } else if (writeMode(job) == WriteBatch.WriteMode.LOG
                 && job.committedTasks.changesTo(job.record).isEmpty()) {
@@ -120,7 +120,7 @@
 
     private WriteBatch.WriteMode writeMode(Job job) {
         if (isEnding(job)) {
-            return writesScarce && logAllowed.getAsBoolean()
+            return writeBudgetLow && logAllowed.getAsBoolean()
                     ? WriteBatch.WriteMode.FINAL_STATE_IN_PLACE
                     : WriteBatch.WriteMode.FINAL_STATE;
         }
@@ -145,7 +145,7 @@
     }
 
     boolean isCompactionDue() {
-        return changeLog.segmentCount() > 0 && !context.now().isBefore(nextFold);
+        return changeLog.segmentCount() > 0 && !context.now().isBefore(nextCompactionAt);
     }
 
     /**
@@ -153,20 +153,21 @@
      * two each time; where there are changes to spare, the record of a job that has been open for long is written.
      */
     void compactLog(WriteBatch batch, boolean plentiful) {
-        nextFold = context.now().plusMs(FOLD_EVERY_MS);
+        nextCompactionAt = context.now().plusMs(COMPACTION_INTERVAL_MS);
         boolean consolidate = changeLog.needsConsolidation() && logAllowed.getAsBoolean();
         if (!consolidate && !plentiful) {
             return;
         }
         int segmentsBefore = batch.segmentCount();
         int records = 0;
-        for (JobId jobId : changeLog.jobsInOldestSegments(consolidate ? MAX_CONSOLIDATED_JOBS : MAX_FOLDED_RECORDS)) {
+        for (JobId jobId :
+                changeLog.jobsInOldestSegments(consolidate ? MAX_CONSOLIDATED_JOB_COUNT : MAX_COMPACTED_RECORD_COUNT)) {
             Job job = clusterState.job(jobId);
-            if (job == null || !isFoldable(job, consolidate)) {
+            if (job == null || !isCompactable(job, consolidate)) {
                 continue;
             }
-            if (batch.segmentCount() - segmentsBefore > MAX_CONSOLIDATED_SEGMENTS
-                    || records == MAX_FOLDED_RECORDS
+            if (batch.segmentCount() - segmentsBefore > MAX_CONSOLIDATED_SEGMENT_COUNT
+                    || records == MAX_COMPACTED_RECORD_COUNT
                     || !batch.add(job, consolidate ? WriteBatch.WriteMode.CONSOLIDATE : WriteBatch.WriteMode.RECORD)) {
                 return;
             }
@@ -175,11 +176,11 @@
         }
     }
 
-    private boolean isFoldable(Job job, boolean consolidate) {
+    private boolean isCompactable(Job job, boolean consolidate) {
         return !job.inFlight
                 && !job.isRecordOutdated()
                 && !isEnding(job)
                 && guards.mayWrite(job)
-                && (consolidate || context.now().since(job.submittedAt) >= FOLD_AGE_MS);
+                && (consolidate || context.now().since(job.submittedAt) >= MIN_COMPACTION_AGE_MS);
     }
 }
--- a/src/main/java/org/beechhoist/controller/state/PrefixReader.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixReader.java
@@ -10,7 +10,7 @@
  * is over.
  */
 public final class PrefixReader {
-    private static final long RETRY_MS = 700;
+    private static final long RETRY_INTERVAL_MS = 700;
     private static final int PAGE_SIZE = 60;
 
     private final ControllerContext context;
@@ -46,7 +46,7 @@
                 return;
             }
             if (!page.isOk()) {
-                context.schedule(RETRY_MS, () -> readPage(term, prefix, after, each, done));
+                context.schedule(RETRY_INTERVAL_MS, () -> readPage(term, prefix, after, each, done));
                 return;
             }
             page.items().forEach(each);
--- a/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixWatch.java
@@ -12,10 +12,10 @@
  * the changes since any more.
  */
 public final class PrefixWatch {
-    private static final long HOLD_MS = 20_000;
-    private static final long RETRY_MS = 500;
+    private static final long WATCH_HOLD_MS = 20_000;
+    private static final long RETRY_INTERVAL_MS = 500;
     /** The pause after changes, so that several changes a second share a request. */
-    private static final long PAUSE_MS = 40;
+    private static final long CHANGE_PAUSE_MS = 40;
 
     private static final int PAGE_SIZE = 200;
 
@@ -27,7 +27,7 @@
     private final Consumer<StoreClient.KeyValue> onItem;
     private final Consumer<List<StoreClient.KeyValue>> onChanges;
     /** Changes with each new reading: answers to requests of an earlier one are ignored. */
-    private long round;
+    private long watchEpoch;
 
     /**
      * Creates a watch; {@link #start} begins it.
@@ -58,12 +58,12 @@
     /** Reads the prefix from the beginning and then watches it. */
     public void start() {
         onRestart.run();
-        readPage(++round, null, null);
+        readPage(++watchEpoch, null, null);
     }
 
-    private void runLater(long ms, long expectedRound, Runnable then) {
+    private void schedule(long ms, long expectedRound, Runnable then) {
         context.schedule(ms, () -> {
-            if (expectedRound == round) {
+            if (expectedRound == watchEpoch) {
                 then.run();
             }
         });
@@ -72,11 +72,11 @@
     private void readPage(long expectedRound, String after, Revision start) {
         requests.takeOrOverdraw(context.now(), 1);
         store.list(prefix, after, PAGE_SIZE, page -> {
-            if (expectedRound != round) {
+            if (expectedRound != watchEpoch) {
                 return;
             }
             if (!page.isOk()) {
-                runLater(RETRY_MS, expectedRound, this::start);
+                schedule(RETRY_INTERVAL_MS, expectedRound, this::start);
                 return;
             }
             page.items().forEach(onItem);
@@ -93,19 +93,19 @@
     private void watch(long expectedRound, Revision after, long holdMs) {
         requests.takeOrOverdraw(context.now(), 1);
         store.watch(prefix, after, holdMs, changes -> {
-            if (expectedRound != round) {
+            if (expectedRound != watchEpoch) {
                 return;
             }
             if (changes.status() == 410) {
                 start();
             } else if (changes.status() != 200) {
-                runLater(RETRY_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
+                schedule(RETRY_INTERVAL_MS, expectedRound, () -> watch(expectedRound, after, holdMs));
             } else {
                 onChanges.accept(changes.changes());
-                runLater(
-                        changes.changes().isEmpty() ? 0 : PAUSE_MS,
+                schedule(
+                        changes.changes().isEmpty() ? 0 : CHANGE_PAUSE_MS,
                         expectedRound,
-                        () -> watch(expectedRound, changes.revision(), HOLD_MS));
+                        () -> watch(expectedRound, changes.revision(), WATCH_HOLD_MS));
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -35,7 +35,7 @@
     /** A placement that is recorded as older is taken to be of this age. */
     private static final long MAX_PLACEMENT_AGE_MS = 24L * 3600 * 1000;
 
-    private static final long LOG_RETRY_MS = 5000;
+    private static final long LOG_RETRY_INTERVAL_MS = 5000;
 
     private enum Phase {
         IDLE,
@@ -72,7 +72,7 @@
     /** Changes whenever the state is read anew or becomes invalid, and when a term ends. */
     private long loadEpoch;
     /** Changes with each completed reading, which begins a watch of its own, and when a term ends: an earlier watch stops. */
-    private long watchRound;
+    private long watchEpoch;
 
     /**
      * Creates the loader, which reads nothing until {@link #reload}.
@@ -143,7 +143,7 @@
     /** Stops reading and watching, for the term has ended. */
     public void stop() {
         loadEpoch++;
-        watchRound++;
+        watchEpoch++;
         phase = Phase.IDLE;
     }
 
@@ -210,7 +210,7 @@
         misplacedFinalStates.clear();
         items.forEach(item -> addReadableRecord(item, old));
         if (!logReplay.replay(segments)) {
-            retryLater(LOG_RETRY_MS);
+            retryLater(LOG_RETRY_INTERVAL_MS);
             return;
         }
         for (Job job : clusterState.jobs()) {
@@ -224,7 +224,7 @@
                 changeLog.segmentCount(),
                 start.value());
         cancellations.markCompleteAsOf(asked);
-        watch(++watchRound, start);
+        watch(++watchEpoch, start);
         listener.stateLoaded();
     }
 
@@ -328,7 +328,7 @@
         requests.takeOrOverdraw(context.now(), 1);
         MonotonicTime asked = context.now();
         store.watch(JobRecord.OPEN_PREFIX, after, cancellations.watchHoldMs(), changes -> {
-            if (expectedWatch != watchRound) {
+            if (expectedWatch != watchEpoch) {
                 return;
             }
             if (changes.status() == 410 && phase == Phase.ACTIVE) {
@@ -351,7 +351,7 @@
 
     private void watchLater(long expectedWatch, long ms, Revision after) {
         context.schedule(ms, () -> {
-            if (expectedWatch == watchRound) {
+            if (expectedWatch == watchEpoch) {
                 watch(expectedWatch, after);
             }
         });
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -28,30 +28,30 @@
 public final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
     /** The share of a second's changes that is kept for launches and ends of jobs. */
-    private static final double RESERVED_WRITES = 0.4;
+    private static final double RESERVED_WRITE_SHARE = 0.4;
     /** Changes that are left to this node's own users: a leader that spent all would refuse every submission. */
-    private static final double USERS_WRITES = 4;
+    private static final double MAX_USER_WRITE_COUNT = 4;
 
-    private static final long ROTATE_EVERY_MS = 2000;
-    private static final long ROTATE_SOON_MS = 300;
+    private static final long ROTATION_INTERVAL_MS = 2000;
+    private static final long URGENT_ROTATION_INTERVAL_MS = 300;
     /** Where the state service allows few changes, its users get this share of them instead. */
-    private static final double USERS_SHARE = 0.15;
+    private static final double USER_WRITE_SHARE = 0.15;
     /** There are changes to spare where this share of the full budget is left. */
-    private static final double PLENTIFUL = 0.8;
+    private static final double PLENTIFUL_BUDGET_SHARE = 0.8;
     /**
      * After a commit with log segments the next one waits until the state service allows this many changes more, so that changes
      * remain for records and ends of jobs.
      */
-    private static final double LOG_SHARE = 4;
+    private static final double LOG_COMMIT_WRITE_COUNT = 4;
     /** With less of the full budget, and this many jobs that have ended at once, a job ends with one change instead of two. */
-    private static final double SCARCE = 0.5;
+    private static final double LOW_BUDGET_SHARE = 0.5;
 
-    private static final int MANY_ENDED_JOBS = 5;
-    private static final int MAX_RELOCATED = 6;
+    private static final int MANY_ENDED_JOB_COUNT = 5;
+    private static final int MAX_RELOCATED_COUNT = 6;
     /** Final states are moved seldom, and only while hardly anything else is written: commits wait for one another. */
-    private static final double IDLE = 0.95;
+    private static final double IDLE_BUDGET_SHARE = 0.95;
 
-    private static final long RELOCATE_EVERY_MS = 1000;
+    private static final long RELOCATION_INTERVAL_MS = 1000;
     private static final long MAX_COMMIT_DELAY_MS = 400;
     /** The pause after a transaction that the state service rejected. */
     private static final long REJECTED_DELAY_MS = 200;
@@ -84,10 +84,10 @@
     private final UnknownCommitResolver unknownCommits;
     private boolean commitInFlight;
     private boolean rotationRequested;
-    private MonotonicTime lastRotation = MonotonicTime.ZERO;
+    private MonotonicTime lastRotationAt = MonotonicTime.ZERO;
     private boolean rotationUrgent;
-    private MonotonicTime nextCommit = MonotonicTime.ZERO;
-    private MonotonicTime nextRelocation = MonotonicTime.ZERO;
+    private MonotonicTime nextCommitAt = MonotonicTime.ZERO;
+    private MonotonicTime nextRelocationAt = MonotonicTime.ZERO;
 
     /**
      * Creates the committer.
@@ -146,7 +146,7 @@
 
     /** Writes what has changed, if no transaction is in flight and the limits allow another. */
     public void commitPending() {
-        if (!loader.isActive() || commitInFlight || context.now().isBefore(nextCommit)) {
+        if (!loader.isActive() || commitInFlight || context.now().isBefore(nextCommitAt)) {
             return;
         }
         boolean rotating = isRotationDue();
@@ -166,14 +166,14 @@
         if (rotating) {
             rotationRequested = false;
             rotationUrgent = false;
-            lastRotation = context.now();
+            lastRotationAt = context.now();
         }
         List<Placement> placed = batch.newPlacements();
         Transaction transaction = batch.seal();
-        if (batch.segmentCount() > 0 && budget < PLENTIFUL * writes.capacity()) {
+        if (batch.segmentCount() > 0 && budget < PLENTIFUL_BUDGET_SHARE * writes.capacity()) {
             // The changes of the next moments share a segment.
-            long delayMs = Math.min(MAX_COMMIT_DELAY_MS, Math.round(1000 * LOG_SHARE / writes.rate()));
-            nextCommit = context.now().plusMs(delayMs);
+            long delayMs = Math.min(MAX_COMMIT_DELAY_MS, Math.round(1000 * LOG_COMMIT_WRITE_COUNT / writes.rate()));
+            nextCommitAt = context.now().plusMs(delayMs);
         }
         send(transaction, c -> completeCommit(c, rotating, batch, placed));
     }
@@ -181,25 +181,26 @@
     /** Each new fencing token makes every worker send one more heartbeat, so many lost commands share one rotation. */
     private boolean isRotationDue() {
         return rotationRequested
-                && context.now().since(lastRotation) >= (rotationUrgent ? ROTATE_SOON_MS : ROTATE_EVERY_MS);
+                && context.now().since(lastRotationAt)
+                        >= (rotationUrgent ? URGENT_ROTATION_INTERVAL_MS : ROTATION_INTERVAL_MS);
     }
 
     /** The changes that are left to users of this node. */
     private double userReserve() {
-        return Math.min(USERS_WRITES, USERS_SHARE * writes.capacity());
+        return Math.min(MAX_USER_WRITE_COUNT, USER_WRITE_SHARE * writes.capacity());
     }
 
     private WriteBatch collectBatch(double budget, boolean rotating, boolean foldDue) {
-        boolean scarce = budget < SCARCE * writes.capacity() && haveManyJobsEnded();
+        boolean scarce = budget < LOW_BUDGET_SHARE * writes.capacity() && haveManyJobsEnded();
         Transaction transaction = election.guardedTransaction();
         if (rotating) {
             election.addTokenRotation(transaction);
         }
         WriteBatch batch =
                 new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
-        selector.addDueWrites(batch, budget > RESERVED_WRITES * writes.rate(), scarce);
+        selector.addDueWrites(batch, budget > RESERVED_WRITE_SHARE * writes.rate(), scarce);
         if (foldDue) {
-            selector.compactLog(batch, budget > PLENTIFUL * writes.capacity());
+            selector.compactLog(batch, budget > PLENTIFUL_BUDGET_SHARE * writes.capacity());
         }
         return batch;
     }
@@ -207,9 +208,9 @@
     private boolean haveManyJobsEnded() {
         long ended = clusterState.dirtyJobs().stream()
                 .filter(PendingWriteSelector::isEnding)
-                .limit(MANY_ENDED_JOBS)
+                .limit(MANY_ENDED_JOB_COUNT)
                 .count();
-        return ended == MANY_ENDED_JOBS;
+        return ended == MANY_ENDED_JOB_COUNT;
     }
 
     /** Sends a transaction; {@code then} gets its result unless the state was read anew or the term ended meanwhile. */
@@ -236,7 +237,7 @@
     }
 
     private boolean isRelocationDue() {
-        return !loader.misplacedFinalStates().isEmpty() && !context.now().isBefore(nextRelocation);
+        return !loader.misplacedFinalStates().isEmpty() && !context.now().isBefore(nextRelocationAt);
     }
 
     /**
@@ -245,11 +246,11 @@
      * key that is deleted.
      */
     private void relocateFinalStates(double budget) {
-        int most = Math.min(MAX_RELOCATED, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
-        if (most < 1 || !isRelocationDue() || budget < IDLE * writes.capacity() - userReserve()) {
+        int most = Math.min(MAX_RELOCATED_COUNT, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
+        if (most < 1 || !isRelocationDue() || budget < IDLE_BUDGET_SHARE * writes.capacity() - userReserve()) {
             return;
         }
-        nextRelocation = context.now().plusMs(RELOCATE_EVERY_MS);
+        nextRelocationAt = context.now().plusMs(RELOCATION_INTERVAL_MS);
         Transaction transaction = election.guardedTransaction();
         List<StoreClient.KeyValue> moved =
                 loader.misplacedFinalStates().stream().limit(most).toList();
@@ -275,7 +276,7 @@
             }
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             case UNKNOWN -> unknownCommits.resolve();
-            case REJECTED -> nextCommit = context.now().plusMs(REJECTED_DELAY_MS);
+            case REJECTED -> nextCommitAt = context.now().plusMs(REJECTED_DELAY_MS);
             default -> throw new IllegalStateException("commit ended with " + commit.outcome());
         }
     }
@@ -307,7 +308,7 @@
             }
             case REJECTED -> {
                 restorePending(batch, rotating);
-                nextCommit = context.now().plusMs(REJECTED_DELAY_MS);
+                nextCommitAt = context.now().plusMs(REJECTED_DELAY_MS);
             }
             default -> throw new IllegalStateException("commit ended with " + commit.outcome());
         }
--- a/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
+++ b/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
@@ -12,7 +12,7 @@
  * before or never will be; then the state is read again.
  */
 final class UnknownCommitResolver {
-    private static final long RETRY_MS = 300;
+    private static final long RETRY_INTERVAL_MS = 300;
 
     private final ControllerContext context;
     private final StoreClient store;
@@ -73,7 +73,7 @@
     }
 
     private void retryLater(long expectedEpoch, Runnable action) {
-        context.schedule(RETRY_MS, () -> {
+        context.schedule(RETRY_INTERVAL_MS, () -> {
             if (expectedEpoch == loader.loadEpoch()) {
                 action.run();
             }
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -43,8 +43,8 @@
         final WriteMode mode;
         Map<String, ArrayNode> chunks;
         TaskChanges changes;
-        CommittedTasks stored;
-        CommittedTasks recorded;
+        CommittedTasks committedTasks;
+        CommittedTasks recordedTasks;
         int width;
         int failures;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    private static final int MAX_BYTES = 40_000;
+    private static final int MAX_TRANSACTION_BYTES = 40_000;
     private static final int RECORD_BYTES = 2500;
     private static final int GUARD_BYTES = 60;
 
@@ -65,8 +65,8 @@
     private final int maxGuards;
     private final ChangeLogSegment.Writer writer;
     private final List<JobWrite> writes = new ArrayList<>();
-    private final Map<Long, Integer> slots = new HashMap<>();
-    private final Map<Long, Set<JobId>> writtenJobs = new HashMap<>();
+    private final Map<Long, Integer> slotsByNumber = new HashMap<>();
+    private final Map<Long, Set<JobId>> jobsByNumber = new HashMap<>();
     private int bytes;
     private final CommitGuards guards;
     private final Set<String> keyGuards = new HashSet<>();
@@ -132,7 +132,7 @@
     private boolean fits(int ops, int more, int segments) {
         return writes.size() + keyGuards.size() < maxGuards - 1
                 && transaction.operationCount() + ops + segments <= maxOperations
-                && (writes.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MAX_BYTES);
+                && (writes.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MAX_TRANSACTION_BYTES);
     }
 
     private boolean addToLog(JobWrite part) {
@@ -144,7 +144,7 @@
         }
         bytes += GUARD_BYTES;
         writer.add(part.job.id(), part.changes);
-        part.stored = part.mode == WriteMode.LOG ? null : CommittedTasks.of(part.job.record);
+        part.committedTasks = part.mode == WriteMode.LOG ? null : CommittedTasks.of(part.job.record);
         return true;
     }
 
@@ -152,7 +152,7 @@
         Job job = part.job;
         part.chunks = job.record.chunks();
         boolean ends = part.mode == WriteMode.FINAL_STATE;
-        int changed = changedChunks(job, part.chunks);
+        int changed = countChangedChunks(job, part.chunks);
         int size = RECORD_BYTES
                 + 30 * sizes.chunkTasks() * changed
                 + (job.record.isChunked() ? 0 : 40 * job.record.live.size());
@@ -177,14 +177,14 @@
             transaction.delete(key).put(JobRecord.endedKey(job.id()), job.record.finalStateNode(job.finalState()));
         } else {
             job.record.foldedSegment = changeLog.lastNumber();
-            part.stored = CommittedTasks.of(job.record);
-            part.recorded = CommittedTasks.of(job.record);
+            part.committedTasks = CommittedTasks.of(job.record);
+            part.recordedTasks = CommittedTasks.of(job.record);
             transaction.put(key, job.record.toNode());
         }
         return true;
     }
 
-    private static int changedChunks(Job job, Map<String, ArrayNode> now) {
+    private static int countChangedChunks(Job job, Map<String, ArrayNode> now) {
         int count = 0;
         for (Map.Entry<String, ArrayNode> c : now.entrySet()) {
             count += c.getValue().equals(job.chunks.get(c.getKey())) ? 0 : 1;
@@ -200,8 +200,8 @@
         for (Map<JobId, TaskChanges> jobs : writer.segments()) {
             long number = changeLog.nextNumber();
             int slot = changeLog.reserveSlot();
-            slots.put(number, slot);
-            writtenJobs.put(number, jobs.keySet());
+            slotsByNumber.put(number, slot);
+            jobsByNumber.put(number, jobs.keySet());
             transaction.put(ChangeLogSegment.key(slot), new ChangeLogSegment(number, jobs).toNode());
         }
         return transaction;
@@ -220,7 +220,7 @@
 
     /** Frees the reserved slots, for the transaction was not applied. */
     void discard() {
-        slots.values().forEach(changeLog::releaseSlot);
+        slotsByNumber.values().forEach(changeLog::releaseSlot);
     }
 
     /** Records what the state service holds now, for the transaction was applied. */
@@ -230,16 +230,16 @@
                 part.job.committedTasks.apply(part.changes);
             } else if (part.mode == WriteMode.CONSOLIDATE) {
                 changeLog.removeJob(part.job.id());
-                part.job.committedTasks = part.stored;
+                part.job.committedTasks = part.committedTasks;
             } else {
                 changeLog.removeJob(part.job.id());
-                part.job.committedTasks = part.stored;
-                part.job.recordedTasks = part.recorded;
+                part.job.committedTasks = part.committedTasks;
+                part.job.recordedTasks = part.recordedTasks;
                 part.job.chunks = part.chunks;
                 part.job.committedWidth = part.width;
                 part.job.committedFailures = part.failures;
             }
         }
-        slots.forEach((number, slot) -> changeLog.recordSegment(number, slot, writtenJobs.get(number)));
+        slotsByNumber.forEach((number, slot) -> changeLog.recordSegment(number, slot, jobsByNumber.get(number)));
     }
 }
