--- a/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
+++ b/src/main/java/org/beechhoist/controller/state/PendingWriteSelector.java
@@ -8,17 +8,17 @@
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.MonotonicTime;
 
-/** Selects which jobs are written in the next transaction, and how each of them is written. */
+/** Selects the jobs to write in the next transaction and the write mode of each. */
 final class PendingWriteSelector {
-    /** The rank of writes that nobody waits for. */
+    /** The rank of writes without a waiting user or launch. */
     private static final int DEFERRED_RANK = 10;
-    /** Finished tasks are gathered this long before their job is written for them alone. */
+    /** A job whose only changes are finished tasks is not due before they have waited this long. */
     private static final long MAX_DEFER_MS = 2000;
-    /** A write that has waited this long is not overtaken by smaller ones any more. */
-    private static final long MAX_OVERTAKEN_MS = 1000;
+    /** Once a write that does not fit has waited this long, no smaller ones are written before it. */
+    private static final long MAX_BYPASSED_MS = 1000;
 
     private static final long COMPACTION_INTERVAL_MS = 1000;
-    /** A younger job will end before long, so its record is not written only to shorten the log. */
+    /** The record of a younger job is not written just to shorten the log, because the job will probably end soon. */
     private static final long MIN_COMPACTION_AGE_MS = 60_000;
 
     private static final int MAX_COMPACTED_RECORD_COUNT = 2;
@@ -33,10 +33,10 @@
     private final CommitGuards guards;
     private final BooleanSupplier logAllowed;
     private MonotonicTime nextCompactionAt = MonotonicTime.ZERO;
-    /** Whether changes run short, so that ends of jobs are written with one change instead of two. */
+    /** True if the write budget is low, so that final states are written with one operation instead of two. */
     private boolean writeBudgetLow;
 
-    /** Creates the selector; {@code logAllowed} says whether changes may be written to the change log. */
+    /** Creates the selector; {@code logAllowed} returns whether changes may be written to the change log. */
     PendingWriteSelector(
             ControllerContext context,
             ClusterState clusterState,
@@ -50,31 +50,31 @@
         this.logAllowed = logAllowed;
     }
 
-    /** Whether the job's final state is what is written next. */
+    /** Returns whether the next write of the job is its final state. */
     static boolean isEnding(Job job) {
         return job.record.live.isEmpty() && (job.record.isCancelled() || job.record.isComplete());
     }
 
     /**
-     * Adds the writes that are due to the batch, those of the highest priority first, and of the deferred ones those that cost no
-     * further change.
+     * Adds the due writes to the batch, highest priority first, and then those of the deferred writes that need no further
+     * operation.
      *
-     * @param spare whether there are changes to spare for deferred writes
-     * @param scarce whether changes run short
+     * @param deferredAllowed whether the write budget allows for deferred writes
+     * @param budgetLow whether the write budget is low
      */
-    void addDueWrites(WriteBatch batch, boolean spare, boolean scarce) {
-        writeBudgetLow = scarce;
+    void addDueWrites(WriteBatch batch, boolean deferredAllowed, boolean budgetLow) {
+        writeBudgetLow = budgetLow;
         List<DueWrite> due = new ArrayList<>();
         List<Job> deferred = new ArrayList<>();
         for (Job job : new ArrayList<>(clusterState.dirtyJobs())) {
-            classify(job, spare, due, deferred);
+            classify(job, deferredAllowed, due, deferred);
         }
         due.sort(Comparator.comparingInt(DueWrite::rank).thenComparing(d -> d.job.dirtySince));
         for (DueWrite next : due) {
             if (!addToBatch(batch, next.job)
                     && next.rank < DEFERRED_RANK
-                    && context.now().since(next.job.dirtySince) > MAX_OVERTAKEN_MS) {
-                break; // let the budget fill up for it instead of always spending it on smaller writes
+                    && context.now().since(next.job.dirtySince) > MAX_BYPASSED_MS) {
+                break; // let the budget grow for this write instead of spending it on smaller ones
             }
         }
         if (batch.segmentCount() == 0) {
@@ -87,23 +87,22 @@
         }
     }
 
-    /** Adds the job to the writes that are due or to those that are deferred, or to neither where it can't be written now. */
-    private void classify(Job job, boolean spare, List<DueWrite> due, List<Job> deferred) {
+    /** Adds the job to the due writes or to the deferred ones, or to neither if it can't be written now. */
+    private void classify(Job job, boolean deferredAllowed, List<DueWrite> due, List<Job> deferred) {
         if (job.isRecordOutdated()) {
-            return; // its record holds a cancellation that has not been read yet; the watch brings it
+            return; // the stored record has a cancellation that has not been read yet; the watch will report it
         }
         if (!isEnding(job) && !guards.mayWrite(job)) {
-            return; // its key set has changed: whether its placements are written is decided once the new version is
-            // known
+            return; // the key set has changed; its new version decides whether the placements may be written
         }
         int rank = writeRank(job);
         // A finished task frees its machine without this write: the worker's heartbeat proves the end, to a later
-        // leader too.
-        if (rank == DEFERRED_RANK && !(spare && context.now().since(job.dirtySince) >= MAX_DEFER_MS)) {
+        // leader as well.
+        if (rank == DEFERRED_RANK && !(deferredAllowed && context.now().since(job.dirtySince) >= MAX_DEFER_MS)) {
             deferred.add(job);
         } else if (writeMode(job) == WriteBatch.WriteMode.LOG
                 && job.committedTasks.changesTo(job.record).isEmpty()) {
-            clusterState.markInFlight(job); // it was marked as dirty, but is as the state service holds it
+            clusterState.markInFlight(job); // marked as dirty, but the state service already holds the same
             job.inFlight = false;
         } else {
             due.add(new DueWrite(job, rank));
@@ -131,9 +130,9 @@
     }
 
     /**
-     * The order of the writes: jobs of higher priority first; within a priority jobs that have ended, for their users wait, then
-     * launches. Ended tasks come last. With all ends first, the ends of thousands of tiny jobs delayed urgent launches for
-     * seconds.
+     * Returns the position in the write order: jobs of higher priority first; within a priority, ended jobs, because their users
+     * are waiting, before launches. Finished tasks come last. When all ended jobs came first, those of thousands of tiny jobs
+     * delayed urgent launches for seconds.
      */
     private static int writeRank(Job job) {
         if (isEnding(job)) {
@@ -149,13 +148,13 @@
     }
 
     /**
-     * Keeps the log short. Where it is crowded, what the oldest segments hold of open jobs is consolidated in new segments, one or
-     * two each time; where there are changes to spare, the record of a job that has been open for long is written.
+     * Keeps the log short. If it has too many segments, the changes of open jobs in the oldest ones are consolidated into one or
+     * two new segments; otherwise, if the write budget is plentiful, records of long-open jobs are written.
      */
-    void compactLog(WriteBatch batch, boolean plentiful) {
+    void compactLog(WriteBatch batch, boolean budgetPlentiful) {
         nextCompactionAt = context.now().plusMs(COMPACTION_INTERVAL_MS);
         boolean consolidate = changeLog.needsConsolidation() && logAllowed.getAsBoolean();
-        if (!consolidate && !plentiful) {
+        if (!consolidate && !budgetPlentiful) {
             return;
         }
         int segmentsBefore = batch.segmentCount();
--- a/src/main/java/org/beechhoist/controller/state/PrefixReader.java
+++ b/src/main/java/org/beechhoist/controller/state/PrefixReader.java
@@ -6,8 +6,8 @@
 import org.beechhoist.store.TokenBucket;
 
 /**
- * Reads all of a prefix once when a term begins, page by page; each page is requested again until there is an answer or the term
- * is over.
+ * Reads all items of a prefix once when a term begins, page by page; each page is requested again until it is answered or the term
+ * ends.
  */
 public final class PrefixReader {
     private static final long RETRY_INTERVAL_MS = 700;
@@ -21,8 +21,8 @@
     /**
      * Creates a reader.
      *
-     * @param requests tokens for requests to the state service
-     * @param clusterState tells which term it is
+     * @param requests rate limit of requests to the state service
+     * @param clusterState provides the current term
      */
     public PrefixReader(ControllerContext context, StoreClient store, TokenBucket requests, ClusterState clusterState) {
         this.context = context;
@@ -31,12 +31,13 @@
         this.clusterState = clusterState;
     }
 
-    /** Reads all of the prefix; {@code each} gets every item, and {@code done} is run after the last. */
-    public void read(String prefix, Consumer<StoreClient.KeyValue> each, Runnable done) {
-        readPage(clusterState.term(), prefix, null, each, done);
+    /** Reads all items of the prefix; {@code onItem} receives each item, and {@code onDone} is run after the last. */
+    public void read(String prefix, Consumer<StoreClient.KeyValue> onItem, Runnable onDone) {
+        readPage(clusterState.term(), prefix, null, onItem, onDone);
     }
 
-    private void readPage(long term, String prefix, String after, Consumer<StoreClient.KeyValue> each, Runnable done) {
+    private void readPage(
+            long term, String prefix, String after, Consumer<StoreClient.KeyValue> onItem, Runnable onDone) {
         if (term != clusterState.term()) {
             return;
         }
@@ -46,14 +47,14 @@
                 return;
             }
             if (!page.isOk()) {
-                context.schedule(RETRY_INTERVAL_MS, () -> readPage(term, prefix, after, each, done));
+                context.schedule(RETRY_INTERVAL_MS, () -> readPage(term, prefix, after, onItem, onDone));
                 return;
             }
-            page.items().forEach(each);
+            page.items().forEach(onItem);
             if (page.more() && !page.items().isEmpty()) {
-                readPage(term, prefix, page.items().get(page.items().size() - 1).key(), each, done);
+                readPage(term, prefix, page.items().get(page.items().size() - 1).key(), onItem, onDone);
             } else {
-                done.run();
+                onDone.run();
             }
         });
     }
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -27,15 +27,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the open records into the cluster state: all of them when a term begins or the state is in doubt, then their changes as
- * they are watched.
+ * Loads the open records into the cluster state: all of them when a term begins or the state is in doubt, then their watched
+ * changes.
  */
 public final class StateLoader {
     private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
-    /** A placement that is recorded as older is taken to be of this age. */
+    /** A placement with an older recorded time is treated as being of this age. */
     private static final long MAX_PLACEMENT_AGE_MS = 24L * 3600 * 1000;
 
     private static final long LOG_RETRY_INTERVAL_MS = 5000;
+    private static final long PAGE_RETRY_INTERVAL_MS = 250;
+    private static final long WATCH_RETRY_INTERVAL_MS = 300;
+    /** The leader's own commits are watched too; this pause keeps a busy day from using up the request limit on them. */
+    private static final long CHANGE_PAUSE_MS = 40;
+
+    private static final int PAGE_SIZE = 200;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_GONE = 410;
 
     private enum Phase {
         IDLE,
@@ -43,15 +51,15 @@
         ACTIVE
     }
 
-    /** Is notified of what the records hold. */
+    /** Receives events about the records. */
     public interface Listener {
-        /** All open records are known, as of a revision after the term began or the state came into doubt. */
+        /** Called when all open records are loaded, as of a revision after the term began or the state became doubtful. */
         void stateLoaded();
 
-        /** A job's cancellation is committed, by any node; the change of its record is applied before or after this call. */
+        /** Called when any node has committed a job's cancellation; the change of its record is applied before or after this call. */
         void jobCancelled(JobId jobId);
 
-        /** The user of a job has allowed another width. */
+        /** Called when the user of a job has changed its allowed width. */
         void jobResized(Job job);
     }
 
@@ -69,19 +77,19 @@
     private final WatchedChangeApplier changeApplier;
     private final Set<StoreClient.KeyValue> misplacedFinalStates = new LinkedHashSet<>();
     private Phase phase = Phase.IDLE;
-    /** Changes whenever the state is read anew or becomes invalid, and when a term ends. */
+    /** Changes whenever the state is reloaded or invalidated, and when a term ends. */
     private long loadEpoch;
-    /** Changes with each completed reading, which begins a watch of its own, and when a term ends: an earlier watch stops. */
+    /** Changes with each completed load, which begins a new watch, and when a term ends; earlier watches stop. */
     private long watchEpoch;
 
     /**
-     * Creates the loader, which reads nothing until {@link #reload}.
+     * Creates the loader; nothing is read before {@link #reload}.
      *
      * @param services the services of the controller
-     * @param clusterState the state that is loaded
-     * @param estimates how long tasks are expected to run
+     * @param clusterState the state to load into
+     * @param estimates expected task durations
      * @param changeLog the segments of the change log that are in use
-     * @param cancellations committed cancellations
+     * @param cancellations known committed cancellations
      */
     public StateLoader(
             ControllerServices services,
@@ -104,7 +112,7 @@
         this.changeApplier = new WatchedChangeApplier(clusterState, reader, cancellations, listener);
     }
 
-    /** Final states that are stored under the keys of open records, to be moved to keys of their own. */
+    /** Returns the final states stored under keys of open records; they are to be moved to keys of their own. */
     Collection<StoreClient.KeyValue> misplacedFinalStates() {
         return misplacedFinalStates;
     }
@@ -113,34 +121,34 @@
         misplacedFinalStates.add(item);
     }
 
-    /** Changes whenever the state is read anew or becomes invalid: results of calls of an earlier epoch are ignored. */
+    /** Returns a number that changes whenever the state is reloaded or invalidated; results of calls from an earlier epoch are ignored. */
     long loadEpoch() {
         return loadEpoch;
     }
 
-    /** Whether the cluster state holds all open records. */
+    /** Returns whether the cluster state holds all open records. */
     public boolean isLoaded() {
         return phase == Phase.ACTIVE;
     }
 
-    /** Whether commands may be sent: the cluster state holds all open records and this node still holds the lease. */
+    /** Returns whether commands may be sent: the cluster state holds all open records and this node still holds the lease. */
     public boolean isActive() {
         return isLoaded() && election.holdsLease();
     }
 
-    /** Reads all open records anew; pages of an earlier reading that still arrive are ignored. */
+    /** Reads all open records again; pages of an earlier load that still arrive are ignored. */
     public void reload() {
         loadEpoch++;
         load();
     }
 
-    /** Marks the cluster state as in doubt until it is read again. */
+    /** Marks the cluster state as in doubt until it is reloaded. */
     void invalidate() {
         loadEpoch++;
         phase = Phase.LOADING;
     }
 
-    /** Stops reading and watching, for the term has ended. */
+    /** Stops loading and watching because the term has ended. */
     public void stop() {
         loadEpoch++;
         watchEpoch++;
@@ -150,17 +158,18 @@
     private void load() {
         phase = Phase.LOADING;
         List<StoreClient.KeyValue> records = new ArrayList<>();
-        MonotonicTime asked = context.now();
-        // Records before the log: a job that is added in between has nothing in the log yet.
-        loadPrefix(JobRecord.OPEN_PREFIX, records, null, start -> loadSegments(records, start, asked));
+        MonotonicTime requestedAt = context.now();
+        // Records are read before the log: a job added in between has no changes in the log yet.
+        loadPrefix(JobRecord.OPEN_PREFIX, records, null, start -> loadSegments(records, start, requestedAt));
     }
 
-    private void loadSegments(List<StoreClient.KeyValue> records, Revision start, MonotonicTime asked) {
+    private void loadSegments(List<StoreClient.KeyValue> records, Revision start, MonotonicTime requestedAt) {
         List<StoreClient.KeyValue> segments = new ArrayList<>();
-        loadPrefix(ChangeLogSegment.PREFIX, segments, start, ignored -> finishLoad(records, segments, start, asked));
+        loadPrefix(
+                ChangeLogSegment.PREFIX, segments, start, ignored -> finishLoad(records, segments, start, requestedAt));
     }
 
-    /** Reads all of a prefix into {@code items}; {@code first} is the revision from which changes are watched, if known. */
+    /** Reads all items of a prefix; {@code first} is the revision from which changes are watched, or null if not known. */
     private void loadPrefix(String prefix, List<StoreClient.KeyValue> items, Revision first, Consumer<Revision> then) {
         loadPage(loadEpoch, prefix, null, items, first, then);
     }
@@ -173,12 +182,12 @@
             Revision first,
             Consumer<Revision> then) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.list(prefix, after, 200, page -> {
+        store.list(prefix, after, PAGE_SIZE, page -> {
             if (expectedEpoch != loadEpoch) {
                 return;
             }
             if (!page.isOk()) {
-                retryLater(250);
+                retryLater(PAGE_RETRY_INTERVAL_MS);
                 return;
             }
             items.addAll(page.items());
@@ -204,7 +213,7 @@
             List<StoreClient.KeyValue> items,
             List<StoreClient.KeyValue> segments,
             Revision start,
-            MonotonicTime asked) {
+            MonotonicTime requestedAt) {
         Map<TaskId, Placement> before = takeAllPlacements();
         Map<JobId, Job> old = clusterState.removeAllJobs();
         misplacedFinalStates.clear();
@@ -223,12 +232,12 @@
                 clusterState.jobs().size(),
                 changeLog.segmentCount(),
                 start.value());
-        cancellations.markCompleteAsOf(asked);
+        cancellations.markCompleteAsOf(requestedAt);
         watch(++watchEpoch, start);
         listener.stateLoaded();
     }
 
-    /** Removes all placements from the machines and returns them. */
+    /** Removes all placements from the machines and returns them by task. */
     private Map<TaskId, Placement> takeAllPlacements() {
         Map<TaskId, Placement> out = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
@@ -248,10 +257,10 @@
     }
 
     /**
-     * Restores what is not in the records of a job that was just read.
+     * Restores the state of a job that is not stored in its record, after the record was read.
      *
-     * @param known the job as it was before, or null
-     * @param before all placements as they were before
+     * @param known the job before the load, or null
+     * @param before all placements before the load
      */
     private void restoreJob(Job job, Job known, Map<TaskId, Placement> before) {
         for (Map.Entry<Integer, Placement> live : job.record.live.entrySet()) {
@@ -270,7 +279,7 @@
             }
         }
         if (known == null && !job.record.live.isEmpty()) {
-            // The records do not hold the last progress; without this, each new leader took all jobs for stalled.
+            // The records do not include the last progress; without this, each new leader treated all jobs as stalled.
             job.lastProgressAt = context.now();
         }
         if (job.record.isCancelled() || job.record.isComplete()) {
@@ -278,22 +287,22 @@
         }
     }
 
-    /** Whether the placement that was known is the one that was read, and known to be committed. */
+    /** Returns whether the known placement is the one that was read and is known to be committed. */
     private static boolean isCommittedAs(Placement known, Placement read) {
         return known != null && known.attempt == read.attempt && known.machine.equals(read.machine) && known.committed;
     }
 
     /**
-     * Prepares a placement that is known from the records alone. Some leader, perhaps this one, may have launched it: only a
-     * worker that has seen this term's newest fencing token can prove that the task is not there.
+     * Initializes a placement that is known only from the records. A leader, possibly this one, may have launched it: only a worker
+     * that has seen this term's newest fencing token can prove that the task is absent.
      */
     private void markRecovered(Job job, Placement placement) {
         placement.committed = true;
         placement.launchSent = true;
         placement.evidenceFrom = election.fencingToken();
         placement.recovered = true;
-        long ago = context.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
-        placement.placedAt = context.now().plusMs(-Math.max(0, Math.min(ago, MAX_PLACEMENT_AGE_MS)));
+        long ageMs = context.wallMs() - job.record.submittedWallMs - 1000L * placement.placedS;
+        placement.placedAt = context.now().plusMs(-Math.max(0, Math.min(ageMs, MAX_PLACEMENT_AGE_MS)));
         placement.expectedDurationMs = estimates.expectedMs(job.spec());
     }
 
@@ -321,43 +330,41 @@
     }
 
     /**
-     * Watches the changes of open records. While the cluster state is in doubt the watch continues for cancellations alone: a
-     * commit without an answer may take long to resolve, and no cancellation may wait for that.
+     * Watches the changes of open records. While the cluster state is in doubt, the watch continues for cancellations only: an
+     * unknown commit result may take long to resolve, and cancellations must not wait for it.
      */
-    private void watch(long expectedWatch, Revision after) {
+    private void watch(long expectedWatchEpoch, Revision after) {
         requests.takeOrOverdraw(context.now(), 1);
-        MonotonicTime asked = context.now();
+        MonotonicTime requestedAt = context.now();
         store.watch(JobRecord.OPEN_PREFIX, after, cancellations.watchHoldMs(), changes -> {
-            if (expectedWatch != watchEpoch) {
+            if (expectedWatchEpoch != watchEpoch) {
                 return;
             }
-            if (changes.status() == 410 && phase == Phase.ACTIVE) {
+            if (changes.status() == STATUS_GONE && phase == Phase.ACTIVE) {
                 reload();
             }
-            if (changes.status() != 200) {
-                watchLater(expectedWatch, 300, after);
+            if (changes.status() != STATUS_OK) {
+                watchLater(expectedWatchEpoch, WATCH_RETRY_INTERVAL_MS, after);
                 return;
             }
             changes.changes().forEach(changeApplier::recordCancellation);
             if (phase == Phase.ACTIVE) {
                 changes.changes().forEach(changeApplier::apply);
             }
-            cancellations.markCompleteAsOf(asked);
-            // This leader's own commits are watched too; a short pause keeps a busy day from spending the request limit
-            // on them.
-            watchLater(expectedWatch, changes.changes().isEmpty() ? 0 : 40, changes.revision());
+            cancellations.markCompleteAsOf(requestedAt);
+            watchLater(expectedWatchEpoch, changes.changes().isEmpty() ? 0 : CHANGE_PAUSE_MS, changes.revision());
         });
     }
 
-    private void watchLater(long expectedWatch, long ms, Revision after) {
+    private void watchLater(long expectedWatchEpoch, long ms, Revision after) {
         context.schedule(ms, () -> {
-            if (expectedWatch == watchEpoch) {
-                watch(expectedWatch, after);
+            if (expectedWatchEpoch == watchEpoch) {
+                watch(expectedWatchEpoch, after);
             }
         });
     }
 
-    /** Applies the change of the job's record that arrived while a commit of the job was in flight, if there is one. */
+    /** Applies the change of the job's record that arrived during a commit of the job, if any. */
     void applyPendingChange(Job job) {
         changeApplier.applyPending(job);
     }
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -22,49 +22,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what the cluster state holds and the state service does not, one transaction at a time, jobs of the highest priority
+ * Commits pending changes of the cluster state to the state service, one transaction at a time, jobs of the highest priority
  * first.
  */
 public final class TransactionCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(TransactionCommitter.class);
-    /** The share of a second's changes that is kept for launches and ends of jobs. */
+    /** The share of one second's write limit that is reserved for launches and ended jobs. */
     private static final double RESERVED_WRITE_SHARE = 0.4;
-    /** Changes that are left to this node's own users: a leader that spent all would refuse every submission. */
+    /** Writes reserved for this node's own users; a leader that used all writes would reject every submission. */
     private static final double MAX_USER_WRITE_COUNT = 4;
 
     private static final long ROTATION_INTERVAL_MS = 2000;
     private static final long URGENT_ROTATION_INTERVAL_MS = 300;
-    /** Where the state service allows few changes, its users get this share of them instead. */
+    /** If the state service allows few writes, this share of them is reserved for users instead. */
     private static final double USER_WRITE_SHARE = 0.15;
-    /** There are changes to spare where this share of the full budget is left. */
+    /** The write budget is plentiful if at least this share of it is left. */
     private static final double PLENTIFUL_BUDGET_SHARE = 0.8;
     /**
-     * After a commit with log segments the next one waits until the state service allows this many changes more, so that changes
-     * remain for records and ends of jobs.
+     * After a commit with log segments, the next commit waits until the state service allows this many further writes, so that
+     * writes remain for records and ended jobs.
      */
     private static final double LOG_COMMIT_WRITE_COUNT = 4;
-    /** With less of the full budget, and this many jobs that have ended at once, a job ends with one change instead of two. */
+    /**
+     * With less than this share of the full budget, and {@link #MANY_ENDED_JOB_COUNT} ended jobs at once, a final state is written
+     * with one operation instead of two.
+     */
     private static final double LOW_BUDGET_SHARE = 0.5;
 
     private static final int MANY_ENDED_JOB_COUNT = 5;
     private static final int MAX_RELOCATED_COUNT = 6;
-    /** Final states are moved seldom, and only while hardly anything else is written: commits wait for one another. */
+    /**
+     * Final states are relocated rarely and only while at least this share of the budget is left, because commits wait for one another.
+     */
     private static final double IDLE_BUDGET_SHARE = 0.95;
 
     private static final long RELOCATION_INTERVAL_MS = 1000;
     private static final long MAX_COMMIT_DELAY_MS = 400;
-    /** The pause after a transaction that the state service rejected. */
+    /** The pause after a transaction rejected by the state service. */
     private static final long REJECTED_DELAY_MS = 200;
 
-    /** Is notified of what has been committed, for what may follow only then. */
+    /** Receives committed changes, for actions that are allowed only after the commit. */
     public interface Listener {
-        /** These placements are committed: their launches may be sent. */
-        void placementsCommitted(List<Placement> placed);
+        /** Called when placements are committed, so that their launches may be sent. */
+        void placementsCommitted(List<Placement> placements);
 
-        /** The job's record is committed as it was sent. */
+        /** Called when the changes of the job in a transaction are committed. */
         void jobCommitted(Job job);
 
-        /** The job's final state is committed. */
+        /** Called when the job's final state is committed. */
         void jobEnded(Job job, JsonNode state);
     }
 
@@ -93,10 +98,10 @@
      * Creates the committer.
      *
      * @param services the services of the controller
-     * @param clusterState the state that is written
-     * @param loader reads the state again where a result is in doubt
+     * @param clusterState the state to write
+     * @param loader reloads the state if the result of a commit is in doubt
      * @param changeLog the segments of the change log that are in use
-     * @param guards conditions for new placements
+     * @param guards conditions on new placements
      * @param logAllowed whether changes may be written to the change log
      */
     public TransactionCommitter(
@@ -123,28 +128,28 @@
         this.unknownCommits = new UnknownCommitResolver(services, loader);
     }
 
-    /** Forgets the transaction in flight and requested rotations, for a term begins or ends. */
+    /** Discards the transaction in flight and requested rotations; called when a term begins or ends. */
     public void reset() {
         commitInFlight = false;
         rotationRequested = false;
         rotationUrgent = false;
     }
 
-    /** Requests a new fencing token: a command may be executed late as long as its worker has seen no newer one. */
+    /** Requests a new fencing token: a command may be executed late until its worker has seen a newer token. */
     public void requestTokenRotation() {
         rotationRequested = true;
     }
 
     /**
-     * Requests a new fencing token soon, for the launch of a cancelled job may be executed late. Workers report a newer token at
-     * most twice a lease.
+     * Requests a new fencing token soon, because the launch of a cancelled job may be executed late. Workers report a newer token
+     * at most twice per lease.
      */
     public void requestUrgentTokenRotation() {
         rotationRequested = true;
         rotationUrgent = true;
     }
 
-    /** Writes what has changed, if no transaction is in flight and the limits allow another. */
+    /** Writes pending changes if no transaction is in flight and the rate limits allow another. */
     public void commitPending() {
         if (!loader.isActive() || commitInFlight || context.now().isBefore(nextCommitAt)) {
             return;
@@ -168,37 +173,37 @@
             rotationUrgent = false;
             lastRotationAt = context.now();
         }
-        List<Placement> placed = batch.newPlacements();
+        List<Placement> placements = batch.newPlacements();
         Transaction transaction = batch.seal();
         if (batch.segmentCount() > 0 && budget < PLENTIFUL_BUDGET_SHARE * writes.capacity()) {
-            // The changes of the next moments share a segment.
+            // Changes during the delay share a segment.
             long delayMs = Math.min(MAX_COMMIT_DELAY_MS, Math.round(1000 * LOG_COMMIT_WRITE_COUNT / writes.rate()));
             nextCommitAt = context.now().plusMs(delayMs);
         }
-        send(transaction, c -> completeCommit(c, rotating, batch, placed));
+        send(transaction, c -> completeCommit(c, rotating, batch, placements));
     }
 
-    /** Each new fencing token makes every worker send one more heartbeat, so many lost commands share one rotation. */
+    /** Returns whether to rotate the token. Each new token causes one extra heartbeat per worker, so lost commands share a rotation. */
     private boolean isRotationDue() {
         return rotationRequested
                 && context.now().since(lastRotationAt)
                         >= (rotationUrgent ? URGENT_ROTATION_INTERVAL_MS : ROTATION_INTERVAL_MS);
     }
 
-    /** The changes that are left to users of this node. */
+    /** Returns the number of writes reserved for users of this node. */
     private double userReserve() {
         return Math.min(MAX_USER_WRITE_COUNT, USER_WRITE_SHARE * writes.capacity());
     }
 
     private WriteBatch collectBatch(double budget, boolean rotating, boolean foldDue) {
-        boolean scarce = budget < LOW_BUDGET_SHARE * writes.capacity() && haveManyJobsEnded();
+        boolean budgetLow = budget < LOW_BUDGET_SHARE * writes.capacity() && haveManyJobsEnded();
         Transaction transaction = election.guardedTransaction();
         if (rotating) {
             election.addTokenRotation(transaction);
         }
         WriteBatch batch =
                 new WriteBatch(transaction, settings.stateLimits(), sizes, changeLog, guards, (int) Math.floor(budget));
-        selector.addDueWrites(batch, budget > RESERVED_WRITE_SHARE * writes.rate(), scarce);
+        selector.addDueWrites(batch, budget > RESERVED_WRITE_SHARE * writes.rate(), budgetLow);
         if (foldDue) {
             selector.compactLog(batch, budget > PLENTIFUL_BUDGET_SHARE * writes.capacity());
         }
@@ -213,8 +218,8 @@
         return ended == MANY_ENDED_JOB_COUNT;
     }
 
-    /** Sends a transaction; {@code then} gets its result unless the state was read anew or the term ended meanwhile. */
-    private void send(Transaction transaction, Consumer<CommitResult> then) {
+    /** Sends a transaction; {@code onResult} receives its result unless the state was reloaded or the term ended before. */
+    private void send(Transaction transaction, Consumer<CommitResult> onResult) {
         commitInFlight = true;
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
@@ -226,11 +231,11 @@
             }
             commitInFlight = false;
             if (expectedEpoch == loader.loadEpoch()) {
-                then.accept(commit);
+                onResult.accept(commit);
             } else {
-                // The state was read anew meanwhile, perhaps without this commit, so its result must be made certain.
-                // Without this, the commit would be taken for one that never ends, and nothing would be written any
-                // more.
+                // The state was reloaded before the result arrived, possibly without this commit, so the result must be
+                // resolved.
+                // Otherwise the commit would be treated as never ending, and nothing would be written any more.
                 unknownCommits.resolve();
             }
         });
@@ -241,19 +246,20 @@
     }
 
     /**
-     * Moves final states that are stored under the keys of open records to keys of their own, so that the next leader need not
-     * read them. A job has one of the two keys at any moment: both changes are one transaction, guarded by the version of the
-     * key that is deleted.
+     * Moves final states stored under keys of open records to keys of their own, so that the next leader need not read them. A job
+     * has exactly one of the two keys at any time: both operations are in one transaction, guarded by the version of the deleted
+     * key.
      */
     private void relocateFinalStates(double budget) {
-        int most = Math.min(MAX_RELOCATED_COUNT, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
-        if (most < 1 || !isRelocationDue() || budget < IDLE_BUDGET_SHARE * writes.capacity() - userReserve()) {
+        int maxCount =
+                Math.min(MAX_RELOCATED_COUNT, Math.min(settings.stateLimits().txnOps(), (int) budget) / 2);
+        if (maxCount < 1 || !isRelocationDue() || budget < IDLE_BUDGET_SHARE * writes.capacity() - userReserve()) {
             return;
         }
         nextRelocationAt = context.now().plusMs(RELOCATION_INTERVAL_MS);
         Transaction transaction = election.guardedTransaction();
         List<StoreClient.KeyValue> moved =
-                loader.misplacedFinalStates().stream().limit(most).toList();
+                loader.misplacedFinalStates().stream().limit(maxCount).toList();
         for (StoreClient.KeyValue item : moved) {
             JobId jobId = new JobId(item.key().substring(JobRecord.OPEN_PREFIX.length()));
             transaction
@@ -277,31 +283,31 @@
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             case UNKNOWN -> unknownCommits.resolve();
             case REJECTED -> nextCommitAt = context.now().plusMs(REJECTED_DELAY_MS);
-            default -> throw new IllegalStateException("commit ended with " + commit.outcome());
+            default -> throw new IllegalStateException("unexpected commit outcome: " + commit.outcome());
         }
     }
 
-    /** The number of jobs that are to be written, from which this node's demand for changes follows. */
+    /** Returns the number of jobs to be written, which determines this node's demand for writes. */
     public int pendingWriteCount() {
         return loader.isActive() ? clusterState.dirtyJobs().size() : 0;
     }
 
-    private void completeCommit(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+    private void completeCommit(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placements) {
         batch.writes().forEach(w -> w.job.inFlight = false);
-        applyOutcome(commit, rotating, batch, placed);
+        applyOutcome(commit, rotating, batch, placements);
         if (loader.isLoaded()) {
             batch.writes().forEach(w -> loader.applyPendingChange(w.job));
         }
     }
 
-    private void applyOutcome(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+    private void applyOutcome(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placements) {
         switch (commit.outcome()) {
-            case COMMITTED -> applyCommitted(commit, rotating, batch, placed);
+            case COMMITTED -> applyCommitted(commit, rotating, batch, placements);
             case CONFLICT -> resolveConflict(commit, rotating, batch);
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
             case UNKNOWN -> {
                 LOG.info(
-                        "commit result unknown, rewriting the leader's key: token={} jobs={}",
+                        "commit result unknown, rewriting the leader key: token={} jobs={}",
                         election.fencingToken().value(),
                         batch.writes().size());
                 unknownCommits.resolve();
@@ -310,11 +316,11 @@
                 restorePending(batch, rotating);
                 nextCommitAt = context.now().plusMs(REJECTED_DELAY_MS);
             }
-            default -> throw new IllegalStateException("commit ended with " + commit.outcome());
+            default -> throw new IllegalStateException("unexpected commit outcome: " + commit.outcome());
         }
     }
 
-    private void applyCommitted(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placed) {
+    private void applyCommitted(CommitResult commit, boolean rotating, WriteBatch batch, List<Placement> placements) {
         if (rotating) {
             election.adoptToken(commit.revision());
             LOG.info("token rotated: token={}", election.fencingToken().value());
@@ -323,14 +329,14 @@
         for (WriteBatch.JobWrite write : batch.writes()) {
             applyCommittedWrite(write, commit.revision());
         }
-        for (Placement placement : placed) {
+        for (Placement placement : placements) {
             placement.committed = true;
             Job job = clusterState.job(placement.task.job());
             if (job != null && job.record.live.get(placement.task.index()) == placement) {
                 job.uncommittedPlacements--;
             }
         }
-        listener.placementsCommitted(placed);
+        listener.placementsCommitted(placements);
         batch.writes().forEach(w -> listener.jobCommitted(w.job));
     }
 
@@ -351,7 +357,8 @@
             job.version = revision;
         }
         if (PendingWriteSelector.isEnding(job)) {
-            // It was written only to shorten the log and has ended meanwhile; left as clean, it would never end.
+            // The job was written only to shorten the log, and all its tasks ended during the commit. Unless marked as
+            // dirty, it would never end.
             clusterState.markDirty(job);
         }
     }
@@ -362,13 +369,13 @@
         } else if (guards.handleGuardConflict(commit.failedKeys())) {
             restorePending(batch, rotating);
         } else {
-            // Most likely a cancellation was committed first: read the state again and continue from there.
+            // Most likely a cancellation was committed first: reload the state and continue from there.
             LOG.info("commit conflict: keys={}", commit.failedKeys());
             loader.reload();
         }
     }
 
-    /** Marks everything in the batch as still to be written. */
+    /** Marks the jobs and the token rotation of the batch as still to be written. */
     private void restorePending(WriteBatch batch, boolean rotating) {
         batch.discard();
         rotationRequested |= rotating;
--- a/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
+++ b/src/main/java/org/beechhoist/controller/state/UnknownCommitResolver.java
@@ -8,8 +8,8 @@
 import org.beechhoist.store.Transaction;
 
 /**
- * Resolves a commit whose result is unknown: rewriting the leader's key under its guard makes sure that the commit was applied
- * before or never will be; then the state is read again.
+ * Resolves a commit whose result is unknown: after the leader key is rewritten under its guard, the commit either was applied before
+ * or never will be; then the state is reloaded.
  */
 final class UnknownCommitResolver {
     private static final long RETRY_INTERVAL_MS = 300;
@@ -30,7 +30,7 @@
         this.loader = loader;
     }
 
-    /** Marks the state as in doubt, rewrites the leader's key and then has the state read again. */
+    /** Marks the state as in doubt, rewrites the leader key and then reloads the state. */
     void resolve() {
         loader.invalidate();
         long expectedEpoch = loader.loadEpoch();
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Resolves a conflict on the leader's key: either an earlier rewrite by this leader was applied and only its answer was lost,
-     * or another node has written the key. Its own rewrite resolves the unknown commit as well, for no transaction that is
-     * guarded by the older revision can be applied any more.
+     * Resolves a conflict on the leader key: either an earlier rewrite by this leader was applied and only its answer was lost, or
+     * another node has written the key. An earlier rewrite by this leader resolves the unknown commit as well, because no
+     * transaction guarded by the older revision can be applied any more.
      */
     private void resolveRewrittenKey(long expectedEpoch) {
         election.readKeyOwnership(ownership -> {
--- a/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
+++ b/src/main/java/org/beechhoist/controller/state/WatchedChangeApplier.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Applies the watched changes of open records to the cluster state: new jobs, cancellations, and widths that users allow. */
+/** Applies the watched changes of open records to the cluster state: new jobs, cancellations and changed widths. */
 final class WatchedChangeApplier {
     private static final Logger LOG = LoggerFactory.getLogger(WatchedChangeApplier.class);
 
@@ -28,20 +28,20 @@
         this.listener = listener;
     }
 
-    /** Records the cancellation of a job where the change holds one. It counts at once, also while a commit of the job is in flight. */
+    /** Records the cancellation of a job if the change has one; it takes effect at once, even while a commit of the job is in flight. */
     void recordCancellation(StoreClient.KeyValue item) {
-        long at = item.value() == null || JobRecord.isFinalState(item.value())
+        long cancelledAtMs = item.value() == null || JobRecord.isFinalState(item.value())
                 ? 0
                 : JobRecord.cancelledAtWallMs(item.value());
-        if (at > 0 && !JobRecordReader.isChunkKey(item.key())) {
+        if (cancelledAtMs > 0 && !JobRecordReader.isChunkKey(item.key())) {
             JobId jobId = JobRecordReader.jobIdOf(item.key());
-            if (cancellations.record(jobId, at)) {
+            if (cancellations.record(jobId, cancelledAtMs)) {
                 listener.jobCancelled(jobId);
             }
         }
     }
 
-    /** Applies the change that arrived while a commit of the job was in flight, unless it is the commit itself. */
+    /** Applies the change that arrived during a commit of the job, unless it is the commit itself. */
     void applyPending(Job job) {
         StoreClient.KeyValue item = job.pendingChange;
         job.pendingChange = null;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Applies a change of an open record; this leader's own changes and chunks of records are ignored. */
+    /** Applies a change of an open record; ignores this leader's own changes and chunks of records. */
     void apply(StoreClient.KeyValue item) {
         if (item.value() == null || JobRecord.isFinalState(item.value()) || JobRecordReader.isChunkKey(item.key())) {
             return;
@@ -61,8 +61,8 @@
             return; // this leader's own commit
         }
         if (job != null && job.inFlight) {
-            // Either it is our own commit, or our commit will conflict, or it was made just before ours. In the last
-            // case nothing else would report it. Only the record waits: a cancellation is enforced already.
+            // The change is this leader's own commit, or will make that commit conflict, or was made just before it;
+            // in the last case nothing else would report it. Only the record waits: a cancellation is already enforced.
             job.pendingChange = item;
             return;
         }
@@ -81,7 +81,7 @@
     private void addNewJob(StoreClient.KeyValue item) throws MalformedMessageException {
         JobRecord record = reader.parseRecord(item);
         if (!record.live.isEmpty() || record.done.size() != 0) {
-            return; // an earlier commit of this leader, of a job that has ended since
+            return; // an earlier commit of this leader for a job that has ended since
         }
         Job job = reader.newJob(record, item.version());
         clusterState.addJob(job);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Takes over what other nodes change of a record: the cancellation and the width that the user allows, nothing else. */
+    /** Applies the only changes that other nodes make to a record: the cancellation and the allowed width. */
     private void updateJob(Job job, StoreClient.KeyValue item) throws MalformedMessageException {
         job.version = item.version();
         WidthRecord width = JobRecord.width(item.value());
--- a/src/main/java/org/beechhoist/controller/state/WriteBatch.java
+++ b/src/main/java/org/beechhoist/controller/state/WriteBatch.java
@@ -17,19 +17,19 @@
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.JobId;
 
-/** One transaction of the leader under construction, and what the state service holds once it is committed. */
+/** A transaction of the leader under construction, and the committed state that results from it. */
 final class WriteBatch {
-    /** How a job's changes are written. */
+    /** The way in which a job's changes are written. */
     enum WriteMode {
-        /** Its final state under a key of its own; its record is deleted. */
+        /** Writes the final state under a key of its own and deletes the record. */
         FINAL_STATE,
-        /** Its final state under the key of its record: one change instead of two; it is moved later. */
+        /** Writes the final state under the key of the record, with one operation instead of two; it is moved later. */
         FINAL_STATE_IN_PLACE,
-        /** Its whole record. */
+        /** Writes the complete record. */
         RECORD,
-        /** The changes of its tasks, in a segment of the change log together with those of other jobs. */
+        /** Writes the changes of the job's tasks to a segment of the change log, together with those of other jobs. */
         LOG,
-        /** All changes that its record lacks, in a new segment, so that the earlier segments with them are free. */
+        /** Writes all changes missing from the record to a new segment, which frees the earlier segments with them. */
         CONSOLIDATE;
 
         boolean isFinal() {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A job's part of the transaction, as it was when it was sent. */
+    /** A job's part of the transaction, as of the time it was sent. */
     static final class JobWrite {
         final Job job;
         final WriteMode mode;
@@ -56,6 +56,8 @@
 
     private static final int MAX_TRANSACTION_BYTES = 40_000;
     private static final int RECORD_BYTES = 2500;
+    private static final int CHUNK_TASK_BYTES = 30;
+    private static final int INLINE_TASK_BYTES = 40;
     private static final int GUARD_BYTES = 60;
 
     private final Transaction transaction;
@@ -74,8 +76,8 @@
     /**
      * Creates an empty batch.
      *
-     * @param transaction holds the leader's guard already
-     * @param maxChanges how many changes the limits allow now
+     * @param transaction already has the leader's guard
+     * @param maxChanges the number of operations that the rate limits allow now
      */
     WriteBatch(
             Transaction transaction,
@@ -105,7 +107,7 @@
         return writer.segmentCount();
     }
 
-    /** Adds the job's changes if they fit; false if they do not. */
+    /** Adds the job's changes if they fit; returns false if they do not. */
     boolean add(Job job, WriteMode mode) {
         JobWrite part = new JobWrite(job, mode);
         boolean added = mode == WriteMode.LOG || mode == WriteMode.CONSOLIDATE ? addToLog(part) : addRecord(part);
@@ -122,17 +124,17 @@
         return added;
     }
 
-    /** Whether the job's changes would fit a segment that is written anyhow, at the cost of no further change. */
+    /** Returns whether the job's changes fit in a segment that is written anyway, so that no further operation is needed. */
     boolean fitsOpenSegment(Job job) {
         return writer.segmentCount() > 0
                 && writes.size() + keyGuards.size() < maxGuards - 1
                 && writer.segmentCountWith(job.id(), job.committedTasks.changesTo(job.record)) == writer.segmentCount();
     }
 
-    private boolean fits(int ops, int more, int segments) {
+    private boolean fits(int operations, int addedBytes, int segments) {
         return writes.size() + keyGuards.size() < maxGuards - 1
-                && transaction.operationCount() + ops + segments <= maxOperations
-                && (writes.isEmpty() || bytes + more + segments * sizes.segmentBytes() <= MAX_TRANSACTION_BYTES);
+                && transaction.operationCount() + operations + segments <= maxOperations
+                && (writes.isEmpty() || bytes + addedBytes + segments * sizes.segmentBytes() <= MAX_TRANSACTION_BYTES);
     }
 
     private boolean addToLog(JobWrite part) {
@@ -154,8 +156,8 @@
         boolean ends = part.mode == WriteMode.FINAL_STATE;
         int changed = countChangedChunks(job, part.chunks);
         int size = RECORD_BYTES
-                + 30 * sizes.chunkTasks() * changed
-                + (job.record.isChunked() ? 0 : 40 * job.record.live.size());
+                + CHUNK_TASK_BYTES * sizes.chunkTasks() * changed
+                + (job.record.isChunked() ? 0 : INLINE_TASK_BYTES * job.record.live.size());
         if (!fits(1 + (ends ? 1 : 0) + changed, size, writer.segmentCount())) {
             return false;
         }
@@ -186,8 +188,8 @@
 
     private static int countChangedChunks(Job job, Map<String, ArrayNode> now) {
         int count = 0;
-        for (Map.Entry<String, ArrayNode> c : now.entrySet()) {
-            count += c.getValue().equals(job.chunks.get(c.getKey())) ? 0 : 1;
+        for (Map.Entry<String, ArrayNode> chunk : now.entrySet()) {
+            count += chunk.getValue().equals(job.chunks.get(chunk.getKey())) ? 0 : 1;
         }
         for (String key : job.chunks.keySet()) {
             count += now.containsKey(key) ? 0 : 1;
@@ -195,7 +197,7 @@
         return count;
     }
 
-    /** Completes the transaction with the segments and returns it; nothing can be added afterwards. */
+    /** Adds the segments to the transaction and returns it; nothing can be added afterwards. */
     Transaction seal() {
         for (Map<JobId, TaskChanges> jobs : writer.segments()) {
             long number = changeLog.nextNumber();
@@ -207,23 +209,23 @@
         return transaction;
     }
 
-    /** The placements that are committed with it. */
+    /** Returns the placements that the transaction commits. */
     List<Placement> newPlacements() {
         List<Placement> out = new ArrayList<>();
         for (JobWrite part : writes) {
             if (!part.mode.isFinal()) {
-                part.job.record.live.values().stream().filter(l -> !l.committed).forEach(out::add);
+                part.job.record.live.values().stream().filter(p -> !p.committed).forEach(out::add);
             }
         }
         return out;
     }
 
-    /** Frees the reserved slots, for the transaction was not applied. */
+    /** Frees the reserved slots because the transaction was not applied. */
     void discard() {
         slotsByNumber.values().forEach(changeLog::releaseSlot);
     }
 
-    /** Records what the state service holds now, for the transaction was applied. */
+    /** Updates the committed state because the transaction was applied. */
     void applyCommitted() {
         for (JobWrite part : writes) {
             if (part.mode == WriteMode.LOG) {
