--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -51,9 +51,7 @@
 
     private static final int MANY_ENDED_JOB_COUNT = 5;
     private static final int MAX_RELOCATED_COUNT = 6;
-    /**
-     * Final states are relocated rarely and only while at least this share of the budget is left, because commits wait for one another.
-     */
+    /** Final states are relocated only while at least this share of the budget is left: commits wait for one another. */
     private static final double IDLE_BUDGET_SHARE = 0.95;
 
     private static final long RELOCATION_INTERVAL_MS = 1000;
@@ -234,8 +232,7 @@
                 onResult.accept(commit);
             } else {
                 // The state was reloaded before the result arrived, possibly without this commit, so the result must be
-                // resolved.
-                // Otherwise the commit would be treated as never ending, and nothing would be written any more.
+                // resolved. Otherwise the commit would be treated as never ending, and nothing would be written any more.
                 unknownCommits.resolve();
             }
         });
