--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -187,7 +187,7 @@
         try {
             JobSpec job = line.entry.job(catchup.run());
             String never = users.refusal(job);
-            if (AdmissionRules.isTemporary(never)) {
+            if (SubmissionRules.isTemporaryRefusal(never)) {
                 line.held = never;
                 return null;
             }
@@ -235,7 +235,7 @@
                 }
             }
             case CONFLICT -> {
-                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
                 } else if (sameWork(commit, firings)) {
                     tick(); // the others need not wait
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -12,7 +12,7 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.controller.state.Machine;
 import org.beechhoist.controller.worker.ColdStartRecovery;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.plan.Plan;
 import org.beechhoist.release.Release;
 import org.beechhoist.wire.Heartbeat;
@@ -58,15 +58,15 @@
         workers.clusterState.reset();
         node.cancellations().reset();
         workers.coldStart.begin();
-        scheduling.planner.begin();
+        scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
         scheduling.releases.begin();
-        scheduling.migrations.begin();
+        scheduling.migrations.startTerm();
         features.drains.begin();
         workers.loader.reload();
-        features.fleetSnapshots.ifPresent(FleetSnapshots::begin);
-        features.serviceShare.ifPresent(MinimumServiceShare::begin);
+        features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
+        features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
         features.schedules.ifPresent(CronController::begin);
     }
 
@@ -75,7 +75,7 @@
         features.schedules.ifPresent(CronController::end);
         workers.loader.stop();
         workers.clusterState.reset();
-        scheduling.planner.end();
+        scheduling.planner.endTerm();
     }
 
     /** Whether this node may command workers, and knows all open jobs. */
@@ -93,7 +93,7 @@
     /** A job's cancellation is committed, as another node says or this one is about to confirm to its user. */
     void jobCancelled(JobId jobId) {
         if (election.holdsLease()) {
-            workers.cancellationEnforcer.jobCancelled(jobId);
+            workers.cancellationEnforcer.enforceCancellation(jobId);
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** The recovery of machines lost at once. */
-    LossRecovery lossRecovery() {
+    MachineLossTracker lossRecovery() {
         return workers.lossRecovery;
     }
 
@@ -182,9 +182,9 @@
         if (!election.holdsLease()) {
             return;
         }
-        workers.cancellationEnforcer.enforce();
+        workers.cancellationEnforcer.enforceAll();
         if (!active()) {
-            workers.provisioner.returnOverdue();
+            workers.provisioner.sendReleasesWithTasks();
             return;
         }
         if (reachabilityCheck.stepDownIfUnreachable()) {
@@ -202,7 +202,7 @@
             if (!machine.placements.isEmpty()
                     && workers.clusterState.leaseExpiry(machine).isBefore(context.now())
                     && machine.placements.values().stream().allMatch(p -> p.committed)) {
-                workers.taskRemoval.removeAll(machine, "its lease ran out");
+                workers.taskRemoval.removeAllTasks(machine, "its lease ran out");
             }
             workers.dispatcher.dispatch(machine);
         }
@@ -210,45 +210,45 @@
 
     private void runTaskComponents() {
         workers.keySetHolds.tick();
-        scheduling.preemptionNotices.enforce();
-        workers.elastic.tick();
-        features.loadShedding.ifPresent(LoadShedding::tick);
+        scheduling.preemptionNotices.evictUnfinishableTasks();
+        workers.elastic.reconcileAllWidths();
+        features.loadShedding.ifPresent(LoadShedding::updateShedJobs);
         workers.clusterState.requestReplan();
-        workers.provisioner.tick(scheduling.planner.current());
+        workers.provisioner.updateMachines(scheduling.planner.currentPlan());
         stalledJobs.report();
     }
 
     private void runLongTermComponents() {
         scheduling.releases.tick(scheduling.planner);
-        scheduling.migrations.tick(scheduling.planner.current());
+        scheduling.migrations.updateMigrations(scheduling.planner.currentPlan());
         features.drains.tick(scheduling.planner);
-        features.fleetSnapshots.ifPresent(FleetSnapshots::tick);
-        features.serviceShare.ifPresent(MinimumServiceShare::tick);
+        features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
+        features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
         features.schedules.ifPresent(CronController::tick);
     }
 
     /** Plans if a plan is due, commits what the input changed, and continues the plan's search. */
     void settleInput() {
-        if (mayPlan() && scheduling.planner.due()) {
+        if (mayPlan() && scheduling.planner.isPlanDue()) {
             plan();
         }
         workers.committer.commitPending();
         if (mayPlan()) {
-            scheduling.planner.searchStep();
+            scheduling.planner.runSearchStep();
         }
     }
 
     private void plan() {
         workers.keySetHolds.look();
         scheduling.releases.look();
-        Plan plan = scheduling.planner.plan();
-        scheduling.migrations.startMoved();
-        scheduling.dispatch.dispatch(plan);
+        Plan plan = scheduling.planner.createPlan();
+        scheduling.migrations.startMovedTasks();
+        scheduling.dispatch.placeDueTasks(plan);
         // One reading serves both steps: choosing what is narrowed or preempted does not change it.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
-        if (workers.coldStart.mayStop()) {
-            scheduling.widthReduction.run(plan, usageByTeam);
-            scheduling.preemption.run(plan, usageByTeam);
+        if (workers.coldStart.mayPreempt()) {
+            scheduling.widthReduction.reduceForLateJobs(plan, usageByTeam);
+            scheduling.preemption.preemptForLateJobs(plan, usageByTeam);
         }
         scheduling.planner.startPause();
     }
@@ -265,6 +265,6 @@
 
     /** When the next plan or step of the search is due. */
     MonotonicTime nextPlan() {
-        return scheduling.planner.next();
+        return scheduling.planner.nextWorkAt();
     }
 }
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -36,8 +36,8 @@
     /** Passes a committed end of a job on to all that keep something of it. */
     private void jobEnded(Job job, JsonNode finalState) {
         node.users().ended(job.id(), finalState);
-        workers.lossRecovery.forgetJob(job.id());
-        features.serviceShare.ifPresent(share -> share.ended(job));
+        workers.lossRecovery.stopTrackingJob(job.id());
+        features.serviceShare.ifPresent(share -> share.recordEnded(job));
         scheduling.releases.ended(job);
     }
 }
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -23,7 +23,7 @@
 import org.beechhoist.controller.worker.ColdStartRecovery;
 import org.beechhoist.controller.worker.FailureDetector;
 import org.beechhoist.controller.worker.FaultTracker;
-import org.beechhoist.controller.worker.LossRecovery;
+import org.beechhoist.controller.worker.MachineLossTracker;
 import org.beechhoist.controller.worker.MachineReleases;
 import org.beechhoist.controller.worker.TaskRemoval;
 import org.beechhoist.plan.Plan;
@@ -58,7 +58,7 @@
     /** How long a new term waits for the first complete list before it rents machines without it. */
     private static final long FIRST_LIST_TIMEOUT_MS = 15_000;
     /** An unlisted machine is released only when it has not been heard of for this long. */
-    private static final long UNLISTED_UNHEARD_MS = 6000;
+    private static final long UNLISTED_HEARTBEAT_TIMEOUT_MS = 6000;
     /** How long after the stated lag of the list a machine may still be missing from it. */
     private static final int LIST_LAG_MARGIN_S = 5;
 
@@ -83,14 +83,14 @@
     private final TokenBucket calls;
     private final ScaleOutPolicy scaleOut;
     private final FailureDetector failureDetector;
-    private final LossRecovery lossRecovery;
+    private final MachineLossTracker lossRecovery;
     private final ColdStartRecovery coldStart;
     private final Set<MachineId> released = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_RELEASES);
     private MonotonicTime nextRunAt = MonotonicTime.ZERO;
     private MonotonicTime nextListAt = MonotonicTime.ZERO;
-    private boolean listing;
+    private boolean listInFlight;
     /** Whether a list was complete in this term: renting before that could duplicate existing machines. */
-    private boolean listed;
+    private boolean isListComplete;
 
     private int returnCalls;
     private Predicate<MachineId> reservedForMigration = machine -> false;
@@ -104,7 +104,7 @@
             DurationEstimates estimates,
             FaultTracker faultTracker,
             TaskRemoval taskRemoval,
-            LossRecovery lossRecovery,
+            MachineLossTracker lossRecovery,
             ColdStartRecovery coldStart,
             BiConsumer<Machine, Heartbeat> workerRestarted) {
         this.coldStart = coldStart;
@@ -127,8 +127,8 @@
     /** Resets the state for a new term, whose fencing token is part of the names of its rentals. */
     void reset(FencingToken newToken) {
         scaleOut.reset(newToken);
-        listed = false;
-        listing = false;
+        isListComplete = false;
+        listInFlight = false;
         returnCalls = 0;
         failureDetector.reset();
         lossRecovery.reset();
@@ -137,17 +137,17 @@
     }
 
     /** Returns whether the cloud has listed all machines in this term. */
-    boolean listed() {
-        return listed;
+    boolean isListComplete() {
+        return isListComplete;
     }
 
     /** Sets the test for machines on which a place is reserved for a migrating task; they are not released as idle. */
-    void kept(Predicate<MachineId> isReserved) {
+    void setReservedForMigration(Predicate<MachineId> isReserved) {
         reservedForMigration = isReserved;
     }
 
     /** Returns the policy that rents machines. */
-    ScaleOutPolicy renting() {
+    ScaleOutPolicy scaleOutPolicy() {
         return scaleOut;
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** Returns when a machine that is not up is expected to be ready, in milliseconds. */
-    long readyAt(Machine machine, MachineType type) {
+    long expectedReadyAtMs(Machine machine, MachineType type) {
         if (machine.listedRunning) {
             return context.now().ms() + FIRST_HEARTBEAT_MS; // it runs, and only has to reach this node
         }
@@ -168,7 +168,7 @@
     }
 
     /** Checks the machines, releases and lists them, and rents what the plan needs; the plan may be null. */
-    void tick(Plan plan) {
+    void updateMachines(Plan plan) {
         if (context.now().isBefore(nextRunAt)) {
             return;
         }
@@ -178,7 +178,7 @@
             startListing(); // first, or with few calls or many lost machines the other calls would always precede it
         }
         sendReturns(true);
-        boolean mayRent = listed || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
+        boolean mayRent = isListComplete || context.now().since(clusterState.termStartedAt()) > FIRST_LIST_TIMEOUT_MS;
         if (plan != null && mayRent) {
             scaleOut.rentFor(plan);
         }
@@ -187,15 +187,15 @@
     }
 
     /** Sends only the releases that are due with tasks; used while the cluster state is uncertain. */
-    void returnOverdue() {
+    void sendReleasesWithTasks() {
         sendReturns(true);
     }
 
     // ---- the list ----
 
     private void startListing() {
-        if (!context.now().isBefore(nextListAt) && !listing && calls.tryTake(context.now(), 1)) {
-            listing = true;
+        if (!context.now().isBefore(nextListAt) && !listInFlight && calls.tryTake(context.now(), 1)) {
+            listInFlight = true;
             requestPage(null, new HashMap<>(), context.now());
         }
     }
@@ -207,7 +207,7 @@
             if (term != clusterState.term()) {
                 return;
             }
-            listing = false;
+            listInFlight = false;
             nextListAt = context.now().plusMs(LIST_INTERVAL_MS);
             if (!result.isOk() || !result.body().path("hosts").isArray()) {
                 return;
@@ -220,7 +220,7 @@
                 }
             }
             if (result.body().path("more").asBoolean() && last != null) {
-                listing = true;
+                listInFlight = true;
                 calls.takeOrOverdraw(context.now(), 1);
                 requestPage(last, found, requestedAt);
             } else {
@@ -230,15 +230,15 @@
     }
 
     private void applyList(Map<MachineId, JsonNode> found, MonotonicTime requestedAt) {
-        listed = true;
-        coldStart.markListed();
+        isListComplete = true;
+        coldStart.recordMachinesListed();
         found.forEach((id, node) -> applyListed(id, node, requestedAt));
         long listLagMs = Math.round(MS_PER_S * (2 * settings.cloudLimits().listLagS() + LIST_LAG_MARGIN_S));
         for (Machine machine : clusterState.machines()) {
             boolean old = requestedAt.since(knownSince(machine, requestedAt)) > listLagMs;
             if (!found.containsKey(machine.id)
                     && old
-                    && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_UNHEARD_MS) {
+                    && context.now().since(clusterState.lastContactAt(machine)) > UNLISTED_HEARTBEAT_TIMEOUT_MS) {
                 releaseMachine(machine, "the cloud doesn't list it any more");
             }
         }
@@ -285,7 +285,7 @@
 
     private void checkMachines(Plan plan) {
         Set<MachineId> planned = plan == null ? Set.of() : plan.plannedMachines();
-        failureDetector.check();
+        failureDetector.checkMachines();
         for (Machine machine : clusterState.machines()) {
             if (machine.releasing) {
                 continue;
@@ -301,7 +301,7 @@
     /** Releases a machine that is not up when it is given up with its tasks or did not start in time. */
     private void checkNotUp(Machine machine) {
         MachineType type = machineTypes.get(machine.type);
-        if (!machine.placements.isEmpty() && failureDetector.isGone(machine)) {
+        if (!machine.placements.isEmpty() && failureDetector.shouldReleaseSilent(machine)) {
             releaseMachine(machine, "it holds tasks and has not reported to this leader");
             return;
         }
@@ -317,9 +317,9 @@
 
     /** Releases a running machine that is lost, preempted, faulty or idle. */
     private void checkRunning(Machine machine, Set<MachineId> planned) {
-        if (failureDetector.isGone(machine)) {
+        if (failureDetector.shouldReleaseSilent(machine)) {
             releaseMachine(machine, "it is silent");
-        } else if (failureDetector.isUnreachable(machine)) {
+        } else if (failureDetector.shouldReleaseUnreachable(machine)) {
             releaseMachine(machine, "it speaks but does not hear");
         } else if (machine.preemptionAt != null && machine.placements.isEmpty() && machine.unknownTasks == 0) {
             releaseMachine(machine, "it is about to be taken and empty");
@@ -380,7 +380,7 @@
                         machine.releaseInFlight = false;
                         if (result.hasStatus(200)) {
                             released.add(machine.id);
-                            taskRemoval.machineGone(machine.id);
+                            taskRemoval.removeMachine(machine.id);
                         }
                     }
                 });
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -6,7 +6,7 @@
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.state.MachineTypeCatalog;
-import org.beechhoist.controller.worker.PreemptionNotices;
+import org.beechhoist.controller.worker.PreemptionNoticeHandler;
 
 /**
  * Wires what decides where and when tasks run: admission, releases, the plan, migration, width reduction and preemption.
@@ -16,9 +16,9 @@
 final class SchedulingComponents {
     final Admission admission;
     final ReleaseController releases;
-    final Dispatch dispatch;
+    final TaskPlacer dispatch;
     final MigrationController migrations;
-    final PreemptionNotices preemptionNotices;
+    final PreemptionNoticeHandler preemptionNotices;
     final Planner planner;
     final WidthReduction widthReduction;
     final Preemption preemption;
@@ -44,12 +44,12 @@
         Settings settings = services.settings();
         admission = new Admission(context, settings, machineTypes, workers.clusterState, workers.faultTracker);
         releases = createReleases();
-        workers.jobOrdering.releases(releases);
-        dispatch = new Dispatch(
+        workers.jobOrdering.setReleases(releases);
+        dispatch = new TaskPlacer(
                 context, workers.clusterState, admission, workers.estimates, workers.elastic, machineTypes);
         migrations = createMigrations();
         connectMigrations();
-        preemptionNotices = new PreemptionNotices(
+        preemptionNotices = new PreemptionNoticeHandler(
                 context, workers.clusterState, workers.estimates, workers.eviction, workers.dispatcher);
         planner = createPlanner(random);
         widthReduction = createWidthReduction();
@@ -61,8 +61,8 @@
                 services.context(),
                 services.store(),
                 services.election(),
-                services.requests(),
-                services.writes(),
+                services.requestTokens(),
+                services.writeTokens(),
                 workers.clusterState,
                 workers.estimates,
                 admission,
@@ -75,8 +75,8 @@
                 policy,
                 services.store(),
                 services.election(),
-                services.requests(),
-                services.writes(),
+                services.requestTokens(),
+                services.writeTokens(),
                 machineTypes,
                 workers.clusterState,
                 admission,
@@ -88,8 +88,9 @@
     }
 
     private void connectMigrations() {
-        workers.disruptions.moving(migrations::moves);
-        workers.provisioner.kept(machine -> !migrations.keptOn(machine).isEmpty());
+        workers.disruptions.moving(migrations::isMigrating);
+        workers.provisioner.setReservedForMigration(
+                machine -> !migrations.reservedOn(machine).isEmpty());
         admission.setMigrations(migrations);
     }
 
@@ -106,7 +107,7 @@
                 workers.clusterState,
                 workers.jobOrdering,
                 admission,
-                workers.provisioner.renting(),
+                workers.provisioner.scaleOutPolicy(),
                 workers.elastic);
     }
 
--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.cancel.Freshness;
+import org.beechhoist.cancel.CancellationFreshness;
 import org.beechhoist.config.Settings;
 import org.beechhoist.controller.context.ControllerContext;
 import org.beechhoist.peer.CancelledJob;
@@ -28,7 +28,7 @@
     private static final int MAX_NEWEST_MESSAGE_COUNT = 100;
 
     private final ControllerContext context;
-    private final Freshness freshness;
+    private final CancellationFreshness freshness;
     private final long cancelMs;
     /** Commit time of each cancellation (time of day), in the order in which this node learned of them. */
     private final Map<JobId, Long> committedAtMs = new LinkedHashMap<>();
@@ -66,8 +66,8 @@
 
     /** Returns how long the next watch request may stay open; 0 requests an immediate answer if the last one is too old, as after an outage. */
     long watchHoldMs() {
-        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.holdMs()
-                ? freshness.holdMs()
+        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.watchHoldMs()
+                ? freshness.watchHoldMs()
                 : 0;
     }
 
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import org.beechhoist.elastic.Ending;
+import org.beechhoist.elastic.TaskTermination;
 import org.beechhoist.keyset.Verdict;
 import org.beechhoist.release.Release;
 import org.beechhoist.store.CommittedTasks;
@@ -58,8 +58,8 @@
     public MonotonicTime nextPreemptionAt = MonotonicTime.ZERO;
     /** No other job's width is reduced, and no other task preempted, for the job before this time. */
     public MonotonicTime nextWidthReductionAt = MonotonicTime.ZERO;
-    /** The decided ending of each placement whose task is to be ended; most are not stopped yet. */
-    public final Map<Placement, Ending> endings = new LinkedHashMap<>();
+    /** The decided termination of each placement whose task is to be stopped; most are not stopped yet. */
+    public final Map<Placement, TaskTermination> endings = new LinkedHashMap<>();
     /** The width stored in the state service. */
     public int committedWidth;
     /** The number of failures in the stored record. */
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.beechhoist.elastic.Damping;
+import org.beechhoist.elastic.GrowthBackoff;
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.FencingToken;
 import org.beechhoist.wire.Heartbeat;
@@ -103,8 +103,8 @@
     public MonotonicTime idleSince;
     /** No task is placed on the machine before this time, because tasks have recently failed there. */
     public MonotonicTime avoidUntil = MonotonicTime.ZERO;
-    /** Damps the growth of elastic jobs onto the machine. */
-    public Damping growthDamping = Damping.NONE;
+    /** The back-off that delays the growth of elastic jobs onto the machine. */
+    public GrowthBackoff growthDamping = GrowthBackoff.NONE;
     /** The worker epoch of the images if an earlier leader stored them, otherwise 0. */
     public long imagesEpoch;
     /** The images expected in the cache with their sizes in GB, least recently used first. */
--- a/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
+++ b/src/main/java/org/beechhoist/controller/state/TransactionCommitter.java
@@ -51,7 +51,7 @@
 
     private static final int MANY_ENDED_JOB_COUNT = 5;
     private static final int MAX_RELOCATED_COUNT = 6;
-    /** Final states are relocated only while at least this share of the budget is left: commits wait for one another. */
+    /** Final states are moved rarely, and only with at least this share of the budget left: commits wait for one another. */
     private static final double IDLE_BUDGET_SHARE = 0.95;
 
     private static final long RELOCATION_INTERVAL_MS = 1000;
@@ -114,8 +114,8 @@
         this.settings = services.settings();
         this.store = services.store();
         this.election = services.election();
-        this.requests = services.requests();
-        this.writes = services.writes();
+        this.requests = services.requestTokens();
+        this.writes = services.writeTokens();
         this.sizes = services.recordSizes();
         this.clusterState = clusterState;
         this.loader = loader;
@@ -232,7 +232,8 @@
                 onResult.accept(commit);
             } else {
                 // The state was reloaded before the result arrived, possibly without this commit, so the result must be
-                // resolved. Otherwise the commit would be treated as never ending, and nothing would be written any more.
+                // resolved. Otherwise the commit would be treated as never ending, and nothing would be written any
+                // more.
                 unknownCommits.resolve();
             }
         });
@@ -271,7 +272,7 @@
         switch (commit.outcome()) {
             case COMMITTED -> loader.misplacedFinalStates().removeAll(moved);
             case CONFLICT -> {
-                if (commit.failedKeys().contains(LeaderElection.KEY)) {
+                if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
                 } else {
                     loader.reload();
@@ -361,7 +362,7 @@
     }
 
     private void resolveConflict(CommitResult commit, boolean rotating, WriteBatch batch) {
-        if (commit.failedKeys().contains(LeaderElection.KEY)) {
+        if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             election.loseLeadership("the key was rewritten");
         } else if (guards.handleGuardConflict(commit.failedKeys())) {
             restorePending(batch, rotating);
