--- a/src/main/java/org/beechhoist/controller/state/MachineReachability.java
+++ b/src/main/java/org/beechhoist/controller/state/MachineReachability.java
@@ -105,9 +105,8 @@
         }
         long unprovenMs = now.since(lastProvenAt);
         if (networkSuspect) {
-            return unprovenMs
-                    > ZONE_OUTAGE_LEASE_COUNT
-                            * leaseMs; // the machines of the zone may become reachable again all at once
+            // The machines of the zone may become reachable again all at once.
+            return unprovenMs > ZONE_OUTAGE_LEASE_COUNT * leaseMs;
         }
         if (unreported > 0 && reported == 0) {
             return now.since(unreachableSince) > RELEASE_DELAY_MS;
