--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -15,14 +15,17 @@
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineType;
 
-/** Decides whether a task may start on a machine now: placement rules, team limits and free resources, given what may be running. */
+/**
+ * Decides whether a task may start on a machine now, by placement rules, team limits and free resources. Every task that may be
+ * running counts as running.
+ */
 final class Admission {
-    /** Tolerance of comparisons between sums of CPUs, GPUs or memory and a limit. */
+    /** Rounding tolerance of comparisons between a sum of CPUs, GPUs or memory and a limit. */
     private static final double TOLERANCE = 1e-6;
-    /** A machine may take elastic growth if its last heartbeat is younger than 1.5 report intervals, in ms per second. */
-    private static final int WIDEN_HEARD_MS_PER_S = 1500;
+    /** Elastic jobs may widen onto a machine whose last heartbeat is younger than 1.5 report intervals; in ms per second. */
+    private static final int MAX_WIDEN_HEARTBEAT_AGE_MS_PER_REPORT_S = 1500;
     /** A machine is usable if its last heartbeat is younger than three report intervals, in ms per second. */
-    private static final int USABLE_HEARD_MS_PER_S = 3000;
+    private static final int MAX_USABLE_HEARTBEAT_AGE_MS_PER_REPORT_S = 3000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -45,24 +48,27 @@
         this.faultTracker = faultTracker;
     }
 
-    /** Sets the source of the resources that are reserved for migrating tasks, or for the jobs that they were freed for. */
+    /** Sets the source of the resources reserved for migrating tasks and for the jobs that benefit from a migration. */
     void setMigrations(MigrationController controller) {
         migrations = controller;
     }
 
     /**
-     * Returns whether elastic jobs may grow onto the machine: it is usable, not faulty and heard from lately, and its growth is
-     * not damped because capacity on it was lately taken back.
+     * Returns whether elastic jobs may widen onto the machine: it is usable, not faulty and has sent a heartbeat recently, and
+     * widening is not damped because capacity on it was reclaimed recently.
      */
     boolean mayWiden(Machine machine) {
         return isUsable(machine)
                 && machine.growthDamping.allowsGrowth(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
                 && context.now().since(clusterState.lastContactAt(machine))
-                        < settings.workers().reportS() * WIDEN_HEARD_MS_PER_S;
+                        < settings.workers().reportS() * MAX_WIDEN_HEARTBEAT_AGE_MS_PER_REPORT_S;
     }
 
-    /** Returns whether the machine may take tasks at all: up, confirmed, reachable, heard from, not leaving and not avoided. */
+    /**
+     * Returns whether the machine may take tasks: it is up, confirmed, reachable and not leaving, has a recent heartbeat and no
+     * unknown tasks, and is not avoided.
+     */
     boolean isUsable(Machine machine) {
         return machine.up
                 && machine.confirmedPresent
@@ -71,12 +77,12 @@
                 && machine.unknownTasks == 0
                 && machineTypes.get(machine.type) != null
                 && context.now().since(clusterState.lastContactAt(machine))
-                        < settings.workers().reportS() * USABLE_HEARD_MS_PER_S
+                        < settings.workers().reportS() * MAX_USABLE_HEARTBEAT_AGE_MS_PER_REPORT_S
                 && machine.avoidUntil.isBefore(context.now())
                 && machine.lastContactAt != null;
     }
 
-    /** Resources free on a machine; negative where a task doesn't fit. */
+    /** Free resources of a machine; negative where a task does not fit. */
     record FreeResources(double cpus, double gpus, double memGb) {
         /** Returns the resources after adding those of {@code times} tasks; negative to subtract them. */
         FreeResources plus(JobSpec spec, int times) {
@@ -90,7 +96,7 @@
         }
     }
 
-    /** Returns what is free on the machine less what is reserved there, or null if a task on it is unknown. */
+    /** Returns the machine's free resources less its reservations, or null if the job of a task on it is unknown. */
     FreeResources freeResources(Machine machine, MachineType type) {
         FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb());
         for (Placement placement : machine.placements.values()) {
@@ -100,13 +106,16 @@
             }
             free = free.plus(other.spec(), -1);
         }
-        for (JobSpec kept : migrations == null ? List.<JobSpec>of() : migrations.reservedOn(machine.id)) {
-            free = free.plus(kept, -1);
+        for (JobSpec reserved : migrations == null ? List.<JobSpec>of() : migrations.reservedOn(machine.id)) {
+            free = free.plus(reserved, -1);
         }
         return free;
     }
 
-    /** Returns what is free on the machine once such a task is there too, or null if a task on it is unknown. */
+    /**
+     * Returns the free resources, reservations not deducted, that remain once one more task of this kind is placed on the machine,
+     * or null if the job of a task on it is unknown.
+     */
     FreeResources freeResourcesAfterPlacing(Machine machine, MachineType type, JobSpec spec) {
         FreeResources free = new FreeResources(type.cpus(), type.gpus(), type.memGb()).plus(spec, -1);
         for (Placement placement : machine.placements.values()) {
@@ -119,7 +128,7 @@
         return free;
     }
 
-    /** Returns whether the job's next task would exceed its team's limit, or its team is unknown. */
+    /** Returns whether the job's next task would exceed the limit of its team; true if the team is unknown. */
     boolean exceedsTeamLimit(Job job, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         Settings.Team team = settings.teams().get(spec.team());
@@ -129,20 +138,20 @@
                 || usage[1] + spec.gpus() > team.gpusMax() + TOLERANCE;
     }
 
-    /** Returns the live tasks by zone, under "" where it is unknown; empty for jobs without zone rules. */
+    /** Returns the number of live tasks by zone, with "" for an unknown zone; empty for jobs without zone rules. */
     Map<String, Integer> liveByZone(Job job) {
-        Map<String, Integer> out = new HashMap<>();
+        Map<String, Integer> counts = new HashMap<>();
         if (job.spec().sameZone() || job.spec().antiAffinity()) {
             for (Placement placement : job.record.live.values()) {
                 Machine machine = clusterState.machine(placement.machine);
                 // A machine whose zone is not known yet may be in any zone.
-                out.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
+                counts.merge(machine.zone == null ? "" : machine.zone, 1, Integer::sum);
             }
         }
-        return out;
+        return counts;
     }
 
-    /** Checks the placement rules against what may be running now, whatever the plan says; returns whether the task may start. */
+    /** Returns whether the job's next task may start on the machine now, checked against all tasks that may be running. */
     boolean admits(Job job, Machine machine, Map<String, double[]> used) {
         JobSpec spec = job.spec();
         MachineType type =
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -27,16 +27,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs with a width: how many of their tasks the plan may place, and how those that are too many come to their end. A
- * narrower width is committed before anything is stopped; never more tasks are being stopped than the committed width
- * leaves over, so that a leader that takes over half way goes on from the record alone.
+ * Determines how many tasks of an elastic job the plan may place, and ends the tasks that exceed the job's width. A smaller width is
+ * committed before any task is stopped, and never more tasks are being stopped than exceed the committed width, so that a new leader
+ * can continue an interrupted reduction from the job's record alone.
  */
 public final class ElasticWidths implements LaunchWithdrawal {
     private static final Logger LOG = LoggerFactory.getLogger(ElasticWidths.class);
-    /** For a user's own resize, what is over this soon is near: nobody waits for the room. */
-    private static final long NEAR_MS = 30_000;
+    /** After a resize by the user, capacity need only be free within this time, because no other job is waiting for it. */
+    private static final long RESIZE_FREE_WITHIN_MS = 30_000;
 
-    private static final long REPORT_LATE_MS = 2000;
+    private static final long MAX_REPORT_DELAY_MS = 2000;
 
     private final ControllerContext context;
     private final Policy.Elastic policy;
@@ -45,7 +45,7 @@
     private final DurationEstimates estimates;
     private final TaskEviction eviction;
     private final TaskRemoval taskRemoval;
-    private final Map<TaskTermination.Method, Integer> ended = new HashMap<>();
+    private final Map<TaskTermination.Method, Integer> endedByWay = new HashMap<>();
     private int widened;
     private int narrowed;
     private int withdrawn;
@@ -67,14 +67,14 @@
         this.taskRemoval = taskRemoval;
     }
 
-    // ---- what the plan may place ----
+    // ---- planning ----
 
-    /** Tasks that count against the width: those live, less those that are on their way out. */
+    /** Returns the number of tasks that count against the width: the live tasks less those that are being ended. */
     static int retainedTaskCount(Job job) {
         return job.record.live.size() - job.endings.size();
     }
 
-    /** How many of the job's waiting tasks are planned like any other work. */
+    /** Returns how many of the job's waiting tasks are placed like those of any other job, without widening. */
     int regularWaitingCount(Job job) {
         WidthRecord width = job.record.width;
         int waiting = job.record.waitingCount();
@@ -85,35 +85,36 @@
             return Math.max(0, Math.min(waiting, width.allowed().max() - job.record.live.size()));
         }
         int unfinished = job.spec().tasks() - job.record.done.size();
-        int sure = GuaranteedWidth.width(
+        int guaranteed = GuaranteedWidth.width(
                 width.allowed(),
                 unfinished,
                 estimates.expectedMs(job.spec()),
                 deadlineMs(job),
                 context.now().ms());
-        // Those on their way out hold their places in the width until they are gone.
-        return Math.max(0, Math.min(waiting, sure - job.record.live.size()));
+        // Tasks that are being ended count against the width until they are gone.
+        return Math.max(0, Math.min(waiting, guaranteed - job.record.live.size()));
     }
 
-    /** When an elastic job should be done. */
+    /** Returns the deadline of an elastic job, or {@link Ending#NEVER} if it has none. */
     long deadlineMs(Job job) {
-        Double until = job.record.width.allowed().deadlineS();
-        return until == null ? TaskTermination.NEVER : job.submittedAt.ms() + Math.round(1000 * until);
+        Double deadlineS = job.record.width.allowed().deadlineS();
+        return deadlineS == null ? TaskTermination.NEVER : job.submittedAt.ms() + Math.round(1000 * deadlineS);
     }
 
-    /** What an elastic job beyond its sure part wishes of a plan; null where there is nothing to wish. */
-    WidthOptions wideningOptions(Job job, int sure, Integer fixed) {
+    /** Returns the options for widening the job beyond its regular tasks, or null if it cannot be widened. */
+    WidthOptions wideningOptions(Job job, int regular, Integer fixedWidth) {
         WidthRecord width = job.record.width;
-        int from = job.record.live.size() + sure;
-        int most = width == null || job.spec().isService() || job.spec().isGang() || job.isCancelled()
+        int currentWidth = job.record.live.size() + regular;
+        int maxWidth = width == null || job.spec().isService() || job.spec().isGang() || job.isCancelled()
                 ? 0
                 : width.allowed().max();
-        if (most <= from
-                || job.record.waitingCount() <= sure
+        if (maxWidth <= currentWidth
+                || job.record.waitingCount() <= regular
                 || job.notBefore.ms() > context.now().ms()) {
             return null;
         }
-        return new WidthOptions(from, most, deadlineMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixed);
+        return new WidthOptions(
+                currentWidth, maxWidth, deadlineMs(job), policy.worth(), lowestCostPerCpu(job.spec()), fixedWidth);
     }
 
     private double lowestCostPerCpu(JobSpec spec) {
@@ -126,33 +127,33 @@
         return Double.isInfinite(lowest) ? 0 : lowest;
     }
 
-    /** How many more of the job's tasks may be placed, whatever the plan says. */
+    /** Returns how many more of the job's tasks its width allows to be placed, independently of the plan. */
     static int remainingWidth(Job job) {
-        WidthRecord w = job.record.width;
-        return w == null ? Integer.MAX_VALUE : w.allowed().max() - job.record.live.size();
+        WidthRecord width = job.record.width;
+        return width == null ? Integer.MAX_VALUE : width.allowed().max() - job.record.live.size();
     }
 
-    /** The job's tasks were placed: its record says the width that they make, in the same commit. */
+    /** Raises the job's recorded width to the number of its placed tasks, to be stored in the same commit as the placements. */
     void recordPlaced(Job job) {
         WidthRecord width = job.record.width;
         if (width != null && retainedTaskCount(job) > width.target()) {
             if (width.target() > 0) {
                 widened++;
             }
-            LOG.info("{} widens from {} to {}", job.id(), width.target(), retainedTaskCount(job));
+            LOG.info("job widened: job={} from={} to={}", job.id(), width.target(), retainedTaskCount(job));
             job.record.width = width.withTarget(retainedTaskCount(job));
         }
     }
 
-    /** Whether a committed placement must not be launched any more: its machine has begun to go. */
+    /** Returns whether a committed placement must not be launched because its task or its machine is about to go; counts it. */
     @Override
     public boolean shouldWithdraw(Job job, Placement placement, Machine machine) {
-        boolean going = machine.isLeaving() || (job != null && job.endings.containsKey(placement));
-        if (job == null || job.record.width == null || placement.launchSent || !going) {
+        boolean aboutToGo = machine.isLeaving() || (job != null && job.endings.containsKey(placement));
+        if (job == null || job.record.width == null || placement.launchSent || !aboutToGo) {
             return false;
         }
         LOG.info(
-                "{} try {} is withdrawn from {}, it or its machine is about to go",
+                "launch withdrawn, task or machine is about to be removed: task={} attempt={} machine={}",
                 placement.task,
                 placement.attempt,
                 machine.id);
@@ -160,23 +161,24 @@
         return true;
     }
 
-    // ---- narrowing ----
+    // ---- width reduction ----
 
     TaskTermination chooseEnding(Job job, Placement placement, TaskTermination.CapacityNeed need) {
         JobSpec spec = job.spec();
-        // Reports come late: what should have its image by now, or soon, may be running when the stop arrives.
+        // Reports arrive late: a task whose image should be fetched by now, or soon, may be running when the kill
+        // arrives.
         boolean running = placement.runningSince != null
-                || context.now().since(placement.placedAt) > placement.fetchMs - REPORT_LATE_MS;
-        long ran = placement.runningSince != null ? Math.max(0, context.now().since(placement.runningSince)) : 0;
-        long left = spec.isService()
+                || context.now().since(placement.placedAt) > placement.fetchMs - MAX_REPORT_DELAY_MS;
+        long ranMs = placement.runningSince != null ? Math.max(0, context.now().since(placement.runningSince)) : 0;
+        long leftMs = spec.isService()
                 ? TaskTermination.NEVER
                 : Math.max(0, estimates.expectedEnd(placement, context.now()).since(context.now()));
         return TaskTermination.choose(
                 new TaskTermination.LiveTask(
                         placement.launchSent,
                         running,
-                        ran,
-                        left,
+                        ranMs,
+                        leftMs,
                         spec.cpus(),
                         Math.round(1000 * spec.checkpointEveryS()),
                         Math.round(1000 * spec.checkpointCostS())),
@@ -184,13 +186,13 @@
                 need);
     }
 
-    /** Whether the task may still be chosen to go. */
+    /** Returns whether the task may be chosen to be ended: it is neither being stopped nor already chosen. */
     static boolean mayBeEnded(Job job, Placement placement) {
         return !placement.stopRequested && !job.endings.containsKey(placement);
     }
 
-    /** The task is to go. Nothing is sent before the narrower width is committed. */
-    void scheduleEnding(Job job, Placement placement, TaskTermination ending, String why) {
+    /** Schedules the end of a task and reduces the job's width; no command is sent before the smaller width is committed. */
+    void scheduleEnding(Job job, Placement placement, TaskTermination ending, String reason) {
         if (job.endings.isEmpty() || retainedTaskCount(job) == job.record.width.target()) {
             narrowed++;
         }
@@ -199,17 +201,17 @@
         WidthRecord width = job.record.width;
         job.record.width = width.withTarget(Math.min(width.target(), retainedTaskCount(job)));
         LOG.info(
-                "{} narrows to {}: {} try {} goes, {}, {}",
+                "job width reduced: job={} width={} task={} attempt={} ending={} reason={}",
                 job.id(),
                 job.record.width.target(),
                 placement.task,
                 placement.attempt,
                 ending.method(),
-                why);
+                reason);
         clusterState.markDirty(job);
     }
 
-    /** Holds the job's live tasks against its width: after a resize, a take-over, and every now and then. */
+    /** Ends live tasks that exceed the job's width; called after a resize, after a change of leader and periodically. */
     void reconcileWidth(Job job) {
         WidthRecord width = job.record.width;
         if (width == null || job.isCancelled()) {
@@ -218,43 +220,43 @@
         int surplus = retainedTaskCount(job) - width.target();
         if (surplus > 0) {
             TaskTermination.CapacityNeed need =
-                    new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
-            List<Placement> live = new ArrayList<>();
+                    new TaskTermination.CapacityNeed(context.now().ms() + RESIZE_FREE_WITHIN_MS, false);
+            List<Placement> candidates = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 if (mayBeEnded(job, placement)) {
-                    live.add(placement);
+                    candidates.add(placement);
                 }
             }
             for (SurplusTaskSelector.Candidate<Placement> c :
-                    SurplusTaskSelector.select(live, surplus, p -> chooseEnding(job, p, need))) {
+                    SurplusTaskSelector.select(candidates, surplus, p -> chooseEnding(job, p, need))) {
                 scheduleEnding(job, c.task(), c.termination(), "its width is " + width.target());
             }
         }
-        carryOut(job);
+        executeDueEndings(job);
     }
 
-    /** Stops what is to go and due, as far as the committed width leaves tasks over. */
-    private void carryOut(Job job) {
+    /** Executes the endings that are due, for at most as many tasks as exceed the committed width. */
+    private void executeDueEndings(Job job) {
         for (Map.Entry<Placement, TaskTermination> entry : new ArrayList<>(job.endings.entrySet())) {
             Placement placement = entry.getKey();
             TaskTermination end = entry.getValue();
-            if (job.record.live.size() - stopped(job) <= job.committedWidth
+            if (job.record.live.size() - stopRequestedCount(job) <= job.committedWidth
                     || placement.stopRequested
                     || end.atMs() > context.now().ms()) {
                 continue;
             }
             if (!placement.launchSent) {
-                ended.merge(TaskTermination.Method.WITHDRAW, 1, Integer::sum);
+                endedByWay.merge(TaskTermination.Method.WITHDRAW, 1, Integer::sum);
                 taskRemoval.remove(job, placement);
             } else if (end.method() == TaskTermination.Method.AT_END) {
-                // It runs longer than expected: where it can save, it does so now.
+                // The task runs longer than expected: it is checkpointed now if it can be.
                 TaskTermination.CapacityNeed need =
-                        new TaskTermination.CapacityNeed(context.now().ms() + NEAR_MS, false);
+                        new TaskTermination.CapacityNeed(context.now().ms() + RESIZE_FREE_WITHIN_MS, false);
                 TaskTermination again = chooseEnding(job, placement, need);
                 job.endings.put(placement, again);
                 placement.expectedGoneAtMs = again.freedAtMs();
             } else {
-                ended.merge(end.method(), 1, Integer::sum);
+                endedByWay.merge(end.method(), 1, Integer::sum);
                 eviction.evict(
                         placement,
                         end.method() == TaskTermination.Method.KILL
@@ -265,7 +267,7 @@
         }
     }
 
-    private static int stopped(Job job) {
+    private static int stopRequestedCount(Job job) {
         int count = 0;
         for (Placement p : job.endings.keySet()) {
             count += p.stopRequested ? 1 : 0;
@@ -274,22 +276,22 @@
     }
 
     void reconcileAllWidths() {
-        for (Job j : clusterState.jobs()) {
-            reconcileWidth(j);
+        for (Job job : clusterState.jobs()) {
+            reconcileWidth(job);
         }
     }
 
-    // ---- what can be seen of it ----
+    // ---- views ----
 
-    /** Counts since this leadership began. */
+    /** Returns the counts of width changes and endings by name. */
     Map<String, Integer> counts() {
         Map<String, Integer> out =
                 new HashMap<>(Map.of("widened", widened, "narrowed", narrowed, "withdrawn", withdrawn));
-        ended.forEach((way, n) -> out.put("ended_" + way.name().toLowerCase(java.util.Locale.ROOT), n));
+        endedByWay.forEach((way, n) -> out.put("ended_" + way.name().toLowerCase(java.util.Locale.ROOT), n));
         return out;
     }
 
-    /** Why nothing of the job may start, or null. */
+    /** Returns the reason why no task of the job may start, or null if its width is not 0. */
     static String pauseReason(Job job) {
         return job.record.width != null && job.record.width.isPaused() ? "paused: its width is 0" : null;
     }
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -11,57 +11,60 @@
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineType;
 
-/** Room on machines that take work now, given away one place after the other within one look; nothing is kept by it. */
+/** Free capacity of the usable machines, allocated tentatively task by task during one evaluation; reserves nothing in the cluster. */
 final class FreeCapacity {
-    private static final class Free {
+    private static final class MachineCapacity {
         private final Machine machine;
         private final MachineType type;
-        private Admission.FreeResources room;
+        private Admission.FreeResources free;
 
-        private Free(Machine machine, MachineType type, Admission.FreeResources room) {
+        private MachineCapacity(Machine machine, MachineType type, Admission.FreeResources free) {
             this.machine = machine;
             this.type = type;
-            this.room = room;
+            this.free = free;
         }
     }
 
-    private final List<Free> all = new ArrayList<>();
-    /** Rooms only shrink: what had no place for such a task has none for the next. */
-    private final Map<String, Integer> tried = new HashMap<>();
+    private final List<MachineCapacity> machines = new ArrayList<>();
+    /** The first machine to try by task shape; free capacity only shrinks, so machines before it cannot fit such a task. */
+    private final Map<String, Integer> firstIndexByShape = new HashMap<>();
 
-    /** @param serves whether a machine counts, beside that it takes work */
+    /** @param filter whether a machine counts, beside that it takes work */
     FreeCapacity(
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
             Admission admission,
-            Predicate<Machine> serves) {
+            Predicate<Machine> filter) {
         for (Machine machine : clusterState.machines()) {
             MachineType type =
-                    admission.isUsable(machine) && serves.test(machine) ? machineTypes.get(machine.type) : null;
-            Admission.FreeResources room = type == null ? null : admission.freeResources(machine, type);
-            if (room != null && room.cpus() > 0) {
-                all.add(new Free(machine, type, room));
+                    admission.isUsable(machine) && filter.test(machine) ? machineTypes.get(machine.type) : null;
+            Admission.FreeResources free = type == null ? null : admission.freeResources(machine, type);
+            if (free != null && free.cpus() > 0) {
+                machines.add(new MachineCapacity(machine, type, free));
             }
         }
     }
 
-    /** A machine with a place for such a task, which is taken from then on; null: there is none. What must lie together or apart has none. */
+    /**
+     * Allocates capacity for a task and returns its machine, or null if no machine fits. Always returns null for gangs and for jobs
+     * with zone rules.
+     */
     Machine allocate(JobSpec spec) {
         if (spec.isGang() || spec.sameZone() || spec.antiAffinity()) {
             return null;
         }
         String shape = spec.cpus() + "/" + spec.gpus() + "/" + spec.memGb() + "/" + spec.machineTypes() + "/"
                 + spec.zone() + "/" + spec.spot();
-        for (int i = tried.getOrDefault(shape, 0); i < all.size(); i++) {
-            Free free = all.get(i);
-            Admission.FreeResources left = free.room.plus(spec, -1);
-            if (left.isNonNegative() && spec.mayRunOn(free.type, free.machine.zone, free.machine.spot)) {
-                free.room = left;
-                tried.put(shape, i);
-                return free.machine;
+        for (int i = firstIndexByShape.getOrDefault(shape, 0); i < machines.size(); i++) {
+            MachineCapacity candidate = machines.get(i);
+            Admission.FreeResources left = candidate.free.plus(spec, -1);
+            if (left.isNonNegative() && spec.mayRunOn(candidate.type, candidate.machine.zone, candidate.machine.spot)) {
+                candidate.free = left;
+                firstIndexByShape.put(shape, i);
+                return candidate.machine;
             }
         }
-        tried.put(shape, all.size());
+        firstIndexByShape.put(shape, machines.size());
         return null;
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobOrdering.java
+++ b/src/main/java/org/beechhoist/controller/JobOrdering.java
@@ -20,14 +20,14 @@
 
 /** Determines the order in which waiting jobs are planned: by priority and quota, then by objectives and deadlines. */
 final class JobOrdering {
-    /** Allowed wait of a job that has no objective, or none that can still be met. */
-    private static final long NO_OBJECTIVE_MS = 300_000;
-    /** Safety margin before the starvation limit, because capacity is not free at the exact second the plan predicts. */
-    private static final long BEGIN_MARGIN_MS = 30_000;
+    /** The maximum wait of a job that has no objective that can still be met. */
+    private static final long DEFAULT_MAX_WAIT_MS = 300_000;
+    /** Safety margin before the starvation limit, because capacity is not freed at the exact second that the plan predicts. */
+    private static final long START_MARGIN_MS = 30_000;
 
     private static final int PRIORITIZED_RANK = -1;
     private static final int SHED_RANK = Integer.MAX_VALUE;
-    /** A job that is late by less than this may still be in time, because durations are estimates. */
+    /** A job that is late by less than this may still meet its objective, because durations are estimates. */
     private static final long ESTIMATE_TOLERANCE_MS = 3000;
 
     /** A job counts as served if it ends within this multiple of its deadline. */
@@ -56,52 +56,53 @@
         this.estimates = estimates;
     }
 
-    /** Sets the source of release order and due times; until it is set, jobs are ordered as if there were no releases. */
+    /** Sets the source of release order and due times; until it is set, jobs are ordered without regard to releases. */
     void setReleases(ReleaseController releaseController) {
         releases = releaseController;
     }
 
-    /** Returns the job's position, by its release, among jobs of the same rank. */
+    /** Returns the sort key of the job's release among jobs of the same rank. */
     long releaseOrderKey(Job job) {
         return releases == null ? ShipOrder.NONE : releases.key(job);
     }
 
     /**
-     * Returns the latest time at which the job's waiting tasks should begin to meet the earliest objective that can still be
-     * met. A job of which nothing has begun should also begin within the starvation limit, the largest jobs included.
+     * Returns the latest time at which the job's waiting tasks should start to meet the earliest objective that can still be met. A
+     * job without any started task should also start within the starvation limit, however large it is.
      */
     long latestStartMs(Job job) {
-        long latest = latestStartByObjective(job);
+        long latest = latestStartByObjectiveMs(job);
         Long dueWallMs = releases == null ? null : releases.dueMs(job);
         if (dueWallMs != null) {
-            latest = earlierIfOpen(
+            latest = earlierIfAchievable(
                     latest, context.now().ms() + dueWallMs - context.wallMs() - estimates.expectedMs(job.spec()));
         }
         return job.hasStarted()
                 ? latest
-                : earlierIfOpen(
-                        latest, job.submittedAt.ms() + StarvingJobSelector.MAX_TIME_TO_START_MS - BEGIN_MARGIN_MS);
+                : earlierIfAchievable(
+                        latest, job.submittedAt.ms() + StarvingJobSelector.MAX_TIME_TO_START_MS - START_MARGIN_MS);
     }
 
-    /** Returns the latest start for the deadline, class objectives and quota guarantee, or the default wait without any. */
-    private long latestStartByObjective(Job job) {
+    /** Returns the latest start by deadline, class objectives and quota guarantee, or by the default wait if none can be met. */
+    private long latestStartByObjectiveMs(Job job) {
         long durationMs = estimates.expectedMs(job.spec());
         long submittedMs = job.submittedAt.ms();
-        long latest = Math.max(submittedMs, context.now().ms()) + NO_OBJECTIVE_MS;
+        long latest = Math.max(submittedMs, context.now().ms()) + DEFAULT_MAX_WAIT_MS;
         if (job.spec().deadlineS() != null) {
-            latest = earlierIfOpen(
+            latest = earlierIfAchievable(
                     latest, submittedMs + Math.round(1000 * job.spec().deadlineS()) - durationMs);
         }
         for (Settings.Objective objective : settings.objectives()) {
             if (job.spec().jobClass().equals(objective.jobClass())) {
                 switch (objective.kind()) {
                     case "finished" ->
-                        latest = earlierIfOpen(
+                        latest = earlierIfAchievable(
                                 latest, submittedMs + Math.round(1000 * objective.withinS()) - durationMs);
-                    case "wait" -> latest = earlierIfOpen(latest, submittedMs + Math.round(1000 * objective.withinS()));
+                    case "wait" ->
+                        latest = earlierIfAchievable(latest, submittedMs + Math.round(1000 * objective.withinS()));
                     case "deadline" -> {
                         if (job.spec().deadlineS() != null) {
-                            latest = earlierIfOpen(
+                            latest = earlierIfAchievable(
                                     latest,
                                     submittedMs
                                             + Math.round(1000
@@ -113,7 +114,7 @@
                     default -> {}
                 }
             } else if (objective.kind().equals("guarantee") && job.withinGuarantee) {
-                latest = earlierIfOpen(latest, submittedMs + Math.round(1000 * objective.withinS()));
+                latest = earlierIfAchievable(latest, submittedMs + Math.round(1000 * objective.withinS()));
             }
         }
         return latest;
@@ -122,18 +123,18 @@
     /** Returns whether the job has a release or an objective that can still be met. */
     boolean hasOpenObjective(Job job) {
         return releaseOrderKey(job) != ShipOrder.NONE
-                || latestStartByObjective(job)
-                        < Math.max(job.submittedAt.ms(), context.now().ms()) + NO_OBJECTIVE_MS;
+                || latestStartByObjectiveMs(job)
+                        < Math.max(job.submittedAt.ms(), context.now().ms()) + DEFAULT_MAX_WAIT_MS;
     }
 
     /** Returns the earlier of the two times, or {@code latest} if the candidate can no longer be met. */
-    private long earlierIfOpen(long latest, long candidate) {
+    private long earlierIfAchievable(long latest, long candidate) {
         return candidate + ESTIMATE_TOLERANCE_MS < context.now().ms() ? latest : Math.min(latest, candidate);
     }
 
     /**
-     * Returns the time after submission within which the job counts as served: the longest completion objective of its class
-     * or 1.5 times its deadline, whichever is later.
+     * Returns the time after submission within which the job counts as served: the longest completion objective of its class or 1.5
+     * times its deadline, whichever is longer.
      */
     long servedWithinMs(JobSpec spec) {
         double longestS = spec.deadlineS() == null ? 0 : SERVED_DEADLINE_FACTOR * spec.deadlineS();
@@ -142,21 +143,21 @@
                 longestS = Math.max(longestS, objective.withinS());
             }
         }
-        return longestS == 0 ? NO_OBJECTIVE_MS : Math.round(1000 * longestS);
+        return longestS == 0 ? DEFAULT_MAX_WAIT_MS : Math.round(1000 * longestS);
     }
 
-    /** Returns the earliest completion time that the job can still meet, or null if all are missed or there is none. */
+    /** Returns the earliest completion limit that the job can still meet, or null if there is none. */
     Long earliestAchievableDueMs(Job job) {
         long earliestEndMs = context.now().ms() + estimates.expectedMs(job.spec()) - ESTIMATE_TOLERANCE_MS;
-        Long first = null;
+        Long earliest = null;
         for (long within : completionLimitsMs(job.spec())) {
             long due = job.submittedAt.ms() + within;
-            first = due >= earliestEndMs && (first == null || due < first) ? Long.valueOf(due) : first;
+            earliest = due >= earliestEndMs && (earliest == null || due < earliest) ? Long.valueOf(due) : earliest;
         }
-        return first;
+        return earliest;
     }
 
-    /** Returns whether the job has a deadline or an objective for its completion. */
+    /** Returns whether the job has a deadline or a completion objective. */
     boolean hasCompletionLimit(JobSpec spec) {
         return !completionLimitsMs(spec).isEmpty();
     }
@@ -181,22 +182,22 @@
     }
 
     /**
-     * Returns the time by which the job should begin. Under overload, ordering by start objectives would start every job and
-     * finish none, the newest first; so the start that still allows completion in time counts instead.
+     * Returns the time by which the job should start. Under overload the latest start that still allows completion in time is used:
+     * ordering by start objectives would start every job, the newest first, and complete none.
      */
-    private long startBy(Job job) {
+    private long startByMs(Job job) {
         Long due = overloaded ? earliestAchievableDueMs(job) : null;
         return due == null ? latestStartMs(job) : due - estimates.expectedMs(job.spec());
     }
 
     /** Sets whether the cluster is overloaded, which changes how {@link #waitingJobsByObjective} orders jobs. */
-    void setOverloaded(boolean newValue) {
-        overloaded = newValue;
+    void setOverloaded(boolean isOverloaded) {
+        overloaded = isOverloaded;
     }
 
     /**
-     * Returns how long the job may wait for a machine at the lowest price. A job of a release doesn't wait: a job of a later
-     * release would begin in its place.
+     * Returns how long the job may wait for a machine at the lowest price. A job of a release does not wait, because a job of a
+     * later release would start in its place.
      */
     long patienceMs(Job job) {
         return releaseOrderKey(job) != ShipOrder.NONE
@@ -205,7 +206,7 @@
                         * Math.max(0, latestStartMs(job) - context.now().ms()));
     }
 
-    /** Marks, in order of submission, the jobs that fit their team's quota together with the team's earlier jobs. */
+    /** Marks the jobs that fit their team's quota together with the team's earlier submitted jobs. */
     private void markWithinQuota() {
         Map<String, double[]> sums = new HashMap<>();
         List<Job> all = new ArrayList<>(clusterState.jobs());
@@ -222,14 +223,14 @@
         }
     }
 
-    /** Returns the waiting jobs by rank (priority, then quota), then release order, then the time by which they should begin. */
+    /** Returns the waiting jobs by rank (priority, then quota), then release order, then the time by which they should start. */
     List<Job> waitingJobsByObjective() {
         record Ranked(Job job, long shipKey, long startByMs) {}
         markWithinQuota();
         List<Ranked> ranked = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled() && job.keySetHold == null && job.record.waitingCount() > 0) {
-                ranked.add(new Ranked(job, releaseOrderKey(job), startBy(job)));
+                ranked.add(new Ranked(job, releaseOrderKey(job), startByMs(job)));
             }
         }
         ranked.sort(Comparator.comparingInt((Ranked r) -> rank(r.job))
@@ -238,7 +239,7 @@
         return ranked.stream().map(Ranked::job).toList();
     }
 
-    /** Reorders the jobs named in {@code preferred} among the positions that they occupy in the list, then sorts all by rank. */
+    /** Reorders the jobs listed in {@code preferred} among the positions that they occupy in the list, then sorts all by rank. */
     static List<Job> withPreferredOrder(List<Job> list, List<JobId> preferred) {
         if (preferred.isEmpty()) {
             return list;
@@ -256,10 +257,10 @@
     }
 
     /**
-     * Returns the job's rank; lower ranks are planned first, and the search never changes the order of ranks. Higher priority
-     * comes first, and jobs within a team's quota before those beyond it. Prioritized jobs, whose class or team is below its
-     * minimum service share, come before all; {@link MinimumServiceShare} prioritizes none over another team's guarantee. Jobs
-     * that are shed under overload come after all.
+     * Returns the job's rank. Lower ranks are planned first, and the search never changes the order of ranks. Higher priority comes
+     * first, and jobs within their team's quota come before those beyond it. Prioritized jobs, whose class or team is below its
+     * minimum service share, come before all others; {@link MinimumServiceShare} prioritizes no job over another team's guaranteed
+     * quota. Jobs that are shed under overload come last.
      */
     static int rank(Job job) {
         if (job.prioritized) {
@@ -271,7 +272,7 @@
         return baseRank(job);
     }
 
-    /** Returns the rank by priority and quota alone, whether or not the job is prioritized or shed. */
+    /** Returns the rank by priority and quota alone, without regard to prioritization and load shedding. */
     static int baseRank(Job job) {
         return 2 * job.spec().priority().ordinal() + (job.withinGuarantee ? 0 : 1);
     }
--- a/src/main/java/org/beechhoist/controller/JobProgress.java
+++ b/src/main/java/org/beechhoist/controller/JobProgress.java
@@ -15,62 +15,64 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * How far open jobs are, by the leader's word. Records are written seldom, so that the counts that users see come from
- * here: for display, never for a final state. A node that has not heard the leader lately shows what the record says.
+ * Task counts of open jobs as published by the leader. Records are written rarely, so the counts shown to users come from here; they
+ * are never used for a final state. A node without a recent message from the leader shows the counts of the record.
  */
 final class JobProgress {
-    /** Counts told in one message: those that changed, then others in turn, for nodes that have just started. */
-    private static final int MOST_TOLD = 300;
+    /** The maximum number of changed counts in one message; unchanged ones follow in turn, for nodes that have just started. */
+    private static final int MAX_CHANGED_COUNT = 300;
 
-    private static final int MOST_OTHERS = 60;
-    private static final int REMEMBERED = 10_000;
-    private static final long FRESH_MS = 12_000;
+    private static final int MAX_REPEATED_COUNT = 60;
+    private static final int MAX_STORED_COUNT = 10_000;
+    private static final long MAX_COUNT_AGE_MS = 12_000;
 
-    private final Map<JobId, JobCount> heard = BoundedCollections.leastRecentlyUsedMap(REMEMBERED);
+    private final Map<JobId, JobCount> receivedCounts = BoundedCollections.leastRecentlyUsedMap(MAX_STORED_COUNT);
     private FencingToken fencingToken = FencingToken.NONE;
-    private MonotonicTime heardAt = MonotonicTime.ZERO;
-    /** What this node, leading, told last. */
-    private final Map<JobId, JobCount> told = new LinkedHashMap<>();
+    private MonotonicTime receivedAt = MonotonicTime.ZERO;
+    /** The counts that this node last published as leader, the least recently published first. */
+    private final Map<JobId, JobCount> publishedCounts = new LinkedHashMap<>();
 
     void updateFromLeader(PeerState state, MonotonicTime now) {
         if (state.leading() && state.fencingToken().compareTo(fencingToken) >= 0) {
             fencingToken = state.fencingToken();
-            heardAt = now;
-            state.jobCounts().forEach(c -> heard.put(c.job(), c));
+            receivedAt = now;
+            state.jobCounts().forEach(c -> receivedCounts.put(c.job(), c));
         }
     }
 
-    /** The counts of an open job, or null where they are not known. */
+    /** Returns the counts of an open job, or null if no recent ones are known. */
     JobCount latestCount(JobId jobId, MonotonicTime now) {
-        return heardAt != MonotonicTime.ZERO && now.since(heardAt) < FRESH_MS ? heard.get(jobId) : null;
+        return receivedAt != MonotonicTime.ZERO && now.since(receivedAt) < MAX_COUNT_AGE_MS
+                ? receivedCounts.get(jobId)
+                : null;
     }
 
-    /** What a leader tells the others now. */
+    /** Returns the counts that the leader publishes now. */
     List<JobCount> countsToPublish(ClusterState clusterState) {
         List<JobCount> out = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
-            JobCount now = count(job);
-            if (out.size() < MOST_TOLD && !now.equals(told.get(job.id()))) {
-                told.remove(job.id());
-                told.put(job.id(), now); // last again: the others are told in turn
-                out.add(now);
+            JobCount current = count(job);
+            if (out.size() < MAX_CHANGED_COUNT && !current.equals(publishedCounts.get(job.id()))) {
+                publishedCounts.remove(job.id());
+                publishedCounts.put(job.id(), current); // moved to the end, so that the others are published in turn
+                out.add(current);
             }
         }
-        Iterator<JobCount> all = told.values().iterator();
-        List<JobCount> again = new ArrayList<>();
-        while (all.hasNext() && again.size() < MOST_OTHERS) {
-            JobCount jobCount = all.next();
+        Iterator<JobCount> iterator = publishedCounts.values().iterator();
+        List<JobCount> repeated = new ArrayList<>();
+        while (iterator.hasNext() && repeated.size() < MAX_REPEATED_COUNT) {
+            JobCount jobCount = iterator.next();
             if (clusterState.job(jobCount.job()) == null) {
-                all.remove();
+                iterator.remove();
             } else if (!out.contains(jobCount)) {
-                again.add(jobCount);
+                repeated.add(jobCount);
             }
         }
-        again.forEach(jobCount -> {
-            told.remove(jobCount.job());
-            told.put(jobCount.job(), jobCount);
+        repeated.forEach(jobCount -> {
+            publishedCounts.remove(jobCount.job());
+            publishedCounts.put(jobCount.job(), jobCount);
         });
-        out.addAll(again);
+        out.addAll(repeated);
         return out;
     }
 
@@ -79,8 +81,8 @@
                 job.record.live.values().stream().filter(p -> p.committed).count());
     }
 
-    /** Leadership has ended. */
+    /** Forgets the published counts when the term ends. */
     void clearPublished() {
-        told.clear();
+        publishedCounts.clear();
     }
 }
--- a/src/main/java/org/beechhoist/controller/JobResponses.java
+++ b/src/main/java/org/beechhoist/controller/JobResponses.java
@@ -5,7 +5,7 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 
-/** What users are told of a job, by what the state service holds of it. */
+/** Builds response bodies for users from the stored records of a job. */
 final class JobResponses {
     private JobResponses() {}
 
@@ -29,9 +29,11 @@
 
     static ObjectNode openStatus(JobId jobId, JsonNode value) {
         int done = value.path("doneCount").asInt();
-        JsonNode runs = value.path("doneCount").isMissingNode() ? value.path("done") : Codec.list(); // an older record
-        for (int i = 0; i + 1 < runs.size(); i += 2) {
-            done += runs.get(i + 1).asInt() - runs.get(i).asInt() + 1;
+        JsonNode doneRanges = value.path("doneCount").isMissingNode()
+                ? value.path("done")
+                : Codec.list(); // a record in the older format
+        for (int i = 0; i + 1 < doneRanges.size(); i += 2) {
+            done += doneRanges.get(i + 1).asInt() - doneRanges.get(i).asInt() + 1;
         }
         int running = value.path("running").asInt();
         String status = value.path("cancel").asLong() > 0 ? "cancelled" : running > 0 ? "running" : "queued";
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -28,12 +28,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sees that more is asked than machines, those that boot included, can do while the cloud has no more, and leaves jobs behind so
- * that as many others as possible are in time. Without it all jobs began as late as they might, and nearly all were late.
+ * Detects that the demand exceeds the capacity of all machines, booting ones included, while the cloud offers no more, and sheds
+ * jobs so that as many others as possible meet their deadlines. Without load shedding all jobs started as late as possible and
+ * nearly all of them were late.
  */
 final class LoadShedding {
     private static final Logger LOG = LoggerFactory.getLogger(LoadShedding.class);
-    private static final long EVERY_MS = 1000;
+    private static final long UPDATE_INTERVAL_MS = 1000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -43,10 +44,10 @@
     private final JobOrdering ordering;
     private final Admission admission;
     private final ScaleOutPolicy scaleOut;
-    private final Supplier<Map<String, ServiceShare>> lately;
-    private final Function<Job, Set<String>> groups;
-    private long next;
-    private Set<JobId> behind = Set.of();
+    private final Supplier<Map<String, ServiceShare>> recentShares;
+    private final Function<Job, Set<String>> shareGroups;
+    private long nextUpdateMs;
+    private Set<JobId> shedJobs = Set.of();
 
     LoadShedding(
             ControllerContext context,
@@ -59,8 +60,8 @@
             ScaleOutPolicy scaleOut,
             Supplier<Map<String, ServiceShare>> lately,
             Function<Job, Set<String>> groups) {
-        this.groups = groups;
-        this.lately = lately;
+        this.shareGroups = groups;
+        this.recentShares = lately;
         this.context = context;
         this.settings = settings;
         this.machineTypes = machineTypes;
@@ -71,15 +72,15 @@
         this.scaleOut = scaleOut;
     }
 
-    /** Says anew who is left behind; the next plan goes by it. */
+    /** Updates the set of shed jobs, which the next plan uses. */
     void updateShedJobs() {
-        if (context.now().ms() < next) {
+        if (context.now().ms() < nextUpdateMs) {
             return;
         }
-        next = context.now().ms() + EVERY_MS;
-        Map<String, Boolean> grows = new HashMap<>();
+        nextUpdateMs = context.now().ms() + UPDATE_INTERVAL_MS;
+        Map<String, Boolean> mayGrowByShape = new HashMap<>();
         List<Demand> demands = new ArrayList<>();
-        List<Job> missed = new ArrayList<>();
+        List<Job> missedJobs = new ArrayList<>();
         boolean overloaded = false;
         for (Job job : clusterState.jobs()) {
             if (job.isCancelled()
@@ -90,57 +91,58 @@
                 continue;
             }
             JobSpec spec = job.spec();
-            boolean more = grows.computeIfAbsent(
+            boolean mayGrow = mayGrowByShape.computeIfAbsent(
                     spec.machineTypes() + "/" + spec.zone() + "/" + spec.spot() + "/" + spec.cpus() + "/" + spec.gpus()
                             + "/" + spec.memGb(),
                     k -> scaleOut.mayHaveCapacityFor(spec));
             Long due = ordering.earliestAchievableDueMs(job);
             boolean late = due == null && ordering.hasCompletionLimit(spec);
-            if (late && !more && ordering.releaseOrderKey(job) == ShipOrder.NONE) {
-                missed.add(job);
+            if (late && !mayGrow && ordering.releaseOrderKey(job) == ShipOrder.NONE) {
+                missedJobs.add(job);
             }
-            overloaded |= !more;
-            boolean begun = job.hasStarted();
-            long length = estimates.expectedMs(spec);
+            overloaded |= !mayGrow;
+            boolean hasBegun = job.hasStarted();
+            long durationMs = estimates.expectedMs(spec);
             demands.add(new Demand(
                     job.id(),
-                    groups.apply(job),
+                    shareGroups.apply(job),
                     job.prioritized ? -1 : JobOrdering.baseRank(job),
                     spec.team(),
-                    spec.cpus() * length * job.record.waitingCount(),
-                    spec.gpus() * length * job.record.waitingCount(),
-                    length,
+                    spec.cpus() * durationMs * job.record.waitingCount(),
+                    spec.gpus() * durationMs * job.record.waitingCount(),
+                    durationMs,
                     due == null ? Demand.NO_DEADLINE : due,
                     late,
-                    more || begun || job.prioritized || ordering.releaseOrderKey(job) != ShipOrder.NONE));
+                    mayGrow || hasBegun || job.prioritized || ordering.releaseOrderKey(job) != ShipOrder.NONE));
         }
-        Set<JobId> now = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
-        if (!now.isEmpty()) {
-            now = new HashSet<>(now);
-            for (Job j : missed) {
-                now.add(j.id()); // it has missed all it was promised, and delays nobody who has not
+        Set<JobId> newlyShed = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
+        if (!newlyShed.isEmpty()) {
+            newlyShed = new HashSet<>(newlyShed);
+            for (Job j : missedJobs) {
+                newlyShed.add(
+                        j.id()); // it has missed all its limits and must not delay jobs that can still meet theirs
             }
         }
-        if (now.isEmpty() != behind.isEmpty()) {
+        if (newlyShed.isEmpty() != shedJobs.isEmpty()) {
             LOG.info(
-                    now.isEmpty()
-                            ? "no job is left behind any more"
-                            : "{} jobs are left behind: the cloud has no more machines, and others can be in time",
-                    now.size());
+                    newlyShed.isEmpty()
+                            ? "load shedding ended: shed_jobs={}"
+                            : "load shedding started, no more machines can be rented: shed_jobs={}",
+                    newlyShed.size());
         }
-        behind = now;
-        ordering.setOverloaded(!now.isEmpty());
+        shedJobs = newlyShed;
+        ordering.setOverloaded(!newlyShed.isEmpty());
         for (Job j : clusterState.jobs()) {
-            j.shed = !j.prioritized && behind.contains(j.id());
+            j.shed = !j.prioritized && shedJobs.contains(j.id());
         }
     }
 
     private Capacity capacity() {
         double cpus = 0;
-        double busy = 0;
+        double busyCpuMs = 0;
         double gpus = 0;
-        double busyGpus = 0;
-        Map<String, Double> busyTeams = new HashMap<>();
+        double busyGpuMs = 0;
+        Map<String, Double> busyCpuMsByTeam = new HashMap<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() && !machine.releasing ? machineTypes.get(machine.type) : null;
             if (type == null || machine.up && !admission.isUsable(machine)) {
@@ -154,11 +156,12 @@
                     cpus -= job.spec().cpus();
                     gpus -= job.spec().gpus();
                 } else if (job != null) {
-                    long left = Math.max(
+                    long remainingMs = Math.max(
                             0, estimates.expectedEnd(placement, context.now()).since(context.now()));
-                    busy += left * job.spec().cpus();
-                    busyGpus += left * job.spec().gpus();
-                    busyTeams.merge(job.spec().team(), left * job.spec().cpus(), Double::sum);
+                    busyCpuMs += remainingMs * job.spec().cpus();
+                    busyGpuMs += remainingMs * job.spec().gpus();
+                    busyCpuMsByTeam.merge(
+                            job.spec().team(), remainingMs * job.spec().cpus(), Double::sum);
                 }
             }
         }
@@ -166,9 +169,10 @@
         for (Settings.Team team : settings.teams().values()) {
             if (team.cpusMax() < Double.POSITIVE_INFINITY && team.cpusMax() > 0) {
                 teams.put(
-                        team.name(), new Capacity.TeamQuota(team.cpusMax(), busyTeams.getOrDefault(team.name(), 0.0)));
+                        team.name(),
+                        new Capacity.TeamQuota(team.cpusMax(), busyCpuMsByTeam.getOrDefault(team.name(), 0.0)));
             }
         }
-        return new Capacity(context.now().ms(), cpus, busy, gpus, busyGpus, teams, lately.get());
+        return new Capacity(context.now().ms(), cpus, busyCpuMs, gpus, busyGpuMs, teams, recentShares.get());
     }
 }
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -32,13 +32,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what each class and team asks and is served, keeps that through take-overs, and lifts jobs where one is behind its half. */
+/**
+ * Counts the requested and served jobs of each class and team, preserves the counts across leader changes, and prioritizes jobs of
+ * classes and teams that are below the minimum service share.
+ */
 final class MinimumServiceShare {
     private static final Logger LOG = LoggerFactory.getLogger(MinimumServiceShare.class);
-    private static final long WRITE_EVERY_MS = 15_000;
-    private static final double PLENTY = 0.5;
-    private static final long AGAIN_MS = 1000;
-    private static final long READ_AFTER_MS = 4000;
+    private static final long WRITE_INTERVAL_MS = 15_000;
+    private static final double MIN_FREE_WRITES_FRACTION = 0.5;
+    private static final long READ_RETRY_INTERVAL_MS = 1000;
+    private static final long READ_DELAY_MS = 4000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -51,14 +54,14 @@
     private final JobOrdering ordering;
     private final ServiceShareWindow ledger = new ServiceShareWindow();
     private final LargestJobGroups largest = new LargestJobGroups();
-    private final ToDoubleFunction<Machine> cpus;
-    private final Set<JobId> counted = new HashSet<>();
-    private Set<JobId> lifted = Set.of();
-    /** Open jobs whose time was up before are in the ledger already. */
+    private final ToDoubleFunction<Machine> machineCpus;
+    private final Set<JobId> countedJobs = new HashSet<>();
+    private Set<JobId> prioritizedJobs = Set.of();
+    /** Open jobs whose time limit had passed before this time are already counted in the ledger. */
     private long countedUntilWallMs;
 
-    private boolean known;
-    private MonotonicTime nextWrite = MonotonicTime.ZERO;
+    private boolean loaded;
+    private MonotonicTime nextWriteAt = MonotonicTime.ZERO;
 
     MinimumServiceShare(
             ControllerContext context,
@@ -71,7 +74,7 @@
             DurationEstimates estimates,
             JobOrdering ordering,
             ToDoubleFunction<Machine> cpus) {
-        this.cpus = cpus;
+        this.machineCpus = cpus;
         this.ordering = ordering;
         this.context = context;
         this.settings = settings;
@@ -83,24 +86,24 @@
         this.estimates = estimates;
     }
 
-    /** A new leadership begins: what was counted before is read. */
+    /** Starts a new term: clears the counts and schedules reading those of the previous leader. */
     void startTerm() {
         ledger.clear();
         largest.clear();
-        counted.clear();
-        lifted = Set.of();
-        known = false;
+        countedJobs.clear();
+        prioritizedJobs = Set.of();
+        loaded = false;
         countedUntilWallMs = 0;
-        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
+        nextWriteAt = context.now().plusMs(WRITE_INTERVAL_MS);
         long term = clusterState.term();
-        context.schedule(READ_AFTER_MS, () -> {
+        context.schedule(READ_DELAY_MS, () -> {
             if (term == clusterState.term()) {
-                read(); // nothing hangs on it in a leadership's first seconds, in which all else is read
+                readLedger(); // not needed in the first seconds of a term, when all other records are read
             }
         });
     }
 
-    private void read() {
+    private void readLedger() {
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
         store.get(ServiceShareRecord.KEY, read -> {
@@ -108,73 +111,76 @@
                 return;
             }
             if (!read.answered()) {
-                context.schedule(AGAIN_MS, () -> {
+                context.schedule(READ_RETRY_INTERVAL_MS, () -> {
                     if (term == clusterState.term()) {
-                        read();
+                        readLedger();
                     }
                 });
                 return;
             }
-            // Without a record the time before is unknown: jobs that were late by then count for nobody.
+            // Without a record the earlier counts are unknown: jobs that were late by now are not counted.
             countedUntilWallMs = context.wallMs();
             if (read.item() != null) {
                 try {
                     countedUntilWallMs = ServiceShareRecord.read(read.item().value(), ledger, largest);
                 } catch (MalformedMessageException e) {
-                    LOG.warn("what was served before can't be read, it is counted anew: {}", e.getMessage());
+                    LOG.warn("service share record unreadable, counts restart from zero: error={}", e.getMessage());
                     ledger.clear();
                     largest.clear();
                 }
             }
-            known = true;
+            loaded = true;
         });
     }
 
-    /** By when the job counts as served, by the time of day. */
-    private long limitWallMs(Job job) {
-        long usual = job.record.submittedWallMs + ordering.servedWithinMs(job.spec());
+    /** Returns the wall-clock time by which the job must end to count as served. */
+    private long servedByWallMs(Job job) {
+        long byObjectiveWallMs = job.record.submittedWallMs + ordering.servedWithinMs(job.spec());
         return job.release == null
-                ? usual
-                : Math.max(usual, job.release.dueMs()); // until then it is not late, however long it waits
+                ? byObjectiveWallMs
+                : Math.max(
+                        byObjectiveWallMs,
+                        job.release.dueMs()); // a job of a release is not late before the release is due
     }
 
-    /** The class and the team that a job counts for. */
+    /** Returns the groups that a job counts for by its spec: its class and its team. */
     static Set<String> groups(JobSpec spec) {
         return Set.of("class:" + spec.jobClass(), "team:" + spec.team());
     }
 
-    /** The same, the maker whose release it counts for, and its class's largest where it is one of them. */
+    /** Returns the groups that the job counts for: class, team, the maker of its release, and size groups of its class. */
     Set<String> groups(Job job) {
-        if (!known) {
+        if (!loaded) {
             return groups(job.spec());
         }
         if (job.shareGroups == null) {
             JobSpec spec = job.spec();
-            Set<String> all = new HashSet<>(groups(spec));
+            Set<String> groups = new HashSet<>(groups(spec));
             if (job.release != null) {
-                all.add("maker:" + job.release.maker());
+                groups.add("maker:" + job.release.maker());
             }
-            all.addAll(largest.recordJob(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
-            job.shareGroups = Set.copyOf(all);
+            groups.addAll(
+                    largest.recordJob(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
+            job.shareGroups = Set.copyOf(groups);
         }
         return job.shareGroups;
     }
 
-    /** The job is over, by its tasks. */
+    /** Counts a job whose tasks have ended as served or not served. */
     void recordEnded(Job job) {
-        if (known && !job.isCancelled() && counted.add(job.id())) {
-            count(job, context.wallMs() <= limitWallMs(job));
+        if (loaded && !job.isCancelled() && countedJobs.add(job.id())) {
+            recordOutcome(job, context.wallMs() <= servedByWallMs(job));
         }
-        counted.remove(job.id());
+        countedJobs.remove(job.id());
     }
 
-    private void count(Job job, boolean served) {
+    private void recordOutcome(Job job, boolean served) {
         groups(job).forEach(g -> ledger.recordOutcome(g, context.wallMs(), served));
     }
 
-    /** Counts whose time is up, decides who goes first, and stores the counts now and then. */
+    /** Counts jobs whose time limit has passed, selects the prioritized and starving jobs, and stores the counts periodically. */
     void updatePrioritizedJobs() {
-        if (!known) {
+        if (!loaded) {
             return;
         }
         List<PrioritizedJobSelector.OpenJob> waiting = new ArrayList<>();
@@ -185,71 +191,72 @@
             }
         }
         for (Job job : clusterState.jobs()) {
-            long limit = limitWallMs(job);
+            long limit = servedByWallMs(job);
             if (job.keySetHold != null) {
-                counted.add(job.id()); // its waiting is on nobody's account, also when it goes on
+                countedJobs.add(job.id()); // never counted, even after its hold is lifted
             }
             if (job.isCancelled() || job.keySetHold != null) {
                 continue;
             }
             if (job.spec().isService()) {
-                service(job, limit);
+                recordServiceOutcome(job, limit);
                 continue;
             }
             groups(job);
             if (context.wallMs() > limit) {
-                if (counted.add(job.id()) && limit > countedUntilWallMs) {
-                    count(job, false);
+                if (countedJobs.add(job.id()) && limit > countedUntilWallMs) {
+                    recordOutcome(job, false);
                 }
             } else if (job.prioritized
                     || job.record.waitingCount() > 0
                             && (job.withinGuarantee
                                     || guaranteed.stream().allMatch(job.spec().team()::equals))) {
-                long ends = context.wallMs() + estimates.expectedMs(job.spec());
-                waiting.add(new PrioritizedJobSelector.OpenJob(job.id(), groups(job), job.prioritized, ends, limit));
+                long endsIfFirstMs = context.wallMs() + estimates.expectedMs(job.spec());
+                waiting.add(new PrioritizedJobSelector.OpenJob(
+                        job.id(), groups(job), job.prioritized, endsIfFirstMs, limit));
             }
         }
-        Set<JobId> before = lifted;
-        lifted = PrioritizedJobSelector.select(ledger.shares(context.wallMs()), waiting);
-        Map<JobId, Integer> aged = aged();
+        Set<JobId> previous = prioritizedJobs;
+        prioritizedJobs = PrioritizedJobSelector.select(ledger.shares(context.wallMs()), waiting);
+        Map<JobId, Integer> expeditedTasks = selectStarvingJobs();
         for (Job job : clusterState.jobs()) {
-            Integer part = aged.get(job.id());
-            if (part != null && !job.starving) {
+            Integer expedited = expeditedTasks.get(job.id());
+            if (expedited != null && !job.starving) {
                 LOG.info(
-                        "{} tasks of {} go first: nothing of it has begun for {} s",
-                        part,
+                        "starving job expedited: tasks={} job={} waiting_s={}",
+                        expedited,
                         job.id(),
                         (context.wallMs() - job.record.submittedWallMs) / 1000);
             }
-            job.starving = part != null;
-            job.expeditedLimit = part == null ? 0 : job.record.live.size() + job.record.done.size() + part;
-            job.prioritized = lifted.contains(job.id());
-            if (job.prioritized && !before.contains(job.id())) {
+            job.starving = expedited != null;
+            job.expeditedLimit = expedited == null ? 0 : job.record.live.size() + job.record.done.size() + expedited;
+            job.prioritized = prioritizedJobs.contains(job.id());
+            if (job.prioritized && !previous.contains(job.id())) {
                 LOG.info(
-                        "{} goes first: its class {}, team {} or class's largest are below its half",
+                        "job prioritized, a group is below its minimum service share: job={} class={} team={}",
                         job.id(),
                         job.spec().jobClass(),
                         job.spec().team());
             }
         }
-        write();
+        writeLedger();
     }
 
-    /** A service is served once all of it runs in time; how long it then goes on is its user's matter. */
-    private void service(Job job, long limit) {
-        boolean runs = job.record.live.size() == job.spec().tasks()
+    /** Counts a service: as served once all its tasks run within the time limit, otherwise as not served once the limit has passed. */
+    private void recordServiceOutcome(Job job, long limit) {
+        boolean running = job.record.live.size() == job.spec().tasks()
                 && job.record.live.values().stream().allMatch(p -> p.runningSince != null);
         boolean late = context.wallMs() > limit;
-        if ((runs || late) && limit > countedUntilWallMs && counted.add(job.id())) {
-            count(job, !late);
+        if ((running || late) && limit > countedUntilWallMs && countedJobs.add(job.id())) {
+            recordOutcome(job, !late);
         }
     }
 
-    private Map<JobId, Integer> aged() {
+    private Map<JobId, Integer> selectStarvingJobs() {
         List<StarvingJobSelector.OpenJob> waiting = new ArrayList<>();
-        double all = 0;
-        for (Machine h : clusterState.machines()) {
-            all += h.up && !h.releasing ? cpus.applyAsDouble(h) : 0;
+        double totalCpus = 0;
+        for (Machine machine : clusterState.machines()) {
+            totalCpus += machine.up && !machine.releasing ? machineCpus.applyAsDouble(machine) : 0;
         }
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled()
@@ -258,31 +265,32 @@
                     && job.notBefore.ms() <= context.now().ms()
                     && (job.starving || !job.hasStarted())
                     && groups(job).stream().anyMatch(LargestJobGroups::isSizeGroup)) {
-                long first = job.record.live.values().stream()
+                long begunMs = job.record.live.values().stream()
                         .mapToLong(p -> context.now().since(p.placedAt))
                         .max()
                         .orElse(0);
                 JobSpec spec = job.spec();
-                boolean whole = spec.isGang() || spec.isService() || spec.sameZone() || spec.antiAffinity();
+                boolean placedTogether = spec.isGang() || spec.isService() || spec.sameZone() || spec.antiAffinity();
                 waiting.add(new StarvingJobSelector.OpenJob(
                         job.id(),
                         job.record.submittedWallMs,
-                        whole,
+                        placedTogether,
                         spec.tasks(),
                         job.record.live.size() + job.record.done.size(),
-                        first,
+                        begunMs,
                         job.record.waitingCount(),
                         spec.cpus()));
             }
         }
-        return StarvingJobSelector.select(waiting, all, context.wallMs());
+        return StarvingJobSelector.select(waiting, totalCpus, context.wallMs());
     }
 
-    private void write() {
-        if (context.now().isBefore(nextWrite) || writes.available(context.now()) < PLENTY * writes.capacity()) {
+    private void writeLedger() {
+        if (context.now().isBefore(nextWriteAt)
+                || writes.available(context.now()) < MIN_FREE_WRITES_FRACTION * writes.capacity()) {
             return;
         }
-        nextWrite = context.now().plusMs(WRITE_EVERY_MS);
+        nextWriteAt = context.now().plusMs(WRITE_INTERVAL_MS);
         Transaction transaction = election.guardedTransaction()
                 .put(
                         ServiceShareRecord.KEY,
@@ -293,15 +301,15 @@
                                 settings.stateLimits().valueBytes()));
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
-        store.commit(transaction, c -> {}); // the next one says it again
+        store.commit(transaction, c -> {}); // no retry: the next write contains the same counts
     }
 
-    /** What was asked and served lately, by class and by team. */
+    /** Returns the recently requested and served jobs by group. */
     Map<String, ServiceShare> shares() {
         return ledger.shares(context.wallMs());
     }
 
-    /** The same, to be shown. */
+    /** Returns the shares of all groups and the prioritized jobs as a view. */
     ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("served");
@@ -314,8 +322,8 @@
                     .put("served", share.served())
                     .put("share", share.fraction());
         });
-        ArrayNode first = out.putArray("lifted");
-        lifted.forEach(r -> first.add(r.text()));
+        ArrayNode jobs = out.putArray("lifted");
+        prioritizedJobs.forEach(r -> jobs.add(r.text()));
         return out;
     }
 }
--- a/src/main/java/org/beechhoist/controller/PlacementLauncher.java
+++ b/src/main/java/org/beechhoist/controller/PlacementLauncher.java
@@ -32,19 +32,19 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Launches the placed tasks, except those that the job's width no longer covers: these are withdrawn. */
-    void launch(List<Placement> placed) {
-        placed.forEach(lossRecovery::recordTaskPlaced);
-        Set<Machine> commanded = new LinkedHashSet<>();
-        for (Placement placement : placed) {
+    /** Launches the placed tasks and withdraws those that are to be ended or whose machine is about to be removed. */
+    void launch(List<Placement> placements) {
+        placements.forEach(lossRecovery::recordTaskPlaced);
+        Set<Machine> machinesWithCommands = new LinkedHashSet<>();
+        for (Placement placement : placements) {
             Job job = clusterState.job(placement.task.job());
             if (elastic.shouldWithdraw(job, placement, clusterState.machine(placement.machine))) {
                 taskRemoval.remove(job, placement);
             } else {
                 taskRemoval.launchOrRemove(placement);
             }
-            commanded.add(clusterState.machine(placement.machine));
+            machinesWithCommands.add(clusterState.machine(placement.machine));
         }
-        commanded.forEach(dispatcher::dispatch);
+        machinesWithCommands.forEach(dispatcher::dispatch);
     }
 }
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -27,14 +27,14 @@
 
 /** Builds a plan from the cluster state: machines, running tasks, team limits, waiting jobs in a given order, elastic widths. */
 final class PlanBuilder {
-    /** Elastic jobs whose widths one plan chooses: each costs a few trials of its part of the plan. */
+    /** The maximum number of elastic jobs whose width one plan chooses: each needs several trial placements of its tasks. */
     private static final int MAX_CHOSEN_WIDTHS = 8;
-    /** How long an elastic job without a deadline would wait for a machine at the lowest price. */
-    private static final long NO_HURRY_MS = 3_600_000;
-    /** How long a migration's reserved place, or a task on a machine that is not planned, is taken to last. */
-    private static final long UNKNOWN_END_MS = 3_600_000;
-    /** Shortest remaining time until a task that doesn't run yet has its image. */
-    private static final long MIN_FETCH_MS = 500;
+    /** The slack of an elastic job without a deadline, from which its wait for a machine at the lowest price is computed. */
+    private static final long NO_DEADLINE_SLACK_MS = 3_600_000;
+    /** The assumed duration of a migration's reservation, and of a task on a machine that is not part of the plan. */
+    private static final long UNKNOWN_DURATION_MS = 3_600_000;
+    /** The minimum remaining fetch time of the image of a task that is not running yet. */
+    private static final long MIN_REMAINING_FETCH_MS = 500;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -72,20 +72,20 @@
         this.preemptionNotices = preemptionNotices;
     }
 
-    /** Builds a plan of what runs and, in the given order, what waits; it chooses the elastic widths that are not given. */
+    /** Builds a plan from the running tasks and, in the given order, the waiting jobs; chooses the elastic widths that are not given. */
     Plan build(List<Job> order, Map<JobId, Integer> widths) {
         long now = context.now().ms();
-        Set<MachineId> planned = new HashSet<>();
-        Plan next = new Plan(now, planMachines(planned));
-        next.setGpuSizes(migrations.requestedSizes());
-        addTeamUsage(next, planned);
-        placeWaiting(next, order);
-        widen(next, order, widths);
-        return next;
+        Set<MachineId> plannedIds = new HashSet<>();
+        Plan plan = new Plan(now, planMachines(plannedIds));
+        plan.setGpuSizes(migrations.requestedSizes());
+        addTeamUsage(plan, plannedIds);
+        placeWaiting(plan, order);
+        widenElasticJobs(plan, order, widths);
+        return plan;
     }
 
-    /** Returns the machines that a plan may use, and adds their ids to {@code planned}. */
-    private List<PlanMachine> planMachines(Set<MachineId> planned) {
+    /** Returns the machines that a plan may use and adds their ids to {@code plannedIds}. */
+    private List<PlanMachine> planMachines(Set<MachineId> plannedIds) {
         List<PlanMachine> planMachines = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             MachineType type = machine.isTypeKnown() ? machineTypes.get(machine.type) : null;
@@ -95,7 +95,7 @@
                 continue;
             }
             planMachines.add(planMachine(machine, type));
-            planned.add(machine.id);
+            plannedIds.add(machine.id);
         }
         return planMachines;
     }
@@ -111,8 +111,8 @@
                 machine.up ? now : provisioner.expectedReadyAtMs(machine, type));
         planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
-        for (JobSpec kept : migrations.reservedOn(machine.id)) {
-            planMachine.occupy(now + UNKNOWN_END_MS, kept.cpus(), kept.gpus(), kept.memGb());
+        for (JobSpec reserved : migrations.reservedOn(machine.id)) {
+            planMachine.occupy(now + UNKNOWN_DURATION_MS, reserved.cpus(), reserved.gpus(), reserved.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
             planMachine.allowElasticGrowth();
@@ -120,7 +120,7 @@
         return planMachine;
     }
 
-    /** Occupies the machine with the tasks placed on it, up to their expected ends. */
+    /** Reserves the machine's capacity for the tasks placed on it, up to their expected ends. */
     private void occupyByTasks(PlanMachine planMachine, Machine machine) {
         long now = context.now().ms();
         for (Placement placement : machine.placements.values()) {
@@ -133,57 +133,57 @@
                         spec.image(),
                         placement.runningSince != null
                                 ? now
-                                : Math.max(now + MIN_FETCH_MS, placement.placedAt.ms() + placement.fetchMs));
+                                : Math.max(now + MIN_REMAINING_FETCH_MS, placement.placedAt.ms() + placement.fetchMs));
             }
         }
     }
 
-    /** Adds the teams' limits and what their live tasks use of them. */
-    private void addTeamUsage(Plan next, Set<MachineId> planned) {
+    /** Adds the limits of the teams and the usage of their live tasks. */
+    private void addTeamUsage(Plan plan, Set<MachineId> plannedIds) {
         long now = context.now().ms();
         for (Settings.Team team : settings.teams().values()) {
-            next.setTeamQuota(team.name(), team.cpusMax(), team.gpusMax());
+            plan.setTeamQuota(team.name(), team.cpusMax(), team.gpusMax());
         }
         for (Job job : clusterState.jobs()) {
             for (Placement placement : job.record.live.values()) {
                 Machine machine = clusterState.findMachine(placement.machine);
-                long end = planned.contains(placement.machine)
+                long end = plannedIds.contains(placement.machine)
                                 || machine != null && (machine.preemptionAt != null || machine.cordonedBy != null)
                         ? preemptionNotices.expectedEnd(machine, placement).ms()
-                        : now + UNKNOWN_END_MS;
-                next.addTeamUsage(
+                        : now + UNKNOWN_DURATION_MS;
+                plan.addTeamUsage(
                         job.spec().team(), end, job.spec().cpus(), job.spec().gpus());
             }
         }
     }
 
-    /** Places the waiting tasks: expedited ones and those with a reserved place of all jobs first, then all others. */
-    private void placeWaiting(Plan next, List<Job> order) {
+    /** Places the waiting tasks: first the expedited tasks and those with reserved capacity of all jobs, then all others. */
+    private void placeWaiting(Plan plan, List<Job> order) {
         for (Job job : order) {
             if (expeditedTasks(job) > 0) {
-                next.place(entry(
+                plan.place(planEntry(
                         job, Math.min(expeditedTasks(job), job.maxPlaceable(elastic.regularWaitingCount(job))), 0));
             }
         }
         for (Job job : order) {
             if (job.spec().isGang() && !job.record.live.isEmpty()) {
-                continue; // what is left of a gang ends first, then all of it starts anew
+                continue; // a gang restarts as a unit once its remaining live tasks have ended
             }
-            int unwidened = job.maxPlaceable(elastic.regularWaitingCount(job))
+            int regular = job.maxPlaceable(elastic.regularWaitingCount(job))
                     - expeditedTasks(job)
                     - migrations.migratingTaskCount(job);
-            if (unwidened > 0) {
-                next.place(entry(job, unwidened, ordering.patienceMs(job)));
+            if (regular > 0) {
+                plan.place(planEntry(job, regular, ordering.patienceMs(job)));
             }
         }
     }
 
-    /** Returns how many of the job's tasks go before all others: expedited ones, and those for which a migration frees capacity. */
+    /** Returns how many tasks of the job are placed before all others: expedited ones and those for which a migration frees capacity. */
     private int expeditedTasks(Job job) {
         return Math.max(job.expeditedTasks(), migrations.pendingMigrationCount(job));
     }
 
-    private Plan.Entry entry(Job job, int waiting, long patienceMs) {
+    private Plan.Entry planEntry(Job job, int waiting, long patienceMs) {
         return new Plan.Entry(
                 job.id(),
                 job.spec(),
@@ -194,30 +194,30 @@
                 patienceMs);
     }
 
-    /** Widens elastic jobs onto capacity that would be idle after all other work is placed. */
-    private void widen(Plan next, List<Job> order, Map<JobId, Integer> widths) {
-        int chosen = 0;
+    /** Widens elastic jobs onto the capacity that is idle after all other tasks are placed. */
+    private void widenElasticJobs(Plan plan, List<Job> order, Map<JobId, Integer> widths) {
+        int chosenWidths = 0;
         for (Job job : order) {
             if (job.record.width == null) {
                 continue;
             }
-            int unwidened = elastic.regularWaitingCount(job);
-            WidthOptions options = elastic.wideningOptions(job, unwidened, widths.get(job.id()));
+            int regular = elastic.regularWaitingCount(job);
+            WidthOptions options = elastic.wideningOptions(job, regular, widths.get(job.id()));
             if (options == null) {
                 continue;
             }
-            if (options.fixedWidth() == null && chosen++ >= MAX_CHOSEN_WIDTHS) {
-                options = options.withFixedWidth(job.width()); // it stays as wide as it is
+            if (options.fixedWidth() == null && chosenWidths++ >= MAX_CHOSEN_WIDTHS) {
+                options = options.withFixedWidth(job.width()); // keeps its current width
             }
             List<Long> busyUntil = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
                 busyUntil.add(estimates.expectedEnd(placement, context.now()).ms());
             }
             long slack = options.deadlineMs() == TaskTermination.NEVER
-                    ? NO_HURRY_MS
+                    ? NO_DEADLINE_SLACK_MS
                     : Math.max(0, options.deadlineMs() - context.now().ms());
-            next.placeElastic(
-                    entry(job, job.record.waitingCount() - unwidened, Math.round(policy.patience() * slack)),
+            plan.placeElastic(
+                    planEntry(job, job.record.waitingCount() - regular, Math.round(policy.patience() * slack)),
                     busyUntil,
                     options);
         }
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -21,19 +21,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides when a new plan is made, the less often the larger plans are, and runs a random search for better job orders and
- * elastic widths in between.
+ * Decides when a new plan is made and runs a random search for better job orders and elastic widths between plans. The larger
+ * the plans are, the less often they are made.
  */
 final class Planner {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
     /** Shortest pause between plans. */
     private static final long MIN_PAUSE_MS = 100;
-    /** Number of searched gaps in a plan that lengthens the pause after it by one millisecond. */
-    private static final long FITS_PER_MS = 400;
-    /** Longest extension of the pause when inputs are processed late: without plans nothing would start. */
+    /** The number of gaps searched for a plan that lengthens the pause after it by one millisecond. */
+    private static final long SEARCHED_GAPS_PER_PAUSE_MS = 400;
+    /** Longest extension of the pause when inputs are processed late. It is bounded because no task starts without a plan. */
     private static final long MAX_LAG_PAUSE_MS = 1500;
     /** Added to each team's usage, so that a team that has used nothing yet doesn't outweigh all others. */
-    private static final double MIN_USAGE = 0.05;
+    private static final double BASE_TEAM_USAGE = 0.05;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -44,16 +44,16 @@
     private final JobOrdering ordering;
     private final ElasticWidths elastic;
     private final PlanBuilder builder;
-    private MonotonicTime nextPlan = MonotonicTime.ZERO;
+    private MonotonicTime nextPlanAt = MonotonicTime.ZERO;
     private Plan plan;
     private RandomSearch<SearchCandidate> search;
-    private MonotonicTime nextSearch = MonotonicTime.ZERO;
-    private MonotonicTime searchEnds = MonotonicTime.ZERO;
-    /** Best arrangement of the last search, applied to those of its jobs that still wait. */
-    private SearchCandidate preferred = SearchCandidate.NONE;
+    private MonotonicTime nextSearchAt = MonotonicTime.ZERO;
+    private MonotonicTime searchEndsAt = MonotonicTime.ZERO;
+    /** The best candidate of the last search, applied to those of its jobs that are still waiting. */
+    private SearchCandidate preferredCandidate = SearchCandidate.NONE;
 
     private long searchSteps;
-    private long searchKept;
+    private long searchMovesKept;
 
     Planner(WorkerComponents workers, Policy policy, SplittableRandom random, PlanBuilder builder) {
         this.context = workers.services.context();
@@ -67,13 +67,13 @@
         this.builder = builder;
     }
 
-    /** Forgets the search of an earlier term when a new one begins. */
+    /** Discards the search of the previous term when a new term begins. */
     void startTerm() {
         search = null;
-        preferred = SearchCandidate.NONE;
+        preferredCandidate = SearchCandidate.NONE;
     }
 
-    /** Forgets the plan and the search when the term ends. */
+    /** Discards the plan and the search when the term ends. */
     void endTerm() {
         search = null;
         plan = null;
@@ -81,22 +81,22 @@
 
     /** Returns whether a new plan was requested and the pause after the last one is over. */
     boolean isPlanDue() {
-        return clusterState.replanRequested() && !context.now().isBefore(nextPlan);
+        return clusterState.replanRequested() && !context.now().isBefore(nextPlanAt);
     }
 
     /** Makes a new plan and returns it. */
     Plan createPlan() {
         clusterState.markReplanned();
-        plan = builder.build(ordered(), preferred.fixedWidths());
+        plan = builder.build(orderedWaitingJobs(), preferredCandidate.fixedWidths());
         return plan;
     }
 
-    /** Sets the earliest time of the next plan, once the current one has been acted on. */
+    /** Sets the earliest time of the next plan; called once the tasks of the current one have been placed. */
     void startPause() {
-        nextPlan = context.now().plusMs(pause(plan));
+        nextPlanAt = context.now().plusMs(pauseMs(plan));
     }
 
-    /** Returns when the newest plan has all of the job's tasks ended, or null if it doesn't place them all or has no end. */
+    /** Returns the time at which all tasks of the job end by the newest plan, or null for a service or if a task is not placed. */
     Long plannedEnd(Job job) {
         if (plan == null || job.spec().isService() || plan.unplacedCount(job.id()) > 0) {
             return null;
@@ -118,35 +118,35 @@
                 : end;
     }
 
-    /** Returns whether a plan or a step of the search is to follow, at {@link #nextWorkAt}. */
+    /** Returns whether a new plan or a search step is pending; it is due at {@link #nextWorkAt}. */
     boolean hasPendingWork() {
         return clusterState.replanRequested() || search != null;
     }
 
-    /** Returns when the next plan or step of the search is to be made. */
+    /** Returns the time of the next plan or search step. */
     MonotonicTime nextWorkAt() {
-        return search != null ? context.now().plusMs(1) : nextPlan;
+        return search != null ? context.now().plusMs(1) : nextPlanAt;
     }
 
-    /** Returns the number of steps of all searches that have ended. */
+    /** Returns the number of steps of all completed searches. */
     long searchSteps() {
         return searchSteps;
     }
 
-    /** Returns the number of moves that the searches that have ended kept. */
+    /** Returns the number of moves kept by all completed searches. */
     long searchMovesKept() {
-        return searchKept;
+        return searchMovesKept;
     }
 
-    /** Makes one step of the periodic search if it is time for one; other inputs are processed between steps. */
+    /** Runs one step of the periodic search if a search is due; other inputs are processed between steps. */
     void runSearchStep() {
         if (search == null) {
-            if (context.now().isBefore(nextSearch) || policy.searchIterations() == 0) {
+            if (context.now().isBefore(nextSearchAt) || policy.searchIterations() == 0) {
                 return;
             }
             startSearch();
         }
-        if (search.finished() || !context.now().isBefore(searchEnds)) {
+        if (search.finished() || !context.now().isBefore(searchEndsAt)) {
             finishSearch();
             return;
         }
@@ -154,15 +154,15 @@
     }
 
     private void startSearch() {
-        nextSearch = context.now().plusMs(policy.searchEveryMs());
-        searchEnds = context.now().plusMs(policy.searchMs());
-        // An open objective decides a job's order: measurements showed that searching over such jobs uses up the
-        // slack that objectives need. The search orders the others by waits, slowdown and fairness.
-        List<JobId> free = ordered().stream()
+        nextSearchAt = context.now().plusMs(policy.searchEveryMs());
+        searchEndsAt = context.now().plusMs(policy.searchMs());
+        // Jobs with an open objective keep their order: measurements showed that searching over them uses up the
+        // slack that objectives need. The search orders the other jobs by wait, slowdown and fairness.
+        List<JobId> reorderable = orderedWaitingJobs().stream()
                 .filter(j -> !ordering.hasOpenObjective(j))
                 .map(Job::id)
                 .toList();
-        SearchCandidate start = arrangement(free);
+        SearchCandidate start = startCandidate(reorderable);
         search = new RandomSearch<>(
                 start,
                 SearchCandidate::randomNeighbor,
@@ -174,39 +174,40 @@
 
     private void finishSearch() {
         searchSteps += search.triedCount();
-        searchKept += search.acceptedCount();
+        searchMovesKept += search.acceptedCount();
         if (search.acceptedCount() > 0) {
-            preferred = search.best();
+            preferredCandidate = search.best();
             clusterState.requestReplan();
-            LOG.debug("search kept {} of {} moves", search.acceptedCount(), search.triedCount());
-        } else if (!preferred.fixedWidths().isEmpty()) {
-            preferred = preferred.withoutFixedWidths(); // the plan chooses the widths again
+            LOG.debug(
+                    "plan search finished: moves_kept={} moves_tried={}", search.acceptedCount(), search.triedCount());
+        } else if (!preferredCandidate.fixedWidths().isEmpty()) {
+            preferredCandidate = preferredCandidate.withoutFixedWidths(); // the next plan chooses the widths again
             clusterState.requestReplan();
         }
         search = null;
     }
 
-    /** Returns the arrangement from which the search starts: the given jobs and the elastic jobs that may widen. */
-    private SearchCandidate arrangement(List<JobId> free) {
-        List<JobId> wide = new ArrayList<>();
-        Map<JobId, Integer> widest = new HashMap<>();
+    /** Returns the candidate from which the search starts: the given jobs, and the elastic jobs that may widen. */
+    private SearchCandidate startCandidate(List<JobId> reorderable) {
+        List<JobId> elasticJobs = new ArrayList<>();
+        Map<JobId, Integer> maxWidths = new HashMap<>();
         for (Job job : clusterState.jobs()) {
             if (job.record.width != null
                     && elastic.wideningOptions(job, elastic.regularWaitingCount(job), null) != null) {
-                wide.add(job.id());
-                widest.put(
+                elasticJobs.add(job.id());
+                maxWidths.put(
                         job.id(),
                         Math.min(job.record.width.allowed().max(), job.spec().tasks()));
             }
         }
-        return new SearchCandidate(free, wide, widest, Map.of());
+        return new SearchCandidate(reorderable, elasticJobs, maxWidths, Map.of());
     }
 
-    /** Builds a plan for the arrangement and evaluates it. */
-    private Evaluation evaluate(SearchCandidate arrangement) {
-        List<Job> list = JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), arrangement.jobOrder());
+    /** Builds a plan for the candidate and evaluates it. */
+    private Evaluation evaluate(SearchCandidate candidate) {
+        List<Job> jobs = JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), candidate.jobOrder());
         Map<JobId, Evaluation.JobTiming> facts = new HashMap<>();
-        for (Job job : list) {
+        for (Job job : jobs) {
             facts.put(
                     job.id(),
                     new Evaluation.JobTiming(
@@ -222,23 +223,25 @@
                         .mapToDouble(Double::doubleValue)
                         .sum());
         for (String team : settings.teams().keySet()) {
-            usage.put(team, MIN_USAGE + clusterState.teamCpuMs().getOrDefault(team, 0.0) / totalCpuMs);
+            usage.put(team, BASE_TEAM_USAGE + clusterState.teamCpuMs().getOrDefault(team, 0.0) / totalCpuMs);
         }
-        return Evaluation.of(builder.build(list, arrangement.fixedWidths()), facts, usage);
+        return Evaluation.of(builder.build(jobs, candidate.fixedWidths()), facts, usage);
     }
 
-    /** Returns the pause after a plan: the larger the plan, and the later this node processes its inputs, the longer. */
-    private long pause(Plan plan) {
-        return MIN_PAUSE_MS + plan.gapSearches() / FITS_PER_MS + Math.min(MAX_LAG_PAUSE_MS, context.lagMs());
+    /** Returns the pause after a plan, which grows with the size of the plan and with the lag of this node's input processing. */
+    private long pauseMs(Plan plan) {
+        return MIN_PAUSE_MS
+                + plan.gapSearches() / SEARCHED_GAPS_PER_PAUSE_MS
+                + Math.min(MAX_LAG_PAUSE_MS, context.lagMs());
     }
 
-    /** Returns the newest plan, or null. */
+    /** Returns the newest plan, or null if there is none. */
     Plan currentPlan() {
         return plan;
     }
 
-    /** Returns the waiting jobs by objective, with the order that the last search preferred. */
-    private List<Job> ordered() {
-        return JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), preferred.jobOrder());
+    /** Returns the waiting jobs by objective, reordered by the best candidate of the last search. */
+    private List<Job> orderedWaitingJobs() {
+        return JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), preferredCandidate.jobOrder());
     }
 }
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -18,15 +18,15 @@
 import org.beechhoist.wire.JobSpec;
 import org.beechhoist.wire.MachineType;
 
-/** Stops lower work, the least of it, where a more urgent task would otherwise begin too late. */
+/** Preempts tasks of lower rank, losing as little work as possible, where a more urgent task would otherwise start too late. */
 final class Preemption {
-    /** What making room must gain a task, and how long a job waits for the effect before it asks for more. */
-    private static final long LEAST_GAIN_MS = 500;
+    /** The minimum time by which preemption must bring forward the start of a task. */
+    private static final long MIN_GAIN_MS = 500;
 
-    private static final long PAUSE_MS = 600;
-    /** What begins this soon is not helped by stopping others. */
-    private static final long SOON_MS = 700;
-    /** Jobs that room is looked for in one plan, most urgent first: each costs a look at every machine. */
+    private static final long PREEMPTION_INTERVAL_MS = 600;
+    /** Preemption does not help a task that starts within this time. */
+    private static final long IMMINENT_START_MS = 700;
+    /** The maximum number of jobs considered per plan, most urgent first: each one requires a scan of all machines. */
     private static final int MAX_JOBS = 20;
 
     private final ControllerContext context;
@@ -37,10 +37,10 @@
     private final Admission admission;
     private final TaskEviction eviction;
 
-    /** What would be stopped on one machine, how many tasks that makes room for, and what it throws away. */
-    private record Offer(List<Placement> victims, int tasks, double cost, long beginsMs) {
-        double costEach() {
-            return cost / tasks;
+    /** The tasks to preempt on one machine, the number of tasks that fit afterwards, the cost, and the start of these tasks. */
+    private record PreemptionOption(List<Placement> victims, int taskCount, double cost, long startMs) {
+        double costPerTask() {
+            return cost / taskCount;
         }
     }
 
@@ -62,35 +62,37 @@
     }
 
     void preemptForLateJobs(Plan plan, Map<String, double[]> used) {
-        Map<JobId, List<Long>> late = new LinkedHashMap<>();
-        Map<JobId, Long> bounds = new LinkedHashMap<>();
+        Map<JobId, List<Long>> lateStarts = new LinkedHashMap<>();
+        Map<JobId, Long> lateAfter = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
-            Long bound = bounds.computeIfAbsent(reservation.job(), this::lateFrom);
-            if (!reservation.beyondGuarantee() && reservation.beginMs() > bound) {
-                late.computeIfAbsent(reservation.job(), k -> new ArrayList<>()).add(reservation.beginMs());
+            Long lateAfterMs = lateAfter.computeIfAbsent(reservation.job(), this::lateAfterMs);
+            if (!reservation.beyondGuarantee() && reservation.beginMs() > lateAfterMs) {
+                lateStarts
+                        .computeIfAbsent(reservation.job(), k -> new ArrayList<>())
+                        .add(reservation.beginMs());
             }
         }
         int jobs = 0;
-        for (Map.Entry<JobId, List<Long>> entry : late.entrySet()) {
+        for (Map.Entry<JobId, List<Long>> entry : lateStarts.entrySet()) {
             Job job = clusterState.job(entry.getKey());
-            if (!mayAsk(job) || admission.exceedsTeamLimit(job, used) || jobs++ == MAX_JOBS) {
+            if (!isEligible(job) || admission.exceedsTeamLimit(job, used) || jobs++ == MAX_JOBS) {
                 continue;
             }
-            if (serve(job, entry.getValue())) {
-                job.nextPreemptionAt = context.now().plusMs(PAUSE_MS);
+            if (preemptFor(job, entry.getValue())) {
+                job.nextPreemptionAt = context.now().plusMs(PREEMPTION_INTERVAL_MS);
             }
         }
     }
 
-    /** Work that begins by then, or that may stop nobody, is not late. */
-    private long lateFrom(JobId jobId) {
+    /** Returns the start time after which a task of the job is late, or {@code Long.MAX_VALUE} if the job may not preempt. */
+    private long lateAfterMs(JobId jobId) {
         Job job = clusterState.job(jobId);
-        return job == null || !mayAsk(job)
+        return job == null || !isEligible(job)
                 ? Long.MAX_VALUE
-                : Math.max(ordering.latestStartMs(job), context.now().ms() + SOON_MS);
+                : Math.max(ordering.latestStartMs(job), context.now().ms() + IMMINENT_START_MS);
     }
 
-    private boolean mayAsk(Job job) {
+    private boolean isEligible(Job job) {
         JobSpec spec = job.spec();
         return !job.shed
                 && !job.isSuspect()
@@ -100,10 +102,10 @@
                 && job.notBefore.ms() <= context.now().ms()
                 && !context.now().isBefore(job.nextPreemptionAt)
                 && !context.now().isBefore(job.nextWidthReductionAt)
-                && outranksSome(job);
+                && outranksAnyLiveJob(job);
     }
 
-    private boolean outranksSome(Job job) {
+    private boolean outranksAnyLiveJob(Job job) {
         for (Job other : clusterState.jobs()) {
             if (!other.record.live.isEmpty() && job.mayPreempt(other)) {
                 return true;
@@ -112,97 +114,98 @@
         return false;
     }
 
-    /** Makes room for as many of the job's late tasks as there are machines where that costs little enough. */
-    private boolean serve(Job job, List<Long> begins) {
-        double most = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
-        long last = begins.stream().mapToLong(Long::longValue).max().orElse(0);
-        List<Offer> offers = new ArrayList<>();
+    /** Preempts tasks for as many of the job's late tasks as possible within the cost limit; returns whether any was preempted. */
+    private boolean preemptFor(Job job, List<Long> startTimes) {
+        double maxCost = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
+        long latestStartMs =
+                startTimes.stream().mapToLong(Long::longValue).max().orElse(0);
+        List<PreemptionOption> offers = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             if (machine.placements.isEmpty() || machine.commandsInFlight > 0 || !admission.isUsable(machine)) {
                 continue;
             }
-            // Room that must first fetch the image may begin later than what is planned already. Made all the
-            // same, it is filled by the next in line, who is then stopped for it again, and again.
-            long roomAt = roomBegins(machine, job);
-            if (roomAt + LEAST_GAIN_MS > last) {
+            // If the machine has to fetch the image first, the task may start later than already planned. Preempting
+            // anyway lets the next waiting job use the freed capacity, only to be preempted again and again.
+            long startMs = startAfterPreemptionMs(machine, job);
+            if (startMs + MIN_GAIN_MS > latestStartMs) {
                 continue;
             }
-            Offer offer = offer(machine, job, begins.size(), roomAt);
-            if (offer != null && offer.cost() < most) {
+            PreemptionOption offer = preemptionOption(machine, job, startTimes.size(), startMs);
+            if (offer != null && offer.cost() < maxCost) {
                 offers.add(offer);
             }
         }
-        offers.sort(Comparator.comparingDouble(Offer::costEach));
-        List<Long> waiting = new ArrayList<>(begins);
+        offers.sort(Comparator.comparingDouble(PreemptionOption::costPerTask));
+        List<Long> waiting = new ArrayList<>(startTimes);
         waiting.sort(Comparator.reverseOrder());
-        int served = 0;
-        for (Offer offer : offers) {
-            if (served >= waiting.size()) {
+        int helped = 0;
+        for (PreemptionOption offer : offers) {
+            if (helped >= waiting.size()) {
                 break;
             }
-            if (offer.beginsMs() + LEAST_GAIN_MS <= waiting.get(served)) {
+            if (offer.startMs() + MIN_GAIN_MS <= waiting.get(helped)) {
                 offer.victims().forEach(v -> eviction.preempt(v, job));
-                served += offer.tasks();
+                helped += offer.taskCount();
             }
         }
-        return served > 0;
+        return helped > 0;
     }
 
-    /** When a task of the job would begin on the host if room were made there now. */
-    private long roomBegins(Machine machine, Job job) {
-        return context.now().ms() + SOON_MS / 2 + machine.fetchMs(job.spec(), machineTypes.get(machine.type));
+    /** Returns when a task of the job would start on the machine if tasks were preempted there now. */
+    private long startAfterPreemptionMs(Machine machine, Job job) {
+        return context.now().ms() + IMMINENT_START_MS / 2 + machine.fetchMs(job.spec(), machineTypes.get(machine.type));
     }
 
-    /** The tasks to stop so that the job's fit on the host, youngest first; null where that can't be. */
-    private Offer offer(Machine machine, Job job, int waiting, long beginsMs) {
+    /** Returns the tasks to preempt, youngest first, so that tasks of the job fit on the machine, or null if that is impossible. */
+    private PreemptionOption preemptionOption(Machine machine, Job job, int waiting, long startMs) {
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.FreeResources room = spec.mayRunOn(type, machine.zone, machine.spot)
+        Admission.FreeResources free = spec.mayRunOn(type, machine.zone, machine.spot)
                 ? admission.freeResourcesAfterPlacing(machine, type, spec)
                 : null;
-        if (room == null || room.isNonNegative()) {
+        if (free == null || free.isNonNegative()) {
             return null;
         }
-        List<Placement> lower = new ArrayList<>();
+        List<Placement> preemptible = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
             if (placement.launchSent
                     && !placement.stopRequested
                     && job.mayPreempt(clusterState.job(placement.task.job()))) {
-                lower.add(placement);
+                preemptible.add(placement);
             }
         }
-        lower.sort(Comparator.comparing((Placement p) -> p.placedAt).reversed());
-        List<Placement> out = new ArrayList<>();
-        for (Placement placement : lower) {
-            if (room.isNonNegative()) {
+        preemptible.sort(Comparator.comparing((Placement p) -> p.placedAt).reversed());
+        List<Placement> victims = new ArrayList<>();
+        for (Placement placement : preemptible) {
+            if (free.isNonNegative()) {
                 break;
             }
-            room = room.plus(clusterState.job(placement.task.job()).spec(), 1);
-            out.add(placement);
+            free = free.plus(clusterState.job(placement.task.job()).spec(), 1);
+            victims.add(placement);
         }
-        if (!room.isNonNegative()) {
+        if (!free.isNonNegative()) {
             return null;
         }
-        // One large task stopped makes room for several small ones; taken for one each, a job of thirty small tasks
-        // once had thirty large ones stopped.
-        int tasks = 1;
-        for (Admission.FreeResources more = room.plus(spec, -1);
-                tasks < waiting && more.isNonNegative();
-                more = more.plus(spec, -1)) {
-            tasks++;
+        // One preempted large task frees capacity for several small ones. Counting one for one, a job of thirty small
+        // tasks preempted thirty large ones.
+        int taskCount = 1;
+        for (Admission.FreeResources left = free.plus(spec, -1);
+                taskCount < waiting && left.isNonNegative();
+                left = left.plus(spec, -1)) {
+            taskCount++;
         }
-        return new Offer(out, tasks, lost(out) + fetchCost(machine, job), beginsMs);
+        return new PreemptionOption(victims, taskCount, lostCpuS(victims) + fetchCost(machine, job), startMs);
     }
 
-    /** CPU seconds of work that stopping them throws away. */
-    private double lost(List<Placement> set) {
+    /** Returns the CPU seconds of work that are lost if the tasks are stopped. */
+    private double lostCpuS(List<Placement> placements) {
         double sum = 0;
-        for (Placement placement : set) {
+        for (Placement placement : placements) {
             JobSpec spec = clusterState.job(placement.task.job()).spec();
-            // The time it waited for its image has held its share of the machine too.
-            double ran = context.now().since(placement.placedAt) / 1000.0;
-            double kept = spec.checkpointEveryS() > 0 ? Math.min(ran, spec.checkpointEveryS()) : ran;
-            sum += (1 + kept) * spec.cpus();
+            // The time spent fetching the image also occupied the machine.
+            double ranS = context.now().since(placement.placedAt) / 1000.0;
+            double lostS = spec.checkpointEveryS() > 0 ? Math.min(ranS, spec.checkpointEveryS()) : ranS;
+            sum += (1 + lostS) * spec.cpus();
         }
         return sum;
     }
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -17,12 +17,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What width a job's user allows it: the same on every node, committed under the record's version; the leader follows. */
+/** Handles resize requests on any node: commits the allowed width, guarded by the job record's version, for the leader to apply. */
 final class ResizeHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ResizeHandler.class);
-    private static final int MOST_RACES = 6;
+    private static final int MAX_CONFLICT_COUNT = 6;
 
-    /** Reads a job; hands over null where nothing could be learnt. */
+    /** Reads the stored state of a job; passes null if it could not be read. */
     interface StoredJobReader {
         void read(JobId jobId, Consumer<JobReader.StoredJob> then);
     }
@@ -52,7 +52,7 @@
         this.refuse = refuse;
     }
 
-    /** Changes what width a job's user allows it; the leader follows. */
+    /** Changes the width that the user allows for a job. */
     void resize(long request, JobId jobId, byte[] body) {
         ResizeRequest resize;
         try {
@@ -72,9 +72,9 @@
         resize(request, jobId, resize, 0);
     }
 
-    private void resize(long request, JobId jobId, ResizeRequest resize, int races) {
+    private void resize(long request, JobId jobId, ResizeRequest resize, int conflicts) {
         reader.read(jobId, found -> {
-            if (found == null || races > MOST_RACES) {
+            if (found == null || conflicts > MAX_CONFLICT_COUNT) {
                 refuse.accept(request);
                 return;
             }
@@ -86,27 +86,29 @@
                 JobRecord record = found.open() == null
                         ? null
                         : JobRecord.parse(found.open().value());
-                String never = record == null || record.isCancelled()
+                String rejection = record == null || record.isCancelled()
                         ? "the job is " + found.status().get("status").asText()
-                        : record.spec.isGang() ? "width: a gang's tasks start together" : older(record, resize);
-                if (never != null) {
-                    context.respond(request, 409, JobResponses.error(never));
+                        : record.spec.isGang()
+                                ? "width: a gang's tasks start together"
+                                : staleResizeReason(record, resize);
+                if (rejection != null) {
+                    context.respond(request, 409, JobResponses.error(rejection));
                 } else if (record.width != null
                         && resize.number() != null
                         && resize.number() == record.width.number()) {
-                    context.respond(request, 200, found.status()); // asked again
+                    context.respond(request, 200, found.status()); // repeated request
                 } else {
-                    widen(request, jobId, resize, found.open(), record, races);
+                    commitWidth(request, jobId, resize, found.open(), record, conflicts);
                 }
             } catch (MalformedMessageException e) {
-                LOG.error("record of {} can't be read: {}", jobId, e.getMessage());
+                LOG.error("job record unreadable: job={} error={}", jobId, e.getMessage());
                 refuse.accept(request);
             }
         });
     }
 
-    /** Why a numbered resize has no effect, or null. */
-    private static String older(JobRecord record, ResizeRequest resize) {
+    /** Returns the reason why a numbered resize is rejected as outdated, or null if it is not. */
+    private static String staleResizeReason(JobRecord record, ResizeRequest resize) {
         if (record.width == null || resize.number() == null || resize.number() > record.width.number()) {
             return null;
         }
@@ -118,21 +120,26 @@
                 : "number = " + resize.number() + ": it was another resize; a new one needs a larger number";
     }
 
-    private void widen(
-            long request, JobId jobId, ResizeRequest resize, StoreClient.KeyValue open, JobRecord record, int races) {
+    private void commitWidth(
+            long request,
+            JobId jobId,
+            ResizeRequest resize,
+            StoreClient.KeyValue open,
+            JobRecord record,
+            int conflicts) {
         long number = resize.number() != null ? resize.number() : record.width == null ? 1 : record.width.number() + 1;
-        int now = record.width != null
+        int currentWidth = record.width != null
                 ? record.width.target()
                 : open.value().path("running").asInt();
         ObjectNode value = ((ObjectNode) open.value()).deepCopy();
-        value.set("width", new WidthRecord(resize.width(), number, now).toNode());
+        value.set("width", new WidthRecord(resize.width(), number, currentWidth).toNode());
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
         String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             switch (commit.outcome()) {
                 case COMMITTED -> context.respond(request, 200, JobResponses.openStatus(jobId, value));
-                case CONFLICT -> resize(request, jobId, resize, races + 1);
+                case CONFLICT -> resize(request, jobId, resize, conflicts + 1);
                 default -> refuse.accept(request);
             }
         });
--- a/src/main/java/org/beechhoist/controller/SearchCandidate.java
+++ b/src/main/java/org/beechhoist/controller/SearchCandidate.java
@@ -17,24 +17,25 @@
         List<JobId> jobOrder, List<JobId> elastic, Map<JobId, Integer> maxWidths, Map<JobId, Integer> fixedWidths) {
     static final SearchCandidate NONE = new SearchCandidate(List.of(), List.of(), Map.of(), Map.of());
 
-    /** Whether there is anything to move. */
+    /** Returns whether the candidate can be changed: it has at least two ordered jobs or an elastic job. */
     boolean hasMoves() {
         return jobOrder.size() >= 2 || !elastic.isEmpty();
     }
 
+    /** Returns the candidate with all widths left to the plan. */
     SearchCandidate withoutFixedWidths() {
         return new SearchCandidate(jobOrder, elastic, maxWidths, Map.of());
     }
 
-    /** A random job to a random place, or a random elastic job to a random width. */
+    /** Returns a copy in which a random job has a random position, or a random elastic job has a random width. */
     SearchCandidate randomNeighbor(SplittableRandom random) {
-        int places = jobOrder.size() < 2 ? 0 : jobOrder.size();
-        int index = random.nextInt(places + elastic.size());
-        if (index < places) {
+        int movableJobs = jobOrder.size() < 2 ? 0 : jobOrder.size();
+        int index = random.nextInt(movableJobs + elastic.size());
+        if (index < movableJobs) {
             return new SearchCandidate(
                     RandomSearch.withRandomPosition(jobOrder, index, random), elastic, maxWidths, fixedWidths);
         }
-        JobId job = elastic.get(index - places);
+        JobId job = elastic.get(index - movableJobs);
         Map<JobId, Integer> widths = new HashMap<>(fixedWidths);
         widths.put(job, random.nextInt(maxWidths.get(job) + 1));
         return new SearchCandidate(jobOrder, elastic, maxWidths, widths);
--- a/src/main/java/org/beechhoist/controller/SubmissionRules.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionRules.java
@@ -5,21 +5,21 @@
 import org.beechhoist.keyset.KeySets;
 import org.beechhoist.wire.JobSpec;
 
-/** Decides whether a job may be submitted, and binds it to a version of its key set. */
+/** Decides whether a job may be submitted and binds it to a version of its key set. */
 final class SubmissionRules {
-    /** The refusal of every job until the machine types have been read. */
+    /** The reason for refusing every job until the machine types have been read. */
     static final String MACHINE_TYPES_UNKNOWN = "the machine types are not known yet";
 
-    /** The refusal of a job with a key set until the key sets have been read. */
+    /** The reason for refusing a job with a key set until the key sets have been read. */
     static final String KEY_SETS_UNKNOWN = "the key sets are not read yet";
 
     private static final KeySets.Binding UNBOUND = new KeySets.Binding(null, null);
-    /** By how much a sum of CPUs or GPUs may exceed a limit because of rounding. */
-    private static final double ROUNDING = 1e-6;
+    /** Rounding tolerance of comparisons between a sum of CPUs or GPUs and a limit. */
+    private static final double LIMIT_TOLERANCE = 1e-6;
 
     private final Settings settings;
     private final MachineTypeCatalog machineTypes;
-    /** Null where key sets are off. */
+    /** Null if key sets are disabled. */
     private final KeySetRegistry keySets;
 
     SubmissionRules(Settings settings, MachineTypeCatalog machineTypes, KeySetRegistry keySets) {
@@ -28,22 +28,25 @@
         this.keySets = keySets;
     }
 
-    /** Whether a refusal ends by itself, once this node has read what it needs. */
+    /** Returns whether the refusal is lifted once this node has read the machine types and key sets. */
     static boolean isTemporaryRefusal(String refusal) {
         return MACHINE_TYPES_UNKNOWN.equals(refusal) || KEY_SETS_UNKNOWN.equals(refusal);
     }
 
-    /** Whether the machine types have been read. */
+    /** Returns whether the machine types have been read. */
     boolean areMachineTypesLoaded() {
         return machineTypes.isLoaded();
     }
 
-    /** The key sets, or null where they are off. */
+    /** Returns the key sets, or null if they are disabled. */
     KeySetRegistry keySets() {
         return keySets;
     }
 
-    /** Why a job of a schedule can't be submitted, temporarily ({@link #isTemporaryRefusal}) or for ever; null if it can. */
+    /**
+     * Returns the reason why a job of a schedule cannot be submitted, temporarily ({@link #isTemporaryRefusal}) or permanently, or
+     * null if it can be submitted.
+     */
     String refusal(JobSpec spec) {
         KeySets.Binding binding = keySetBinding(spec);
         if (!machineTypes.isLoaded()) {
@@ -55,17 +58,17 @@
         return binding.refusal() != null ? binding.refusal() : permanentRefusal(spec);
     }
 
-    /** A job that was not refused, bound to its key set if it needs one. */
+    /** Returns a job that was not refused, bound to its key set if it needs one. */
     JobSpec bindToKeySet(JobSpec spec) {
         return spec.withKeySetBinding(keySetBinding(spec).keySetBinding());
     }
 
-    /** The version of its key set that a job would be bound to, or null while the key sets are not read. */
+    /** Returns the key set version that the job would be bound to, or null until the key sets have been read. */
     KeySets.Binding keySetBinding(JobSpec spec) {
         return keySets == null ? UNBOUND : keySets.bind(spec);
     }
 
-    /** Why no machine type or quota will ever take a job, or null. */
+    /** Returns the reason why no machine type or quota can ever accommodate the job, or null if there is none. */
     String permanentRefusal(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null) {
@@ -74,8 +77,9 @@
         if (!spec.fitsAnyType(machineTypes.all())) {
             return "a task fits no allowed machine type";
         }
-        int together = spec.isService() || spec.isGang() ? spec.tasks() : 1;
-        if (together * spec.cpus() > team.cpusMax() + ROUNDING || together * spec.gpus() > team.gpusMax() + ROUNDING) {
+        int simultaneousTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
+        if (simultaneousTasks * spec.cpus() > team.cpusMax() + LIMIT_TOLERANCE
+                || simultaneousTasks * spec.gpus() > team.gpusMax() + LIMIT_TOLERANCE) {
             return "more than the team's limit";
         }
         return null;
--- a/src/main/java/org/beechhoist/controller/TaskPlacer.java
+++ b/src/main/java/org/beechhoist/controller/TaskPlacer.java
@@ -14,7 +14,7 @@
 import org.beechhoist.wire.JobId;
 import org.beechhoist.wire.TaskId;
 
-/** Starts the tasks that a plan has due. */
+/** Places the tasks whose reserved start in the plan is due. */
 final class TaskPlacer {
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -38,78 +38,79 @@
         this.elastic = elastic;
     }
 
-    /** Places the tasks that the plan starts now: recorded in the cluster state first, launched once that is committed. */
-    void placeDueTasks(Plan next) {
-        Map<JobId, Integer> due = dueTasks(next);
-        Run run = new Run(due);
-        for (Plan.Reservation reservation : next.reservations()) {
+    /** Places the tasks that the plan starts now. A placement is recorded in the cluster state and launched once it is committed. */
+    void placeDueTasks(Plan plan) {
+        Map<JobId, Integer> taskCounts = dueTaskCounts(plan);
+        PlacementRound round = new PlacementRound(taskCounts);
+        for (Plan.Reservation reservation : plan.reservations()) {
             if (!isDue(reservation)) {
                 continue;
             }
             Job job = clusterState.job(reservation.job());
-            if (job.spec().isGang() && due.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
-                continue; // a gang starts as a whole or not at all
+            if (job.spec().isGang()
+                    && taskCounts.get(reservation.job()) < job.spec().tasks() - job.record.done.size()) {
+                continue; // all tasks of a gang start together or none does
             }
-            placeReserved(run, job, reservation);
+            placeReserved(round, job, reservation);
         }
     }
 
-    /** What one call of {@link #placeDueTasks} has to remember from one reservation to the next. */
-    private static final class Run {
-        private final Map<JobId, ArrayDeque<Integer>> waiting = new HashMap<>();
+    /** The state that one call of {@link #placeDueTasks} keeps between reservations. */
+    private static final class PlacementRound {
+        private final Map<JobId, ArrayDeque<Integer>> waitingIndexes = new HashMap<>();
         private final Map<JobId, Long> attempts = new HashMap<>();
-        private final Map<JobId, Integer> due;
-        /** CPUs and GPUs that each team uses; null until first needed. */
-        private Map<String, double[]> used;
+        private final Map<JobId, Integer> dueTaskCounts;
+        /** The CPUs and GPUs used by each team; null until first needed. */
+        private Map<String, double[]> teamUsage;
 
-        private Run(Map<JobId, Integer> due) {
-            this.due = due;
+        private PlacementRound(Map<JobId, Integer> due) {
+            this.dueTaskCounts = due;
         }
     }
 
-    /** Returns how many tasks of each job the plan starts now. */
-    private Map<JobId, Integer> dueTasks(Plan next) {
-        Map<JobId, Integer> due = new HashMap<>();
-        for (Plan.Reservation reservation : next.reservations()) {
+    /** Returns the number of tasks that the plan starts now, by job. */
+    private Map<JobId, Integer> dueTaskCounts(Plan plan) {
+        Map<JobId, Integer> taskCounts = new HashMap<>();
+        for (Plan.Reservation reservation : plan.reservations()) {
             if (isDue(reservation)) {
-                due.merge(reservation.job(), 1, Integer::sum);
+                taskCounts.merge(reservation.job(), 1, Integer::sum);
             }
         }
-        return due;
+        return taskCounts;
     }
 
     private boolean isDue(Plan.Reservation reservation) {
         return reservation.machineUp() && reservation.startMs() <= context.now().ms();
     }
 
-    /** Places the job's next waiting task as reserved, if it is admissible now. */
-    private void placeReserved(Run run, Job job, Plan.Reservation reservation) {
+    /** Places the job's next waiting task on the reserved machine if admission allows it now. */
+    private void placeReserved(PlacementRound round, Job job, Plan.Reservation reservation) {
         Machine machine = clusterState.findMachine(reservation.machine());
-        if (run.used == null) {
-            run.used = clusterState.teamResourceUsage();
+        if (round.teamUsage == null) {
+            round.teamUsage = clusterState.teamResourceUsage();
         }
-        if (!admission.admits(job, machine, run.used)
+        if (!admission.admits(job, machine, round.teamUsage)
                 || ElasticWidths.remainingWidth(job) <= 0
                 || (reservation.beyondGuarantee() && !admission.mayWiden(machine))) {
             return;
         }
-        ArrayDeque<Integer> free = run.waiting.computeIfAbsent(
-                reservation.job(), k -> new ArrayDeque<>(job.record.waiting(run.due.get(k))));
-        if (free.isEmpty() || job.notBefore.ms() > context.now().ms()) {
+        ArrayDeque<Integer> indexes = round.waitingIndexes.computeIfAbsent(
+                reservation.job(), k -> new ArrayDeque<>(job.record.waiting(round.dueTaskCounts.get(k))));
+        if (indexes.isEmpty() || job.notBefore.ms() > context.now().ms()) {
             return;
         }
-        TaskId id = new TaskId(reservation.job(), free.poll());
-        // A gang's tasks find one another by their common attempt.
+        TaskId id = new TaskId(reservation.job(), indexes.poll());
+        // The tasks of a gang find each other by their common attempt number.
         long attempt = job.spec().isGang()
-                ? run.attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
+                ? round.attempts.computeIfAbsent(reservation.job(), k -> job.record.nextAttempt++)
                 : job.record.nextAttempt++;
         recordPlacement(job, id, attempt, machine, reservation.fetchMs());
-        double[] usage = run.used.computeIfAbsent(job.spec().team(), k -> new double[2]);
+        double[] usage = round.teamUsage.computeIfAbsent(job.spec().team(), k -> new double[2]);
         usage[0] += job.spec().cpus();
         usage[1] += job.spec().gpus();
     }
 
-    /** Places one task on the machine if admission allows it now, whatever the plan says; returns whether it did. */
+    /** Places one task on the machine if admission allows it now, independently of the plan; returns whether it was placed. */
     boolean place(Job job, int index, Machine machine) {
         if (job.spec().isGang() || !admission.admits(job, machine, clusterState.teamResourceUsage())) {
             return false;
@@ -123,7 +124,7 @@
         return true;
     }
 
-    /** Records the placement in the cluster state, to be committed and then launched. */
+    /** Records the placement in the cluster state; it is launched once it is committed. */
     private void recordPlacement(Job job, TaskId id, long attempt, Machine machine, long fetchMs) {
         Placement placement = new Placement(id, attempt, machine.id);
         placement.placedAt = context.now();
--- a/src/main/java/org/beechhoist/controller/TeamFairShareLimiter.java
+++ b/src/main/java/org/beechhoist/controller/TeamFairShareLimiter.java
@@ -5,45 +5,47 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Whose submissions go first where changes of the state service run short. A team that has lately had more than its even part of
- * what this node accepted must leave the second half of the node's budget to the others: thousands of tiny jobs of one team once
- * had seven of ten submissions of all others refused.
+ * Limits the submissions of a team when the write budget of the state service runs short. A team with more than its fair share of
+ * the submissions recently accepted by this node may not use the second half of the node's budget. Without this limit, thousands of
+ * tiny jobs of one team caused seven of ten submissions of all other teams to be refused.
  */
 final class TeamFairShareLimiter {
-    /** After this long what a team was given counts for a third. */
-    private static final double FADES_MS = 5000;
-    /** Less of a team than this within that time: it asks for nothing now. */
-    private static final double IDLE = 0.05;
-    /** The part of a full budget that is for teams that had less than the others. */
-    private static final double KEPT = 0.5;
+    /** Time constant of the exponential decay: after this time an accepted submission counts for a third. */
+    private static final double DECAY_TIME_MS = 5000;
+    /** A team whose decayed count is below this value is considered inactive. */
+    private static final double MIN_TRACKED_COUNT = 0.05;
+    /** The fraction of a full budget that is reserved for teams below their fair share. */
+    private static final double RESERVED_BUDGET_FRACTION = 0.5;
 
-    private static final double TOLERANCE = 1.1;
+    private static final double FAIR_SHARE_TOLERANCE = 1.1;
 
-    private final Map<String, Double> given = new HashMap<>();
-    private MonotonicTime faded = MonotonicTime.ZERO;
+    private final Map<String, Double> acceptedByTeam = new HashMap<>();
+    private MonotonicTime decayedAt = MonotonicTime.ZERO;
 
-    /** Whether the team's next submission may be taken with so much of the budget left. */
-    boolean allows(String team, double available, double most, MonotonicTime now) {
-        fade(now);
-        if (available >= KEPT * most) {
+    /** Returns whether the team's next submission may be accepted with the available part of the budget. */
+    boolean allows(String team, double available, double capacity, MonotonicTime now) {
+        decay(now);
+        if (available >= RESERVED_BUDGET_FRACTION * capacity) {
             return true;
         }
-        double all = given.values().stream().mapToDouble(Double::doubleValue).sum();
-        int teams = given.size() + (given.containsKey(team) ? 0 : 1);
-        return given.getOrDefault(team, 0.0) <= TOLERANCE * all / teams;
+        double total = acceptedByTeam.values().stream()
+                .mapToDouble(Double::doubleValue)
+                .sum();
+        int teams = acceptedByTeam.size() + (acceptedByTeam.containsKey(team) ? 0 : 1);
+        return acceptedByTeam.getOrDefault(team, 0.0) <= FAIR_SHARE_TOLERANCE * total / teams;
     }
 
     void recordAccepted(String team, MonotonicTime now) {
-        fade(now);
-        given.merge(team, 1.0, Double::sum);
+        decay(now);
+        acceptedByTeam.merge(team, 1.0, Double::sum);
     }
 
-    private void fade(MonotonicTime now) {
-        if (faded != MonotonicTime.ZERO && faded.isBefore(now)) {
-            double by = Math.exp(-now.since(faded) / FADES_MS);
-            given.replaceAll((t, n) -> n * by);
-            given.values().removeIf(n -> n < IDLE);
+    private void decay(MonotonicTime now) {
+        if (decayedAt != MonotonicTime.ZERO && decayedAt.isBefore(now)) {
+            double factor = Math.exp(-now.since(decayedAt) / DECAY_TIME_MS);
+            acceptedByTeam.replaceAll((t, n) -> n * factor);
+            acceptedByTeam.values().removeIf(n -> n < MIN_TRACKED_COUNT);
         }
-        faded = now;
+        decayedAt = now;
     }
 }
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -21,16 +21,16 @@
 import org.beechhoist.wire.MachineType;
 
 /**
- * Lets elastic jobs give room to work that would else begin too late: before a machine is rented for it, and before
- * lower work is stopped.
+ * Reduces the width of elastic jobs for tasks that would otherwise start too late, before a machine is rented for them and before
+ * tasks of lower rank are preempted.
  */
 final class WidthReduction {
     private static final int MAX_JOBS = 20;
-    private static final long PAUSE_MS = 600;
-    /** What begins this soon is not helped, and room must gain at least this much. */
-    private static final long SOON_MS = 700;
-    /** By when room is made for guaranteed work that no objective speaks for. */
-    private static final long GUARANTEED_MS = 10_000;
+    private static final long REDUCTION_INTERVAL_MS = 600;
+    /** A task that starts within this time is not helped, and a reduction must bring a start forward by more than this. */
+    private static final long IMMINENT_START_MS = 700;
+    /** The time within which capacity is freed for jobs within their team's quota that have no open objective. */
+    private static final long GUARANTEED_START_WITHIN_MS = 10_000;
 
     private final ControllerContext context;
     private final Policy policy;
@@ -41,22 +41,23 @@
     private final ScaleOutPolicy scaleOut;
     private final ElasticWidths elastic;
 
-    /** Tasks on one machine that could go, and how many tasks that makes room for by when. */
-    private record Offer(
-            Machine host,
-            List<SurplusTaskSelector.Candidate<Placement>> going,
-            int tasks,
+    /** Tasks to end on one machine, the number of tasks that fit afterwards, the time at which they fit, and the lost work. */
+    private record ReductionOption(
+            Machine machine,
+            List<SurplusTaskSelector.Candidate<Placement>> endedTasks,
+            int taskCount,
             long freesAtMs,
             double lostCpuS) {
-        double lostEach() {
-            return lostCpuS / tasks;
+        double lostCpuSPerTask() {
+            return lostCpuS / taskCount;
         }
     }
 
-    /** Work that begins late: how many tasks, the latest of them, and whether more than a rental is at stake. */
-    private record Late(int tasks, long lastBegin, boolean atStake) {
-        Late and(Late late) {
-            return new Late(tasks + late.tasks, Math.max(lastBegin, late.lastBegin), atStake || late.atStake);
+    /** Late tasks of a job: their number, the latest start, and whether work of other tasks may be lost to start them in time. */
+    private record LateTasks(int count, long latestStartMs, boolean mayKill) {
+        LateTasks plus(LateTasks late) {
+            return new LateTasks(
+                    count + late.count, Math.max(latestStartMs, late.latestStartMs), mayKill || late.mayKill);
         }
     }
 
@@ -80,197 +81,216 @@
     }
 
     void reduceForLateJobs(Plan plan, Map<String, double[]> used) {
-        List<Job> givers = new ArrayList<>();
+        List<Job> reducibleJobs = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
-            if (spare(job) > 0) {
-                givers.add(job);
+            if (reducibleTaskCount(job) > 0) {
+                reducibleJobs.add(job);
             }
         }
-        if (givers.isEmpty()) {
+        if (reducibleJobs.isEmpty()) {
             return;
         }
-        int asked = 0;
-        for (Map.Entry<Job, Late> entry : late(plan).entrySet()) {
+        int examined = 0;
+        for (Map.Entry<Job, LateTasks> entry : lateTasks(plan).entrySet()) {
             Job job = entry.getKey();
-            List<Job> mine = givers.stream()
-                    .filter(g -> g != job && spare(g) > 0 && gives(g, job))
+            List<Job> candidates = reducibleJobs.stream()
+                    .filter(g -> g != job && reducibleTaskCount(g) > 0 && givesWayTo(g, job))
                     .toList();
-            if (mine.isEmpty()) {
+            if (candidates.isEmpty()) {
                 continue;
             }
-            if (asked++ == MAX_JOBS) {
+            if (examined++ == MAX_JOBS) {
                 return;
             }
-            if (serve(job, entry.getValue(), mine, admission.exceedsTeamLimit(job, used))) {
-                job.nextWidthReductionAt = context.now().plusMs(PAUSE_MS);
+            if (reduceFor(job, entry.getValue(), candidates, admission.exceedsTeamLimit(job, used))) {
+                job.nextWidthReductionAt = context.now().plusMs(REDUCTION_INTERVAL_MS);
                 scaleOut.ignorePlansUntil(context.now());
             }
         }
     }
 
-    /** How many tasks the job could do without. */
-    private static int spare(Job job) {
+    /** Returns the number of tasks by which the job's width may be reduced. */
+    private static int reducibleTaskCount(Job job) {
         return job.record.width == null || job.spec().isService() || job.isCancelled()
                 ? 0
                 : ElasticWidths.retainedTaskCount(job)
                         - job.record.width.allowed().min();
     }
 
-    /** Whether the elastic job gives way: to more urgent work, to a guarantee, to what is promised as urgently. */
-    private boolean gives(Job giver, Job to) {
-        boolean guaranteed =
-                to.withinGuarantee && !to.spec().team().equals(giver.spec().team());
-        boolean asUrgent = to.spec().priority().compareTo(giver.spec().priority()) <= 0;
-        return to.mayPreempt(giver) || guaranteed || (asUrgent && ordering.hasOpenObjective(to));
+    /**
+     * Returns whether the elastic job gives way to the other job: one that may preempt it, one of another team that is within its
+     * quota, or one with an open objective and at least the same priority.
+     */
+    private boolean givesWayTo(Job elasticJob, Job other) {
+        boolean guaranteed = other.withinGuarantee
+                && !other.spec().team().equals(elasticJob.spec().team());
+        boolean samePriorityOrHigher =
+                other.spec().priority().compareTo(elasticJob.spec().priority()) <= 0;
+        return other.mayPreempt(elasticJob) || guaranteed || (samePriorityOrHigher && ordering.hasOpenObjective(other));
     }
 
-    /** Which jobs begin later than they should, or late enough for a machine to be rented. */
-    private Map<Job, Late> late(Plan plan) {
-        Map<JobId, Long> bounds = new HashMap<>();
-        Map<Job, Late> out = new LinkedHashMap<>();
+    /** Returns the jobs with tasks that start later than they should, or late enough for a machine to be rented. */
+    private Map<Job, LateTasks> lateTasks(Plan plan) {
+        Map<JobId, Long> lateAfter = new HashMap<>();
+        Map<Job, LateTasks> out = new LinkedHashMap<>();
         for (Plan.Reservation reservation : plan.reservations()) {
-            long bound = bounds.computeIfAbsent(reservation.job(), jobId -> bound(clusterState.job(jobId)));
-            if (!reservation.beyondGuarantee() && reservation.beginMs() > bound) {
-                Job j = clusterState.job(reservation.job());
-                out.merge(j, new Late(1, reservation.beginMs(), atStake(j, reservation.beginMs())), Late::and);
+            long lateAfterMs =
+                    lateAfter.computeIfAbsent(reservation.job(), jobId -> lateAfterMs(clusterState.job(jobId)));
+            if (!reservation.beyondGuarantee() && reservation.beginMs() > lateAfterMs) {
+                Job job = clusterState.job(reservation.job());
+                out.merge(
+                        job,
+                        new LateTasks(1, reservation.beginMs(), mayKillFor(job, reservation.beginMs())),
+                        LateTasks::plus);
             }
         }
         for (Job job : clusterState.jobs()) {
-            if (plan.unplacedCount(job.id()) > 0 && bound(job) < Long.MAX_VALUE) {
+            if (plan.unplacedCount(job.id()) > 0 && lateAfterMs(job) < Long.MAX_VALUE) {
                 out.merge(
                         job,
-                        new Late(plan.unplacedCount(job.id()), Long.MAX_VALUE, atStake(job, Long.MAX_VALUE)),
-                        Late::and);
+                        new LateTasks(plan.unplacedCount(job.id()), Long.MAX_VALUE, mayKillFor(job, Long.MAX_VALUE)),
+                        LateTasks::plus);
             }
         }
         return out;
     }
 
-    /** Work may be thrown away for what is promised, not to save a rental. */
-    private boolean atStake(Job job, long begin) {
+    /** Returns whether work may be lost for the job's task: for a quota or an objective, but not to avoid a rental. */
+    private boolean mayKillFor(Job job, long startMs) {
         return job.withinGuarantee
                 || (ordering.hasOpenObjective(job)
-                        && begin
+                        && startMs
                                 > Math.max(
                                         ordering.latestStartMs(job),
-                                        context.now().ms() + SOON_MS));
+                                        context.now().ms() + IMMINENT_START_MS));
     }
 
-    private long bound(Job job) {
-        boolean asks = job != null
+    private long lateAfterMs(Job job) {
+        boolean eligible = job != null
                 && !job.spec().isGang()
                 && !job.spec().sameZone()
                 && !job.spec().antiAffinity()
                 && job.notBefore.ms() <= context.now().ms()
                 && !context.now().isBefore(job.nextWidthReductionAt);
-        if (!asks) {
+        if (!eligible) {
             return Long.MAX_VALUE;
         }
         long now = context.now().ms();
-        long bound = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStartMs(job), now));
-        return Math.max(now + SOON_MS, job.withinGuarantee ? Math.min(bound, now + SOON_MS) : bound);
+        long lateAfterMs = Math.min(now + scaleOut.toleratedDelayMs(job), Math.max(ordering.latestStartMs(job), now));
+        return Math.max(
+                now + IMMINENT_START_MS,
+                job.withinGuarantee ? Math.min(lateAfterMs, now + IMMINENT_START_MS) : lateAfterMs);
     }
 
-    private long neededBy(Job job) {
+    private long neededByMs(Job job) {
         long now = context.now().ms();
         long latest = ordering.latestStartMs(job);
-        return ordering.hasOpenObjective(job) ? Math.max(latest, now + SOON_MS) : now + GUARANTEED_MS;
+        return ordering.hasOpenObjective(job)
+                ? Math.max(latest, now + IMMINENT_START_MS)
+                : now + GUARANTEED_START_WITHIN_MS;
     }
 
-    private boolean serve(Job job, Late late, List<Job> givers, boolean limited) {
-        int tasks = late.tasks;
-        List<Offer> offers = new ArrayList<>();
+    private boolean reduceFor(Job job, LateTasks late, List<Job> reducibleJobs, boolean limited) {
+        int tasks = late.count;
+        List<ReductionOption> offers = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             if (!machine.placements.isEmpty() && admission.isUsable(machine)) {
-                Offer offer = offer(machine, job, late, givers, limited);
-                // What may be thrown away for one task's sake is the same whoever gives the room.
+                ReductionOption offer = reductionOption(machine, job, late, reducibleJobs, limited);
+                // The limit on work lost per started task is the same as for preemption.
                 if (offer != null
-                        && offer.lostEach()
+                        && offer.lostCpuSPerTask()
                                 <= policy.preemptCpuS() * Math.max(1, job.spec().cpus())) {
                     offers.add(offer);
                 }
             }
         }
-        offers.sort(Comparator.comparingDouble(Offer::lostEach).thenComparingLong(Offer::freesAtMs));
-        int served = 0;
-        for (Offer offer : offers) {
-            if (served >= tasks) {
+        offers.sort(Comparator.comparingDouble(ReductionOption::lostCpuSPerTask)
+                .thenComparingLong(ReductionOption::freesAtMs));
+        int helped = 0;
+        for (ReductionOption offer : offers) {
+            if (helped >= tasks) {
                 break;
             }
-            Map<Job, Integer> wanted = new HashMap<>();
-            offer.going.forEach(c -> wanted.merge(clusterState.job(c.task().task.job()), 1, Integer::sum));
-            if (wanted.entrySet().stream().anyMatch(w -> spare(w.getKey()) < w.getValue())) {
-                continue; // given away to an earlier offer
+            Map<Job, Integer> endedByJob = new HashMap<>();
+            offer.endedTasks.forEach(
+                    c -> endedByJob.merge(clusterState.job(c.task().task.job()), 1, Integer::sum));
+            if (endedByJob.entrySet().stream().anyMatch(w -> reducibleTaskCount(w.getKey()) < w.getValue())) {
+                continue; // the width was already reduced for an earlier option
             }
-            for (SurplusTaskSelector.Candidate<Placement> c : offer.going) {
+            for (SurplusTaskSelector.Candidate<Placement> c : offer.endedTasks) {
                 elastic.scheduleEnding(
                         clusterState.job(c.task().task.job()),
                         c.task(),
                         c.termination(),
-                        "its room is for " + job.id());
+                        "capacity needed by " + job.id());
             }
-            offer.host.growthDamping = offer.host.growthDamping.afterNarrowing(
+            offer.machine.growthDamping = offer.machine.growthDamping.afterNarrowing(
                     context.now().ms(), policy.elastic().settleMs());
-            served += offer.tasks;
+            helped += offer.taskCount;
         }
-        return served > 0;
+        return helped > 0;
     }
 
-    /** The tasks that would go so that some of the job's fit on the host; null where that can't be. */
-    private Offer offer(Machine machine, Job job, Late late, List<Job> givers, boolean limited) {
-        int tasks = late.tasks;
+    /** Returns the tasks to end so that tasks of the job fit on the machine, or null if that is impossible. */
+    private ReductionOption reductionOption(
+            Machine machine, Job job, LateTasks late, List<Job> reducibleJobs, boolean limited) {
+        int tasks = late.count;
         JobSpec spec = job.spec();
         MachineType type = machineTypes.get(machine.type);
-        Admission.FreeResources room = spec.mayRunOn(type, machine.zone, machine.spot)
+        Admission.FreeResources freeAfterOne = spec.mayRunOn(type, machine.zone, machine.spot)
                 ? admission.freeResourcesAfterPlacing(machine, type, spec)
                 : null;
-        if (room == null) {
+        if (freeAfterOne == null) {
             return null;
         }
         long fetch = machine.fetchMs(spec, type);
-        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededBy(job) - fetch, late.atStake);
+        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededByMs(job) - fetch, late.mayKill);
         List<SurplusTaskSelector.Candidate<Placement>> could = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
-            Job giver = clusterState.job(placement.task.job());
-            boolean counts =
-                    givers.contains(giver) && (!limited || giver.spec().team().equals(spec.team()));
-            if (counts && ElasticWidths.mayBeEnded(giver, placement)) {
-                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(giver, placement, need)));
+            Job owner = clusterState.job(placement.task.job());
+            boolean counts = reducibleJobs.contains(owner)
+                    && (!limited || owner.spec().team().equals(spec.team()));
+            if (counts && ElasticWidths.mayBeEnded(owner, placement)) {
+                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(owner, placement, need)));
             }
         }
         could.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
         List<SurplusTaskSelector.Candidate<Placement>> going = new ArrayList<>();
-        int fits = limited ? 0 : fits(room, spec, tasks);
-        if (fits > 0) {
-            return null; // there is room already; something else keeps it waiting
+        int taskCount = limited ? 0 : fittingTaskCount(freeAfterOne, spec, tasks);
+        if (taskCount > 0) {
+            return null; // a task fits already: it is waiting for another reason
         }
-        double given = 0;
+        double freedCpus = 0;
         for (SurplusTaskSelector.Candidate<Placement> choice : could) {
-            if (fits >= tasks) {
+            if (taskCount >= tasks) {
                 break;
             }
-            JobSpec gone = clusterState.job(choice.task().task.job()).spec();
-            room = room.plus(gone, 1);
-            given += gone.cpus();
+            JobSpec endedSpec = clusterState.job(choice.task().task.job()).spec();
+            freeAfterOne = freeAfterOne.plus(endedSpec, 1);
+            freedCpus += endedSpec.cpus();
             going.add(choice);
-            fits = Math.min(
-                    fits(room, spec, tasks), limited ? (int) ((given + 1e-6) / Math.max(1e-6, spec.cpus())) : tasks);
+            taskCount = Math.min(
+                    fittingTaskCount(freeAfterOne, spec, tasks),
+                    limited ? (int) ((freedCpus + 1e-6) / Math.max(1e-6, spec.cpus())) : tasks);
         }
-        if (fits == 0) {
+        if (taskCount == 0) {
             return null;
         }
-        long frees =
+        long freesAtMs =
                 going.stream().mapToLong(c -> c.termination().freedAtMs()).max().orElse(0);
-        double lost =
+        double lostCpuS =
                 going.stream().mapToDouble(c -> c.termination().lostCpuS()).sum();
-        boolean gains = late.lastBegin == Long.MAX_VALUE || frees + fetch + SOON_MS < late.lastBegin;
-        return gains ? new Offer(machine, going, fits, frees, lost) : null;
+        boolean startsEarlier =
+                late.latestStartMs == Long.MAX_VALUE || freesAtMs + fetch + IMMINENT_START_MS < late.latestStartMs;
+        return startsEarlier ? new ReductionOption(machine, going, taskCount, freesAtMs, lostCpuS) : null;
     }
 
-    /** How many of the job's tasks fit; {@code room} is what is left once one is there. */
-    private static int fits(Admission.FreeResources room, JobSpec spec, int most) {
+    /** Returns how many tasks of the job fit; {@code freeAfterOne} is what remains free after the first one. */
+    private static int fittingTaskCount(Admission.FreeResources freeAfterOne, JobSpec spec, int max) {
         int count = 0;
-        for (Admission.FreeResources left = room; count < most && left.isNonNegative(); left = left.plus(spec, -1)) {
+        for (Admission.FreeResources free = freeAfterOne;
+                count < max && free.isNonNegative();
+                free = free.plus(spec, -1)) {
             count++;
         }
         return count;
