--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -37,6 +37,8 @@
     private static final long RESIZE_FREE_WITHIN_MS = 30_000;
 
     private static final long MAX_REPORT_DELAY_MS = 2000;
+    /** Lower bound of the CPUs of a machine type, which avoids a division by zero. */
+    private static final double MIN_TYPE_CPUS = 0.01;
 
     private final ControllerContext context;
     private final Policy.Elastic policy;
@@ -45,7 +47,7 @@
     private final DurationEstimates estimates;
     private final TaskEviction eviction;
     private final TaskRemoval taskRemoval;
-    private final Map<TaskTermination.Method, Integer> endedByWay = new HashMap<>();
+    private final Map<TaskTermination.Method, Integer> endedByMethod = new HashMap<>();
     private int widened;
     private int narrowed;
     private int withdrawn;
@@ -95,7 +97,7 @@
         return Math.max(0, Math.min(waiting, guaranteed - job.record.live.size()));
     }
 
-    /** Returns the deadline of an elastic job, or {@link Ending#NEVER} if it has none. */
+    /** Returns the deadline of an elastic job, or {@link TaskTermination#NEVER} if it has none. */
     long deadlineMs(Job job) {
         Double deadlineS = job.record.width.allowed().deadlineS();
         return deadlineS == null ? TaskTermination.NEVER : job.submittedAt.ms() + Math.round(1000 * deadlineS);
@@ -121,7 +123,7 @@
         double lowest = Double.POSITIVE_INFINITY;
         for (MachineType type : machineTypes.all()) {
             if (spec.fitsType(type)) {
-                lowest = Math.min(lowest, type.priceOf(spec.spot()) / Math.max(0.01, type.cpus()));
+                lowest = Math.min(lowest, type.priceOf(spec.spot()) / Math.max(MIN_TYPE_CPUS, type.cpus()));
             }
         }
         return Double.isInfinite(lowest) ? 0 : lowest;
@@ -163,6 +165,7 @@
 
     // ---- width reduction ----
 
+    /** Returns how the task is best terminated for the given need of capacity. */
     TaskTermination chooseEnding(Job job, Placement placement, TaskTermination.CapacityNeed need) {
         JobSpec spec = job.spec();
         // Reports arrive late: a task whose image should be fetched by now, or soon, may be running when the kill
@@ -186,27 +189,27 @@
                 need);
     }
 
-    /** Returns whether the task may be chosen to be ended: it is neither being stopped nor already chosen. */
+    /** Returns whether the task may be terminated: it is neither being stopped nor already scheduled to be terminated. */
     static boolean mayBeEnded(Job job, Placement placement) {
         return !placement.stopRequested && !job.endings.containsKey(placement);
     }
 
-    /** Schedules the end of a task and reduces the job's width; no command is sent before the smaller width is committed. */
-    void scheduleEnding(Job job, Placement placement, TaskTermination ending, String reason) {
+    /** Schedules the termination of a task and reduces the job's width; no command is sent before the smaller width is committed. */
+    void scheduleTermination(Job job, Placement placement, TaskTermination termination, String reason) {
         if (job.endings.isEmpty() || retainedTaskCount(job) == job.record.width.target()) {
             narrowed++;
         }
-        job.endings.put(placement, ending);
-        placement.expectedGoneAtMs = ending.freedAtMs();
+        job.endings.put(placement, termination);
+        placement.expectedGoneAtMs = termination.freedAtMs();
         WidthRecord width = job.record.width;
         job.record.width = width.withTarget(Math.min(width.target(), retainedTaskCount(job)));
         LOG.info(
-                "job width reduced: job={} width={} task={} attempt={} ending={} reason={}",
+                "job width reduced: job={} width={} task={} attempt={} termination={} reason={}",
                 job.id(),
                 job.record.width.target(),
                 placement.task,
                 placement.attempt,
-                ending.method(),
+                termination.method(),
                 reason);
         clusterState.markDirty(job);
     }
@@ -229,37 +232,37 @@
             }
             for (SurplusTaskSelector.Candidate<Placement> c :
                     SurplusTaskSelector.select(candidates, surplus, p -> chooseEnding(job, p, need))) {
-                scheduleEnding(job, c.task(), c.termination(), "its width is " + width.target());
+                scheduleTermination(job, c.task(), c.termination(), "task count exceeds width " + width.target());
             }
         }
-        executeDueEndings(job);
+        executeDueTerminations(job);
     }
 
-    /** Executes the endings that are due, for at most as many tasks as exceed the committed width. */
-    private void executeDueEndings(Job job) {
+    /** Executes the terminations that are due, for at most as many tasks as exceed the committed width. */
+    private void executeDueTerminations(Job job) {
         for (Map.Entry<Placement, TaskTermination> entry : new ArrayList<>(job.endings.entrySet())) {
             Placement placement = entry.getKey();
-            TaskTermination end = entry.getValue();
+            TaskTermination termination = entry.getValue();
             if (job.record.live.size() - stopRequestedCount(job) <= job.committedWidth
                     || placement.stopRequested
-                    || end.atMs() > context.now().ms()) {
+                    || termination.atMs() > context.now().ms()) {
                 continue;
             }
             if (!placement.launchSent) {
-                endedByWay.merge(TaskTermination.Method.WITHDRAW, 1, Integer::sum);
+                endedByMethod.merge(TaskTermination.Method.WITHDRAW, 1, Integer::sum);
                 taskRemoval.remove(job, placement);
-            } else if (end.method() == TaskTermination.Method.AT_END) {
+            } else if (termination.method() == TaskTermination.Method.AT_END) {
                 // The task runs longer than expected: it is checkpointed now if it can be.
                 TaskTermination.CapacityNeed need =
                         new TaskTermination.CapacityNeed(context.now().ms() + RESIZE_FREE_WITHIN_MS, false);
-                TaskTermination again = chooseEnding(job, placement, need);
-                job.endings.put(placement, again);
-                placement.expectedGoneAtMs = again.freedAtMs();
+                TaskTermination newTermination = chooseEnding(job, placement, need);
+                job.endings.put(placement, newTermination);
+                placement.expectedGoneAtMs = newTermination.freedAtMs();
             } else {
-                endedByWay.merge(end.method(), 1, Integer::sum);
+                endedByMethod.merge(termination.method(), 1, Integer::sum);
                 eviction.evict(
                         placement,
-                        end.method() == TaskTermination.Method.KILL
+                        termination.method() == TaskTermination.Method.KILL
                                 ? 0
                                 : job.spec().checkpointCostS(),
                         Cause.NARROWING);
@@ -275,6 +278,7 @@
         return count;
     }
 
+    /** Reconciles the live tasks of all jobs with their widths. */
     void reconcileAllWidths() {
         for (Job job : clusterState.jobs()) {
             reconcileWidth(job);
@@ -283,11 +287,11 @@
 
     // ---- views ----
 
-    /** Returns the counts of width changes and endings by name. */
+    /** Returns the counts of width changes and terminations by name. */
     Map<String, Integer> counts() {
         Map<String, Integer> out =
                 new HashMap<>(Map.of("widened", widened, "narrowed", narrowed, "withdrawn", withdrawn));
-        endedByWay.forEach((way, n) -> out.put("ended_" + way.name().toLowerCase(java.util.Locale.ROOT), n));
+        endedByMethod.forEach((method, n) -> out.put("ended_" + method.name().toLowerCase(java.util.Locale.ROOT), n));
         return out;
     }
 
--- a/src/main/java/org/beechhoist/controller/FreeCapacity.java
+++ b/src/main/java/org/beechhoist/controller/FreeCapacity.java
@@ -29,7 +29,11 @@
     /** The first machine to try by task shape; free capacity only shrinks, so machines before it cannot fit such a task. */
     private final Map<String, Integer> firstIndexByShape = new HashMap<>();
 
-    /** @param filter whether a machine counts, beside that it takes work */
+    /**
+     * Reads the free capacity of the usable machines.
+     *
+     * @param filter selects the usable machines to include
+     */
     FreeCapacity(
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
--- a/src/main/java/org/beechhoist/controller/JobProgress.java
+++ b/src/main/java/org/beechhoist/controller/JobProgress.java
@@ -32,6 +32,7 @@
     /** The counts that this node last published as leader, the least recently published first. */
     private final Map<JobId, JobCount> publishedCounts = new LinkedHashMap<>();
 
+    /** Takes over the counts that a peer publishes as leader, unless a leader with a newer fencing token is known. */
     void updateFromLeader(PeerState state, MonotonicTime now) {
         if (state.leading() && state.fencingToken().compareTo(fencingToken) >= 0) {
             fencingToken = state.fencingToken();
@@ -76,6 +77,7 @@
         return out;
     }
 
+    /** Returns the counts of done and of committed live tasks. */
     static JobCount count(Job job) {
         return new JobCount(job.id(), job.record.done.size(), (int)
                 job.record.live.values().stream().filter(p -> p.committed).count());
--- a/src/main/java/org/beechhoist/controller/JobResponses.java
+++ b/src/main/java/org/beechhoist/controller/JobResponses.java
@@ -9,14 +9,17 @@
 final class JobResponses {
     private JobResponses() {}
 
+    /** Returns the body of an error reply. */
     static ObjectNode error(String text) {
         return Codec.map().put("error", text);
     }
 
+    /** Returns the body with the id and the status of a job. */
     static ObjectNode status(JobId jobId, String status) {
         return Codec.map().put("ref", jobId.text()).put("status", status);
     }
 
+    /** Returns the status body of an ended job, from the record of its final state. */
     static ObjectNode endedStatus(JobId jobId, JsonNode value) {
         ObjectNode node = status(jobId, value.path("status").asText())
                 .put("done", value.path("done").asInt())
@@ -27,11 +30,11 @@
         return node;
     }
 
+    /** Returns the status body of an open job, from its record. */
     static ObjectNode openStatus(JobId jobId, JsonNode value) {
         int done = value.path("doneCount").asInt();
-        JsonNode doneRanges = value.path("doneCount").isMissingNode()
-                ? value.path("done")
-                : Codec.list(); // a record in the older format
+        // A record in the older format has ranges of done tasks instead of a count.
+        JsonNode doneRanges = value.path("doneCount").isMissingNode() ? value.path("done") : Codec.list();
         for (int i = 0; i + 1 < doneRanges.size(); i += 2) {
             done += doneRanges.get(i + 1).asInt() - doneRanges.get(i).asInt() + 1;
         }
--- a/src/main/java/org/beechhoist/controller/LoadShedding.java
+++ b/src/main/java/org/beechhoist/controller/LoadShedding.java
@@ -58,10 +58,10 @@
             JobOrdering ordering,
             Admission admission,
             ScaleOutPolicy scaleOut,
-            Supplier<Map<String, ServiceShare>> lately,
-            Function<Job, Set<String>> groups) {
-        this.shareGroups = groups;
-        this.recentShares = lately;
+            Supplier<Map<String, ServiceShare>> recentShares,
+            Function<Job, Set<String>> shareGroups) {
+        this.shareGroups = shareGroups;
+        this.recentShares = recentShares;
         this.context = context;
         this.settings = settings;
         this.machineTypes = machineTypes;
@@ -118,9 +118,9 @@
         Set<JobId> newlyShed = !overloaded ? Set.of() : ShedJobSelector.select(demands, capacity());
         if (!newlyShed.isEmpty()) {
             newlyShed = new HashSet<>(newlyShed);
-            for (Job j : missedJobs) {
-                newlyShed.add(
-                        j.id()); // it has missed all its limits and must not delay jobs that can still meet theirs
+            for (Job job : missedJobs) {
+                // It has missed all its limits and must not delay jobs that can still meet theirs.
+                newlyShed.add(job.id());
             }
         }
         if (newlyShed.isEmpty() != shedJobs.isEmpty()) {
@@ -132,11 +132,12 @@
         }
         shedJobs = newlyShed;
         ordering.setOverloaded(!newlyShed.isEmpty());
-        for (Job j : clusterState.jobs()) {
-            j.shed = !j.prioritized && shedJobs.contains(j.id());
+        for (Job job : clusterState.jobs()) {
+            job.shed = !job.prioritized && shedJobs.contains(job.id());
         }
     }
 
+    /** Returns the capacity of all machines, less that used by services, and the remaining work of running tasks. */
     private Capacity capacity() {
         double cpus = 0;
         double busyCpuMs = 0;
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -73,8 +73,8 @@
             ClusterState clusterState,
             DurationEstimates estimates,
             JobOrdering ordering,
-            ToDoubleFunction<Machine> cpus) {
-        this.machineCpus = cpus;
+            ToDoubleFunction<Machine> machineCpus) {
+        this.machineCpus = machineCpus;
         this.ordering = ordering;
         this.context = context;
         this.settings = settings;
@@ -103,6 +103,7 @@
         });
     }
 
+    /** Reads the stored counts, and retries until the state service has answered. */
     private void readLedger() {
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
@@ -136,11 +137,8 @@
     /** Returns the wall-clock time by which the job must end to count as served. */
     private long servedByWallMs(Job job) {
         long byObjectiveWallMs = job.record.submittedWallMs + ordering.servedWithinMs(job.spec());
-        return job.release == null
-                ? byObjectiveWallMs
-                : Math.max(
-                        byObjectiveWallMs,
-                        job.release.dueMs()); // a job of a release is not late before the release is due
+        // A job of a release is not late before the release is due.
+        return job.release == null ? byObjectiveWallMs : Math.max(byObjectiveWallMs, job.release.dueMs());
     }
 
     /** Returns the groups that a job counts for by its spec: its class and its team. */
@@ -252,6 +250,7 @@
         }
     }
 
+    /** Returns the starving jobs and the number of tasks to expedite for each. */
     private Map<JobId, Integer> selectStarvingJobs() {
         List<StarvingJobSelector.OpenJob> waiting = new ArrayList<>();
         double totalCpus = 0;
@@ -285,6 +284,7 @@
         return StarvingJobSelector.select(waiting, totalCpus, context.wallMs());
     }
 
+    /** Writes the counts if the interval has passed and enough of the write budget is available. */
     private void writeLedger() {
         if (context.now().isBefore(nextWriteAt)
                 || writes.available(context.now()) < MIN_FREE_WRITES_FRACTION * writes.capacity()) {
--- a/src/main/java/org/beechhoist/controller/Planner.java
+++ b/src/main/java/org/beechhoist/controller/Planner.java
@@ -206,9 +206,9 @@
     /** Builds a plan for the candidate and evaluates it. */
     private Evaluation evaluate(SearchCandidate candidate) {
         List<Job> jobs = JobOrdering.withPreferredOrder(ordering.waitingJobsByObjective(), candidate.jobOrder());
-        Map<JobId, Evaluation.JobTiming> facts = new HashMap<>();
+        Map<JobId, Evaluation.JobTiming> timings = new HashMap<>();
         for (Job job : jobs) {
-            facts.put(
+            timings.put(
                     job.id(),
                     new Evaluation.JobTiming(
                             job.spec().team(),
@@ -225,7 +225,7 @@
         for (String team : settings.teams().keySet()) {
             usage.put(team, BASE_TEAM_USAGE + clusterState.teamCpuMs().getOrDefault(team, 0.0) / totalCpuMs);
         }
-        return Evaluation.of(builder.build(jobs, candidate.fixedWidths()), facts, usage);
+        return Evaluation.of(builder.build(jobs, candidate.fixedWidths()), timings, usage);
     }
 
     /** Returns the pause after a plan, which grows with the size of the plan and with the lag of this node's input processing. */
--- a/src/main/java/org/beechhoist/controller/Preemption.java
+++ b/src/main/java/org/beechhoist/controller/Preemption.java
@@ -23,6 +23,7 @@
     /** The minimum time by which preemption must bring forward the start of a task. */
     private static final long MIN_GAIN_MS = 500;
 
+    /** The time a job waits for the effect of a preemption before it may preempt again. */
     private static final long PREEMPTION_INTERVAL_MS = 600;
     /** Preemption does not help a task that starts within this time. */
     private static final long IMMINENT_START_MS = 700;
@@ -61,6 +62,7 @@
         this.eviction = eviction;
     }
 
+    /** Preempts tasks for the jobs with late tasks in the plan. */
     void preemptForLateJobs(Plan plan, Map<String, double[]> used) {
         Map<JobId, List<Long>> lateStarts = new LinkedHashMap<>();
         Map<JobId, Long> lateAfter = new LinkedHashMap<>();
@@ -92,6 +94,7 @@
                 : Math.max(ordering.latestStartMs(job), context.now().ms() + IMMINENT_START_MS);
     }
 
+    /** Returns whether tasks may be preempted for the job now. */
     private boolean isEligible(Job job) {
         JobSpec spec = job.spec();
         return !job.shed
@@ -105,6 +108,7 @@
                 && outranksAnyLiveJob(job);
     }
 
+    /** Returns whether the job may preempt tasks of any job with live tasks. */
     private boolean outranksAnyLiveJob(Job job) {
         for (Job other : clusterState.jobs()) {
             if (!other.record.live.isEmpty() && job.mayPreempt(other)) {
@@ -119,7 +123,7 @@
         double maxCost = policy.preemptCpuS() * Math.max(1, job.spec().cpus());
         long latestStartMs =
                 startTimes.stream().mapToLong(Long::longValue).max().orElse(0);
-        List<PreemptionOption> offers = new ArrayList<>();
+        List<PreemptionOption> options = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             if (machine.placements.isEmpty() || machine.commandsInFlight > 0 || !admission.isUsable(machine)) {
                 continue;
@@ -130,22 +134,22 @@
             if (startMs + MIN_GAIN_MS > latestStartMs) {
                 continue;
             }
-            PreemptionOption offer = preemptionOption(machine, job, startTimes.size(), startMs);
-            if (offer != null && offer.cost() < maxCost) {
-                offers.add(offer);
+            PreemptionOption option = preemptionOption(machine, job, startTimes.size(), startMs);
+            if (option != null && option.cost() < maxCost) {
+                options.add(option);
             }
         }
-        offers.sort(Comparator.comparingDouble(PreemptionOption::costPerTask));
+        options.sort(Comparator.comparingDouble(PreemptionOption::costPerTask));
         List<Long> waiting = new ArrayList<>(startTimes);
         waiting.sort(Comparator.reverseOrder());
         int helped = 0;
-        for (PreemptionOption offer : offers) {
+        for (PreemptionOption option : options) {
             if (helped >= waiting.size()) {
                 break;
             }
-            if (offer.startMs() + MIN_GAIN_MS <= waiting.get(helped)) {
-                offer.victims().forEach(v -> eviction.preempt(v, job));
-                helped += offer.taskCount();
+            if (option.startMs() + MIN_GAIN_MS <= waiting.get(helped)) {
+                option.victims().forEach(v -> eviction.preempt(v, job));
+                helped += option.taskCount();
             }
         }
         return helped > 0;
--- a/src/main/java/org/beechhoist/controller/ResizeHandler.java
+++ b/src/main/java/org/beechhoist/controller/ResizeHandler.java
@@ -120,6 +120,7 @@
                 : "number = " + resize.number() + ": it was another resize; a new one needs a larger number";
     }
 
+    /** Commits the new width, and repeats the resize after a conflict. */
     private void commitWidth(
             long request,
             JobId jobId,
--- a/src/main/java/org/beechhoist/controller/SearchCandidate.java
+++ b/src/main/java/org/beechhoist/controller/SearchCandidate.java
@@ -8,10 +8,10 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * What the search moves: the order of jobs that no objective speaks for, and the widths of elastic ones. A width that
- * is not {@code fixed} is weighed by the plan itself.
+ * A candidate of the plan search: the order of jobs without an open objective, and the widths of elastic jobs. The plan itself
+ * chooses the widths that are not in {@code fixedWidths}.
  *
- * @param maxWidths the elastic jobs and how wide each may be
+ * @param maxWidths the maximum width of each elastic job
  */
 record SearchCandidate(
         List<JobId> jobOrder, List<JobId> elastic, Map<JobId, Integer> maxWidths, Map<JobId, Integer> fixedWidths) {
--- a/src/main/java/org/beechhoist/controller/TaskPlacer.java
+++ b/src/main/java/org/beechhoist/controller/TaskPlacer.java
@@ -63,8 +63,8 @@
         /** The CPUs and GPUs used by each team; null until first needed. */
         private Map<String, double[]> teamUsage;
 
-        private PlacementRound(Map<JobId, Integer> due) {
-            this.dueTaskCounts = due;
+        private PlacementRound(Map<JobId, Integer> dueTaskCounts) {
+            this.dueTaskCounts = dueTaskCounts;
         }
     }
 
--- a/src/main/java/org/beechhoist/controller/TeamFairShareLimiter.java
+++ b/src/main/java/org/beechhoist/controller/TeamFairShareLimiter.java
@@ -35,6 +35,7 @@
         return acceptedByTeam.getOrDefault(team, 0.0) <= FAIR_SHARE_TOLERANCE * total / teams;
     }
 
+    /** Counts an accepted submission of the team. */
     void recordAccepted(String team, MonotonicTime now) {
         decay(now);
         acceptedByTeam.merge(team, 1.0, Double::sum);
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -25,12 +25,16 @@
  * tasks of lower rank are preempted.
  */
 final class WidthReduction {
+    /** The maximum number of jobs for which widths are reduced in one plan. */
     private static final int MAX_JOBS = 20;
+    /** The minimum interval between two width reductions for the same job. */
     private static final long REDUCTION_INTERVAL_MS = 600;
     /** A task that starts within this time is not helped, and a reduction must bring a start forward by more than this. */
     private static final long IMMINENT_START_MS = 700;
     /** The time within which capacity is freed for jobs within their team's quota that have no open objective. */
     private static final long GUARANTEED_START_WITHIN_MS = 10_000;
+    /** Rounding tolerance of sums of CPUs. */
+    private static final double CPU_TOLERANCE = 1e-6;
 
     private final ControllerContext context;
     private final Policy policy;
@@ -80,6 +84,7 @@
         this.elastic = elastic;
     }
 
+    /** Reduces the width of elastic jobs for the jobs with late tasks in the plan. */
     void reduceForLateJobs(Plan plan, Map<String, double[]> used) {
         List<Job> reducibleJobs = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
@@ -94,7 +99,8 @@
         for (Map.Entry<Job, LateTasks> entry : lateTasks(plan).entrySet()) {
             Job job = entry.getKey();
             List<Job> candidates = reducibleJobs.stream()
-                    .filter(g -> g != job && reducibleTaskCount(g) > 0 && givesWayTo(g, job))
+                    .filter(reducible ->
+                            reducible != job && reducibleTaskCount(reducible) > 0 && givesWayTo(reducible, job))
                     .toList();
             if (candidates.isEmpty()) {
                 continue;
@@ -165,6 +171,7 @@
                                         context.now().ms() + IMMINENT_START_MS));
     }
 
+    /** Returns the start time after which a task of the job is late; {@code Long.MAX_VALUE} if nothing may be freed for the job. */
     private long lateAfterMs(Job job) {
         boolean eligible = job != null
                 && !job.spec().isGang()
@@ -182,6 +189,7 @@
                 job.withinGuarantee ? Math.min(lateAfterMs, now + IMMINENT_START_MS) : lateAfterMs);
     }
 
+    /** Returns the time by which capacity for the job has to be free. */
     private long neededByMs(Job job) {
         long now = context.now().ms();
         long latest = ordering.latestStartMs(job);
@@ -190,43 +198,44 @@
                 : now + GUARANTEED_START_WITHIN_MS;
     }
 
+    /** Ends tasks of the reducible jobs for the job's late tasks; returns whether any task was scheduled to be terminated. */
     private boolean reduceFor(Job job, LateTasks late, List<Job> reducibleJobs, boolean limited) {
         int tasks = late.count;
-        List<ReductionOption> offers = new ArrayList<>();
+        List<ReductionOption> options = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
             if (!machine.placements.isEmpty() && admission.isUsable(machine)) {
-                ReductionOption offer = reductionOption(machine, job, late, reducibleJobs, limited);
+                ReductionOption option = reductionOption(machine, job, late, reducibleJobs, limited);
                 // The limit on work lost per started task is the same as for preemption.
-                if (offer != null
-                        && offer.lostCpuSPerTask()
+                if (option != null
+                        && option.lostCpuSPerTask()
                                 <= policy.preemptCpuS() * Math.max(1, job.spec().cpus())) {
-                    offers.add(offer);
+                    options.add(option);
                 }
             }
         }
-        offers.sort(Comparator.comparingDouble(ReductionOption::lostCpuSPerTask)
+        options.sort(Comparator.comparingDouble(ReductionOption::lostCpuSPerTask)
                 .thenComparingLong(ReductionOption::freesAtMs));
         int helped = 0;
-        for (ReductionOption offer : offers) {
+        for (ReductionOption option : options) {
             if (helped >= tasks) {
                 break;
             }
             Map<Job, Integer> endedByJob = new HashMap<>();
-            offer.endedTasks.forEach(
+            option.endedTasks.forEach(
                     c -> endedByJob.merge(clusterState.job(c.task().task.job()), 1, Integer::sum));
             if (endedByJob.entrySet().stream().anyMatch(w -> reducibleTaskCount(w.getKey()) < w.getValue())) {
                 continue; // the width was already reduced for an earlier option
             }
-            for (SurplusTaskSelector.Candidate<Placement> c : offer.endedTasks) {
-                elastic.scheduleEnding(
+            for (SurplusTaskSelector.Candidate<Placement> c : option.endedTasks) {
+                elastic.scheduleTermination(
                         clusterState.job(c.task().task.job()),
                         c.task(),
                         c.termination(),
                         "capacity needed by " + job.id());
             }
-            offer.machine.growthDamping = offer.machine.growthDamping.afterNarrowing(
+            option.machine.growthDamping = option.machine.growthDamping.afterNarrowing(
                     context.now().ms(), policy.elastic().settleMs());
-            helped += offer.taskCount;
+            helped += option.taskCount;
         }
         return helped > 0;
     }
@@ -243,46 +252,49 @@
         if (freeAfterOne == null) {
             return null;
         }
-        long fetch = machine.fetchMs(spec, type);
-        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededByMs(job) - fetch, late.mayKill);
-        List<SurplusTaskSelector.Candidate<Placement>> could = new ArrayList<>();
+        long fetchMs = machine.fetchMs(spec, type);
+        TaskTermination.CapacityNeed need = new TaskTermination.CapacityNeed(neededByMs(job) - fetchMs, late.mayKill);
+        List<SurplusTaskSelector.Candidate<Placement>> candidates = new ArrayList<>();
         for (Placement placement : machine.placements.values()) {
             Job owner = clusterState.job(placement.task.job());
             boolean counts = reducibleJobs.contains(owner)
                     && (!limited || owner.spec().team().equals(spec.team()));
             if (counts && ElasticWidths.mayBeEnded(owner, placement)) {
-                could.add(new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(owner, placement, need)));
+                candidates.add(
+                        new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(owner, placement, need)));
             }
         }
-        could.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
-        List<SurplusTaskSelector.Candidate<Placement>> going = new ArrayList<>();
+        candidates.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
+        List<SurplusTaskSelector.Candidate<Placement>> endedTasks = new ArrayList<>();
         int taskCount = limited ? 0 : fittingTaskCount(freeAfterOne, spec, tasks);
         if (taskCount > 0) {
             return null; // a task fits already: it is waiting for another reason
         }
         double freedCpus = 0;
-        for (SurplusTaskSelector.Candidate<Placement> choice : could) {
+        for (SurplusTaskSelector.Candidate<Placement> choice : candidates) {
             if (taskCount >= tasks) {
                 break;
             }
             JobSpec endedSpec = clusterState.job(choice.task().task.job()).spec();
             freeAfterOne = freeAfterOne.plus(endedSpec, 1);
             freedCpus += endedSpec.cpus();
-            going.add(choice);
+            endedTasks.add(choice);
             taskCount = Math.min(
                     fittingTaskCount(freeAfterOne, spec, tasks),
-                    limited ? (int) ((freedCpus + 1e-6) / Math.max(1e-6, spec.cpus())) : tasks);
+                    limited ? (int) ((freedCpus + CPU_TOLERANCE) / Math.max(CPU_TOLERANCE, spec.cpus())) : tasks);
         }
         if (taskCount == 0) {
             return null;
         }
-        long freesAtMs =
-                going.stream().mapToLong(c -> c.termination().freedAtMs()).max().orElse(0);
+        long freesAtMs = endedTasks.stream()
+                .mapToLong(c -> c.termination().freedAtMs())
+                .max()
+                .orElse(0);
         double lostCpuS =
-                going.stream().mapToDouble(c -> c.termination().lostCpuS()).sum();
+                endedTasks.stream().mapToDouble(c -> c.termination().lostCpuS()).sum();
         boolean startsEarlier =
-                late.latestStartMs == Long.MAX_VALUE || freesAtMs + fetch + IMMINENT_START_MS < late.latestStartMs;
-        return startsEarlier ? new ReductionOption(machine, going, taskCount, freesAtMs, lostCpuS) : null;
+                late.latestStartMs == Long.MAX_VALUE || freesAtMs + fetchMs + IMMINENT_START_MS < late.latestStartMs;
+        return startsEarlier ? new ReductionOption(machine, endedTasks, taskCount, freesAtMs, lostCpuS) : null;
     }
 
     /** Returns how many tasks of the job fit; {@code freeAfterOne} is what remains free after the first one. */
