--- a/src/main/java/org/beechhoist/cli/Region.java
+++ b/src/main/java/org/beechhoist/cli/Region.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import org.beechhoist.config.Addresses;
 import org.beechhoist.local.LoopbackRegion;
-import org.beechhoist.net.Loop;
+import org.beechhoist.net.EventLoop;
 import picocli.CommandLine;
 
 /** A region to try the service in: stand-ins of state service, cloud and workers on loopback. It keeps nothing. */
@@ -35,7 +35,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         LoopbackRegion region =
                 new LoopbackRegion(loop, Trials.REGION, new Trials.Sleeping(line -> System.out.println(line)));
         Map<String, InetSocketAddress> controllers = new LinkedHashMap<>();
--- a/src/main/java/org/beechhoist/cli/Warm.java
+++ b/src/main/java/org/beechhoist/cli/Warm.java
@@ -10,8 +10,8 @@
 import org.beechhoist.controller.Controller;
 import org.beechhoist.controller.context.Effect;
 import org.beechhoist.metrics.Metrics;
+import org.beechhoist.net.EventLoop;
 import org.beechhoist.net.HttpClient;
-import org.beechhoist.net.Loop;
 import org.beechhoist.peer.CancelledJob;
 import org.beechhoist.peer.JobCount;
 import org.beechhoist.peer.PeerCodec;
@@ -52,7 +52,7 @@
                 List.of(new JobCount(new JobId("job-1"), 1, 1)),
                 List.of(new CancelledJob(new JobId("job-2"), 1)),
                 List.of(new JobId("job-3")))));
-        new HttpClient(new Loop(), "", 1);
+        new HttpClient(new EventLoop(), "", 1);
         Controller core = new Controller(settings, Policy.DEFAULT, new Metrics(), 1);
         StateService state = new StateService(
                 settings.stateLimits().txnOps(), settings.stateLimits().valueBytes());
--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -14,9 +14,9 @@
 import org.beechhoist.controller.context.Effect;
 import org.beechhoist.http.HttpMessage;
 import org.beechhoist.metrics.Metrics;
+import org.beechhoist.net.EventLoop;
 import org.beechhoist.net.HttpClient;
 import org.beechhoist.net.HttpServer;
-import org.beechhoist.net.Loop;
 import org.beechhoist.peer.PeerCodec;
 import org.beechhoist.peer.PeerState;
 import org.beechhoist.wire.CallResult;
@@ -38,7 +38,7 @@
     private static final byte[] EMPTY = new byte[0];
 
     private final Settings settings;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final HttpClient client;
     private final HttpClient peerClient;
     /** Made when first needed: loading Avro would hold up the first answers after a restart. */
@@ -48,7 +48,7 @@
     private final Controller core;
     private final Map<Long, HttpServer.Responder> open = new HashMap<>();
     private long nextRequest = 1;
-    private Loop.Deadline wake;
+    private EventLoop.Timer wake;
     private long wakeAt = Long.MAX_VALUE;
 
     /**
@@ -113,9 +113,9 @@
         String route = route(message.method(), message.target());
         long began = loop.now().ms();
         open.put(id, (status, type, body, retry) -> {
-            metrics.latency(route, loop.now().ms() - began);
-            metrics.count(route + " " + status);
-            responder.answer(status, type, body, retry);
+            metrics.recordLatency(route, loop.now().ms() - began);
+            metrics.increment(route + " " + status);
+            responder.respond(status, type, body, retry);
         });
         core.handleRequest(
                 loop.now(), System.currentTimeMillis(), id, message.method(), message.target(), message.body());
@@ -136,15 +136,15 @@
 
     private void peerRequest(HttpMessage message, HttpServer.Responder responder) {
         if (!message.target().equals("/peer") || !message.method().equals("POST")) {
-            responder.answer(404, TEXT, EMPTY, 0);
+            responder.respond(404, TEXT, EMPTY, 0);
             return;
         }
         try {
             core.handlePeerState(
                     loop.now(), System.currentTimeMillis(), peerCodec().decode(message.body()));
-            responder.answer(200, TEXT, EMPTY, 0);
+            responder.respond(200, TEXT, EMPTY, 0);
         } catch (MalformedMessageException e) {
-            responder.answer(400, TEXT, e.getMessage().getBytes(StandardCharsets.US_ASCII), 0);
+            responder.respond(400, TEXT, e.getMessage().getBytes(StandardCharsets.US_ASCII), 0);
         }
     }
 
@@ -169,7 +169,7 @@
                 if (effect instanceof Effect.Respond decided) {
                     Effect.Respond answer = decided.asOf(loop.now());
                     open.remove(answer.request())
-                            .answer(
+                            .respond(
                                     answer.status(),
                                     CBOR,
                                     answer.body() == null ? EMPTY : Codec.encode(answer.body()),
@@ -194,7 +194,7 @@
             wakeAt = at;
             wake = at == Long.MAX_VALUE
                     ? null
-                    : loop.after(at - loop.now().ms(), () -> {
+                    : loop.schedule(at - loop.now().ms(), () -> {
                         wake = null;
                         core.handleTimer(loop.now(), System.currentTimeMillis());
                     });
@@ -209,7 +209,7 @@
                     case HOST -> Addresses.parse(call.address());
                 };
         if (address == null || call.isExpired(loop.now())) {
-            loop.after(
+            loop.schedule(
                     0,
                     () -> core.handleCallResult(
                             loop.now(), System.currentTimeMillis(), call.id(), CallResult.NOT_SENT));
@@ -229,7 +229,7 @@
         if (result instanceof HttpClient.NotSent) {
             return CallResult.NOT_SENT;
         }
-        if (!(result instanceof HttpClient.Answer answer)) {
+        if (!(result instanceof HttpClient.Response answer)) {
             return CallResult.UNKNOWN;
         }
         JsonNode body = null;
--- a/src/main/java/org/beechhoist/http/HttpParser.java
+++ b/src/main/java/org/beechhoist/http/HttpParser.java
@@ -75,7 +75,7 @@
     }
 
     /** True where a message has begun that is not whole yet. */
-    public boolean midMessage() {
+    public boolean hasPartialMessage() {
         return len > 0;
     }
 
--- a/src/main/java/org/beechhoist/local/LocalCluster.java
+++ b/src/main/java/org/beechhoist/local/LocalCluster.java
@@ -14,7 +14,7 @@
 import org.beechhoist.config.Policy;
 import org.beechhoist.config.Settings;
 import org.beechhoist.daemon.Node;
-import org.beechhoist.net.Loop;
+import org.beechhoist.net.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final LoopbackRegion region;
     private final Thread regionThread;
     private final Policy policy;
--- a/src/main/java/org/beechhoist/local/LoopbackRegion.java
+++ b/src/main/java/org/beechhoist/local/LoopbackRegion.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.beechhoist.http.HttpMessage;
+import org.beechhoist.net.EventLoop;
 import org.beechhoist.net.HttpClient;
 import org.beechhoist.net.HttpServer;
-import org.beechhoist.net.Loop;
 import org.beechhoist.standin.Cloud;
 import org.beechhoist.standin.Reply;
 import org.beechhoist.standin.StateService;
@@ -73,7 +73,7 @@
         private int target;
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpClient client;
     private final Layout layout;
     private final Tasks tasks;
@@ -84,7 +84,7 @@
     private List<String> names = List.of();
     private List<InetSocketAddress> nodes = List.of();
 
-    public LoopbackRegion(Loop loop, Layout layout, Tasks tasks) {
+    public LoopbackRegion(EventLoop loop, Layout layout, Tasks tasks) {
         this.loop = loop;
         this.client = new HttpClient(loop, CBOR, 100);
         this.layout = layout;
@@ -109,7 +109,7 @@
 
     /** Lets time pass from now on. */
     public void start() {
-        loop.after(STEP_MS, this::start);
+        loop.schedule(STEP_MS, this::start);
         state.tick(now());
         cloud.tick(now());
         for (Running running : new ArrayList<>(machines.values())) {
@@ -158,7 +158,7 @@
     /** The cloud says that it will take the machine in so long, and does. */
     public void notice(String name, double seconds) {
         machines.get(name).worker.notice(seconds);
-        loop.after(Math.round(1000 * seconds), () -> lose(name));
+        loop.schedule(Math.round(1000 * seconds), () -> lose(name));
     }
 
     // ---- serving ----
@@ -177,7 +177,7 @@
 
     private InetSocketAddress serve(InetSocketAddress at, Service service) throws IOException {
         return new HttpServer(loop, at, Codec.MAX_BODY, 500, (message, responder) -> {
-                    Answer answer = r -> responder.answer(r.status(), CBOR, Codec.encode(r.body()), 0);
+                    Answer answer = r -> responder.respond(r.status(), CBOR, Codec.encode(r.body()), 0);
                     try {
                         service.take(
                                 message,
@@ -233,14 +233,16 @@
                 nodes.get(running.target), "POST", "/checkin", Codec.encode(running.worker.report()), 4000, result -> {
                     running.reporting = false;
                     JsonNode body = null;
-                    if (result instanceof HttpClient.Answer reply && reply.body().length > 0) {
+                    if (result instanceof HttpClient.Response reply && reply.body().length > 0) {
                         try {
                             body = Codec.decodeMap(reply.body());
                         } catch (MalformedMessageException e) {
                             body = null;
                         }
                     }
-                    if (result instanceof HttpClient.Answer otherReply && otherReply.status() == 200 && body != null) {
+                    if (result instanceof HttpClient.Response otherReply
+                            && otherReply.status() == 200
+                            && body != null) {
                         if (!running.gone && running.hangUntil <= now()) {
                             running.worker.answered(now(), sent, shift, body);
                         }
--- a/src/main/java/org/beechhoist/metrics/Metrics.java
+++ b/src/main/java/org/beechhoist/metrics/Metrics.java
@@ -15,12 +15,12 @@
     private final Map<String, Histogram> latencies = new TreeMap<>();
 
     /** Adds one to a counter. */
-    public void count(String name) {
+    public void increment(String name) {
         counters.merge(name, 1L, Long::sum);
     }
 
     /** Records a latency in milliseconds. */
-    public void latency(String name, long ms) {
+    public void recordLatency(String name, long ms) {
         latencies
                 .computeIfAbsent(name, k -> new Histogram(1, LONGEST_MS, DIGITS))
                 .recordValue(Math.max(1, Math.min(LONGEST_MS, ms)));
--- a/src/main/java/org/beechhoist/net/Loop.java
+++ b/src/main/java/org/beechhoist/net/EventLoop.java
@@ -14,23 +14,23 @@
 import org.slf4j.LoggerFactory;
 
 /** One thread's selector and deadlines; everything the service does happens inside its turns. */
-public final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /** Something that waits on a channel. */
-    interface Ready {
-        void ready(SelectionKey key) throws IOException;
+    interface ChannelHandler {
+        void onReady(SelectionKey key) throws IOException;
 
-        void broken(IOException cause);
+        void onFailure(IOException cause);
     }
 
     /** A deadline that can be called off. */
-    public static final class Deadline {
+    public static final class Timer {
         private final long atMs;
         private final long order;
         private Runnable action;
 
-        private Deadline(long atMs, long order, Runnable action) {
+        private Timer(long atMs, long order, Runnable action) {
             this.atMs = atMs;
             this.order = order;
             this.action = action;
@@ -42,7 +42,7 @@
     }
 
     private final Selector selector;
-    private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>(
+    private final PriorityQueue<Timer> deadlines = new PriorityQueue<>(
             (a, b) -> a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
     private final long origin = System.nanoTime();
     /** Serves every connection of the loop. Shared by two loops of one process, it once mixed their bytes. */
@@ -53,7 +53,7 @@
     private volatile boolean stopped;
     private Runnable turnEnd = () -> {};
 
-    public Loop() throws IOException {
+    public EventLoop() throws IOException {
         selector = Selector.open();
     }
 
@@ -62,8 +62,8 @@
         return new MonotonicTime(1_000_000 + (System.nanoTime() - origin) / 1_000_000);
     }
 
-    public Deadline after(long ms, Runnable action) {
-        Deadline deadline = new Deadline(now().ms() + Math.max(0, ms), order++, action);
+    public Timer schedule(long ms, Runnable action) {
+        Timer deadline = new Timer(now().ms() + Math.max(0, ms), order++, action);
         deadlines.add(deadline);
         return deadline;
     }
@@ -74,11 +74,11 @@
     }
 
     /** For reading; emptied before the next read. */
-    ByteBuffer buffer() {
+    ByteBuffer readBuffer() {
         return in;
     }
 
-    SelectionKey register(SelectableChannel channel, int ops, Ready handler) throws IOException {
+    SelectionKey register(SelectableChannel channel, int ops, ChannelHandler handler) throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, ops, handler);
     }
@@ -122,22 +122,22 @@
     }
 
     private void serve(SelectionKey key) {
-        Ready handler = (Ready) key.attachment();
+        ChannelHandler handler = (ChannelHandler) key.attachment();
         try {
             if (key.isValid()) {
-                handler.ready(key);
+                handler.onReady(key);
             }
         } catch (IOException e) {
-            handler.broken(e);
+            handler.onFailure(e);
         } catch (RuntimeException e) {
             // One connection's bug must not end the node; the connection is given up.
             LOG.error("unexpected failure on a connection", e);
-            handler.broken(new IOException(e));
+            handler.onFailure(new IOException(e));
         }
     }
 
     private long waitMs() {
-        Deadline first = deadlines.peek();
+        Timer first = deadlines.peek();
         while (first != null && first.action == null) {
             deadlines.poll();
             first = deadlines.peek();
--- a/src/main/java/org/beechhoist/net/HttpClient.java
+++ b/src/main/java/org/beechhoist/net/HttpClient.java
@@ -19,10 +19,10 @@
  */
 public final class HttpClient {
     /** How a request ended. */
-    public sealed interface Outcome permits Answer, NotSent, Unknown {}
+    public sealed interface Outcome permits Response, NotSent, Unknown {}
 
     /** An answer came. */
-    public record Answer(int status, byte[] body) implements Outcome {}
+    public record Response(int status, byte[] body) implements Outcome {}
 
     /** Certain never to reach the other side. */
     public record NotSent() implements Outcome {}
@@ -32,7 +32,7 @@
 
     /** Takes an outcome. */
     public interface Callback {
-        void done(Outcome outcome);
+        void onOutcome(Outcome outcome);
     }
 
     private static final int MAX_PER_ADDRESS = 24;
@@ -43,7 +43,7 @@
             byte[] body,
             MonotonicTime notAfter,
             Callback callback,
-            Loop.Deadline[] deadline) {}
+            EventLoop.Timer[] deadline) {}
 
     private final class Pool {
         private final InetSocketAddress address;
@@ -56,14 +56,14 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String contentType;
     private final int maxIdle;
     private final Map<InetSocketAddress, Pool> pools = new HashMap<>();
     /** Idle connections of all pools, the longest idle first. */
     private final LinkedHashSet<Conn> kept = new LinkedHashSet<>();
 
-    public HttpClient(Loop loop, String contentType, int maxIdle) {
+    public HttpClient(EventLoop loop, String contentType, int maxIdle) {
         this.loop = loop;
         this.contentType = contentType;
         this.maxIdle = maxIdle;
@@ -84,13 +84,13 @@
             MonotonicTime notAfter,
             Callback callback) {
         Pool pool = pools.computeIfAbsent(address, Pool::new);
-        Pending pending = new Pending(method, path, body, notAfter, callback, new Loop.Deadline[1]);
+        Pending pending = new Pending(method, path, body, notAfter, callback, new EventLoop.Timer[1]);
         Conn conn = idle(pool);
         if (conn == null && pool.open >= MAX_PER_ADDRESS) {
             pool.waiting.add(pending);
-            pending.deadline[0] = loop.after(timeoutMs, () -> {
+            pending.deadline[0] = loop.schedule(timeoutMs, () -> {
                 pool.waiting.remove(pending);
-                callback.done(new NotSent());
+                callback.onOutcome(new NotSent());
             });
             return;
         }
@@ -131,18 +131,18 @@
             if (conn != null) {
                 conn.drop();
             }
-            loop.after(0, () -> pending.callback.done(new NotSent()));
+            loop.schedule(0, () -> pending.callback.onOutcome(new NotSent()));
             return;
         }
         conn.current = pending;
         Conn connection = conn;
-        pending.deadline[0] = loop.after(timeoutMs, () -> connection.fail());
+        pending.deadline[0] = loop.schedule(timeoutMs, () -> connection.fail());
         if (conn.connected) {
             conn.write();
         }
     }
 
-    private final class Conn extends Wire {
+    private final class Conn extends HttpConnection {
         private final Pool pool;
         private boolean connected;
         private boolean written;
@@ -154,7 +154,7 @@
         }
 
         @Override
-        public void ready(SelectionKey key) throws IOException {
+        public void onReady(SelectionKey key) throws IOException {
             if (!connected && key.isConnectable()) {
                 channel.finishConnect();
                 connected = true;
@@ -162,7 +162,7 @@
                 write();
                 return;
             }
-            super.ready(key);
+            super.onReady(key);
         }
 
         void write() {
@@ -184,7 +184,7 @@
         }
 
         @Override
-        void message(HttpMessage message) {
+        void onMessage(HttpMessage message) {
             Pending pending = current;
             if (pending == null) {
                 drop(); // an answer nobody asked for: the connection can't be trusted
@@ -193,22 +193,22 @@
             current = null;
             written = false;
             pending.deadline[0].cancel();
-            if (message.closes() || !flushed()) {
+            if (message.closesConnection() || !isFlushed()) {
                 drop();
             } else {
                 keep(this);
             }
             next(pool);
-            pending.callback.done(new Answer(message.status(), message.body()));
+            pending.callback.onOutcome(new Response(message.status(), message.body()));
         }
 
         @Override
-        void unparsable(HttpParser.UnparsableMessageException why) {
+        void onUnparsable(HttpParser.UnparsableMessageException why) {
             fail();
         }
 
         @Override
-        public void broken(IOException cause) {
+        public void onFailure(IOException cause) {
             fail();
         }
 
@@ -219,7 +219,7 @@
             next(pool);
             if (pending != null) {
                 pending.deadline[0].cancel();
-                pending.callback.done(written ? new Unknown() : new NotSent());
+                pending.callback.onOutcome(written ? new Unknown() : new NotSent());
             }
         }
 
--- a/src/main/java/org/beechhoist/net/Wire.java
+++ b/src/main/java/org/beechhoist/net/HttpConnection.java
@@ -9,7 +9,7 @@
 import org.beechhoist.http.HttpParser;
 
 /** The reading and writing half shared by server and client connections. */
-abstract class Wire implements Loop.Ready {
+abstract class HttpConnection implements EventLoop.ChannelHandler {
     final SocketChannel channel;
     final HttpParser parser;
     private final ByteBuffer in;
@@ -17,18 +17,18 @@
     private ByteBuffer out;
     boolean closed;
 
-    Wire(Loop loop, SocketChannel channel, HttpParser parser) {
-        this.in = loop.buffer();
+    HttpConnection(EventLoop loop, SocketChannel channel, HttpParser parser) {
+        this.in = loop.readBuffer();
         this.channel = channel;
         this.parser = parser;
     }
 
-    abstract void message(HttpMessage message) throws IOException;
+    abstract void onMessage(HttpMessage message) throws IOException;
 
-    abstract void unparsable(HttpParser.UnparsableMessageException why) throws IOException;
+    abstract void onUnparsable(HttpParser.UnparsableMessageException why) throws IOException;
 
     @Override
-    public void ready(SelectionKey key) throws IOException {
+    public void onReady(SelectionKey key) throws IOException {
         if (key.isWritable()) {
             flush();
         }
@@ -41,30 +41,30 @@
         in.clear();
         int read = channel.read(in);
         if (read < 0) {
-            broken(new IOException("closed by the other side"));
+            onFailure(new IOException("closed by the other side"));
             return;
         }
         in.flip();
         parser.feed(in);
-        pump();
+        deliverMessages();
     }
 
     /** Hands on whole messages that have arrived. */
-    final void pump() throws IOException {
+    final void deliverMessages() throws IOException {
         try {
-            while (!closed && wantsMessage()) {
+            while (!closed && acceptsMessage()) {
                 HttpMessage message = parser.next();
                 if (message == null) {
                     return;
                 }
-                message(message);
+                onMessage(message);
             }
         } catch (HttpParser.UnparsableMessageException e) {
-            unparsable(e);
+            onUnparsable(e);
         }
     }
 
-    boolean wantsMessage() {
+    boolean acceptsMessage() {
         return true;
     }
 
@@ -78,7 +78,7 @@
         flush();
     }
 
-    final boolean flushed() {
+    final boolean isFlushed() {
         return out == null;
     }
 
@@ -93,11 +93,11 @@
             key.interestOps(SelectionKey.OP_READ | (out == null ? 0 : SelectionKey.OP_WRITE));
         }
         if (out == null) {
-            drained();
+            onFlushed();
         }
     }
 
-    void drained() {}
+    void onFlushed() {}
 
     final void close() {
         if (closed) {
--- a/src/main/java/org/beechhoist/net/HttpServer.java
+++ b/src/main/java/org/beechhoist/net/HttpServer.java
@@ -19,12 +19,12 @@
     /** Where an answer goes. */
     public interface Responder {
         /** @param retryAfterS seconds the client should wait, or 0 for none stated */
-        void answer(int status, String contentType, byte[] body, int retryAfterS);
+        void respond(int status, String contentType, byte[] body, int retryAfterS);
     }
 
     /** Takes requests. */
     public interface Handler {
-        void request(HttpMessage request, Responder responder);
+        void handle(HttpMessage request, Responder responder);
     }
 
     private static final long IDLE_MS = 300_000;
@@ -48,7 +48,7 @@
             Map.entry(429, "Too Many Requests"),
             Map.entry(503, "Service Unavailable"));
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Handler handler;
     private final int maxBody;
     private final int maxConnections;
@@ -59,7 +59,7 @@
     private final Acceptor acceptor;
     private final LinkedHashSet<Conn> connections = new LinkedHashSet<>();
 
-    public HttpServer(Loop loop, InetSocketAddress address, int maxBody, int maxConnections, Handler handler)
+    public HttpServer(EventLoop loop, InetSocketAddress address, int maxBody, int maxConnections, Handler handler)
             throws IOException {
         this.loop = loop;
         this.handler = handler;
@@ -77,7 +77,7 @@
         this.address = (InetSocketAddress) listener.getLocalAddress();
         acceptor = new Acceptor(listener);
         acceptor.key = loop.register(listener, SelectionKey.OP_ACCEPT, acceptor);
-        loop.after(5000, this::sweep);
+        loop.schedule(5000, this::sweep);
     }
 
     /** Where it listens: the port that was chosen, where any was allowed. */
@@ -85,24 +85,25 @@
         return address;
     }
 
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
     private void sweep() {
-        loop.after(5000, this::sweep);
+        loop.schedule(5000, this::sweep);
         MonotonicTime now = loop.now();
         List<Conn> idle = new ArrayList<>();
         for (Conn connection : connections) {
             long quiet = now.since(connection.lastHeard);
-            if (!connection.busy && (quiet > IDLE_MS || (connection.parser.midMessage() && quiet > PARTIAL_MS))) {
+            if (!connection.busy
+                    && (quiet > IDLE_MS || (connection.parser.hasPartialMessage() && quiet > PARTIAL_MS))) {
                 idle.add(connection);
             }
         }
         idle.forEach(Conn::drop);
     }
 
-    private final class Acceptor implements Loop.Ready {
+    private final class Acceptor implements EventLoop.ChannelHandler {
         private final ServerSocketChannel listener;
         private SelectionKey key;
         private boolean paused;
@@ -112,7 +113,7 @@
         }
 
         @Override
-        public void ready(SelectionKey key) throws IOException {
+        public void onReady(SelectionKey key) throws IOException {
             for (int i = 0; i < 64; i++) {
                 if (!room()) {
                     pause(PAUSE_MS); // the next answer makes room: beyond the crowded mark each closes its connection
@@ -152,7 +153,7 @@
         private void pause(long ms) {
             key.interestOps(0);
             paused = true;
-            loop.after(ms, this::resume);
+            loop.schedule(ms, this::resume);
         }
 
         private void resume() {
@@ -163,13 +164,13 @@
         }
 
         @Override
-        public void broken(IOException cause) {
+        public void onFailure(IOException cause) {
             // No sockets left: the listener stays ready, so asking again at once would spin.
             pause(100);
         }
     }
 
-    private final class Conn extends Wire {
+    private final class Conn extends HttpConnection {
         private boolean busy;
         private boolean closeAfter;
         private MonotonicTime lastHeard = loop.now();
@@ -179,19 +180,19 @@
         }
 
         @Override
-        boolean wantsMessage() {
+        boolean acceptsMessage() {
             lastHeard = loop.now();
             return !busy;
         }
 
         @Override
-        void message(HttpMessage message) {
+        void onMessage(HttpMessage message) {
             busy = true;
             connections.remove(this); // re-added last: the set is in order of use
             connections.add(this);
-            closeAfter |= message.closes();
+            closeAfter |= message.closesConnection();
             boolean[] answered = new boolean[1];
-            handler.request(message, (status, type, body, retry) -> {
+            handler.handle(message, (status, type, body, retry) -> {
                 if (answered[0]) {
                     throw new IllegalStateException("answered twice");
                 }
@@ -227,28 +228,28 @@
             try {
                 send(ascii(head.append("\r\n").toString()), body);
                 if (!closed && !closeAfter) {
-                    pump();
+                    deliverMessages();
                 }
             } catch (IOException e) {
-                broken(e);
+                onFailure(e);
             }
         }
 
         @Override
-        void drained() {
+        void onFlushed() {
             if (closeAfter && !busy) {
                 drop();
             }
         }
 
         @Override
-        void unparsable(HttpParser.UnparsableMessageException why) {
+        void onUnparsable(HttpParser.UnparsableMessageException why) {
             closeAfter = true; // framing is lost
             respond(why.status, "text/plain", ascii(why.getMessage() + "\n"), 0);
         }
 
         @Override
-        public void broken(IOException cause) {
+        public void onFailure(IOException cause) {
             drop();
         }
 
--- a/src/test/java/org/beechhoist/net/CrowdedServerTest.java
+++ b/src/test/java/org/beechhoist/net/CrowdedServerTest.java
@@ -26,21 +26,21 @@
     @Test
     @Timeout(30)
     void everyClientIsServedInItsTime() throws Exception {
-        Loop serving = new Loop();
+        EventLoop serving = new EventLoop();
         int[] most = new int[1];
         HttpServer[] server = new HttpServer[1];
         server[0] = new HttpServer(
                 serving, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024, SOCKETS, (m, responder) -> {
-                    most[0] = Math.max(most[0], server[0].connections());
-                    responder.answer(200, "text/plain", new byte[] {1}, 0);
+                    most[0] = Math.max(most[0], server[0].connectionCount());
+                    responder.respond(200, "text/plain", new byte[] {1}, 0);
                 });
-        Loop asking = new Loop();
+        EventLoop asking = new EventLoop();
         List<Long> waits = new ArrayList<>();
         List<String> failures = new ArrayList<>();
         CountDownLatch over = new CountDownLatch(CLIENTS * ROUNDS);
         for (int i = 0; i < CLIENTS; i++) {
             HttpClient client = new HttpClient(asking, "text/plain", 1);
-            asking.after(
+            asking.schedule(
                     i * EVERY_MS / CLIENTS,
                     () -> report(asking, client, server[0].address(), ROUNDS, waits, failures, over));
         }
@@ -59,7 +59,7 @@
         assertTrue(longest <= EVERY_MS, longest + " ms for a report");
     }
 
-    private static Thread run(Loop loop) {
+    private static Thread run(EventLoop loop) {
         Thread t = new Thread(() -> {
             try {
                 loop.run();
@@ -72,7 +72,7 @@
     }
 
     private static void report(
-            Loop loop,
+            EventLoop loop,
             HttpClient client,
             InetSocketAddress to,
             int rounds,
@@ -84,12 +84,12 @@
         }
         long sent = loop.now().ms();
         client.request(to, "POST", "/checkin", new byte[] {1}, 4000, o -> {
-            if (!(o instanceof HttpClient.Answer a && a.status() == 200)) {
+            if (!(o instanceof HttpClient.Response a && a.status() == 200)) {
                 failures.add(o.toString());
             }
             waits.add(loop.now().ms() - sent);
             over.countDown();
-            loop.after(
+            loop.schedule(
                     Math.max(0, EVERY_MS - (loop.now().ms() - sent)),
                     () -> report(loop, client, to, rounds - 1, waits, failures, over));
         });
