--- a/src/main/java/org/beechhoist/cron/Calendar.java
+++ b/src/main/java/org/beechhoist/cron/Calendar.java
@@ -17,13 +17,13 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * A named calendar: the business weekdays, and exceptions to them, each with its name.
+ * A named calendar: the business weekdays and named exceptions to them.
  *
  * @param name the name of the calendar
- * @param version the version that its maintainer has given it
+ * @param version the version that its maintainer has assigned
  * @param business the weekdays that are open
- * @param holidays days that are closed whatever their weekday, with their names
- * @param workdays days that are open whatever their weekday, with their names
+ * @param holidays days that are closed regardless of their weekday, with their names
+ * @param workdays days that are open regardless of their weekday, with their names
  */
 public record Calendar(
         String name,
@@ -31,11 +31,11 @@
         Set<DayOfWeek> business,
         Map<LocalDate, String> holidays,
         Map<LocalDate, String> workdays) {
-    /** Largest number of exceptional days, so that a calendar fits into one value of the state service. */
+    /** Maximum number of exceptions, so that a calendar fits into one value of the state service. */
     public static final int MAX_EXCEPTION_DAYS = 180;
 
     private static final int MAX_NAME_LENGTH = 60;
-    /** Letters to which the stored form abbreviates a weekday, and the fewest that are accepted. */
+    /** Number of letters of a weekday in the stored form, and the minimum that is accepted. */
     private static final int WEEKDAY_LETTERS = 3;
 
     /** Returns why the day is closed, such as {@code holiday: Showa Day} or {@code Saturday}, or null if it is open. */
--- a/src/main/java/org/beechhoist/cron/CalendarFile.java
+++ b/src/main/java/org/beechhoist/cron/CalendarFile.java
@@ -20,13 +20,13 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * Reads a calendar from a file: TOML, or iCalendar (RFC 5545), whose all-day events are taken as holidays. Recurring events are expanded
+ * Reads a calendar from a file: TOML, or iCalendar (RFC 5545), whose all-day events are read as holidays. Recurring events are expanded
  * for the requested years.
  */
 public final class CalendarFile {
-    /** Days of one event that are read. */
+    /** Maximum number of days that are read of one event. */
     private static final int MAX_EVENT_DAYS = 400;
-    /** Occurrences of one recurring event that are read. */
+    /** Maximum number of occurrences that are read of one recurring event. */
     private static final int MAX_EVENT_OCCURRENCES = MAX_EVENT_DAYS * 10;
 
     private CalendarFile() {}
@@ -36,9 +36,9 @@
      *
      * @param file the file; a name that ends with {@code .ics} means iCalendar, any other TOML
      * @param name the name of the calendar
-     * @param business the business weekdays for an iCalendar file, which has no field for them; null: all
-     * @param from the first day of an iCalendar file to take
-     * @param until the day after the last one to take
+     * @param business the business weekdays for an iCalendar file, which has no field for them; all if null
+     * @param from the first day to read from an iCalendar file
+     * @param until the day after the last one to read
      * @throws MalformedMessageException if the file is not a valid calendar
      * @throws IOException if the file can't be read
      */
@@ -69,21 +69,21 @@
         if (business != null) {
             business.forEach(node.withArray("/business")::add);
         }
-        days.forEach((d, what) -> node.withArray("/holidays")
+        days.forEach((d, summary) -> node.withArray("/holidays")
                 .addObject()
                 .put("date", d.toString())
-                .put("name", what));
+                .put("name", summary));
         return Calendar.parse(node, name);
     }
 
     private static void addDays(VEvent event, LocalDate from, LocalDate until, TreeMap<LocalDate, String> days)
             throws MalformedMessageException {
-        String what =
+        String summary =
                 event.getSummary() == null ? "holiday" : event.getSummary().getValue();
         if (event.getDateStart() == null || event.getDateStart().getValue().hasTime()) {
-            throw new MalformedMessageException("event " + what + ": a whole day (DTSTART;VALUE=DATE) is expected");
+            throw new MalformedMessageException("event " + summary + ": a whole day (DTSTART;VALUE=DATE) is expected");
         }
-        ZoneId zone = ZoneId.systemDefault(); // how the library reads a date without a zone
+        ZoneId zone = ZoneId.systemDefault(); // the library reads a date without a zone in the system time zone
         LocalDate first = day(event.getDateStart().getValue(), zone);
         LocalDate end = event.getDateEnd() == null
                 ? first.plusDays(1)
@@ -97,7 +97,7 @@
             }
             for (long k = 0; k < length && k < MAX_EVENT_DAYS; k++) {
                 if (!date.plusDays(k).isBefore(from)) {
-                    days.put(date.plusDays(k), what);
+                    days.put(date.plusDays(k), summary);
                 }
             }
         }
--- a/src/main/java/org/beechhoist/cron/CronTable.java
+++ b/src/main/java/org/beechhoist/cron/CronTable.java
@@ -34,10 +34,10 @@
 
 /** Reads the text of a cron table by the grammar in Crontab.g4; docs/operations/cron.md explains the format. */
 public final class CronTable {
-    /** An invalid table: the message names line, column, the text found there and what is expected. */
+    /** Reports an invalid table. The message gives line, column, the text at that place and the expected text. */
     public static final class InvalidTableException extends Exception {
-        InvalidTableException(int line, int column, String what) {
-            super("line " + line + ", column " + (column + 1) + ": " + what, null, false, false);
+        InvalidTableException(int line, int column, String problem) {
+            super("line " + line + ", column " + (column + 1) + ": " + problem, null, false, false);
         }
     }
 
@@ -46,13 +46,13 @@
         private static final long serialVersionUID = 1;
         private final transient InvalidTableException tableException;
 
-        SyntaxError(InvalidTableException why) {
-            super(why.getMessage(), why, false, false);
-            this.tableException = why;
+        SyntaxError(InvalidTableException tableException) {
+            super(tableException.getMessage(), tableException, false, false);
+            this.tableException = tableException;
         }
     }
 
-    /** Ends the reading at the first syntax error. */
+    /** Throws an exception at the first syntax error. */
     private static final class ThrowingErrorListener extends BaseErrorListener {
         @Override
         public void syntaxError(
@@ -113,17 +113,17 @@
      *
      * @param name the name of the table
      * @param text the text of the table
-     * @param sinceS occurrences after this moment count, in seconds since 1970
+     * @param sinceS occurrences after this time run, in seconds since 1970
      * @throws InvalidTableException if the text is not a valid table
      */
     public static List<Schedule> parse(String name, String text, long sinceS) throws InvalidTableException {
         CrontabLexer lexer = new CrontabLexer(CharStreams.fromString(text.endsWith("\n") ? text : text + "\n"));
         CrontabParser parser = new CrontabParser(new CommonTokenStream(lexer));
-        BaseErrorListener refuse = new ThrowingErrorListener();
+        BaseErrorListener errorListener = new ThrowingErrorListener();
         lexer.removeErrorListeners();
         parser.removeErrorListeners();
-        lexer.addErrorListener(refuse);
-        parser.addErrorListener(refuse);
+        lexer.addErrorListener(errorListener);
+        parser.addErrorListener(errorListener);
         try {
             CronTable table = new CronTable(name);
             for (CrontabParser.LineContext line : parser.table().line()) {
@@ -135,10 +135,12 @@
         }
     }
 
-    /** An exception at the given place of the table, with what is expected there. */
-    static InvalidTableException invalid(ParserRuleContext at, String expected) {
+    /** Returns an exception for a place in the table; {@code expected} describes valid text there. */
+    static InvalidTableException invalid(ParserRuleContext place, String expected) {
         return new InvalidTableException(
-                at.getStart().getLine(), at.getStart().getCharPositionInLine(), "'" + source(at) + "': " + expected);
+                place.getStart().getLine(),
+                place.getStart().getCharPositionInLine(),
+                "'" + source(place) + "': " + expected);
     }
 
     private static String source(ParserRuleContext context) {
@@ -220,23 +222,23 @@
     private void addSchedule(CrontabParser.EntryContext entryContext, long sinceS) throws InvalidTableException {
         String job = text(entryContext.name());
         ObjectNode template = findJobTemplate(entryContext, job);
-        ObjectNode made = template.deepCopy();
-        if (!made.has("owner")) {
-            made.put("owner", team);
+        ObjectNode jobTemplate = template.deepCopy();
+        if (!jobTemplate.has("owner")) {
+            jobTemplate.put("owner", team);
         }
-        Map<String, CrontabParser.OptionContext> options = readOptions(entryContext, made);
+        Map<String, CrontabParser.OptionContext> options = readOptions(entryContext, jobTemplate);
         Schedule.Missed missed = readEnumOption(options.get("missed"), Schedule.Missed.class, Schedule.Missed.ONCE);
         Schedule.Overlap overlap =
                 readEnumOption(options.get("overlap"), Schedule.Overlap.class, Schedule.Overlap.QUEUE);
-        int most = options.containsKey("most")
+        int maxMissedRuns = options.containsKey("most")
                 ? readMaxMissedRuns(options.get("most").value())
                 : 1;
-        String once =
+        String idempotencyKey =
                 options.containsKey("once_key") ? text(options.get("once_key").value()) : null;
         Expression expression = ExpressionReader.read(entryContext.when());
-        String content = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|" + made + "|"
-                + missed + "|" + overlap + "|" + once;
-        Schedule entry = new Schedule(
+        String content = zone + "|" + calendar + "|" + nextBusinessDay + "|" + expression + "|" + job + "|"
+                + jobTemplate + "|" + missed + "|" + overlap + "|" + idempotencyKey;
+        Schedule schedule = new Schedule(
                 name,
                 uniqueId(content),
                 entryContext.getStart().getLine(),
@@ -245,17 +247,17 @@
                 calendar,
                 nextBusinessDay,
                 job,
-                Schedule.substituteVariables(made, settings),
+                Schedule.substituteVariables(jobTemplate, settings),
                 missed,
-                most,
+                maxMissedRuns,
                 overlap,
-                Schedule.substituteVariablesOrNull(once, settings),
+                Schedule.substituteVariablesOrNull(idempotencyKey, settings),
                 sinceS);
-        validate(entry, entryContext);
-        schedules.add(entry);
+        validate(schedule, entryContext);
+        schedules.add(schedule);
     }
 
-    /** The template of the line's job, after a check that all that the line needs stands above it. */
+    /** Returns the template of the job that the line names. Checks that job, zone and team are defined above the line. */
     private ObjectNode findJobTemplate(CrontabParser.EntryContext entryContext, String job)
             throws InvalidTableException {
         ObjectNode template = jobs.get(job);
@@ -276,7 +278,7 @@
         return template;
     }
 
-    /** The line's options for the schedule; other ones are fields of the job, for this line only, and are set in it. */
+    /** Returns the options of the line that belong to the schedule. Sets the other ones as fields of the job, for this line only. */
     private static Map<String, CrontabParser.OptionContext> readOptions(
             CrontabParser.EntryContext entryContext, ObjectNode job) throws InvalidTableException {
         Map<String, CrontabParser.OptionContext> options = new HashMap<>();
@@ -300,7 +302,7 @@
         return Integer.parseInt(valueContext.getText());
     }
 
-    /** The id of a schedule by its content; a line that says the same as earlier ones is given a number. */
+    /** Returns the id of a schedule, a hash of its content. A line with the same content as earlier lines adds a number to the hashed text. */
     private String uniqueId(String content) {
         String id = hexHash(content);
         for (int i = 2; !usedIds.add(id); i++) {
@@ -313,22 +315,23 @@
         return Schedule.hash(text).toString().replaceAll("[^0-9a-fA-F]", "");
     }
 
-    private static void validate(Schedule entry, CrontabParser.EntryContext entryContext) throws InvalidTableException {
-        Instant since = Instant.ofEpochSecond(entry.sinceS());
+    private static void validate(Schedule schedule, CrontabParser.EntryContext entryContext)
+            throws InvalidTableException {
+        Instant since = Instant.ofEpochSecond(schedule.sinceS());
         try {
-            entry.job(since);
+            schedule.job(since);
         } catch (MalformedMessageException e) {
             throw invalid(entryContext.name(), e.getMessage());
         }
-        if (Occurrences.next(entry, null, since) == null) {
+        if (Occurrences.next(schedule, null, since) == null) {
             throw invalid(entryContext.when(), "it never comes");
         }
     }
 
     private static <T extends Enum<T>> T readEnumOption(
-            CrontabParser.OptionContext optionContext, Class<T> type, T fallback) throws InvalidTableException {
+            CrontabParser.OptionContext optionContext, Class<T> type, T defaultValue) throws InvalidTableException {
         if (optionContext == null) {
-            return fallback;
+            return defaultValue;
         }
         List<String> all = new ArrayList<>();
         for (T element : type.getEnumConstants()) {
--- a/src/main/java/org/beechhoist/cron/Expression.java
+++ b/src/main/java/org/beechhoist/cron/Expression.java
@@ -8,7 +8,7 @@
 
 /**
  * The five fields of a crontab line as bit sets. If neither the day-of-month nor the day-of-week field begins with {@code *}, a day
- * matches if either field names it, as is usual for crontabs. Ids of schedules are hashes of text that contains {@link #toString}: names
+ * matches if either field matches it, as is usual for crontabs. Ids of schedules are hashes of text that contains {@link #toString}: names
  * and order of the components must not change.
  *
  * @param minutes bits 0 to 59
@@ -16,7 +16,7 @@
  * @param days bits 1 to 31
  * @param months bits 1 to 12
  * @param weekdays bits 0 (Sunday) to 6
- * @param everyHour whether the hour field is {@code *}; such a line follows real time, also where local time jumps
+ * @param everyHour whether the hour field is {@code *}; such a line follows elapsed time, also across changes of the local clock
  * @param anyDay whether the day-of-month field begins with {@code *}
  * @param anyWeekday whether the day-of-week field begins with {@code *}
  */
@@ -38,7 +38,7 @@
     private static final int ANY_WEEKDAY = 4;
     private static final int ALL_FLAGS = EVERY_HOUR | ANY_DAY | ANY_WEEKDAY;
 
-    /** Returns whether the line names the date, without regard to calendars. */
+    /** Returns whether the expression matches the date, regardless of calendars. */
     boolean matchesDate(LocalDate date) {
         if ((months >> date.getMonthValue() & 1) == 0) {
             return false;
@@ -56,7 +56,7 @@
         return (hours >> hour & 1) == 1;
     }
 
-    /** Returns the stored form, with bit sets as hexadecimal text: sixty bits are more than the protocol's checked numbers hold. */
+    /** Returns the stored form. Bit sets are hexadecimal text, because 60 bits exceed the range of the protocol's numbers. */
     ObjectNode toNode() {
         return Codec.map()
                 .put("m", Long.toHexString(minutes))
--- a/src/main/java/org/beechhoist/cron/ExpressionReader.java
+++ b/src/main/java/org/beechhoist/cron/ExpressionReader.java
@@ -33,11 +33,11 @@
     private static final int LAST_HOUR = 23;
     private static final int LAST_DAY = 31;
     private static final int LAST_MONTH = 12;
-    /** Weekday 7 is Sunday as well as 0. */
+    /** Sunday is weekday 0 and also weekday 7. */
     private static final int ALTERNATIVE_SUNDAY = 7;
 
     private static final int ALL_WEEKDAYS = 0x7f;
-    /** Longer numbers are out of every field's range, and could be too long for an int. */
+    /** Numbers with more digits are outside the range of every field and may overflow an int. */
     private static final int MAX_NUMBER_DIGITS = 4;
 
     private ExpressionReader() {}
@@ -66,41 +66,42 @@
                 whenContext.dayOfWeek.getText().startsWith("*"));
     }
 
-    /** The values that a field names as a bit set; {@code first} is the value of the first of the names. */
-    private static long readBits(CrontabParser.FieldContext field, int least, int most, List<String> names, int first)
+    /** Returns the values that a field matches as a bit set; {@code firstNameValue} is the value of the first of the names. */
+    private static long readBits(
+            CrontabParser.FieldContext field, int min, int max, List<String> names, int firstNameValue)
             throws CronTable.InvalidTableException {
-        long out = 0;
+        long bits = 0;
         for (CrontabParser.ItemContext itemContext : field.item()) {
-            int from = itemContext.STAR() != null ? least : readValue(itemContext.from, least, most, names, first);
+            int from = itemContext.STAR() != null ? min : readValue(itemContext.from, min, max, names, firstNameValue);
             int to = from;
             if (itemContext.STAR() != null || itemContext.to == null && itemContext.step != null) {
-                to = most;
+                to = max;
             } else if (itemContext.to != null) {
-                to = readValue(itemContext.to, least, most, names, first);
+                to = readValue(itemContext.to, min, max, names, firstNameValue);
             }
             int step = 1;
             if (itemContext.step != null) {
                 step = itemContext.step.getText().length() > MAX_NUMBER_DIGITS
                         ? 0
                         : Integer.parseInt(itemContext.step.getText());
-                if (step < 1 || step > most) {
-                    throw CronTable.invalid(itemContext, "a step from 1 to " + most + " is expected");
+                if (step < 1 || step > max) {
+                    throw CronTable.invalid(itemContext, "a step from 1 to " + max + " is expected");
                 }
             }
             if (from > to) {
                 throw CronTable.invalid(itemContext, "the first of a range must not be above the last");
             }
             for (int value = from; value <= to; value += step) {
-                out |= 1L << value;
+                bits |= 1L << value;
             }
         }
-        return out;
+        return bits;
     }
 
     private static int readValue(
-            CrontabParser.PointContext pointContext, int least, int most, List<String> names, int first)
+            CrontabParser.PointContext pointContext, int min, int max, List<String> names, int firstNameValue)
             throws CronTable.InvalidTableException {
-        String expected = "a number from " + least + " to " + most
+        String expected = "a number from " + min + " to " + max
                 + (names.isEmpty() ? "" : " or " + names.get(0) + " to " + names.get(names.size() - 1))
                 + " is expected";
         if (pointContext.NAME() != null) {
@@ -108,10 +109,10 @@
             if (index < 0) {
                 throw CronTable.invalid(pointContext, expected);
             }
-            return index + first;
+            return index + firstNameValue;
         }
         int value = pointContext.getText().length() > MAX_NUMBER_DIGITS ? -1 : Integer.parseInt(pointContext.getText());
-        if (value < least || value > most) {
+        if (value < min || value > max) {
             throw CronTable.invalid(pointContext, expected);
         }
         return value;
--- a/src/main/java/org/beechhoist/cron/Schedule.java
+++ b/src/main/java/org/beechhoist/cron/Schedule.java
@@ -22,23 +22,23 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * One line of a cron table, a schedule: when it runs and which job it submits.
+ * A schedule, which is one line of a cron table: when it runs and which job it submits.
  *
  * @param table the name of the table
- * @param id the identity of the schedule, which depends on the content of the line and not on its position, so that a new version of the
- *     table continues where the old one was
+ * @param id the identity of the schedule, which depends on the content of the line and not on its position, so that an unchanged line
+ *     keeps its cursor in a new version of the table
  * @param line the number of the line in the table
  * @param expression the five fields of the line
  * @param zone the time zone of the line
- * @param calendar the name of the calendar; null: none
- * @param nextBusinessDay whether an occurrence on a closed day moves to the next open one; otherwise it is left out
+ * @param calendar the name of the calendar, or null
+ * @param nextBusinessDay whether an occurrence on a closed day moves to the next open day; otherwise it is skipped
  * @param jobName the name of the job in the table
  * @param template the fields of the job
- * @param missed what becomes of missed occurrences
- * @param maxMissedRuns how many missed occurrences are run if all should be
- * @param overlap what becomes of an occurrence while the previous run is not over
- * @param idempotencyKey the job's idempotency key, with variables; null: none
- * @param sinceS occurrences after this moment count, in seconds since 1970
+ * @param missed the policy for missed occurrences
+ * @param maxMissedRuns maximum number of missed occurrences that run under {@link Missed#ALL}
+ * @param overlap the policy for an occurrence whose previous run has not ended
+ * @param idempotencyKey the job's idempotency key, with variables, or null
+ * @param sinceS occurrences after this time run, in seconds since 1970
  */
 public record Schedule(
         String table,
@@ -55,9 +55,9 @@
         Overlap overlap,
         String idempotencyKey,
         long sinceS) {
-    /** What becomes of occurrences at which the service was down; the names are stored in lower case. */
+    /** Policy for occurrences during which no leader was running; the names are stored in lower case. */
     public enum Missed {
-        /** One run stands for all missed occurrences. */
+        /** One run replaces all missed occurrences. */
         ONCE,
         /** Missed occurrences are skipped. */
         NONE,
@@ -65,22 +65,22 @@
         ALL
     }
 
-    /** What becomes of an occurrence while the previous run of its schedule is not over; the names are stored in lower case. */
+    /** Policy for an occurrence whose previous run has not ended; the names are stored in lower case. */
     public enum Overlap {
-        /** It waits until the previous run is over. */
+        /** The occurrence waits until the previous run has ended. */
         QUEUE,
-        /** It is skipped. */
+        /** The occurrence is skipped. */
         SKIP,
-        /** The previous run is cancelled. */
+        /** The previous run is cancelled before the occurrence runs. */
         REPLACE
     }
 
-    /** Largest number of missed occurrences that can be run afterwards. */
+    /** Upper limit of {@code maxMissedRuns}. */
     public static final int MAX_MISSED_RUNS = 100;
 
     private static final Pattern VARIABLE = Pattern.compile("\\{([A-Za-z_][A-Za-z0-9_]*)}");
 
-    /** Returns this schedule with another moment after which its occurrences count. */
+    /** Returns this schedule with another time after which its occurrences run. */
     public Schedule withSince(long sinceS) {
         return new Schedule(
                 table,
@@ -106,7 +106,7 @@
                         1, hash(table + "\n" + id + "\n" + at.getEpochSecond()).toByteArray()));
     }
 
-    /** Returns the hash from which ids of schedules and jobs are made. */
+    /** Returns the hash from which the ids of schedules and jobs are derived. */
     public static HashValue128 hash(String text) {
         return Hashing.murmur3_128().hashCharsTo128Bits(text);
     }
@@ -200,7 +200,7 @@
         }
     }
 
-    /** Replaces the table's own variables in the template; done once, when the table is read. */
+    /** Replaces the variables that the table defines in the template. The table's reader calls this once per schedule. */
     static ObjectNode substituteVariables(ObjectNode template, Map<String, String> settings) {
         ObjectNode out = template.deepCopy();
         Map<String, String> known = new TreeMap<>(settings);
--- a/src/main/java/org/beechhoist/cron/ScheduleKeys.java
+++ b/src/main/java/org/beechhoist/cron/ScheduleKeys.java
@@ -1,13 +1,13 @@
 package org.beechhoist.cron;
 
-/** The keys in the state service of cron tables, calendars and cursors (up to which occurrence each schedule has been processed). */
+/** State service keys of cron tables, calendars and cursors; a cursor is the occurrence up to which a schedule has been processed. */
 public final class ScheduleKeys {
-    /** Prefix of all that is installed; cursors, which change with every run, have a prefix of their own. */
+    /** Prefix of tables and calendars. Cursors have a separate prefix because they change with every run. */
     public static final String DEFINITIONS_PREFIX = "sched/";
 
     /** Prefix of calendars. */
     public static final String CALENDARS_PREFIX = DEFINITIONS_PREFIX + "cal/";
-    /** Prefix of the records that say which generation of each table is installed. */
+    /** Prefix of the records that give the installed generation of each table. */
     public static final String TABLES_PREFIX = DEFINITIONS_PREFIX + "tab/";
     /** Prefix of cursors. */
     public static final String CURSORS_PREFIX = "cursor/";
@@ -31,7 +31,7 @@
         return CURSORS_PREFIX + table + "/" + String.format(PART_FORMAT, part);
     }
 
-    /** Returns the table to which the key of cursors belongs. */
+    /** Returns the table to which a cursor key belongs. */
     public static String tableOfCursorKey(String key) {
         return key.substring(CURSORS_PREFIX.length(), key.lastIndexOf('/'));
     }
--- a/src/main/java/org/beechhoist/cron/ShipDates.java
+++ b/src/main/java/org/beechhoist/cron/ShipDates.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Reads ship dates from an iCalendar file (RFC 5545): its events by name, each of which occurs once. */
+/** Reads ship dates from an iCalendar file (RFC 5545). Each event is a ship date; recurring events are rejected. */
 public final class ShipDates {
     private static final int MAX_EVENTS = 500;
 
     private ShipDates() {}
 
-    /** Returns the events by name with the local time in the zone at which each begins; an all-day event begins at midnight. */
+    /** Returns the local start time of each event in the zone, by event name; an all-day event starts at midnight. */
     public static Map<String, String> read(Path file, String zone) throws MalformedMessageException, IOException {
         ZoneId zoneId;
         try {
@@ -43,7 +43,7 @@
                 throw new MalformedMessageException(
                         "event " + name + ": one that happens once is expected, without RRULE");
             }
-            // The library reads a time without a zone in the zone of this computer; its local time is what is meant.
+            // The library reads a time without a zone in the system time zone; its local time is used.
             boolean timed = event.getDateStart().getValue().hasTime();
             LocalDateTime dateTime = LocalDateTime.ofInstant(
                     event.getDateStart().getValue().toInstant(),
@@ -58,7 +58,7 @@
         return out;
     }
 
-    /** Whether the event's start has a time zone (UTC or its own), rather than being a local time without one. */
+    /** Returns whether the event's start has a time zone (UTC or another), and is not a local time without a zone. */
     private static boolean hasZone(ICalendar ics, VEvent event) {
         return !ics.getTimezoneInfo().isFloating(event.getDateStart());
     }
