--- a/src/main/java/org/beechhoist/controller/CronApi.java
+++ b/src/main/java/org/beechhoist/controller/CronApi.java
@@ -28,14 +28,14 @@
 import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 
-/** Installs, shows and removes cron tables and calendars; the same on every node. */
+/** Installs, shows and removes cron tables and calendars. Every node serves these requests. */
 public final class CronApi {
-    /** Lines in one answer: each costs a read or two of its last run. */
+    /** Maximum number of lines in one response; each line takes one or two reads for the status of its last job. */
     private static final int MAX_LINES_PER_RESPONSE = 25;
 
-    /** What only the leader knows of a line: why it is held; null elsewhere. */
+    /** Gives the reason for which a schedule is held. Only the leader knows it; other nodes return null. */
     interface HoldReasons {
-        /** Why a line is held, or null. */
+        /** Returns why a schedule is held, or null. */
         String reason(String table, String id);
     }
 
@@ -62,7 +62,7 @@
         this.holdReasons = held;
     }
 
-    /** Installs a table, or answers why not. */
+    /** Installs a table, or responds with the error that prevents it. */
     void installTable(String table, JsonNode body, ApiResponder responder) {
         if (!Calendar.isValidName(table)) {
             responder.respond(
@@ -80,44 +80,45 @@
         }
         storage.readInstalled(responder, installed -> {
             List<Schedule> all = new ArrayList<>();
-            Map<String, Schedule> before = new HashMap<>();
+            Map<String, Schedule> previous = new HashMap<>();
             if (installed.tables.containsKey(table)) {
-                installed.schedules(table).forEach(e -> before.put(e.id(), e));
+                installed.schedules(table).forEach(e -> previous.put(e.id(), e));
             }
-            for (Schedule entry : parsed) {
-                String refusal = refusalReason(entry, installed);
+            for (Schedule schedule : parsed) {
+                String refusal = refusalReason(schedule, installed);
                 if (refusal != null) {
                     responder.respond(
-                            refusalStatus(refusal, entry, installed),
-                            ScheduleStorage.errorBody("line " + entry.line() + ": " + refusal));
+                            refusalStatus(refusal, schedule, installed),
+                            ScheduleStorage.errorBody("line " + schedule.line() + ": " + refusal));
                     return;
                 }
-                // An unchanged line continues where it was: what is due at this very moment is not lost.
+                // An unchanged line keeps its start time, so that an occurrence that is due during the installation is
+                // not lost.
                 all.add(
-                        before.containsKey(entry.id())
-                                ? entry.withSince(before.get(entry.id()).sinceS())
-                                : entry);
+                        previous.containsKey(schedule.id())
+                                ? schedule.withSince(previous.get(schedule.id()).sinceS())
+                                : schedule);
             }
             writeTable(table, all, installed, responder);
         });
     }
 
-    private static int refusalStatus(String refusal, Schedule entry, InstalledSchedules installed) {
+    private static int refusalStatus(String refusal, Schedule schedule, InstalledSchedules installed) {
         if (refusal.equals(SubmissionRules.MACHINE_TYPES_UNKNOWN)) {
             return 503;
         }
-        return entry.calendar() != null && !installed.calendars.containsKey(entry.calendar()) ? 400 : 422;
+        return schedule.calendar() != null && !installed.calendars.containsKey(schedule.calendar()) ? 400 : 422;
     }
 
-    private String refusalReason(Schedule entry, InstalledSchedules installed) {
-        if (entry.calendar() != null && !installed.calendars.containsKey(entry.calendar())) {
-            return "calendar = " + entry.calendar() + ": an installed calendar is expected"
+    private String refusalReason(Schedule schedule, InstalledSchedules installed) {
+        if (schedule.calendar() != null && !installed.calendars.containsKey(schedule.calendar())) {
+            return "calendar = " + schedule.calendar() + ": an installed calendar is expected"
                     + (installed.calendars.isEmpty()
                             ? ", there is none"
                             : ": " + String.join(", ", new TreeMap<>(installed.calendars).keySet()));
         }
         try {
-            JobSpec job = entry.job(Instant.ofEpochMilli(context.wallMs()));
+            JobSpec job = schedule.job(Instant.ofEpochMilli(context.wallMs()));
             return users.refusal(job);
         } catch (MalformedMessageException m) {
             return m.getMessage();
@@ -189,7 +190,7 @@
         });
     }
 
-    /** Answers with the names of the tables and calendars. */
+    /** Responds with the installed tables and calendars. */
     void listInstalled(ApiResponder responder) {
         storage.readInstalled(responder, installed -> {
             ObjectNode out = Codec.map();
@@ -213,7 +214,7 @@
         });
     }
 
-    /** A table's lines after one: last run, next run, why it is held. */
+    /** Responds with the lines of a table after line {@code after}: last run, next run, hold reason. */
     void showTable(String table, int after, ApiResponder responder) {
         storage.readInstalled(responder, installed -> {
             if (!installed.tables.containsKey(table)) {
@@ -245,21 +246,21 @@
 
     private void addRows(
             List<Schedule> lines, InstalledSchedules installed, Map<String, JsonNode> cursors, ArrayNode rows) {
-        for (Schedule entry : lines) {
-            JsonNode cursor = cursors.getOrDefault(entry.id(), Codec.list());
-            long at = Math.max(entry.sinceS(), cursor.path(0).asLong());
-            Calendar calendar = installed.calendars.get(entry.calendar());
-            Instant next = entry.calendar() != null && calendar == null
+        for (Schedule schedule : lines) {
+            JsonNode cursor = cursors.getOrDefault(schedule.id(), Codec.list());
+            long at = Math.max(schedule.sinceS(), cursor.path(0).asLong());
+            Calendar calendar = installed.calendars.get(schedule.calendar());
+            Instant next = schedule.calendar() != null && calendar == null
                     ? null
-                    : Occurrences.next(entry, calendar, Instant.ofEpochSecond(at));
+                    : Occurrences.next(schedule, calendar, Instant.ofEpochSecond(at));
             ObjectNode row = rows.addObject()
-                    .put("line", entry.line())
-                    .put("job", entry.jobName())
+                    .put("line", schedule.line())
+                    .put("job", schedule.jobName())
                     .put(
                             "next",
                             next == null
                                     ? null
-                                    : next.atZone(entry.zone())
+                                    : next.atZone(schedule.zone())
                                             .toOffsetDateTime()
                                             .toString());
             if (!cursor.path(1).asText().isEmpty()) {
@@ -271,16 +272,16 @@
             if (cursor.path(3).asInt() > 0) {
                 row.put("passedOver", cursor.path(3).asInt());
             }
-            String why = entry.calendar() != null && calendar == null
-                    ? "its calendar " + entry.calendar() + " is gone"
-                    : holdReasons.reason(entry.table(), entry.id());
+            String why = schedule.calendar() != null && calendar == null
+                    ? "its calendar " + schedule.calendar() + " is gone"
+                    : holdReasons.reason(schedule.table(), schedule.id());
             if (why != null) {
                 row.put("held", why);
             }
         }
     }
 
-    /** How the lines' last runs stand, one after the other. */
+    /** Adds the status of each line's last job, reading one job at a time. */
     private void addOutcomes(ArrayNode rows, int from, Runnable then) {
         int index = from;
         while (index < rows.size() && !rows.get(index).has("last")) {
@@ -303,7 +304,7 @@
         });
     }
 
-    /** Installs a calendar, or answers why not. */
+    /** Installs a calendar, or responds with the error that prevents it. */
     void installCalendar(String name, JsonNode body, ApiResponder responder) {
         Calendar calendar;
         try {
@@ -329,7 +330,7 @@
         });
     }
 
-    /** Answers with an installed calendar. */
+    /** Responds with an installed calendar. */
     void showCalendar(String name, ApiResponder responder) {
         requests.takeOrOverdraw(context.now(), 1);
         store.get(ScheduleKeys.CALENDARS_PREFIX + name, read -> {
--- a/src/main/java/org/beechhoist/controller/CronController.java
+++ b/src/main/java/org/beechhoist/controller/CronController.java
@@ -34,17 +34,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fires the lines of cron tables, on the leader. A transaction makes the jobs of some occurrences and moves their lines'
- * cursors, guarded by the cursors, the table and the leader's key: whatever is lost, late or repeated, an occurrence's job
- * is made once. It enters as a user's submission does.
+ * Submits the jobs of due cron schedules on the leader. One transaction creates the jobs of several occurrences and advances
+ * the cursors of their schedules, guarded by the versions of the cursors, the table and the leader key. Each occurrence
+ * therefore submits its job exactly once, even if messages are lost, delayed or repeated. Jobs pass the same checks as jobs
+ * that users submit.
  */
 final class CronController {
     private static final Logger LOG = LoggerFactory.getLogger(CronController.class);
-    /** Writes left to launches and users while many lines are due. */
+    /** Writes of the node's rate limit that are reserved for launches and users while many schedules are due. */
     private static final double RESERVED_WRITES = 8;
-    /** A line that is due for so long is logged, again and again. */
+    /** A schedule that stays due is logged once per this interval. */
     private static final long OVERDUE_LOG_INTERVAL_MS = 60_000;
 
+    private static final int MAX_OPERATIONS_PER_FIRING = 3;
     private static final int MAX_TRANSACTION_BYTES = 45_000;
     private static final int ESTIMATED_JOB_RECORD_BYTES = 1500;
 
@@ -57,7 +59,7 @@
     private final ClusterState clusterState;
     private final StateLoader loader;
     private final UserApi users;
-    private final IdempotencyKeys onceKeys;
+    private final IdempotencyKeys idempotencyKeys;
     private final ScheduleRegistry registry;
     private long firedCount;
     private long skippedCount;
@@ -73,7 +75,7 @@
             ClusterState clusterState,
             StateLoader loader,
             UserApi users,
-            IdempotencyKeys onceKeys) {
+            IdempotencyKeys idempotencyKeys) {
         this.context = context;
         this.settings = settings;
         this.store = store;
@@ -84,7 +86,7 @@
         this.clusterState = clusterState;
         this.loader = loader;
         this.users = users;
-        this.onceKeys = onceKeys;
+        this.idempotencyKeys = idempotencyKeys;
     }
 
     void startTerm() {
@@ -95,147 +97,158 @@
         registry.endTerm();
     }
 
-    // ---- firing ----
+    // ---- due schedules ----
 
     void fireDueSchedules() {
         if (!registry.isLoaded() || !loader.isActive()) {
             return;
         }
         Instant now = registry.wallTime();
-        Set<TablePart> touched = new LinkedHashSet<>();
-        registry.updateDueSchedules(now).forEach(l -> touched.add(l.part));
-        for (TablePart shard : touched) {
-            if (!shard.commitInFlight) {
-                fireDueInPart(shard, now);
+        Set<TablePart> dueParts = new LinkedHashSet<>();
+        registry.updateDueSchedules(now).forEach(state -> dueParts.add(state.part));
+        for (TablePart part : dueParts) {
+            if (!part.commitInFlight) {
+                fireDueInPart(part, now);
             }
         }
         logOverdueSchedules();
     }
 
-    /** One occurrence that a transaction decides. {@code same}: another's submission is its work already. */
+    /**
+     * An occurrence that a transaction processes: it submits {@code job}, is linked to {@code existingJobId} that an earlier
+     * submission created, or is skipped for {@code skipReason}.
+     */
     private record Firing(
-            ScheduleState scheduleState, CatchUpDecision catchup, JobSpec job, JobId existingJobId, String skipReason) {
+            ScheduleState scheduleState,
+            CatchUpDecision decision,
+            JobSpec job,
+            JobId existingJobId,
+            String skipReason) {
         JobId jobId() {
             return existingJobId != null ? existingJobId : job == null ? null : job.id();
         }
     }
 
-    private void fireDueInPart(TablePart shard, Instant now) {
+    private void fireDueInPart(TablePart part, Instant now) {
         double budget = writes.available(context.now()) - RESERVED_WRITES;
-        int most = (int) Math.min(settings.stateLimits().txnOps(), Math.floor(budget));
+        int maxOperations = (int) Math.min(settings.stateLimits().txnOps(), Math.floor(budget));
         Transaction transaction = election.guardedTransaction()
-                .guard(ScheduleKeys.TABLES_PREFIX + shard.table, registry.tableVersion(shard.table))
-                .guard(shard.cursorKey, shard.cursorVersion);
+                .guard(ScheduleKeys.TABLES_PREFIX + part.table, registry.tableVersion(part.table))
+                .guard(part.cursorKey, part.cursorVersion);
         List<Firing> firings = new ArrayList<>();
-        Set<String> keys = new LinkedHashSet<>();
+        Set<String> keysInTransaction = new LinkedHashSet<>();
         int bytes = 0;
-        for (ScheduleState line : registry.dueSchedules()) {
-            if (line.part != shard) {
+        for (ScheduleState state : registry.dueSchedules()) {
+            if (state.part != part) {
                 continue;
             }
-            if (most < 3
-                    || transaction.operationCount() + 3 > most
+            if (maxOperations < MAX_OPERATIONS_PER_FIRING
+                    || transaction.operationCount() + MAX_OPERATIONS_PER_FIRING > maxOperations
                     || bytes + ESTIMATED_JOB_RECORD_BYTES > MAX_TRANSACTION_BYTES) {
-                line.holdReason = "the state service's writes are used up";
-                writes.recordMissed(3);
+                state.holdReason = "the state service's writes are used up";
+                writes.recordMissed(MAX_OPERATIONS_PER_FIRING);
                 continue;
             }
-            Firing firing = decideOccurrence(line, now);
+            Firing firing = decideOccurrence(state, now);
             if (firing == null
                     || (firing.job != null
                             && firing.job.idempotencyKey() != null
-                            && !keys.add(IdempotencyKeys.recordKey(firing.job)))) {
+                            && !keysInTransaction.add(IdempotencyKeys.recordKey(firing.job)))) {
                 continue;
             }
             if (firing.job != null) {
-                onceKeys.addSubmission(transaction, firing.job, line.idempotencyKeyVersion, context.wallMs());
+                idempotencyKeys.addSubmission(transaction, firing.job, state.idempotencyKeyVersion, context.wallMs());
                 bytes += ESTIMATED_JOB_RECORD_BYTES;
             }
             firings.add(firing);
         }
         if (!firings.isEmpty()) {
-            commitFirings(shard, transaction, firings);
+            commitFirings(part, transaction, firings);
         }
     }
 
-    /** What becomes of a line's first occurrence; null where it has to wait, which {@code held} explains. */
-    private Firing decideOccurrence(ScheduleState line, Instant now) {
-        CatchUpDecision catchup = CatchUpDecision.decide(
-                line.schedule, registry.calendarOf(line), line.nextOccurrence, registry.firstLoadedAt(), now);
-        if (catchup.run() == null) {
-            return new Firing(line, catchup, null, null, "missed");
+    /** Decides how to process a schedule's next occurrence. Returns null if it has to wait; {@code holdReason} then gives the reason. */
+    private Firing decideOccurrence(ScheduleState state, Instant now) {
+        CatchUpDecision decision = CatchUpDecision.decide(
+                state.schedule, registry.calendarOf(state), state.nextOccurrence, registry.firstLoadedAt(), now);
+        if (decision.run() == null) {
+            return new Firing(state, decision, null, null, "missed");
         }
-        if (line.existingJobId != null) {
-            return new Firing(line, catchup, null, line.existingJobId, null);
+        if (state.existingJobId != null) {
+            return new Firing(state, decision, null, state.existingJobId, null);
         }
-        Job last = line.lastJobId == null ? null : clusterState.job(line.lastJobId);
+        Job last = state.lastJobId == null ? null : clusterState.job(state.lastJobId);
         if (last != null && !last.isCancelled()) {
-            switch (line.schedule.overlap()) {
+            switch (state.schedule.overlap()) {
                 case SKIP -> {
-                    return new Firing(line, catchup, null, null, "skipped: " + line.lastJobId + " is not over");
+                    return new Firing(state, decision, null, null, "skipped: " + state.lastJobId + " is not over");
                 }
                 case QUEUE -> {
-                    line.holdReason = "it waits for " + line.lastJobId;
+                    state.holdReason = "it waits for " + state.lastJobId;
                     return null;
                 }
                 default -> {
-                    line.holdReason = "it replaces " + line.lastJobId;
-                    if (!line.cancellingPrevious) {
-                        line.cancellingPrevious = true;
-                        users.cancelReplaced(line.lastJobId, gone -> line.cancellingPrevious = false);
+                    state.holdReason = "it replaces " + state.lastJobId;
+                    if (!state.cancellingPrevious) {
+                        state.cancellingPrevious = true;
+                        users.cancelReplaced(state.lastJobId, gone -> state.cancellingPrevious = false);
                     }
                     return null;
                 }
             }
         }
         try {
-            JobSpec job = line.schedule.job(catchup.run());
-            String never = users.refusal(job);
-            if (SubmissionRules.isTemporaryRefusal(never)) {
-                line.holdReason = never;
+            JobSpec job = state.schedule.job(decision.run());
+            String refusal = users.refusal(job);
+            if (SubmissionRules.isTemporaryRefusal(refusal)) {
+                state.holdReason = refusal;
                 return null;
             }
-            return never == null
-                    ? new Firing(line, catchup, users.bindToKeySet(job), null, null)
-                    : new Firing(line, catchup, null, null, "refused: " + never);
+            return refusal == null
+                    ? new Firing(state, decision, users.bindToKeySet(job), null, null)
+                    : new Firing(state, decision, null, null, "refused: " + refusal);
         } catch (MalformedMessageException m) {
-            return new Firing(line, catchup, null, null, "refused: " + m.getMessage());
+            return new Firing(state, decision, null, null, "refused: " + m.getMessage());
         }
     }
 
-    private void commitFirings(TablePart shard, Transaction transaction, List<Firing> firings) {
+    private void commitFirings(TablePart part, Transaction transaction, List<Firing> firings) {
         Map<String, Firing> byId = new HashMap<>();
         firings.forEach(f -> byId.put(f.scheduleState.schedule.id(), f));
         ObjectNode value = Codec.map();
-        shard.schedules.forEach((id, line) -> {
+        part.schedules.forEach((id, state) -> {
             Firing firing = byId.get(id);
             boolean runs = firing != null && firing.jobId() != null;
             ArrayNode row = Codec.list()
-                    .add(firing == null ? line.cursorS : firing.catchup.cursor().getEpochSecond());
-            JobId jobId = runs ? firing.jobId() : line.lastJobId;
-            row.add(jobId == null ? "" : jobId.text()).add(runs ? context.wallMs() / 1000 : line.lastFiredS);
+                    .add(
+                            firing == null
+                                    ? state.cursorS
+                                    : firing.decision.cursor().getEpochSecond());
+            JobId jobId = runs ? firing.jobId() : state.lastJobId;
+            row.add(jobId == null ? "" : jobId.text()).add(runs ? context.wallMs() / 1000 : state.lastFiredS);
             value.set(
                     id,
-                    row.add(line.skippedCount + (firing == null ? 0 : firing.catchup.skippedCount() + (runs ? 0 : 1))));
+                    row.add(state.skippedCount
+                            + (firing == null ? 0 : firing.decision.skippedCount() + (runs ? 0 : 1))));
         });
-        transaction.put(shard.cursorKey, value);
+        transaction.put(part.cursorKey, value);
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
-        shard.commitInFlight = true;
+        part.commitInFlight = true;
         long expectedEpoch = registry.epoch();
         store.commit(transaction, commit -> {
             if (expectedEpoch != registry.epoch()) {
                 return;
             }
-            shard.commitInFlight = false;
-            handleCommitResult(commit, shard, firings, value);
+            part.commitInFlight = false;
+            handleCommitResult(commit, part, firings, value);
         });
     }
 
-    private void handleCommitResult(CommitResult commit, TablePart shard, List<Firing> firings, ObjectNode value) {
+    private void handleCommitResult(CommitResult commit, TablePart part, List<Firing> firings, ObjectNode value) {
         switch (commit.outcome()) {
             case COMMITTED -> {
-                shard.cursorVersion = commit.revision();
+                part.cursorVersion = commit.revision();
                 for (Firing f : firings) {
                     recordCommitted(f, value.get(f.scheduleState.schedule.id()));
                 }
@@ -244,89 +257,89 @@
                 if (commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
                     election.loseLeadership("the key was rewritten");
                 } else if (resolveExistingJobs(commit, firings)) {
-                    fireDueSchedules(); // the others need not wait
+                    fireDueSchedules(); // the other firings of the transaction are tried again at once
                 } else {
-                    // Our own, late, or another table by now: read what is true and go on from there.
-                    LOG.info("cron: a transaction was overtaken on {}", commit.failedKeys());
+                    // An earlier commit of this node was applied late, or the table was replaced: reload both from the
+                    // store.
+                    LOG.info("cron transaction conflict, reloading schedules: keys={}", commit.failedKeys());
                     registry.reload();
                 }
             }
             case LEASE_EXPIRED -> election.loseLeadership("the lease ended");
-            // Repeated, it meets its own change of the cursors if it was applied after all.
+            // The outcome is unknown. If the transaction was applied, repeating it conflicts on the cursors that it
+            // changed.
             default -> firings.forEach(f -> f.scheduleState.holdReason = "the state service does not answer");
         }
     }
 
     private void recordCommitted(Firing firing, JsonNode row) {
-        ScheduleState line = firing.scheduleState;
-        long delay = context.wallMs() - line.nextOccurrence.toEpochMilli();
-        String where = line.schedule.table() + ", line " + line.schedule.line() + ", "
-                + line.nextOccurrence.atZone(line.schedule.zone()).toOffsetDateTime();
+        ScheduleState state = firing.scheduleState;
+        long delay = context.wallMs() - state.nextOccurrence.toEpochMilli();
+        String occurrence = state.schedule.table() + ", line " + state.schedule.line() + ", "
+                + state.nextOccurrence.atZone(state.schedule.zone()).toOffsetDateTime();
         if (firing.existingJobId != null) {
-            line.lastJobId = firing.existingJobId;
-            LOG.info("{}: {} is the same work", where, firing.existingJobId);
+            state.lastJobId = firing.existingJobId;
+            LOG.info("occurrence already submitted: occurrence=\"{}\" job={}", occurrence, firing.existingJobId);
         } else if (firing.job != null) {
             firedCount++;
-            longestDelayMs = Math.max(longestDelayMs, firing.catchup.skippedCount() > 0 ? 0 : delay);
-            line.lastJobId = firing.job.id();
-            line.lastFiredS = row.path(2).asLong();
+            longestDelayMs = Math.max(longestDelayMs, firing.decision.skippedCount() > 0 ? 0 : delay);
+            state.lastJobId = firing.job.id();
+            state.lastFiredS = row.path(2).asLong();
             LOG.info(
-                    "{}: {} enters, {} ms after its time{}",
-                    where,
+                    "job submitted by cron: occurrence=\"{}\" job={} delay_ms={}{}",
+                    occurrence,
                     firing.job.id(),
                     delay,
-                    firing.catchup.skippedCount() > 0
-                            ? ", for " + (firing.catchup.skippedCount() + 1) + " that were missed"
-                            : "");
+                    firing.decision.skippedCount() > 0 ? " missed=" + (firing.decision.skippedCount() + 1) : "");
         } else {
             skippedCount++;
-            LOG.warn("{}: {}", where, firing.skipReason);
+            LOG.warn("occurrence skipped: occurrence=\"{}\" reason=\"{}\"", occurrence, firing.skipReason);
         }
-        line.cursorS = row.path(0).asLong();
-        line.skippedCount = row.path(3).asInt();
-        registry.dueSchedules().remove(line);
-        registry.scheduleNext(line);
+        state.cursorS = row.path(0).asLong();
+        state.skippedCount = row.path(3).asInt();
+        registry.dueSchedules().remove(state);
+        registry.scheduleNext(state);
     }
 
-    /** A key or a ref that is taken: the work is there already, and the line goes on after it. */
+    /** Handles conflicts on the job ids or idempotency keys of firings: their jobs exist already. Returns whether there were any. */
     private boolean resolveExistingJobs(CommitResult commit, List<Firing> firings) {
         boolean found = false;
         for (Firing firing : firings) {
             if (firing.job == null) {
                 continue;
             }
-            boolean same = commit.failedKeys().contains(JobRecord.openKey(firing.job.id()))
+            boolean jobExists = commit.failedKeys().contains(JobRecord.openKey(firing.job.id()))
                     || commit.failedKeys().contains(JobRecord.endedKey(firing.job.id()));
-            boolean key = firing.job.idempotencyKey() != null
+            boolean keyTaken = firing.job.idempotencyKey() != null
                     && commit.failedKeys().contains(IdempotencyKeys.recordKey(firing.job));
-            if (same || key) {
+            if (jobExists || keyTaken) {
                 found = true;
-                findExistingJob(firing, same ? firing.job.id() : null);
+                findExistingJob(firing, jobExists ? firing.job.id() : null);
             }
         }
         return found;
     }
 
-    /** Learns whose work it is; the line's next transaction then moves it on, or takes over a key that has run out. */
-    private void findExistingJob(Firing firing, JobId known) {
-        ScheduleState line = firing.scheduleState;
-        if (known != null) {
-            line.existingJobId = known;
+    /** Finds the job that already exists for a firing. The schedule's next transaction links to it, or replaces an expired idempotency key. */
+    private void findExistingJob(Firing firing, JobId knownJobId) {
+        ScheduleState state = firing.scheduleState;
+        if (knownJobId != null) {
+            state.existingJobId = knownJobId;
             return;
         }
-        registry.dueSchedules().remove(line); // until that is known
+        registry.dueSchedules().remove(state); // added again when the key has been read
         long expectedEpoch = registry.epoch();
         requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.recordKey(firing.job), read -> {
             if (expectedEpoch != registry.epoch()) {
                 return;
             }
-            registry.dueSchedules().add(line);
+            registry.dueSchedules().add(state);
             if (read.answered()) {
-                line.existingJobId = read.item() == null
+                state.existingJobId = read.item() == null
                         ? null
                         : IdempotencyKeys.unexpiredJobId(read.item().value(), context.wallMs());
-                line.idempotencyKeyVersion =
+                state.idempotencyKeyVersion =
                         read.item() == null ? Revision.ABSENT : read.item().version();
             }
             fireDueSchedules();
@@ -334,27 +347,27 @@
     }
 
     private void logOverdueSchedules() {
-        for (ScheduleState line : registry.dueSchedules()) {
-            if (context.now().since(line.dueSince) > OVERDUE_LOG_INTERVAL_MS
-                    && !context.now().isBefore(line.nextLogAt)) {
-                line.nextLogAt = context.now().plusMs(OVERDUE_LOG_INTERVAL_MS);
+        for (ScheduleState state : registry.dueSchedules()) {
+            if (context.now().since(state.dueSince) > OVERDUE_LOG_INTERVAL_MS
+                    && !context.now().isBefore(state.nextLogAt)) {
+                state.nextLogAt = context.now().plusMs(OVERDUE_LOG_INTERVAL_MS);
                 LOG.warn(
-                        "{}, line {}: due for {} s: {}",
-                        line.schedule.table(),
-                        line.schedule.line(),
-                        context.now().since(line.dueSince) / 1000,
-                        line.holdReason == null ? "its transaction is on its way" : line.holdReason);
+                        "cron schedule overdue: table={} line={} due_s={} reason=\"{}\"",
+                        state.schedule.table(),
+                        state.schedule.line(),
+                        context.now().since(state.dueSince) / 1000,
+                        state.holdReason == null ? "its transaction is in progress" : state.holdReason);
             }
         }
     }
 
-    // ---- what can be seen of it ----
+    // ---- status ----
 
-    /** Why a line that is due has not run, or null. */
+    /** Returns why a due schedule has not run yet, or null. */
     String holdReason(String table, String id) {
-        for (ScheduleState line : registry.dueSchedules()) {
-            if (line.schedule.table().equals(table) && line.schedule.id().equals(id)) {
-                return line.holdReason;
+        for (ScheduleState state : registry.dueSchedules()) {
+            if (state.schedule.table().equals(table) && state.schedule.id().equals(id)) {
+                return state.holdReason;
             }
         }
         return null;
--- a/src/main/java/org/beechhoist/controller/CronRequests.java
+++ b/src/main/java/org/beechhoist/controller/CronRequests.java
@@ -4,7 +4,7 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Routes {@code /v1/cron}, {@code /v1/cron/TABLE[/remove]} and {@code /v1/calendars/NAME}. */
+/** Handles the routes {@code /v1/cron}, {@code /v1/cron/TABLE[/remove]} and {@code /v1/calendars/NAME}. */
 final class CronRequests implements FeatureApi {
     private static final String TABLES = "/v1/cron";
     private static final String CALENDARS = "/v1/calendars";
--- a/src/main/java/org/beechhoist/controller/InstalledSchedules.java
+++ b/src/main/java/org/beechhoist/controller/InstalledSchedules.java
@@ -13,16 +13,16 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** The cron tables and calendars that the state service holds. */
+/** The cron tables and calendars that are installed in the state service. */
 final class InstalledSchedules {
-    /** The values that describe the tables, by the name of the table. */
+    /** The records that describe the tables, by the name of the table. */
     final Map<String, StoreClient.KeyValue> tables = new TreeMap<>();
     /** The calendars by name. */
     final Map<String, Calendar> calendars = new HashMap<>();
     /** The parts of the tables by key. */
     final Map<String, JsonNode> parts = new TreeMap<>();
 
-    /** The lines of an installed table; those that can't be read are left out. */
+    /** Returns the schedules of an installed table without those whose record is invalid. */
     List<Schedule> schedules(String table) {
         List<Schedule> out = new ArrayList<>();
         JsonNode meta = tables.get(table).value();
@@ -32,14 +32,14 @@
                 try {
                     out.add(Schedule.parse(table, node));
                 } catch (MalformedMessageException m) {
-                    // the leader's log names it
+                    // the leader logs it
                 }
             }
         }
         return out;
     }
 
-    /** The keys of a table's parts that belong to its older version, none where {@code old} is null. */
+    /** Returns the keys of the parts of the table's version {@code old}; none if it is null. */
     List<String> partKeysOf(String table, StoreClient.KeyValue old) {
         return old == null
                 ? List.of()
--- a/src/main/java/org/beechhoist/controller/OpenDaysReader.java
+++ b/src/main/java/org/beechhoist/controller/OpenDaysReader.java
@@ -11,11 +11,11 @@
 import org.beechhoist.store.TokenBucket;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Which days a named calendar has open, as it is installed now. */
+/** Reads from the installed version of a calendar which days are open. */
 final class OpenDaysReader {
-    /** What is done with it. */
+    /** Receives the open days. */
     interface OpenDaysAction {
-        void run(Predicate<LocalDate> open) throws MalformedMessageException;
+        void run(Predicate<LocalDate> isOpen) throws MalformedMessageException;
     }
 
     private final ControllerContext context;
@@ -28,10 +28,10 @@
         this.requests = requests;
     }
 
-    /** All days are open where no calendar is named; what can't be told is answered. */
-    void readOpenDays(String name, ApiResponder responder, OpenDaysAction use) {
+    /** Passes the open days of a calendar to {@code action}; all days if {@code name} is null. Responds with an error itself if the read fails. */
+    void readOpenDays(String name, ApiResponder responder, OpenDaysAction action) {
         if (name == null) {
-            runAction(d -> true, responder, use);
+            runAction(date -> true, responder, action);
             return;
         }
         requests.takeOrOverdraw(context.now(), 1);
@@ -44,17 +44,17 @@
                 if (read.item() == null) {
                     throw new MalformedMessageException("calendar = " + name + ": an installed calendar is expected");
                 }
-                Calendar c = Calendar.parse(read.item().value(), name);
-                runAction(d -> c.closedReason(d) == null, responder, use);
+                Calendar calendar = Calendar.parse(read.item().value(), name);
+                runAction(date -> calendar.closedReason(date) == null, responder, action);
             } catch (MalformedMessageException e) {
                 responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
             }
         });
     }
 
-    private static void runAction(Predicate<LocalDate> open, ApiResponder responder, OpenDaysAction use) {
+    private static void runAction(Predicate<LocalDate> isOpen, ApiResponder responder, OpenDaysAction action) {
         try {
-            use.run(open);
+            action.run(isOpen);
         } catch (MalformedMessageException e) {
             responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
         }
--- a/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleRegistry.java
@@ -25,11 +25,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The lines of all installed tables on the leader, by when each is next due; read after winning and when one changes. */
+/**
+ * The schedules of all installed tables on the leader, ordered by their next occurrence. They are loaded at the start of a term
+ * and reloaded when a table or calendar changes.
+ */
 final class ScheduleRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(ScheduleRegistry.class);
+    private static final int MAX_ITEMS_PER_PAGE = 500;
+    private static final long RETRY_DELAY_MS = 500;
+    private static final long RELOAD_DELAY_MS = 200;
+    private static final long WATCH_HOLD_MS = 10_000;
 
-    /** A line, where it has got to, and what holds it. */
+    /** A schedule with its cursor, its next occurrence and the reason for which it is held. */
     static final class ScheduleState {
         final Schedule schedule;
         final TablePart part;
@@ -42,18 +49,18 @@
         MonotonicTime nextLogAt = MonotonicTime.ZERO;
         String holdReason;
         boolean cancellingPrevious;
-        /** Whose work its occurrence was found to be, and the version of a key that has run out. */
+        /** The job that an earlier submission created for the next occurrence, or null. */
         JobId existingJobId;
-
+        /** The version of the expired idempotency key that the next occurrence replaces. */
         Revision idempotencyKeyVersion = Revision.ABSENT;
 
-        ScheduleState(Schedule entry, TablePart shard) {
-            this.schedule = entry;
-            this.part = shard;
+        ScheduleState(Schedule schedule, TablePart part) {
+            this.schedule = schedule;
+            this.part = part;
         }
     }
 
-    /** Lines whose cursors stand in one value. */
+    /** Schedules of one table whose cursors are stored in one value. */
     static final class TablePart {
         final String cursorKey;
         final String table;
@@ -61,8 +68,8 @@
         Revision cursorVersion = Revision.ABSENT;
         boolean commitInFlight;
 
-        TablePart(String key, String table) {
-            this.cursorKey = key;
+        TablePart(String cursorKey, String table) {
+            this.cursorKey = cursorKey;
             this.table = table;
         }
     }
@@ -74,7 +81,7 @@
     private final Map<String, Revision> tables = new HashMap<>();
     private final Map<String, TablePart> parts = new HashMap<>();
     private final PriorityQueue<ScheduleState> waiting =
-            new PriorityQueue<>(Comparator.comparing((ScheduleState l) -> l.nextOccurrence));
+            new PriorityQueue<>(Comparator.comparing((ScheduleState state) -> state.nextOccurrence));
     private final Set<ScheduleState> dueSchedules = new LinkedHashSet<>();
     private boolean loaded;
     private long epoch;
@@ -109,18 +116,18 @@
         return loaded;
     }
 
-    /** Changes whenever the lines are read anew. */
+    /** Returns a number that changes with every reload and at the end of a term. */
     long epoch() {
         return epoch;
     }
 
-    /** Since when this leader has known its schedules. */
+    /** Returns when this leader first loaded the schedules in its term, or null. */
     Instant firstLoadedAt() {
         return firstLoadedAt;
     }
 
-    Calendar calendarOf(ScheduleState line) {
-        return calendars.get(line.schedule.calendar());
+    Calendar calendarOf(ScheduleState state) {
+        return calendars.get(state.schedule.calendar());
     }
 
     Revision tableVersion(String table) {
@@ -131,17 +138,17 @@
         return waiting.size() + dueSchedules.size();
     }
 
-    /** Lines whose occurrence has come and is not decided. */
+    /** Returns the schedules whose next occurrence is due and not yet processed. */
     Set<ScheduleState> dueSchedules() {
         return dueSchedules;
     }
 
-    /** The same, with those that have come by now; no line is looked at before its time. */
+    /** Moves schedules that have become due to the due ones and returns those; does not visit schedules that are not due. */
     Set<ScheduleState> updateDueSchedules(Instant now) {
         while (!waiting.isEmpty() && !waiting.peek().nextOccurrence.isAfter(now)) {
-            ScheduleState line = waiting.poll();
-            line.dueSince = context.now();
-            dueSchedules.add(line);
+            ScheduleState state = waiting.poll();
+            state.dueSince = context.now();
+            dueSchedules.add(state);
         }
         return dueSchedules;
     }
@@ -150,29 +157,29 @@
         return Instant.ofEpochMilli(context.wallMs());
     }
 
-    /** Puts a line where its next occurrence finds it. */
-    void scheduleNext(ScheduleState line) {
-        line.dueSince = null;
-        line.holdReason = null;
-        line.cancellingPrevious = false;
-        line.existingJobId = null;
-        line.idempotencyKeyVersion = Revision.ABSENT;
-        Calendar calendar = calendars.get(line.schedule.calendar());
-        if (line.schedule.calendar() != null && calendar == null) {
+    /** Computes the next occurrence of a schedule after its cursor and queues the schedule for it. */
+    void scheduleNext(ScheduleState state) {
+        state.dueSince = null;
+        state.holdReason = null;
+        state.cancellingPrevious = false;
+        state.existingJobId = null;
+        state.idempotencyKeyVersion = Revision.ABSENT;
+        Calendar calendar = calendars.get(state.schedule.calendar());
+        if (state.schedule.calendar() != null && calendar == null) {
             LOG.warn(
-                    "table {}, line {}: its calendar {} is gone, it never runs",
-                    line.schedule.table(),
-                    line.schedule.line(),
-                    line.schedule.calendar());
+                    "schedule disabled, calendar not installed: table={} line={} calendar={}",
+                    state.schedule.table(),
+                    state.schedule.line(),
+                    state.schedule.calendar());
             return;
         }
-        line.nextOccurrence = Occurrences.next(line.schedule, calendar, Instant.ofEpochSecond(line.cursorS));
-        if (line.nextOccurrence != null) {
-            waiting.add(line);
+        state.nextOccurrence = Occurrences.next(state.schedule, calendar, Instant.ofEpochSecond(state.cursorS));
+        if (state.nextOccurrence != null) {
+            waiting.add(state);
         }
     }
 
-    // ---- reading ----
+    // ---- loading ----
 
     void reload() {
         long expectedEpoch = ++epoch;
@@ -202,12 +209,12 @@
             Revision first,
             PagesHandler then) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.list(prefix, after, 500, page -> {
+        store.list(prefix, after, MAX_ITEMS_PER_PAGE, page -> {
             if (expectedEpoch != epoch) {
                 return;
             }
             if (!page.isOk()) {
-                context.schedule(500, () -> {
+                context.schedule(RETRY_DELAY_MS, () -> {
                     if (expectedEpoch == epoch) {
                         listAllPages(expectedEpoch, prefix, after, items, first, then);
                     }
@@ -241,17 +248,17 @@
                     chunks.put(item.key(), item.value());
                 }
             } catch (MalformedMessageException m) {
-                LOG.error("{} can't be read, left alone: {}", item.key(), m.getMessage());
+                LOG.error("invalid cron record ignored: key={} reason=\"{}\"", item.key(), m.getMessage());
             }
         }
-        Map<String, JsonNode> byId = new HashMap<>();
+        Map<String, JsonNode> cursorsById = new HashMap<>();
         Map<String, Revision> versions = new HashMap<>();
         for (StoreClient.KeyValue item : cursors) {
             versions.put(item.key(), item.version());
             String table = ScheduleKeys.tableOfCursorKey(item.key());
             item.value()
                     .fields()
-                    .forEachRemaining(entry -> byId.merge(
+                    .forEachRemaining(entry -> cursorsById.merge(
                             table + "\n" + entry.getKey(),
                             entry.getValue(),
                             (a, b) -> a.path(0).asLong() >= b.path(0).asLong() ? a : b));
@@ -261,14 +268,14 @@
                 JsonNode chunk =
                         chunks.get(ScheduleKeys.partKey(table, meta.path("gen").asLong(), n));
                 if (chunk == null) {
-                    LOG.error("table {}: part {} is missing", table, n);
+                    LOG.error("part of cron table is missing: table={} part={}", table, n);
                     continue;
                 }
-                TablePart shard = new TablePart(ScheduleKeys.cursorKey(table, n), table);
-                shard.cursorVersion = versions.getOrDefault(shard.cursorKey, Revision.ABSENT);
-                parts.put(shard.cursorKey, shard);
-                for (JsonNode entry : chunk) {
-                    addSchedule(shard, entry, byId);
+                TablePart part = new TablePart(ScheduleKeys.cursorKey(table, n), table);
+                part.cursorVersion = versions.getOrDefault(part.cursorKey, Revision.ABSENT);
+                parts.put(part.cursorKey, part);
+                for (JsonNode node : chunk) {
+                    addSchedule(part, node, cursorsById);
                 }
             }
         });
@@ -276,45 +283,49 @@
         if (firstLoadedAt == null) {
             firstLoadedAt = wallTime();
         }
-        LOG.info("{} cron tables with {} lines to come, {} calendars", tables.size(), waiting.size(), calendars.size());
+        LOG.info(
+                "cron tables loaded: tables={} schedules={} calendars={}",
+                tables.size(),
+                waiting.size(),
+                calendars.size());
     }
 
-    private void addSchedule(TablePart shard, JsonNode node, Map<String, JsonNode> byId) {
+    private void addSchedule(TablePart part, JsonNode node, Map<String, JsonNode> cursorsById) {
         try {
-            ScheduleState line = new ScheduleState(Schedule.parse(shard.table, node), shard);
-            JsonNode cursor = byId.get(shard.table + "\n" + line.schedule.id());
-            line.cursorS = Math.max(
-                    line.schedule.sinceS(), cursor == null ? 0 : cursor.path(0).asLong());
+            ScheduleState state = new ScheduleState(Schedule.parse(part.table, node), part);
+            JsonNode cursor = cursorsById.get(part.table + "\n" + state.schedule.id());
+            state.cursorS = Math.max(
+                    state.schedule.sinceS(), cursor == null ? 0 : cursor.path(0).asLong());
             if (cursor != null) {
-                line.lastJobId = JobId.isValid(cursor.path(1).asText())
+                state.lastJobId = JobId.isValid(cursor.path(1).asText())
                         ? new JobId(cursor.path(1).asText())
                         : null;
-                line.lastFiredS = cursor.path(2).asLong();
-                line.skippedCount = cursor.path(3).asInt();
+                state.lastFiredS = cursor.path(2).asLong();
+                state.skippedCount = cursor.path(3).asInt();
             }
-            shard.schedules.put(line.schedule.id(), line);
-            scheduleNext(line);
+            part.schedules.put(state.schedule.id(), state);
+            scheduleNext(state);
         } catch (MalformedMessageException m) {
-            LOG.error("table {}: a line can't be read, left alone: {}", shard.table, m.getMessage());
+            LOG.error("invalid schedule ignored: table={} reason=\"{}\"", part.table, m.getMessage());
         }
     }
 
     private void watchDefinitions(long expectedEpoch, Revision after) {
         requests.takeOrOverdraw(context.now(), 1);
-        store.watch(ScheduleKeys.DEFINITIONS_PREFIX, after, 10_000, changes -> {
+        store.watch(ScheduleKeys.DEFINITIONS_PREFIX, after, WATCH_HOLD_MS, changes -> {
             if (expectedEpoch != epoch) {
                 return;
             }
             boolean changed = changes.status() == 410
                     || (changes.status() == 200 && !changes.changes().isEmpty());
             if (changed) {
-                context.schedule(200, () -> {
+                context.schedule(RELOAD_DELAY_MS, () -> {
                     if (expectedEpoch == epoch) {
                         reload();
                     }
                 });
             } else {
-                context.schedule(changes.status() == 200 ? 0 : 500, () -> {
+                context.schedule(changes.status() == 200 ? 0 : RETRY_DELAY_MS, () -> {
                     if (expectedEpoch == epoch) {
                         watchDefinitions(expectedEpoch, changes.revision());
                     }
--- a/src/main/java/org/beechhoist/controller/ScheduleStorage.java
+++ b/src/main/java/org/beechhoist/controller/ScheduleStorage.java
@@ -21,10 +21,10 @@
 
 /** Reads and writes cron tables and calendars in the state service, on any node. */
 final class ScheduleStorage {
-    /** Lines whose cursors share a value. */
+    /** Maximum number of schedules in a part; their cursors are stored in one value. */
     private static final int MAX_LINES_PER_PART = 30;
 
-    /** The bytes that a part of a table or a calendar may take, of a value's 8 KiB. */
+    /** Maximum size of a part of a table or of a calendar; a value of the state service holds 8 KiB. */
     static final int MAX_PART_BYTES = 7000;
 
     private static final int MAX_WRITES_PER_TRANSACTION = 6;
@@ -45,17 +45,17 @@
         this.writes = access.writeTokens();
     }
 
-    /** The body of an answer that reports an error. */
+    /** Returns the body of an error response. */
     static ObjectNode errorBody(String text) {
         return Codec.map().put("error", text);
     }
 
-    /** Answers that the state service could not be asked. */
+    /** Responds with 503: the state service is unavailable. */
     static void respondUnavailable(ApiResponder responder) {
         responder.respond(503, errorBody("the state service does not answer, or this node has used its share of it"));
     }
 
-    /** Reads all values under a prefix; hands over null where it could not be read. */
+    /** Reads all values under a prefix. Passes null to {@code then} if the read failed. */
     void readAll(
             String prefix, String after, List<StoreClient.KeyValue> items, Consumer<List<StoreClient.KeyValue>> then) {
         requests.takeOrOverdraw(context.now(), 1);
@@ -73,53 +73,53 @@
         });
     }
 
-    /** Reads what is installed; answers the request where that can't be read. */
+    /** Reads the installed tables and calendars. Responds with an error itself if the read failed. */
     void readInstalled(ApiResponder responder, Consumer<InstalledSchedules> then) {
         readAll(ScheduleKeys.DEFINITIONS_PREFIX, null, new ArrayList<>(), items -> {
             if (items == null) {
                 respondUnavailable(responder);
                 return;
             }
-            InstalledSchedules in = new InstalledSchedules();
+            InstalledSchedules installed = new InstalledSchedules();
             for (StoreClient.KeyValue item : items) {
                 try {
                     if (item.key().startsWith(ScheduleKeys.TABLES_PREFIX)) {
-                        in.tables.put(item.key().substring(ScheduleKeys.TABLES_PREFIX.length()), item);
+                        installed.tables.put(item.key().substring(ScheduleKeys.TABLES_PREFIX.length()), item);
                     } else if (item.key().startsWith(ScheduleKeys.CALENDARS_PREFIX)) {
                         String name = item.key().substring(ScheduleKeys.CALENDARS_PREFIX.length());
-                        in.calendars.put(name, Calendar.parse(item.value(), name));
+                        installed.calendars.put(name, Calendar.parse(item.value(), name));
                     } else {
-                        in.parts.put(item.key(), item.value());
+                        installed.parts.put(item.key(), item.value());
                     }
                 } catch (MalformedMessageException e) {
-                    // shown to nobody; the leader's log names it
+                    // left out of responses; the leader logs it
                 }
             }
-            then.accept(in);
+            then.accept(installed);
         });
     }
 
-    /** Divides a table into parts. Lines that run together are kept together, so that one write moves the cursors of many. */
+    /** Divides a table into parts. Schedules with the same times are kept together, so that one write advances many cursors. */
     static List<ArrayNode> splitIntoParts(List<Schedule> all) {
         List<Schedule> sorted = new ArrayList<>(all);
-        sorted.sort(Comparator.comparing((Schedule entry) -> entry.expression() + " " + entry.zone())
+        sorted.sort(Comparator.comparing((Schedule schedule) -> schedule.expression() + " " + schedule.zone())
                 .thenComparing(Schedule::id));
         List<ArrayNode> out = new ArrayList<>();
-        int bytes = MAX_PART_BYTES;
-        for (Schedule entry : sorted) {
-            ObjectNode node = entry.toNode();
+        int partBytes = MAX_PART_BYTES;
+        for (Schedule schedule : sorted) {
+            ObjectNode node = schedule.toNode();
             int size = Codec.jsonBytes(node);
-            if (bytes + size > MAX_PART_BYTES || out.get(out.size() - 1).size() >= MAX_LINES_PER_PART) {
+            if (partBytes + size > MAX_PART_BYTES || out.get(out.size() - 1).size() >= MAX_LINES_PER_PART) {
                 out.add(Codec.list());
-                bytes = 0;
+                partBytes = 0;
             }
-            bytes += size;
+            partBytes += size;
             out.get(out.size() - 1).add(node);
         }
         return out;
     }
 
-    /** Writes the parts, which count only once the table refers to them, a few at a time as the writes allow. */
+    /** Writes the parts of a new version of a table, a few at a time within the write limit. They take effect once the table refers to them. */
     void writeParts(String table, long gen, List<ArrayNode> parts, int from, Consumer<Boolean> then) {
         if (from >= parts.size()) {
             then.accept(true);
@@ -146,14 +146,14 @@
         });
     }
 
-    /** Commits a transaction, even where the node's share is used up. */
+    /** Commits a transaction even if the node's rate limit is exhausted. */
     void commit(Transaction transaction, Consumer<CommitResult> then) {
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
         store.commit(transaction, then);
     }
 
-    /** Deletes keys that nothing refers to any more; those that are left after a failure do no harm. */
+    /** Deletes keys that are no longer referred to; keys that remain after a failure are harmless. */
     void deleteKeys(List<String> keys) {
         if (keys.isEmpty()) {
             return;
