--- a/src/test/java/org/beechhoist/cron/OccurrencesTest.java
+++ b/src/test/java/org/beechhoist/cron/OccurrencesTest.java
@@ -44,17 +44,17 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                // The gap of New York, 2026-03-08 at 2:00: what falls into it runs once, at its end.
+                // Gap in New York on 2026-03-08 at 2:00: times in the gap run once, at its end.
                 "America/New_York|30 2 8 3 *|2026-01-01T00:00:00Z|1|2026-03-08T03:00-04:00",
                 "America/New_York|0,30 2 8 3 *|2026-01-01T00:00:00Z|2|2026-03-08T03:00-04:00 2027-03-08T02:00-05:00",
-                // The hour that comes twice, 2026-11-01 at 1:00: once, at the first.
+                // Repeated hour on 2026-11-01 at 1:00: runs once, the first time.
                 "America/New_York|30 1 * * *|2026-11-01T00:00:00Z|2|2026-11-01T01:30-04:00 2026-11-02T01:30-05:00",
-                // Real time: four quarters in each of both hours, none in the gap.
+                // Hour field *: runs in each of the repeated hours, not in the gap.
                 "America/New_York|30 * * * *|2026-11-01T04:59:00Z|3|2026-11-01T01:30-04:00 2026-11-01T01:30-05:00 2026-11-01T02:30-05:00",
                 "America/New_York|30 * * * *|2026-03-08T06:00:00Z|2|2026-03-08T01:30-05:00 2026-03-08T03:30-04:00",
-                // Half an hour's jump.
+                // Daylight saving of half an hour.
                 "Australia/Lord_Howe|15 2 * * *|2026-10-03T00:00:00Z|2|2026-10-04T02:30+11:00 2026-10-05T02:15+11:00",
-                // A zone whose rules change: no daylight saving in Mexico any more.
+                // Changed zone rules: Mexico ended daylight saving after 2022.
                 "America/Mexico_City|30 2 * 4 0|2022-04-01T00:00:00Z|1|2022-04-03T03:00-05:00",
                 "America/Mexico_City|30 2 * 4 0|2023-04-01T00:00:00Z|1|2023-04-02T02:30-06:00",
                 "UTC|0 0 29 2 *|2026-01-01T00:00:00Z|2|2028-02-29T00:00Z 2032-02-29T00:00Z",
@@ -64,7 +64,7 @@
                 "UTC|5-59/20 0 1 JAN sun-tue|2026-01-01T00:00:00Z|4|2026-01-01T00:05Z 2026-01-01T00:25Z 2026-01-01T00:45Z 2026-01-04T00:05Z",
                 "UTC|@weekly|2026-01-01T00:00:00Z|1|2026-01-04T00:00Z"
             })
-    void whenALineRuns(String zone, String fields, String from, int most, String expected) {
+    void lineRunsAtExpectedTimes(String zone, String fields, String from, int most, String expected) {
         assertEquals(expected, runs(zone, fields, from, most));
     }
 
@@ -90,9 +90,9 @@
         }
     }
 
-    /** Written by hand from the two calendars: a month's end and Golden Week, Holy Week and what moves behind it. */
+    /** Expected days were taken by hand from the calendars: Golden Week in Japan, Holy Week in Costa Rica and the days to which it moves runs. */
     @Test
-    void calendarsLeaveDaysOutOrMoveThem() {
+    void closedDaysAreSkippedOrMovedToNextBusinessDay() {
         Schedule skip = line("Asia/Tokyo", "calendar jp holiday skip\n30 1 * * 1-5 j");
         List<String> days = Occurrences.between(
                         skip, japan(), Instant.parse("2026-04-27T00:00:00Z"), Instant.parse("2026-05-09T00:00:00Z"), 99)
@@ -120,7 +120,7 @@
                 .stream()
                 .map(t -> t.atZone(next.zone()).toOffsetDateTime().toString())
                 .toList();
-        // Holy Thursday and the Saturdays move to Mondays; Saturday 11 April is a holiday too.
+        // Holy Thursday and the Saturdays move to Mondays; Saturday 11 April is also a holiday.
         assertEquals(
                 List.of(
                         "2026-03-30T05:00-06:00",
@@ -131,9 +131,9 @@
                 days);
     }
 
-    /** Rider payouts on the 1st and 15th, or the next business day in Costa Rica: all of 2026, written by hand. */
+    /** Runs on the 1st and 15th or the next business day in Costa Rica, for all of 2026; the expected days were written by hand. */
     @Test
-    void aYearOfPayoutsByHand() {
+    void twiceMonthlyRunsOfAYearMatchExpectedDays() {
         Schedule e = line("America/Costa_Rica", "calendar cr holiday next\n0 5 1,15 * * j");
         assertEquals(
                 "01-02 01-15 02-02 02-16 03-02 03-16 04-01 04-15 05-04 05-15 06-01 06-15 07-01 07-15 08-03 08-17 09-01 09-16 10-01 "
@@ -149,9 +149,9 @@
                         .collect(Collectors.joining(" ")));
     }
 
-    /** Random lines against the plain way of reading them, over two years with a leap day and all changes of the clock. */
+    /** Compares random lines with the reference implementation, over two years with a leap day and all changes of the clock. */
     @Test
-    void randomLinesRunAsReadThePlainWay() {
+    void randomLinesMatchReferenceImplementation() {
         List<String> zones = List.of(
                 "America/New_York",
                 "Europe/Berlin",
@@ -204,7 +204,7 @@
                 "zone Asia/Tokio|a time zone such as",
                 "? * * * * j|'?'"
             })
-    void aBadLineIsRefusedWithWhatMayStandThere(String line, String part) {
+    void invalidLineIsRejectedWithExpectedText(String line, String part) {
         CronTable.InvalidTableException e = assertThrows(
                 CronTable.InvalidTableException.class,
                 () -> CronTable.parse("t", HEAD + "zone UTC\n" + line + "\n", 0));
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void aLineIsTheSameWhereverItStandsAndOtherwiseNot() {
+    void idsDependOnContentAndNotOnPosition() {
         Schedule a = line("UTC", "0 0 * * * j");
         Schedule b = line("UTC", "\n\n# later\n0 0 * * *   j");
         assertEquals(a.id(), b.id());
@@ -221,9 +221,9 @@
         assertNotEquals(a.jobId(Instant.ofEpochSecond(60)), a.jobId(Instant.ofEpochSecond(120)));
     }
 
-    /** Down over several hours: one run, none, or the last few; what is merely late is never dropped. */
+    /** After several hours without a leader, one, none or the latest missed occurrences run; late occurrences are never skipped. */
     @Test
-    void whatWasMissed() {
+    void missedOccurrencesFollowThePolicy() {
         Instant back = Instant.parse("2026-06-01T10:30:00Z");
         Instant first = Instant.parse("2026-06-01T07:00:00Z");
         Schedule once = line("UTC", "0 * * * * j");
@@ -231,7 +231,7 @@
                 new CatchUpDecision(back, back, 5),
                 CatchUpDecision.decide(
                         line("UTC", "0,30 10 * * * j"), null, Instant.parse("2026-05-30T10:00:00Z"), back, back),
-                "the one at the very return is the one run");
+                "the occurrence at the time of the return runs");
         assertEquals(
                 new CatchUpDecision(Instant.parse("2026-06-01T10:00:00Z"), Instant.parse("2026-06-01T10:00:00Z"), 3),
                 CatchUpDecision.decide(once, null, first, back, back));
@@ -247,7 +247,7 @@
         assertEquals(
                 new CatchUpDecision(first, first, 0),
                 CatchUpDecision.decide(once, null, first, first, back),
-                "a leader was there: it is late, not missed");
+                "there was a leader: the occurrence is late, not missed");
         Schedule minutes = line("UTC", "* * * * * j");
         Instant year = back.minus(Duration.ofDays(300));
         int dropped = 0;
@@ -262,6 +262,6 @@
             }
             at = Occurrences.next(minutes, null, c.cursor());
         }
-        throw new AssertionError("a year's minutes are never caught up with");
+        throw new AssertionError("the missed minutes of 300 days are never caught up with");
     }
 }
--- a/src/test/java/org/beechhoist/cron/PlainCron.java
+++ b/src/test/java/org/beechhoist/cron/PlainCron.java
@@ -10,11 +10,15 @@
 import java.util.TreeSet;
 
 /**
- * When a crontab line runs, the plain way: day by day and minute by minute, with the fields read as text each time. It
- * shares nothing with the code under test.
+ * A reference implementation of crontab lines: checks each day and each minute and parses the fields as text every time. It
+ * shares no code with the code under test.
  */
 public record PlainCron(String fields, String zone, Map<LocalDate, String> holidays, boolean weekends, boolean next) {
-    /** @param weekends whether Saturdays and Sundays are open */
+    /**
+     * Checks that there are five fields.
+     *
+     * @param weekends whether Saturdays and Sundays are open
+     */
     public PlainCron {
         if (fields.split(" ").length != 5) {
             throw new IllegalArgumentException(fields);
