--- a/src/main/java/org/beechhoist/controller/OpenDaysReader.java
+++ b/src/main/java/org/beechhoist/controller/OpenDaysReader.java
@@ -28,7 +28,10 @@
         this.requests = requests;
     }
 
-    /** Passes the open days of a calendar to {@code action}; all days if {@code name} is null. Responds with an error itself if the read fails. */
+    /**
+     * Passes the open days of a calendar to {@code action}; all days if {@code name} is null. Responds with an error itself if
+     * the read fails.
+     */
     void readOpenDays(String name, ApiResponder responder, OpenDaysAction action) {
         if (name == null) {
             runAction(date -> true, responder, action);
--- a/src/test/java/org/beechhoist/cron/OccurrencesTest.java
+++ b/src/test/java/org/beechhoist/cron/OccurrencesTest.java
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Expected days were taken by hand from the calendars: Golden Week in Japan, Holy Week in Costa Rica and the days to which it moves runs. */
+    /** Expected days, taken by hand from the calendars: Golden Week in Japan; Holy Week in Costa Rica and the moved runs after it. */
     @Test
     void closedDaysAreSkippedOrMovedToNextBusinessDay() {
         Schedule skip = line("Asia/Tokyo", "calendar jp holiday skip\n30 1 * * 1-5 j");
