--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -34,9 +34,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What of each team's work is disturbed, and why. What is done on purpose is charged in the commit that comes before it, so that the
- * next leader knows; what happens by itself is charged as it happens and written every 15 s. Nothing is kept, read or
- * written where drains are off.
+ * Accounts for the disruptions of each team's work and their causes. Disruptions on purpose are charged in the commit that precedes them,
+ * so that the next leader finds them; other disruptions are charged when they happen and written every 15 s. If drains are disabled,
+ * nothing is recorded, read or written.
  */
 public final class DisruptionAccounting implements DisruptionRecorder {
     static final String PREFIX = "dr/acct/";
@@ -46,7 +46,9 @@
     private static final double MIN_FREE_WRITE_SHARE = 0.5;
     private static final int MAX_BUDGET_ROWS = 60;
     private static final int MAX_ACCOUNTS_PER_COMMIT = 4;
-    /** What was charged and not stopped for so long may never be: its leader fell in between, and its drain is over. */
+    /**
+     * Time after which a task that was charged and not stopped may never be stopped: its leader ended in between, and its drain is over.
+     */
     private static final long UNSTOPPED_CHARGE_TIMEOUT_MS = 30_000;
 
     private final ControllerContext context;
@@ -58,8 +60,8 @@
     private final ClusterState clusterState;
     private final PrefixReader prefixReader;
     private final boolean enabled;
-    /** Whether tasks of the machine are about to move, each when its turn comes. */
-    private Predicate<MachineId> migrationPending = h -> false;
+    /** Returns true for a machine whose tasks are about to migrate. */
+    private Predicate<MachineId> migrationPending = machine -> false;
 
     private final Map<String, Account> accounts = new TreeMap<>();
     private final Set<String> unwrittenTeams = new HashSet<>();
@@ -87,7 +89,7 @@
         this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
 
-    /** A new leadership begins: what the last one charged is read before anything is disturbed on purpose. */
+    /** Starts a new term of leadership: reads the stored accounts; no task is disrupted on purpose before that is complete. */
     void startTerm() {
         accounts.clear();
         unwrittenTeams.clear();
@@ -96,33 +98,33 @@
         if (enabled) {
             prefixReader.read(
                     PREFIX,
-                    i -> accounts.put(i.key().substring(PREFIX.length()), Account.parse(i.value())),
+                    item -> accounts.put(item.key().substring(PREFIX.length()), Account.parse(item.value())),
                     () -> loaded = true);
         }
     }
 
-    /** Who knows which machines' tasks are about to move. */
-    void setMigrationPending(Predicate<MachineId> who) {
-        migrationPending = who;
+    /** Sets the check for machines whose tasks are about to migrate. */
+    void setMigrationPending(Predicate<MachineId> isPending) {
+        migrationPending = isPending;
     }
 
-    /** Whether what earlier leaders charged is known. */
+    /** Returns whether the charges of earlier leaders are loaded. */
     boolean isLoaded() {
         return loaded;
     }
 
-    // ---- charging ----
+    // ---- charges ----
 
-    /** CPU seconds that stopping it now throws away. */
+    /** Returns the CPU seconds of work that stopping the task now would lose: those since its last checkpoint. */
     static double lostCpuS(JobSpec spec, Placement placement, MonotonicTime now) {
         if (spec.isService() || placement.runningSince == null) {
             return 0;
         }
-        double ran = Math.max(0, now.since(placement.runningSince) / 1000.0);
-        return spec.cpus() * (spec.checkpointEveryS() > 0 ? ran % spec.checkpointEveryS() : ran);
+        double runS = Math.max(0, now.since(placement.runningSince) / 1000.0);
+        return spec.cpus() * (spec.checkpointEveryS() > 0 ? runS % spec.checkpointEveryS() : runS);
     }
 
-    /** A task had to leave; what was done on purpose was charged before. */
+    /** Charges a disruption that was not on purpose; disruptions on purpose are charged before they happen. */
     @Override
     public void recordDisruption(Placement placement, Cause cause) {
         Job job = enabled && !cause.onPurpose() ? clusterState.job(placement.task.job()) : null;
@@ -142,14 +144,17 @@
         unwrittenTeams.add(spec.team());
     }
 
-    /** What a decision may charge on, and hand back with {@link #putAccount} and {@link #applyCommitted} once it is committed. */
+    /**
+     * Returns copies of all accounts on which a decision can be charged; the changed ones are committed with {@link #putAccount} and taken
+     * over with {@link #applyCommitted}.
+     */
     Map<String, Account> copyAccounts() {
         Map<String, Account> out = new TreeMap<>();
         accounts.forEach((team, a) -> out.put(team, a.copy()));
         return out;
     }
 
-    /** Whether the account is of the size that a value may have; it is made smaller first where that helps. */
+    /** Returns whether the account fits the size limit of a record; merges its slots first if it does not. */
     boolean fitsRecord(Account account) {
         if (Codec.jsonBytes(account.toNode()) > settings.stateLimits().valueBytes()) {
             account.mergeSlots();
@@ -161,20 +166,20 @@
         transaction.put(PREFIX + team, account.toNode());
     }
 
-    /** The commit that charged it is made. */
+    /** Replaces the account of a team after the commit that charged it. */
     void applyCommitted(String team, Account account) {
         accounts.put(team, account);
         unwrittenTeams.remove(team);
     }
 
-    /** Whether this very attempt was charged to be stopped on purpose, by whichever leader. */
+    /** Returns whether this attempt was charged as disrupted on purpose, by this leader or an earlier one. */
     boolean isCharged(String team, Placement placement) {
         Account account = accounts.get(team);
         Account.Away away = account == null ? null : account.away().get(placement.task);
         return away != null && away.attempt() == placement.attempt;
     }
 
-    // ---- what is over ----
+    // ---- periodic updates ----
 
     void updateAccounts() {
         if (!enabled || !loaded || context.now().isBefore(nextUpdate)) {
@@ -183,7 +188,7 @@
         nextUpdate = context.now().plusMs(UPDATE_INTERVAL_MS);
         accounts.forEach((team, account) -> {
             account.foldExpiredSlots(context.wallMs());
-            account.away().forEach((t, away) -> settleAbsence(team, account, t, away));
+            account.away().forEach((task, away) -> settleAbsence(team, account, task, away));
         });
         if (!unwrittenTeams.isEmpty()
                 && !context.now().isBefore(nextWrite)
@@ -206,15 +211,16 @@
                 && !placement.stopRequested
                 && context.wallMs() - away.atMs() > UNSTOPPED_CHARGE_TIMEOUT_MS
                 && willNotBeStopped(job, placement)) {
-            LOG.info("{} was to leave {} and never had to: its charge is given back", task, placement.machine);
+            LOG.info("charge refunded, task was not stopped: task={} machine={}", task, placement.machine);
             account.refund(task);
             unwrittenTeams.add(team);
         }
     }
 
     /**
-     * Nobody stops it any more: its machine is not emptied, or it is a replica that lost the place it was to move to. And a report since
-     * this leadership began shows it there: an earlier leader's stop can't come any more.
+     * Returns whether a charged task will not be stopped: its machine is not drained any more, or it is a replica that lost its migration
+     * target. A heartbeat since this term of leadership began must show the task there, after which no stop command of an earlier leader
+     * can arrive.
      */
     private boolean willNotBeStopped(Job job, Placement placement) {
         Machine machine = clusterState.findMachine(placement.machine);
@@ -246,7 +252,7 @@
         });
     }
 
-    /** What each team's budget is, and how much of it is used. */
+    /** Returns the budgets of all teams and how much of each is used. */
     ObjectNode view(Budgets budgets) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("budgets");
@@ -271,8 +277,8 @@
                     .put(
                             "away",
                             account.away().values().stream()
-                                    .filter(w -> budget.jobClass() == null
-                                            || budget.jobClass().equals(w.jobClass()))
+                                    .filter(absence -> budget.jobClass() == null
+                                            || budget.jobClass().equals(absence.jobClass()))
                                     .count())
                     .put("lostCpuSPerHour", budget.lostCpuSPerHour())
                     .put("lostCpuSLastHour", Math.round(hour.cpuS()))
--- a/src/main/java/org/beechhoist/controller/DrainApi.java
+++ b/src/main/java/org/beechhoist/controller/DrainApi.java
@@ -16,7 +16,7 @@
 import org.beechhoist.wire.MachineType;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** {@code /v1/drains} and {@code /v1/budgets}: operators have machines emptied or replaced, and say how much may be disturbed for it. */
+/** Serves {@code /v1/drains} and {@code /v1/budgets}, where operators request drains and rolling replacements and declare disruption budgets. */
 final class DrainApi {
     static final String DRAINS_PATH = "/v1/drains";
     static final String BUDGETS_PATH = "/v1/budgets";
@@ -53,26 +53,30 @@
                 || path.startsWith(BUDGETS_PATH + "/");
     }
 
-    /** @param desk null on a node that does not lead: it knows no plan */
-    void handle(String method, String path, byte[] body, DrainController desk, ApiResponder responder) {
+    /**
+     * Handles a request.
+     *
+     * @param controller the drain controller; null on a node that does not lead
+     */
+    void handle(String method, String path, byte[] body, DrainController controller, ApiResponder responder) {
         boolean budgets = path.startsWith(BUDGETS_PATH);
         String base = budgets ? BUDGETS_PATH : DRAINS_PATH;
         String rest = path.length() > base.length() ? path.substring(base.length() + 1) : "";
         int slash = rest.lastIndexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
-        String verb = slash < 0 ? "" : rest.substring(slash + 1);
+        String action = slash < 0 ? "" : rest.substring(slash + 1);
         try {
             JsonNode node = method.equals("POST") ? Codec.decodeMap(body) : null;
             if (!drains.isLoaded()) {
                 OptimisticUpdater.respondUnavailable(responder);
-            } else if (node == null && verb.isEmpty()) {
-                respondView(budgets, name, desk, responder);
+            } else if (node == null && action.isEmpty()) {
+                respondView(budgets, name, controller, responder);
             } else if (node == null) {
                 responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             } else if (budgets) {
-                updateBudget(name, verb, node, responder);
+                updateBudget(name, action, node, responder);
             } else {
-                updateDrain(name, verb, node, desk, responder);
+                updateDrain(name, action, node, controller, responder);
             }
         } catch (MalformedMessageException e) {
             responder.respond(400, OptimisticUpdater.errorBody(e.getMessage()));
@@ -88,35 +92,36 @@
         return text;
     }
 
-    private void respondView(boolean budgets, String name, DrainController desk, ApiResponder responder) {
+    private void respondView(boolean budgets, String name, DrainController controller, ApiResponder responder) {
         if (!budgets && !name.isEmpty() && drains.findDrain(name) == null) {
             responder.respond(404, OptimisticUpdater.errorBody("name = " + name + ": the name of a drain is expected"));
-        } else if (desk == null) {
+        } else if (controller == null) {
             responder.respond(
                     421, OptimisticUpdater.errorBody("this node does not lead: how far it has come is not known here"));
         } else if (budgets) {
-            responder.respond(200, desk.budgetsView());
+            responder.respond(200, controller.budgetsView());
         } else {
-            responder.respond(200, name.isEmpty() ? desk.view() : desk.view(drains.findDrain(name)));
+            responder.respond(200, name.isEmpty() ? controller.view() : controller.view(drains.findDrain(name)));
         }
     }
 
     // ---- drains ----
 
-    private void updateDrain(String name, String verb, JsonNode node, DrainController desk, ApiResponder responder)
+    private void updateDrain(
+            String name, String action, JsonNode node, DrainController controller, ApiResponder responder)
             throws MalformedMessageException {
-        if (verb.equals("plan")) {
-            Drain described = parseDrain(name, node);
+        if (action.equals("plan")) {
+            Drain requested = parseDrain(name, node);
             responder.respond(
-                    desk == null ? 421 : 200,
-                    desk == null
+                    controller == null ? 421 : 200,
+                    controller == null
                             ? OptimisticUpdater.errorBody("this node does not lead: it knows no plan")
-                            : desk.forecastView(described));
+                            : controller.forecastView(requested));
             return;
         }
         String who = requiredText(node, "who");
         String why = requiredText(node, "why");
-        switch (verb) {
+        switch (action) {
             case "put" -> putDrain(name, node, who, why, responder);
             case "pause" -> changeState(name, Drain.State.PAUSED, "paused", who, why, responder);
             case "resume" -> changeState(name, Drain.State.RUNNING, "resumed", who, why, responder);
@@ -130,7 +135,7 @@
                                         404, "name = " + name + ": the name of a drain is expected");
                             }
                             if (Drain.parse(before).state() != Drain.State.ABORTED
-                                    && (desk == null || !desk.isEnded(name))) {
+                                    && (controller == null || !controller.isEnded(name))) {
                                 throw new OptimisticUpdater.RejectedException(
                                         409,
                                         "name = " + name
@@ -183,29 +188,29 @@
 
     private void putDrain(String name, JsonNode node, String who, String why, ApiResponder responder)
             throws MalformedMessageException {
-        Drain described = parseDrain(name, node);
+        Drain requested = parseDrain(name, node);
         if (drains.findDrain(name) == null && drains.drains().size() >= MAX_DRAINS) {
             throw new MalformedMessageException(
                     "name = " + name + ": at most " + MAX_DRAINS + " drains are allowed; remove some that are over");
         }
         calendarDays.of(
-                described.pauses().calendar(),
+                requested.pauses().calendar(),
                 responder,
-                open -> storeDrain(
+                isOpenDay -> storeDrain(
                         name,
-                        described.pauses().calendar() == null
-                                ? described
-                                : described.withPauses(
-                                        described.pauses().withClosedDays(d -> !open.test(d), context.wallMs())),
+                        requested.pauses().calendar() == null
+                                ? requested
+                                : requested.withPauses(
+                                        requested.pauses().withClosedDays(d -> !isOpenDay.test(d), context.wallMs())),
                         who,
                         why,
                         responder));
     }
 
-    private void storeDrain(String name, Drain described, String who, String why, ApiResponder responder) {
+    private void storeDrain(String name, Drain requested, String who, String why, ApiResponder responder) {
         updater.update(
                 DrainRegistry.DRAINS_PREFIX + name,
-                before -> described
+                before -> requested
                         .asNextVersionOf(before == null ? null : Drain.parse(before), who, context.wallMs(), why)
                         .toNode(),
                 responder);
@@ -213,11 +218,11 @@
 
     // ---- budgets ----
 
-    private void updateBudget(String key, String verb, JsonNode node, ApiResponder responder)
+    private void updateBudget(String key, String action, JsonNode node, ApiResponder responder)
             throws MalformedMessageException {
         String who = requiredText(node, "who");
         String why = requiredText(node, "why");
-        if (verb.equals("remove")) {
+        if (action.equals("remove")) {
             updater.update(
                     DrainRegistry.BUDGETS_PREFIX + key,
                     before -> {
@@ -230,18 +235,18 @@
                     responder);
             return;
         }
-        if (!verb.equals("put")) {
+        if (!action.equals("put")) {
             responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             return;
         }
-        DisruptionBudget described = DisruptionBudget.fromRequest(node, who, context.wallMs(), why, 1);
+        DisruptionBudget requested = DisruptionBudget.fromRequest(node, who, context.wallMs(), why, 1);
         Set<String> teams = new TreeSet<>(settings.teams().keySet());
-        if (!described.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(described.team())) {
-            throw new MalformedMessageException("team = " + described.team() + ": " + DisruptionBudget.DEFAULT
+        if (!requested.team().equals(DisruptionBudget.DEFAULT) && !teams.contains(requested.team())) {
+            throw new MalformedMessageException("team = " + requested.team() + ": " + DisruptionBudget.DEFAULT
                     + ", or one of " + teams + ", is expected");
         }
-        if (!described.key().equals(key)) {
-            throw new MalformedMessageException("name = " + key + ": " + described.key() + " is expected");
+        if (!requested.key().equals(key)) {
+            throw new MalformedMessageException("name = " + key + ": " + requested.key() + " is expected");
         }
         updater.update(
                 DrainRegistry.BUDGETS_PREFIX + key,
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -40,22 +40,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's room for machines that are to be empty. From a drain's commit on they get no new work; what is there comes to its own
- * end, moves with its place kept ({@link MigrationController}), or is stopped by what loses least, as far as budgets allow; empty they are
- * returned, or kept. Charges, places and how far it has come are written in one commit before the first stop, so another leader goes
- * on in the middle. Replacements in steps: {@link RollingReplacement}. Idle where nobody has put a drain.
+ * Drains machines on the leader. Machines of a committed drain get no new work. Their tasks run to their end, migrate to reserved capacity
+ * ({@link MigrationController}), or are evicted at the moment that loses least work, within the disruption budgets. Empty machines are
+ * returned to the cloud, or kept. Budget charges, reservations and the progress are written in one commit before the first task is
+ * stopped, so that another leader can continue in the middle of a drain. Rolling replacements: {@link RollingReplacement}. Does nothing
+ * while no drain is stored.
  */
 final class DrainController {
     static final String PROGRESS_PREFIX = "dr/run/";
     private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
     private static final long UPDATE_INTERVAL_MS = 1000;
     private static final long WRITE_INTERVAL_MS = 10_000;
-    /** Machines whose tasks begin to move in one commit, and tasks that leave in one. */
+    /** Machines whose tasks begin to migrate in one commit. */
     private static final int MAX_MIGRATED_MACHINES_PER_COMMIT = 5;
 
     private static final int MAX_EVICTIONS_PER_COMMIT = 40;
     private static final int MIN_OPERATION_COUNT = 3;
-    /** The cloud's list may be older than twice its lag, with what a look takes. */
+    /** The cloud's machine list can be older than twice its lag, because reading it takes time too. */
     private static final double LIST_LAG_FACTOR = 2.5;
 
     private final ControllerContext context;
@@ -75,7 +76,7 @@
     private final DisruptionAccounting disruptions;
     private final RollingReplacement rollingReplacement;
     private final PrefixReader prefixReader;
-    /** Null where drains are off. */
+    /** Null if drains are disabled. */
     private final DrainRegistry drains;
 
     private final Map<String, Progress> progressByDrain = new TreeMap<>();
@@ -84,7 +85,7 @@
     private final Set<String> unwrittenDrains = new HashSet<>();
     private boolean loaded;
     private boolean commitInFlight;
-    /** Nobody has put a drain, and nothing is left of the last one. */
+    /** True if no drain is stored and no progress of an earlier one remains. */
     private boolean idle;
 
     private MonotonicTime nextUpdate = MonotonicTime.ZERO;
@@ -128,7 +129,7 @@
         this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
 
-    /** A new leadership begins: what the last one had in hand is read before anything is begun. */
+    /** Starts a new term of leadership: reads the progress of all drains; no machine is drained before that is complete. */
     void startTerm() {
         progressByDrain.clear();
         blockReasonsByDrain.clear();
@@ -143,12 +144,13 @@
         if (drains != null) {
             prefixReader.read(
                     PROGRESS_PREFIX,
-                    i -> progressByDrain.put(i.key().substring(PROGRESS_PREFIX.length()), Progress.parse(i.value())),
+                    item -> progressByDrain.put(
+                            item.key().substring(PROGRESS_PREFIX.length()), Progress.parse(item.value())),
                     () -> loaded = true);
         }
     }
 
-    // ---- which machines ----
+    // ---- machines ----
 
     Selector.MachineProperties machineProperties(Machine machine) {
         return new Selector.MachineProperties(
@@ -159,7 +161,7 @@
                 machine.rentedAt == null ? 0 : context.wallMs() - context.now().since(machine.rentedAt));
     }
 
-    /** Machines that the drain speaks of and that are still there. */
+    /** Returns the machines that the drain selects and that are not being released. */
     private List<Machine> selectedMachines(Drain drain) {
         List<Machine> out = new ArrayList<>();
         for (Machine machine : clusterState.machines()) {
@@ -172,9 +174,9 @@
         return out;
     }
 
-    /** Says of each machine who empties it; the first drain, where several would. */
+    /** Sets on each machine the name of the drain that empties it: the earliest one if several select it. */
     private void updateCordons() {
-        Map<MachineId, String> by = new HashMap<>();
+        Map<MachineId, String> drainByMachine = new HashMap<>();
         for (Drain drain : drains.drains()) {
             Progress progress = progressByDrain.get(drain.name());
             if (!drain.blocksNewWork(context.wallMs())) {
@@ -182,23 +184,23 @@
             }
             for (Machine machine : selectedMachines(drain)) {
                 if (!drain.replace() || progress != null && progress.draining.containsKey(machine.id)) {
-                    by.putIfAbsent(machine.id, drain.name());
+                    drainByMachine.putIfAbsent(machine.id, drain.name());
                 }
             }
         }
         boolean changed = false;
         for (Machine machine : clusterState.machines()) {
-            String now = by.get(machine.id);
-            changed |= now == null ? machine.cordonedBy != null : !now.equals(machine.cordonedBy);
-            machine.cordonedBy = now;
-            machine.reservedForDrain = null; // whose spare it is, if anybody's, is said anew below
+            String drainName = drainByMachine.get(machine.id);
+            changed |= drainName == null ? machine.cordonedBy != null : !drainName.equals(machine.cordonedBy);
+            machine.cordonedBy = drainName;
+            machine.reservedForDrain = null; // set again by RollingReplacement.updateSpares for spare machines
         }
         if (changed) {
             clusterState.requestReplan();
         }
     }
 
-    // ---- time ----
+    // ---- updates ----
 
     void updateDrains(Planner planner) {
         disruptions.updateAccounts();
@@ -206,38 +208,38 @@
             return;
         }
         nextUpdate = context.now().plusMs(UPDATE_INTERVAL_MS);
-        boolean none = drains.drains().isEmpty() && progressByDrain.isEmpty();
-        if (none && idle) {
+        boolean nothingStored = drains.drains().isEmpty() && progressByDrain.isEmpty();
+        if (nothingStored && idle) {
             return;
         }
-        idle = none;
+        idle = nothingStored;
         updateCordons();
         if (!loaded || !disruptions.isLoaded() || !migrations.isLoaded()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
-        Map<TaskId, MachineId> places = new HashMap<>();
-        Set<MachineId> doomed = new HashSet<>();
+        Map<TaskId, MachineId> targets = new HashMap<>();
+        Set<MachineId> selectedIds = new HashSet<>();
         drains.drains().stream().filter(d -> d.blocksNewWork(context.wallMs())).forEach(d -> selectedMachines(d)
-                .forEach(h -> doomed.add(h.id)));
-        FreeCapacity rooms = new FreeCapacity(
+                .forEach(m -> selectedIds.add(m.id)));
+        FreeCapacity freeCapacity = new FreeCapacity(
                 clusterState,
                 machineTypes,
                 admission,
-                h -> !doomed.contains(h.id)); // nobody is moved twice for one replacement
+                m -> !selectedIds.contains(m.id)); // a task must not migrate twice for one replacement
         for (Drain drain : drains.drains()) {
             Progress progress = progressByDrain.computeIfAbsent(drain.name(), k -> new Progress());
             if (drain.blocksNewWork(context.wallMs())) {
-                updateDrain(drain, progress, planner, rooms, candidates, places);
+                updateDrain(drain, progress, planner, freeCapacity, candidates, targets);
             }
         }
-        for (String gone : progressByDrain.keySet().stream()
-                .filter(n -> drains.findDrain(n) == null)
+        for (String removedDrain : progressByDrain.keySet().stream()
+                .filter(name -> drains.findDrain(name) == null)
                 .toList()) {
-            deleteProgress(gone);
+            deleteProgress(removedDrain);
         }
         if (!commitInFlight) {
-            evictTasks(candidates, places);
+            evictTasks(candidates, targets);
         }
         if (!commitInFlight && !unwrittenDrains.isEmpty() && !context.now().isBefore(nextWrite)) {
             nextWrite = context.now().plusMs(WRITE_INTERVAL_MS);
@@ -256,9 +258,9 @@
             Drain drain,
             Progress progress,
             Planner planner,
-            FreeCapacity rooms,
-            List<Evictions.Candidate> out,
-            Map<TaskId, MachineId> places) {
+            FreeCapacity freeCapacity,
+            List<Evictions.Candidate> candidates,
+            Map<TaskId, MachineId> targets) {
         List<Machine> matched = selectedMachines(drain);
         if (progress.drainVersion != drain.number()) {
             boolean first = progress.drainVersion == 0;
@@ -270,7 +272,7 @@
                 progress.forecastLostCpuS = cost.cpuS();
                 progress.forecastEndMs = context.wallMs() + cost.durationMs();
                 LOG.info(
-                        "drain {} begins: {} machines, {} tasks and {} CPU s are thought to be lost, over in {} s",
+                        "drain started: drain={} machines={} forecastTasks={} forecastLostCpuS={} forecastDurationS={}",
                         drain.name(),
                         matched.size(),
                         cost.tasks(),
@@ -282,44 +284,44 @@
         if (progress.endedAtMs > 0 && matched.isEmpty()) {
             return;
         }
-        progress.endedAtMs = 0; // the cloud's list lags: one of its machines may come up after all
+        progress.endedAtMs = 0; // the cloud's list lags: a selected machine may still come up
         countGoneMachines(drain, progress);
         if (rollingReplacement.updateSpares(drain, progress)) {
             unwrittenDrains.add(drain.name());
         }
-        boolean works = drain.state() == Drain.State.RUNNING && !drain.pauses().isPaused(context.wallMs());
-        if (drain.replace() && rollingReplacement.updateReplacement(drain, progress, matched, works, planner)) {
+        boolean active = drain.state() == Drain.State.RUNNING && !drain.pauses().isPaused(context.wallMs());
+        if (drain.replace() && rollingReplacement.updateReplacement(drain, progress, matched, active, planner)) {
             writeProgress(drain.name());
         }
         blockReasonsByDrain.remove(drain.name());
-        boolean left = false;
-        Map<String, Integer> lacking = new HashMap<>();
+        boolean machinesRemain = false;
+        Map<String, Integer> lackingByKind = new HashMap<>();
         for (Machine machine : matched) {
             if (!drain.name().equals(machine.cordonedBy)) {
-                left = true;
+                machinesRemain = true;
                 continue;
             }
             boolean empty = machine.placements.isEmpty() && machine.unknownTasks == 0;
-            left |= !empty || !drain.keep();
+            machinesRemain |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
                 provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && works && progress.pauseReason == null && !migrations.isMigrating(machine.id)) {
-                if (addCandidates(drain, progress, machine, rooms, out, places)) {
-                    lacking.merge(RollingReplacement.machineKind(machine), 1, Integer::sum);
+            } else if (!empty && active && progress.pauseReason == null && !migrations.isMigrating(machine.id)) {
+                if (addCandidates(drain, progress, machine, freeCapacity, candidates, targets)) {
+                    lackingByKind.merge(RollingReplacement.machineKind(machine), 1, Integer::sum);
                 }
             }
         }
-        if (!lacking.isEmpty()) {
-            rollingReplacement.requestMachinesForMigration(drain, progress, lacking);
+        if (!lackingByKind.isEmpty()) {
+            rollingReplacement.requestMachinesForMigration(drain, progress, lackingByKind);
         }
-        boolean told = provisioner.isListComplete()
+        boolean listSettled = provisioner.isListComplete()
                 && context.wallMs() - drain.atMs()
                         > Math.round(
                                 1000 * LIST_LAG_FACTOR * settings.cloudLimits().listLagS());
-        if (!left && !drain.keep() && progress.draining.isEmpty() && told) {
+        if (!machinesRemain && !drain.keep() && progress.draining.isEmpty() && listSettled) {
             progress.endedAtMs = context.wallMs();
             LOG.info(
-                    "drain {} is over: {} machines gone, {} tasks and {} CPU s lost ({} and {} foreseen)",
+                    "drain completed: drain={} machinesGone={} evictedTasks={} lostCpuS={} forecastTasks={} forecastLostCpuS={}",
                     drain.name(),
                     progress.gone,
                     progress.evictedTasks,
@@ -331,16 +333,16 @@
         }
     }
 
-    /** Which of its machines are gone since the last look. */
+    /** Counts the machines of the drain that have gone since the last update. */
     private void countGoneMachines(Drain drain, Progress progress) {
-        Set<MachineId> now = new HashSet<>();
+        Set<MachineId> current = new HashSet<>();
         clusterState.machines().stream()
-                .filter(h -> drain.name().equals(h.cordonedBy))
-                .forEach(h -> now.add(h.id));
-        Set<MachineId> before = cordonedMachinesByDrain.put(drain.name(), now);
-        Set<MachineId> gone = new HashSet<>(before == null ? Set.of() : before);
+                .filter(m -> drain.name().equals(m.cordonedBy))
+                .forEach(m -> current.add(m.id));
+        Set<MachineId> previous = cordonedMachinesByDrain.put(drain.name(), current);
+        Set<MachineId> gone = new HashSet<>(previous == null ? Set.of() : previous);
         gone.addAll(progress.draining.keySet());
-        gone.removeIf(h -> clusterState.findMachine(h) != null && !clusterState.findMachine(h).releasing);
+        gone.removeIf(m -> clusterState.findMachine(m) != null && !clusterState.findMachine(m).releasing);
         if (!gone.isEmpty()) {
             progress.gone += gone.size();
             gone.forEach(progress.draining::remove);
@@ -348,23 +350,23 @@
         }
     }
 
-    // ---- which tasks ----
+    // ---- tasks ----
 
     private TaskTermination.CapacityNeed capacityNeed(Drain drain, long sinceMs) {
-        long by = sinceMs + 1000 * drain.limits().waitS();
-        by = drain.byMs() > 0 ? Math.min(by, drain.byMs()) : by;
-        return new TaskTermination.CapacityNeed(context.now().ms() + by - context.wallMs(), true);
+        long deadlineMs = sinceMs + 1000 * drain.limits().waitS();
+        deadlineMs = drain.byMs() > 0 ? Math.min(deadlineMs, drain.byMs()) : deadlineMs;
+        return new TaskTermination.CapacityNeed(context.now().ms() + deadlineMs - context.wallMs(), true);
     }
 
-    /** Tasks that may leave; whether one of them has no place to go to. */
+    /** Adds the tasks of the machine that may be evicted; returns true if one of them lacks free capacity elsewhere. */
     private boolean addCandidates(
             Drain drain,
-            Progress run,
+            Progress progress,
             Machine machine,
-            FreeCapacity rooms,
+            FreeCapacity freeCapacity,
             List<Evictions.Candidate> out,
-            Map<TaskId, MachineId> places) {
-        boolean lacks = false;
+            Map<TaskId, MachineId> targets) {
+        boolean lacksCapacity = false;
         for (Placement placement : new ArrayList<>(machine.placements.values())) {
             Job job = clusterState.job(placement.task.job());
             if (job == null || !placement.launchSent || placement.stopRequested || job.isCancelled() || job.isHeld()) {
@@ -372,37 +374,39 @@
             }
             if (disruptions.isCharged(job.spec().team(), placement)
                     && !job.spec().isService()) {
-                eviction.evict(placement, drain.cause()); // an earlier leader charged it, and fell before the stop
+                eviction.evict(
+                        placement, drain.cause()); // an earlier leader charged it and ended before it stopped the task
                 dispatcher.dispatch(machine);
                 continue;
             }
-            Evictions.Candidate candidate = toCandidate(drain, run, machine, job, placement, rooms, places);
-            lacks |= !candidate.mayBeEvicted();
+            Evictions.Candidate candidate =
+                    toCandidate(drain, progress, machine, job, placement, freeCapacity, targets);
+            lacksCapacity |= !candidate.mayBeEvicted();
             out.add(candidate);
         }
-        return lacks;
+        return lacksCapacity;
     }
 
     private Evictions.Candidate toCandidate(
             Drain drain,
-            Progress run,
+            Progress progress,
             Machine machine,
             Job job,
             Placement placement,
-            FreeCapacity rooms,
-            Map<TaskId, MachineId> places) {
+            FreeCapacity freeCapacity,
+            Map<TaskId, MachineId> targets) {
         JobSpec spec = job.spec();
-        long since = drain.replace() ? run.draining.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        TaskTermination ending = elastic.chooseEnding(job, placement, capacityNeed(drain, since));
-        boolean due = ending.method() != TaskTermination.Method.AT_END
-                && ending.method() != TaskTermination.Method.WITHDRAW
-                && ending.atMs() <= context.now().ms() + UPDATE_INTERVAL_MS;
+        long sinceMs = drain.replace() ? progress.draining.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
+        TaskTermination termination = elastic.chooseEnding(job, placement, capacityNeed(drain, sinceMs));
+        boolean due = termination.method() != TaskTermination.Method.AT_END
+                && termination.method() != TaskTermination.Method.WITHDRAW
+                && termination.atMs() <= context.now().ms() + UPDATE_INTERVAL_MS;
         boolean placed = true;
         if (spec.isService() && due) {
-            Machine to = rooms.allocate(spec);
-            placed = to != null;
+            Machine target = freeCapacity.allocate(spec);
+            placed = target != null;
             if (placed) {
-                places.put(placement.task, to.id);
+                targets.put(placement.task, target.id);
             }
         }
         return new Evictions.Candidate(
@@ -415,47 +419,48 @@
                 spec.isGang() ? job.record.live.size() : 0,
                 spec.isService() ? spec.tasks() : 0,
                 due,
-                ending.lostCpuS(),
+                termination.lostCpuS(),
                 placed);
     }
 
-    /** Decides who leaves, and has it written before anybody is stopped. */
-    private void evictTasks(List<Evictions.Candidate> all, Map<TaskId, MachineId> places) {
+    /** Chooses the tasks to evict and commits the choice before any of them is stopped. */
+    private void evictTasks(List<Evictions.Candidate> all, Map<TaskId, MachineId> targets) {
         if (all.isEmpty()) {
             return;
         }
         Map<String, Account> accounts = disruptions.copyAccounts();
         Evictions.Decision decision =
                 Evictions.decide(all, drains.budgets(), accounts, context.wallMs(), MAX_EVICTIONS_PER_COMMIT);
-        decision.blocked().forEach((why, count) -> {
-            Machine machine = clusterState.findMachine(why.machine());
+        decision.blocked().forEach((reason, count) -> {
+            Machine machine = clusterState.findMachine(reason.machine());
             if (machine != null && machine.cordonedBy != null) {
                 blockReasonsByDrain
                         .computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
-                        .merge(why.text(), count, Integer::sum);
+                        .merge(reason.text(), count, Integer::sum);
             }
         });
-        int ops = settings.stateLimits().txnOps() - 1;
+        int maxOperations = settings.stateLimits().txnOps() - 1;
         Transaction transaction = election.guardedTransaction();
-        Map<MachineId, Map<TaskId, MachineId>> moving = new TreeMap<>();
+        Map<MachineId, Map<TaskId, MachineId>> migrationTargets = new TreeMap<>();
         List<Evictions.Candidate> stopped = new ArrayList<>();
         Set<String> teams = new HashSet<>();
-        Set<String> names = new HashSet<>();
-        Map<String, List<Evictions.Candidate>> taken = new HashMap<>();
+        Set<String> drainNames = new HashSet<>();
+        Map<String, List<Evictions.Candidate>> evictedByDrain = new HashMap<>();
         for (Evictions.Candidate candidate : decision.evicted()) {
             Machine machine = clusterState.findMachine(candidate.machine());
-            boolean moves = places.containsKey(candidate.task());
-            int more = (teams.contains(candidate.team()) ? 0 : 1)
-                    + (names.contains(machine.cordonedBy) ? 0 : 1)
-                    + (moves && !moving.containsKey(candidate.machine()) ? 1 : 0);
-            boolean room = teams.size() + names.size() + moving.size() + more <= Math.max(MIN_OPERATION_COUNT, ops)
-                    && (!moves
-                            || moving.containsKey(candidate.machine())
-                            || moving.size() < MAX_MIGRATED_MACHINES_PER_COMMIT);
-            boolean fits = disruptions.fitsRecord(accounts.get(candidate.team()));
-            if (!room || !fits) {
-                accounts.get(candidate.team()).refund(candidate.task()); // in the next round
-                if (!fits) {
+            boolean migrates = targets.containsKey(candidate.task());
+            int newOperations = (teams.contains(candidate.team()) ? 0 : 1)
+                    + (drainNames.contains(machine.cordonedBy) ? 0 : 1)
+                    + (migrates && !migrationTargets.containsKey(candidate.machine()) ? 1 : 0);
+            boolean withinLimits = teams.size() + drainNames.size() + migrationTargets.size() + newOperations
+                            <= Math.max(MIN_OPERATION_COUNT, maxOperations)
+                    && (!migrates
+                            || migrationTargets.containsKey(candidate.machine())
+                            || migrationTargets.size() < MAX_MIGRATED_MACHINES_PER_COMMIT);
+            boolean fitsRecord = disruptions.fitsRecord(accounts.get(candidate.team()));
+            if (!withinLimits || !fitsRecord) {
+                accounts.get(candidate.team()).refund(candidate.task()); // retried at the next update
+                if (!fitsRecord) {
                     blockReasonsByDrain
                             .computeIfAbsent(machine.cordonedBy, k -> new TreeMap<>())
                             .merge(
@@ -466,44 +471,48 @@
                 continue;
             }
             teams.add(candidate.team());
-            names.add(machine.cordonedBy);
-            if (moves) {
-                moving.computeIfAbsent(candidate.machine(), k -> new HashMap<>())
-                        .put(candidate.task(), places.get(candidate.task()));
+            drainNames.add(machine.cordonedBy);
+            if (migrates) {
+                migrationTargets
+                        .computeIfAbsent(candidate.machine(), k -> new HashMap<>())
+                        .put(candidate.task(), targets.get(candidate.task()));
             } else {
                 stopped.add(candidate);
             }
-            taken.computeIfAbsent(machine.cordonedBy, k -> new ArrayList<>()).add(candidate);
+            evictedByDrain
+                    .computeIfAbsent(machine.cordonedBy, k -> new ArrayList<>())
+                    .add(candidate);
         }
         if (teams.isEmpty()) {
             return;
         }
-        teams.forEach(t -> disruptions.putAccount(transaction, t, accounts.get(t)));
-        names.forEach(n -> transaction.put(
-                PROGRESS_PREFIX + n,
-                addEvictions(progressByDrain.get(n), taken.get(n), 1).toNode()));
-        moving.forEach((machine, to) ->
-                migrations.addDrainMigration(transaction, machine, clusterState.findMachine(machine).cordonedBy, to));
-        commit(transaction, done -> {
-            if (done) {
-                teams.forEach(t -> disruptions.applyCommitted(t, accounts.get(t)));
-                moving.forEach((machineId, to) -> {
+        teams.forEach(team -> disruptions.putAccount(transaction, team, accounts.get(team)));
+        drainNames.forEach(name -> transaction.put(
+                PROGRESS_PREFIX + name,
+                addEvictions(progressByDrain.get(name), evictedByDrain.get(name), 1)
+                        .toNode()));
+        migrationTargets.forEach((machine, taskTargets) -> migrations.addDrainMigration(
+                transaction, machine, clusterState.findMachine(machine).cordonedBy, taskTargets));
+        commit(transaction, committed -> {
+            if (committed) {
+                teams.forEach(team -> disruptions.applyCommitted(team, accounts.get(team)));
+                migrationTargets.forEach((machineId, taskTargets) -> {
                     Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
-                        migrations.applyDrainMigration(machineId, machine.cordonedBy, to);
+                        migrations.applyDrainMigration(machineId, machine.cordonedBy, taskTargets);
                     }
                 });
                 stopped.forEach(this::evict);
             } else {
-                names.stream()
+                drainNames.stream()
                         .filter(progressByDrain::containsKey)
-                        .forEach(n -> addEvictions(progressByDrain.get(n), taken.get(n), -1));
+                        .forEach(name -> addEvictions(progressByDrain.get(name), evictedByDrain.get(name), -1));
             }
         });
     }
 
-    private static Progress addEvictions(Progress progress, List<Evictions.Candidate> left, int sign) {
-        for (Evictions.Candidate candidate : left) {
+    private static Progress addEvictions(Progress progress, List<Evictions.Candidate> evicted, int sign) {
+        for (Evictions.Candidate candidate : evicted) {
             progress.evictedTasks += sign * Math.max(1, candidate.gangSize());
             progress.lostCpuS += sign * candidate.lostCpuS();
         }
@@ -518,7 +527,7 @@
                 && !placement.stopRequested
                 && clusterState.job(candidate.task().job()) != null) {
             LOG.info(
-                    "{} try {} leaves {}: drain {}, {} CPU s",
+                    "task evicted: task={} attempt={} machine={} drain={} lostCpuS={}",
                     placement.task,
                     placement.attempt,
                     machine.id,
@@ -538,36 +547,36 @@
         commit(
                 election.guardedTransaction()
                         .put(PROGRESS_PREFIX + name, progressByDrain.get(name).toNode()),
-                done -> {
-                    if (!done) {
+                committed -> {
+                    if (!committed) {
                         unwrittenDrains.add(name);
                     }
                 });
     }
 
-    private void commit(Transaction transaction, Consumer<Boolean> then) {
+    private void commit(Transaction transaction, Consumer<Boolean> onOutcome) {
         long term = clusterState.term();
         commitInFlight = true;
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), transaction.operationCount());
-        store.commit(transaction, commit -> {
+        store.commit(transaction, result -> {
             if (term == clusterState.term()) {
                 commitInFlight = false;
-                then.accept(commit.outcome() == CommitResult.Outcome.COMMITTED);
+                onOutcome.accept(result.outcome() == CommitResult.Outcome.COMMITTED);
             }
         });
     }
 
-    // ---- what is told ----
+    // ---- views ----
 
-    /** What it would cost and how long it would take, were it put now. */
+    /** Forecasts the cost and the duration of the drain if it started now. */
     private DrainForecast.Cost forecast(Drain drain, List<Machine> machines) {
         return DrainForecast.estimate(
                 drain,
                 machines,
                 clusterState,
                 machineTypes,
-                (j, p) -> elastic.chooseEnding(j, p, capacityNeed(drain, context.wallMs())),
+                (job, placement) -> elastic.chooseEnding(job, placement, capacityNeed(drain, context.wallMs())),
                 context.now().ms());
     }
 
@@ -578,8 +587,8 @@
     }
 
     boolean isEnded(String name) {
-        Progress p = progressByDrain.get(name);
-        return p != null && p.endedAtMs > 0;
+        Progress progress = progressByDrain.get(name);
+        return progress != null && progress.endedAtMs > 0;
     }
 
     ObjectNode budgetsView() {
@@ -591,20 +600,20 @@
         ArrayNode rows = out.putArray("drains");
         drains.drains()
                 .forEach(d -> rows.add(
-                        view(d).without(List.of("history", "closed", "machines")))); // forty of them in one answer
+                        view(d).without(List.of("history", "closed", "machines")))); // one reply holds up to 40 drains
         return out;
     }
 
     ObjectNode view(Drain drain) {
         Progress progress = progressByDrain.getOrDefault(drain.name(), new Progress());
-        List<Machine> matched = progress.endedAtMs > 0 ? List.of() : selectedMachines(drain);
-        DrainForecast.Cost left =
-                progress.endedAtMs == 0 && drain.blocksNewWork(context.wallMs()) ? forecast(drain, matched) : null;
+        List<Machine> machines = progress.endedAtMs > 0 ? List.of() : selectedMachines(drain);
+        DrainForecast.Cost remaining =
+                progress.endedAtMs == 0 && drain.blocksNewWork(context.wallMs()) ? forecast(drain, machines) : null;
         return DrainViews.drainView(
                 drain,
                 progress,
-                matched,
-                left,
+                machines,
+                remaining,
                 blockReasonsByDrain.getOrDefault(drain.name(), Map.of()),
                 context.wallMs());
     }
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -15,19 +15,24 @@
 import org.beechhoist.store.Placement;
 import org.beechhoist.wire.MachineType;
 
-/** What emptying machines would cost and how long it would take, by what is known of their tasks now; budgets are not in it. */
+/** Forecasts the cost and the duration of draining machines from the current state of their tasks; budgets are not considered. */
 final class DrainForecast {
     private static final long MIN_MACHINE_DRAIN_MS = 3000;
 
     /**
-     * @param tasks that would be stopped, {@code cpuS} what that throws away; by team and class too
-     * @param durationMs until the last machine is gone
+     * The forecast cost of a drain.
+     *
+     * @param tasks number of tasks that would be stopped
+     * @param cpuS CPU seconds of work that would be lost
+     * @param byGroup number of tasks and lost CPU seconds by team and class
+     * @param durationMs time until the last machine is gone
      */
     record Cost(int tasks, double cpuS, Map<String, double[]> byGroup, long durationMs) {
         ObjectNode writeTo(ObjectNode node) {
             node.put("tasks", tasks).put("cpuS", Math.round(cpuS)).put("endsInS", durationMs / 1000.0);
             ObjectNode groups = node.putObject("byTeamAndClass");
-            byGroup.forEach((g, s) -> groups.putArray(g).add(Math.round(s[0])).add(Math.round(s[1])));
+            byGroup.forEach((group, sums) ->
+                    groups.putArray(group).add(Math.round(sums[0])).add(Math.round(sums[1])));
             return node;
         }
     }
@@ -39,43 +44,48 @@
             List<Machine> machines,
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
-            BiFunction<Job, Placement, TaskTermination> ending,
+            BiFunction<Job, Placement, TaskTermination> chooseEnding,
             long nowMs) {
         int tasks = 0;
         double cpuS = 0;
-        long longest = 0;
-        long sum = 0;
-        long boot = 0;
+        long longestMs = 0;
+        long totalMs = 0;
+        long startupMs = 0;
         Map<String, double[]> groups = new TreeMap<>();
         for (Machine machine : machines) {
-            long frees = MIN_MACHINE_DRAIN_MS;
+            long machineMs = MIN_MACHINE_DRAIN_MS;
             MachineType type = machineTypes.get(machine.type);
-            boot = Math.max(boot, type == null ? 0 : Math.round(1000 * type.startupS()));
+            startupMs = Math.max(startupMs, type == null ? 0 : Math.round(1000 * type.startupS()));
             for (Placement placement : machine.placements.values()) {
                 Job job = clusterState.job(placement.task.job());
                 if (job == null) {
                     continue;
                 }
-                TaskTermination how = ending.apply(job, placement);
-                frees = Math.max(frees, how.freedAtMs() - nowMs);
-                if (how.method() != TaskTermination.Method.AT_END && how.method() != TaskTermination.Method.WITHDRAW) {
+                TaskTermination termination = chooseEnding.apply(job, placement);
+                machineMs = Math.max(machineMs, termination.freedAtMs() - nowMs);
+                if (termination.method() != TaskTermination.Method.AT_END
+                        && termination.method() != TaskTermination.Method.WITHDRAW) {
                     tasks++;
-                    cpuS += how.lostCpuS();
-                    double[] gains = groups.computeIfAbsent(
+                    cpuS += termination.lostCpuS();
+                    double[] groupSums = groups.computeIfAbsent(
                             job.spec().team() + " " + job.spec().jobClass(), k -> new double[2]);
-                    gains[0]++;
-                    gains[1] += how.lostCpuS();
+                    groupSums[0]++;
+                    groupSums[1] += termination.lostCpuS();
                 }
             }
-            longest = Math.max(longest, frees);
-            sum += frees;
+            longestMs = Math.max(longestMs, machineMs);
+            totalMs += machineMs;
         }
-        long lasts = !drain.replace()
-                ? longest
+        long durationMs = !drain.replace()
+                ? longestMs
                 : machines.isEmpty()
                         ? 0
                         : ReplacementSteps.estimatedDurationMs(
-                                drain.limits(), machines.size(), 0, (longest + sum / machines.size()) / 2, boot);
-        return new Cost(tasks, cpuS, groups, lasts);
+                                drain.limits(),
+                                machines.size(),
+                                0,
+                                (longestMs + totalMs / machines.size()) / 2,
+                                startupMs);
+        return new Cost(tasks, cpuS, groups, durationMs);
     }
 }
--- a/src/main/java/org/beechhoist/controller/DrainModule.java
+++ b/src/main/java/org/beechhoist/controller/DrainModule.java
@@ -5,13 +5,17 @@
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 
-/** Drains on one node: their registry and their API. */
+/** The drain feature of one node: the registry and the API. */
 final class DrainModule implements FeatureApi {
     private final DrainRegistry registry;
     private final DrainApi api;
     private final Supplier<Optional<Leader>> activeLeader;
 
-    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    /**
+     * Creates the module.
+     *
+     * @param activeLeader this node's leader while it is active, otherwise empty
+     */
     DrainModule(StateServiceAccess access, MachineTypeCatalog machineTypes, Supplier<Optional<Leader>> activeLeader) {
         this.activeLeader = activeLeader;
         this.registry = new DrainRegistry(access.context(), access.store(), access.requests(), () -> activeLeader
@@ -27,7 +31,7 @@
                 registry);
     }
 
-    /** The drains and disruption budgets that are stored. */
+    /** Returns the registry of the stored drains and disruption budgets. */
     DrainRegistry registry() {
         return registry;
     }
--- a/src/main/java/org/beechhoist/controller/DrainRegistry.java
+++ b/src/main/java/org/beechhoist/controller/DrainRegistry.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a node knows of drains and budgets of disruption: read once, then followed. */
+/** The drains and disruption budgets that are stored in the state service: read once, then updated by a watch. */
 final class DrainRegistry {
     static final String PREFIX = "dr/put/";
     static final String DRAINS_PREFIX = PREFIX + "d/";
@@ -58,7 +58,7 @@
         return loaded;
     }
 
-    /** The earliest first: a machine that several match is the first one's. */
+    /** Returns the drains, the earliest first: a machine that several drains select belongs to the first of them. */
     List<Drain> drains() {
         return drainsByTime;
     }
@@ -80,7 +80,8 @@
                 } else {
                     Drain drain = Drain.parse(item.value());
                     if (!drain.name().equals(name)) {
-                        throw new MalformedMessageException("name = " + drain.name() + ": it stands at " + item.key());
+                        throw new MalformedMessageException(
+                                "name = " + drain.name() + ": it is stored at " + item.key());
                     }
                     drains.put(name, drain);
                 }
@@ -93,15 +94,15 @@
                 }
             }
         } catch (MalformedMessageException | RuntimeException e) {
-            // A drain that can't be read empties nothing; a budget that can't be read is as it was before.
-            LOG.error("{} can't be read: {}", item.key(), e.getMessage());
+            // An unreadable drain drains nothing; an unreadable budget keeps its previous value.
+            LOG.error("unreadable drain or budget: key={} error={}", item.key(), e.getMessage());
             drains.remove(item.key().startsWith(DRAINS_PREFIX) ? item.key().substring(DRAINS_PREFIX.length()) : "");
         }
     }
 
-    private void applyChanges(List<StoreClient.KeyValue> log) {
-        log.forEach(this::applyEntry);
-        if (loaded && log.isEmpty()) {
+    private void applyChanges(List<StoreClient.KeyValue> entries) {
+        entries.forEach(this::applyEntry);
+        if (loaded && entries.isEmpty()) {
             return;
         }
         loaded = true;
--- a/src/main/java/org/beechhoist/controller/DrainViews.java
+++ b/src/main/java/org/beechhoist/controller/DrainViews.java
@@ -11,22 +11,22 @@
 import org.beechhoist.drain.Progress;
 import org.beechhoist.store.Placement;
 
-/** What people are told of drains. */
+/** Views of drains for the API. */
 final class DrainViews {
     private static final int MAX_BLOCK_REASONS = 8;
 
     private DrainViews() {}
 
-    /** What a person asks about a job some of whose tasks are on machines that are emptied, or null. */
+    /** Returns a text on how many tasks of the job are on machines that are being drained, or null if none is. */
     static String describeDrainedTasks(Job job, ClusterState clusterState) {
-        Map<String, Integer> by = new TreeMap<>();
+        Map<String, Integer> tasksByDrain = new TreeMap<>();
         for (Placement placement : job.record.live.values()) {
             Machine machine = clusterState.findMachine(placement.machine);
             if (machine != null && machine.cordonedBy != null) {
-                by.merge(machine.cordonedBy, 1, Integer::sum);
+                tasksByDrain.merge(machine.cordonedBy, 1, Integer::sum);
             }
         }
-        return by.entrySet().stream()
+        return tasksByDrain.entrySet().stream()
                 .map(e -> e.getValue() + " of its tasks are on machines that drain " + e.getKey() + " empties")
                 .reduce((a, b) -> a + "; " + b)
                 .orElse(null);
@@ -46,30 +46,30 @@
     }
 
     /**
-     * One drain: what was put, how far it is, what keeps it, and what it costs.
+     * Returns the view of one drain: the request, its progress, what blocks it, and its cost.
      *
-     * @param left what the rest would cost by what is known now, or null
+     * @param remaining the forecast cost of the rest of the drain, or null
      */
     static ObjectNode drainView(
             Drain drain,
             Progress progress,
-            List<Machine> matched,
-            DrainForecast.Cost left,
+            List<Machine> machines,
+            DrainForecast.Cost remaining,
             Map<String, Integer> blocked,
             long wallMs) {
         ObjectNode node = drain.toNode();
-        int hand = 0;
+        int draining = 0;
         int empty = 0;
         int tasks = 0;
-        for (Machine machine : matched) {
-            boolean mine = drain.name().equals(machine.cordonedBy);
-            hand += mine ? 1 : 0;
-            empty += mine && machine.placements.isEmpty() ? 1 : 0;
-            tasks += mine ? machine.placements.size() : 0;
+        for (Machine machine : machines) {
+            boolean ownMachine = drain.name().equals(machine.cordonedBy);
+            draining += ownMachine ? 1 : 0;
+            empty += ownMachine && machine.placements.isEmpty() ? 1 : 0;
+            tasks += ownMachine ? machine.placements.size() : 0;
         }
         node.put("now", status(drain, progress, wallMs))
-                .put("machinesLeft", matched.size())
-                .put("inHand", hand)
+                .put("machinesLeft", machines.size())
+                .put("inHand", draining)
                 .put("empty", empty)
                 .put("tasksThere", tasks)
                 .put("gone", progress.gone)
@@ -86,16 +86,16 @@
                 .put("tasks", progress.evictedTasks)
                 .put("cpuS", Math.round(progress.lostCpuS))
                 .put("end", progress.endedAtMs);
-        if (left != null) {
-            left.writeTo(node.putObject("left"));
+        if (remaining != null) {
+            remaining.writeTo(node.putObject("left"));
         }
-        ObjectNode why = node.putObject("blocked");
+        ObjectNode reasons = node.putObject("blocked");
         blocked.entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
                 .limit(MAX_BLOCK_REASONS)
-                .forEach(e -> why.put(e.getKey(), e.getValue()));
+                .forEach(e -> reasons.put(e.getKey(), e.getValue()));
         if (blocked.size() > MAX_BLOCK_REASONS) {
-            why.put("and more", blocked.size() - MAX_BLOCK_REASONS);
+            reasons.put("and more", blocked.size() - MAX_BLOCK_REASONS);
         }
         return node;
     }
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -23,13 +23,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Replacements in steps: new machines beside the old ones first, which old ones are begun, and what it pauses for. */
+/**
+ * Rolling replacements: rents new machines in reserve, chooses the old machines to drain next, and pauses a replacement when the cluster's
+ * health is poor.
+ */
 final class RollingReplacement {
     private static final Logger LOG = LoggerFactory.getLogger(RollingReplacement.class);
     private static final long LOSS_WINDOW_MS = 60_000;
-    /** Groups that asked for less say nothing of a half. */
+    /** Service shares of classes and teams with fewer requested tasks are ignored. */
     private static final int MIN_REQUESTED_TASKS = 6;
-    /** Machines that boot at once to have a place for what leaves. */
+    /** Machines that may boot at once as migration targets for tasks of drained machines. */
     private static final int MAX_BOOTING_SPARES = 20;
 
     private final ControllerContext context;
@@ -39,7 +42,7 @@
     private final JobOrdering ordering;
     private final MachineLossTracker lossTracker;
     private final Supplier<Map<String, ServiceShare>> serviceShares;
-    /** New machines that were asked for and not answered yet. */
+    /** Requested new machines whose rental is not confirmed yet, by drain. */
     private final Map<String, Integer> pendingSpareRequests = new HashMap<>();
 
     private final Set<MachineId> sparesSeenUp = BoundedCollections.insertionOrderedSet(1000);
@@ -66,15 +69,15 @@
         sparesSeenUp.clear();
     }
 
-    /** One look at it; whether what is to be written of it has changed. */
-    boolean updateReplacement(Drain drain, Progress progress, List<Machine> matched, boolean works, Planner planner) {
+    /** Updates a replacement; returns true if its progress has changed and must be written. */
+    boolean updateReplacement(Drain drain, Progress progress, List<Machine> machines, boolean active, Planner planner) {
         boolean changed = false;
         List<ReplacementSteps.PendingMachine> waiting = new ArrayList<>();
         Map<String, Integer> kinds = new HashMap<>();
-        Map<String, Integer> inHand = new HashMap<>();
-        for (Machine machine : matched) {
+        Map<String, Integer> drainingByZone = new HashMap<>();
+        for (Machine machine : machines) {
             if (progress.draining.containsKey(machine.id)) {
-                inHand.merge(String.valueOf(machine.zone), 1, Integer::sum);
+                drainingByZone.merge(String.valueOf(machine.zone), 1, Integer::sum);
             } else if (machine.cordonedBy == null) {
                 waiting.add(new ReplacementSteps.PendingMachine(
                         machine.id, String.valueOf(machine.zone), lostCpuS(machine), machine.placements.size()));
@@ -85,25 +88,25 @@
             progress.canaryGoneMs = context.wallMs();
             changed = true;
         }
-        String stops = ReplacementSteps.pauseReason(health(progress, planner.currentPlan()));
-        if (stops != null) {
+        String pauseReason = ReplacementSteps.pauseReason(health(progress, planner.currentPlan()));
+        if (pauseReason != null) {
             if (progress.pauseReason == null) {
-                LOG.warn("drain {} pauses by itself: {}", drain.name(), stops);
+                LOG.warn("drain paused automatically: drain={} reason={}", drain.name(), pauseReason);
                 progress.pauseCount++;
                 changed = true;
             }
-            progress.pauseReason = stops;
+            progress.pauseReason = pauseReason;
             progress.pausedAtMs = context.wallMs();
         } else if (progress.pauseReason != null
                 && context.wallMs() - progress.pausedAtMs
                         >= 1000 * drain.limits().holdS()) {
-            LOG.info("drain {} goes on: {} is over", drain.name(), progress.pauseReason);
+            LOG.info("drain resumed automatically: drain={} formerReason={}", drain.name(), progress.pauseReason);
             progress.pauseReason = null;
             progress.sparesRequested = progress.spares.size();
             progress.sparesFailed = 0;
             changed = true;
         }
-        if (!works || progress.pauseReason != null) {
+        if (!active || progress.pauseReason != null) {
             return changed;
         }
         requestSpares(
@@ -111,24 +114,25 @@
                 progress,
                 Math.min(drain.limits().spare(), waiting.size() + progress.draining.size()) - progress.spares.size(),
                 kinds);
-        int up = (int) progress.spares.keySet().stream()
+        int sparesUp = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
-                .filter(h -> h != null && h.up && h.confirmedPresent && !h.isLeaving())
+                .filter(m -> m != null && m.up && m.confirmedPresent && !m.isLeaving())
                 .count();
         List<MachineId> next = ReplacementSteps.nextMachines(
                 drain.limits(),
-                new ReplacementSteps.ReplacementState(waiting, inHand, progress.gone, progress.canaryGoneMs, up),
+                new ReplacementSteps.ReplacementState(
+                        waiting, drainingByZone, progress.gone, progress.canaryGoneMs, sparesUp),
                 context.wallMs());
         if (!next.isEmpty()) {
             LOG.info(
-                    "drain {}: step {}, {} machines are begun, {} in hand, {} gone, {} wait",
+                    "replacement step started: drain={} step={} machines={} draining={} gone={} waiting={}",
                     drain.name(),
                     ++progress.steps,
                     next.size(),
                     progress.draining.size() + next.size(),
                     progress.gone,
                     waiting.size() - next.size());
-            next.forEach(h -> progress.draining.put(h, context.wallMs()));
+            next.forEach(m -> progress.draining.put(m, context.wallMs()));
             changed = true;
         }
         return changed;
@@ -137,50 +141,55 @@
     private double lostCpuS(Machine machine) {
         double sum = 0;
         for (Placement placement : machine.placements.values()) {
-            Job j = clusterState.job(placement.task.job());
-            sum += j == null ? 0 : DisruptionAccounting.lostCpuS(j.spec(), placement, context.now());
+            Job job = clusterState.job(placement.task.job());
+            sum += job == null ? 0 : DisruptionAccounting.lostCpuS(job.spec(), placement, context.now());
         }
         return sum;
     }
 
     private ReplacementSteps.Health health(Progress progress, Plan plan) {
-        int faulty = (int) progress.spares.keySet().stream()
+        int faultySpares = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
-                .filter(h -> h != null && faultTracker.isMachineFaulty(h))
+                .filter(m -> m != null && faultTracker.isMachineFaulty(m))
                 .count();
-        int late = 0;
+        int lateUrgentTasks = 0;
         if (plan != null) {
             for (Plan.Reservation reservation : plan.reservations()) {
-                Job j = clusterState.job(reservation.job());
-                late += j != null && MachineLossTracker.isUrgent(j) && reservation.beginMs() > ordering.latestStartMs(j)
+                Job job = clusterState.job(reservation.job());
+                lateUrgentTasks += job != null
+                                && MachineLossTracker.isUrgent(job)
+                                && reservation.beginMs() > ordering.latestStartMs(job)
                         ? 1
                         : 0;
             }
         }
-        double least = 1;
-        String of = "";
+        double minShare = 1;
+        String minShareGroup = "";
         for (Map.Entry<String, ServiceShare> entry : serviceShares.get().entrySet()) {
             if (entry.getValue().asked() >= MIN_REQUESTED_TASKS
-                    && entry.getValue().fraction() < least) {
-                least = entry.getValue().fraction();
-                of = entry.getKey();
+                    && entry.getValue().fraction() < minShare) {
+                minShare = entry.getValue().fraction();
+                minShareGroup = entry.getKey();
             }
         }
-        int machines = (int) clusterState.machines().stream().filter(h -> h.up).count();
+        int machines = (int) clusterState.machines().stream().filter(m -> m.up).count();
         return new ReplacementSteps.Health(
                 progress.sparesRequested,
                 progress.sparesFailed,
-                faulty,
-                late,
-                least,
-                of,
+                faultySpares,
+                lateUrgentTasks,
+                minShare,
+                minShareGroup,
                 lossTracker.countRecentlyLostMachines(LOSS_WINDOW_MS),
                 machines);
     }
 
-    // ---- machines that stand by ----
+    // ---- spare machines ----
 
-    /** One spare takes the place of each machine that is gone; those that never came up are counted. */
+    /**
+     * Releases one spare machine into normal use for each machine that is gone, and counts spares that never came up; returns true if the
+     * progress has changed.
+     */
     boolean updateSpares(Drain drain, Progress progress) {
         boolean changed = false;
         for (MachineId id : List.copyOf(progress.spares.keySet())) {
@@ -191,10 +200,10 @@
                 changed = true;
             } else if (machine.up) {
                 sparesSeenUp.add(id);
-                boolean takes =
+                boolean release =
                         drain.replace() ? progress.sparesReleased < progress.gone : !machine.placements.isEmpty();
-                machine.reservedForDrain = takes ? null : drain.name();
-                if (takes) {
+                machine.reservedForDrain = release ? null : drain.name();
+                if (release) {
                     progress.sparesReleased += drain.replace() ? 1 : 0;
                     progress.spares.remove(id);
                     changed = true;
@@ -206,51 +215,56 @@
         return changed;
     }
 
-    /** What leaves has nowhere to go: a machine of the same kind for each of those that it leaves, some at a time. */
+    /**
+     * Requests machines for tasks that lack free capacity elsewhere: one of the same kind for each machine that they leave, a limited
+     * number at a time.
+     */
     void requestMachinesForMigration(Drain drain, Progress progress, Map<String, Integer> kinds) {
         int lacking = kinds.values().stream().mapToInt(Integer::intValue).sum();
         int booting = (int) progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
-                .filter(h -> h != null && !h.up)
+                .filter(m -> m != null && !m.up)
                 .count();
         requestSpares(drain, progress, Math.min(MAX_BOOTING_SPARES, lacking) - booting, kinds);
     }
 
-    /** What the kind of a machine is called here. */
+    /** Returns the machine's kind as text: type, zone, and whether it is a spot machine. */
     static String machineKind(Machine machine) {
         return machine.type + " " + machine.zone + " " + machine.spot;
     }
 
     private void requestSpares(Drain drain, Progress progress, int wanted, Map<String, Integer> kinds) {
-        int waits = pendingSpareRequests.getOrDefault(drain.name(), 0);
-        int missing = wanted - waits;
-        if (missing <= 0 || kinds.isEmpty() || waits > 0) {
+        int pending = pendingSpareRequests.getOrDefault(drain.name(), 0);
+        int missing = wanted - pending;
+        if (missing <= 0 || kinds.isEmpty() || pending > 0) {
             return;
         }
-        String most = kinds.entrySet().stream()
+        String mostFrequent = kinds.entrySet().stream()
                 .max(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
                 .orElseThrow()
                 .getKey();
-        String[] kind = most.split(" ");
+        String[] kind = mostFrequent.split(" ");
         String type = drain.with() == null ? kind[0] : drain.with();
         long term = clusterState.term();
-        if (provisioner.scaleOutPolicy().tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, had -> {
-            if (term == clusterState.term()) {
-                pendingSpareRequests.merge(drain.name(), -missing, Integer::sum);
-                had.forEach(h -> progress.spares.put(h, context.wallMs()));
-                progress.sparesRequested += had.size();
-            }
-        })) {
+        if (provisioner
+                .scaleOutPolicy()
+                .tryRentStandby(type, kind[1], Boolean.parseBoolean(kind[2]), missing, rented -> {
+                    if (term == clusterState.term()) {
+                        pendingSpareRequests.merge(drain.name(), -missing, Integer::sum);
+                        rented.forEach(machine -> progress.spares.put(machine, context.wallMs()));
+                        progress.sparesRequested += rented.size();
+                    }
+                })) {
             pendingSpareRequests.merge(drain.name(), missing, Integer::sum);
         }
     }
 
-    /** Nothing stands by for it any more. */
+    /** Releases all spare machines of a completed drain into normal use. */
     void releaseSpares(Drain drain, Progress progress) {
         progress.spares.keySet().stream()
                 .map(clusterState::findMachine)
-                .filter(h -> h != null && drain.name().equals(h.reservedForDrain))
-                .forEach(h -> h.reservedForDrain = null);
+                .filter(m -> m != null && drain.name().equals(m.reservedForDrain))
+                .forEach(m -> m.reservedForDrain = null);
         progress.spares.clear();
     }
 }
