--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -115,7 +115,7 @@
 
     // ---- charges ----
 
-    /** Returns the CPU seconds of work that stopping the task now would lose: those since its last checkpoint. */
+    /** Returns the CPU seconds of work that stopping the task now would lose: those since its last checkpoint, or since its start. */
     static double lostCpuS(JobSpec spec, Placement placement, MonotonicTime now) {
         if (spec.isService() || placement.runningSince == null) {
             return 0;
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -251,7 +251,7 @@
         progressByDrain.remove(name);
         unwrittenDrains.remove(name);
         blockReasonsByDrain.remove(name);
-        commit(election.guardedTransaction().delete(PROGRESS_PREFIX + name), done -> {});
+        commit(election.guardedTransaction().delete(PROGRESS_PREFIX + name), committed -> {});
     }
 
     private void updateDrain(
@@ -261,27 +261,27 @@
             FreeCapacity freeCapacity,
             List<Evictions.Candidate> candidates,
             Map<TaskId, MachineId> targets) {
-        List<Machine> matched = selectedMachines(drain);
+        List<Machine> machines = selectedMachines(drain);
         if (progress.drainVersion != drain.number()) {
             boolean first = progress.drainVersion == 0;
             progress.drainVersion = drain.number();
             progress.endedAtMs = 0;
             if (first) {
-                DrainForecast.Cost cost = forecast(drain, matched);
+                DrainForecast.Cost cost = forecast(drain, machines);
                 progress.forecastTasks = cost.tasks();
                 progress.forecastLostCpuS = cost.cpuS();
                 progress.forecastEndMs = context.wallMs() + cost.durationMs();
                 LOG.info(
                         "drain started: drain={} machines={} forecastTasks={} forecastLostCpuS={} forecastDurationS={}",
                         drain.name(),
-                        matched.size(),
+                        machines.size(),
                         cost.tasks(),
                         Math.round(cost.cpuS()),
                         cost.durationMs() / 1000);
             }
             writeProgress(drain.name());
         }
-        if (progress.endedAtMs > 0 && matched.isEmpty()) {
+        if (progress.endedAtMs > 0 && machines.isEmpty()) {
             return;
         }
         progress.endedAtMs = 0; // the cloud's list lags: a selected machine may still come up
@@ -290,13 +290,13 @@
             unwrittenDrains.add(drain.name());
         }
         boolean active = drain.state() == Drain.State.RUNNING && !drain.pauses().isPaused(context.wallMs());
-        if (drain.replace() && rollingReplacement.updateReplacement(drain, progress, matched, active, planner)) {
+        if (drain.replace() && rollingReplacement.updateReplacement(drain, progress, machines, active, planner)) {
             writeProgress(drain.name());
         }
         blockReasonsByDrain.remove(drain.name());
         boolean machinesRemain = false;
         Map<String, Integer> lackingByKind = new HashMap<>();
-        for (Machine machine : matched) {
+        for (Machine machine : machines) {
             if (!drain.name().equals(machine.cordonedBy)) {
                 machinesRemain = true;
                 continue;
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -45,6 +45,7 @@
     /** Requested new machines whose rental is not confirmed yet, by drain. */
     private final Map<String, Integer> pendingSpareRequests = new HashMap<>();
 
+    /** Spare machines that have been up at least once. */
     private final Set<MachineId> sparesSeenUp = BoundedCollections.insertionOrderedSet(1000);
 
     RollingReplacement(
--- a/src/main/java/org/beechhoist/drain/Account.java
+++ b/src/main/java/org/beechhoist/drain/Account.java
@@ -12,8 +12,9 @@
 import org.beechhoist.wire.TaskId;
 
 /**
- * The disruptions of one team's work: which tasks are away (stopped on purpose and not running again), when each task was last
- * disrupted on purpose, and the disrupted tasks and lost CPU seconds by class and cause, for the last hour and for all time before it.
+ * The disruptions of one team's work: the tasks that are away (stopped on purpose and not running again), the time at which each task was
+ * last disrupted on purpose, and the disrupted tasks and lost CPU seconds by class and cause, for the last hour and for all time before
+ * it.
  * Stored in the state service under {@code dr/acct/TEAM}.
  */
 public final class Account {
@@ -42,12 +43,12 @@
     }
 
     private final Map<TaskId, Away> away = new HashMap<>();
-    /** When each task was last disrupted on purpose. */
+    /** Time at which each task was last disrupted on purpose, in wall clock time. */
     private final Map<TaskId, Long> lastDisruptedMs = new HashMap<>();
     /** Sums by slot of five minutes, then by class and cause. */
     private final TreeMap<Long, Map<String, Sum>> slots = new TreeMap<>();
 
-    /** Sums by class and cause of all that is older than the slots. */
+    /** Sums by class and cause of all disruptions that are older than the slots. */
     private final Map<String, Sum> olderSums = new TreeMap<>();
 
     /** Returns a copy that changes independently of this account. */
@@ -60,14 +61,15 @@
         return account;
     }
 
+    /** Returns the key of a sum: the class and the cause. */
     private static String sumKey(String jobClass, Cause cause) {
         return jobClass + " " + cause.name();
     }
 
-    /** The class under which disruptions of the given class are counted. */
+    /** Returns the class under which disruptions of the given class are counted. */
     private String accountedClass(String jobClass) {
         Set<String> classes = new HashSet<>();
-        sums().keySet().forEach(k -> classes.add(k.substring(0, k.indexOf(' '))));
+        sums().keySet().forEach(key -> classes.add(key.substring(0, key.indexOf(' '))));
         return classes.contains(jobClass) || classes.size() < MAX_CLASSES ? jobClass : OTHER_CLASSES;
     }
 
@@ -75,11 +77,11 @@
     public void mergeSlots() {
         if (slots.size() > 1) {
             Map<String, Sum> newest = slots.lastEntry().getValue();
-            long at = slots.lastKey();
-            slots.headMap(at)
+            long newestSlot = slots.lastKey();
+            slots.headMap(newestSlot)
                     .values()
                     .forEach(m -> m.forEach((k, s) -> newest.merge(k, s, (x, y) -> x.plus(y.tasks, y.cpuS))));
-            slots.headMap(at).clear();
+            slots.headMap(newestSlot).clear();
         }
     }
 
@@ -108,13 +110,13 @@
             return;
         }
         lastDisruptedMs.remove(task);
-        String row = sumKey(accountedClass(absence.jobClass), absence.cause);
-        Map<String, Sum> in = olderSums;
+        String key = sumKey(accountedClass(absence.jobClass), absence.cause);
+        Map<String, Sum> sums = olderSums;
         for (Map<String, Sum> slot : slots.tailMap(absence.atMs / SLOT_MS).values()) {
-            // The task's own slot, or the later one into which that was merged.
-            in = in == olderSums && slot.containsKey(row) ? slot : in;
+            // The task's own slot, or the later slot into which it was merged.
+            sums = sums == olderSums && slot.containsKey(key) ? slot : sums;
         }
-        in.computeIfPresent(row, (k, s) -> s.tasks > 1 ? s.plus(-1, -absence.lostCpuS) : null);
+        sums.computeIfPresent(key, (k, s) -> s.tasks > 1 ? s.plus(-1, -absence.lostCpuS) : null);
     }
 
     /** Returns the tasks that are away, as an immutable copy. */
@@ -128,7 +130,7 @@
     }
 
     /**
-     * Folds slots older than an hour into the total sums, and forgets when tasks were last disrupted once that is longer ago than any
+     * Folds slots older than an hour into the total sums, and drops the time of a task's last disruption once it is longer ago than any
      * budget's minimum interval.
      */
     public void foldExpiredSlots(long nowMs) {
@@ -164,43 +166,44 @@
     public record DisruptionRequest(TaskId task, String jobClass, boolean service, int replicas, double lostCpuS) {}
 
     /**
-     * Returns why the budget does not allow the disruption now, with the time until it will where that is known; null if it is allowed.
+     * Returns the reason for which the budget does not allow the disruption now, with the time until it will where that is known; null if
+     * it is allowed.
      */
     public String refusalReason(DisruptionBudget budget, DisruptionRequest request, long nowMs) {
-        String whose = "budget of " + budget.key() + ": ";
+        String prefix = "budget of " + budget.key() + ": ";
         if (budget.atOnce() == 0) {
-            return whose + "none of its tasks may be disturbed";
+            return prefix + "none of its tasks may be disturbed";
         }
         if (request.service && budget.maxReplicasAway(request.replicas) == 0) {
-            return whose + "of " + request.replicas + " replicas none may be away";
+            return prefix + "of " + request.replicas + " replicas none may be away";
         }
-        long out = away.entrySet().stream()
+        long awayCount = away.entrySet().stream()
                 .filter(e -> budget.jobClass() == null || budget.jobClass().equals(e.getValue().jobClass))
                 .count();
-        if (out >= budget.atOnce()) {
-            return whose + out + " of " + budget.atOnce() + " tasks are away";
+        if (awayCount >= budget.atOnce()) {
+            return prefix + awayCount + " of " + budget.atOnce() + " tasks are away";
         }
         if (away.size() >= MAX_RECORDED_TASKS
                 || lastDisruptedMs.size() >= MAX_RECORDED_TASKS && !lastDisruptedMs.containsKey(request.task)) {
-            return whose + "more tasks than can be remembered were disturbed in the last hour";
+            return prefix + "more tasks than can be remembered were disturbed in the last hour";
         }
         if (request.service
                 && away.keySet().stream()
-                                .filter(t -> t.job().equals(request.task.job()))
+                                .filter(task -> task.job().equals(request.task.job()))
                                 .count()
                         >= budget.maxReplicasAway(request.replicas)) {
-            return whose + "a replica of " + request.task.job() + " is away";
+            return prefix + "a replica of " + request.task.job() + " is away";
         }
-        Long before = lastDisruptedMs.get(request.task);
-        if (before != null && nowMs - before < MS_PER_S * budget.againS()) {
-            return whose + request.task + " was disturbed " + (nowMs - before) / MS_PER_S + " s ago, again in "
-                    + (budget.againS() - (nowMs - before) / MS_PER_S) + " s";
+        Long previousMs = lastDisruptedMs.get(request.task);
+        if (previousMs != null && nowMs - previousMs < MS_PER_S * budget.againS()) {
+            return prefix + request.task + " was disturbed " + (nowMs - previousMs) / MS_PER_S + " s ago, again in "
+                    + (budget.againS() - (nowMs - previousMs) / MS_PER_S) + " s";
         }
         Sum hour = lastHour(budget.jobClass(), nowMs);
         if (request.lostCpuS > 0 && hour.cpuS + request.lostCpuS > budget.lostCpuSPerHour()) {
-            long frees = slots.isEmpty() ? 0 : ((slots.firstKey() + 1) * SLOT_MS + HOUR_MS - nowMs) / MS_PER_S;
-            return whose + Math.round(hour.cpuS) + " of " + Math.round(budget.lostCpuSPerHour())
-                    + " CPU s of the hour are lost, less in " + Math.max(0, frees) + " s";
+            long freedInS = slots.isEmpty() ? 0 : ((slots.firstKey() + 1) * SLOT_MS + HOUR_MS - nowMs) / MS_PER_S;
+            return prefix + Math.round(hour.cpuS) + " of " + Math.round(budget.lostCpuSPerHour())
+                    + " CPU s of the hour are lost, less in " + Math.max(0, freedInS) + " s";
         }
         return null;
     }
@@ -216,7 +219,7 @@
                 .add(Math.round(absence.lostCpuS))
                 .add(absence.atMs));
         ArrayNode times = node.putArray("last");
-        lastDisruptedMs.forEach((t, at) -> times.add(t.toString()).add(at));
+        lastDisruptedMs.forEach((task, at) -> times.add(task.toString()).add(at));
         ObjectNode hour = node.putObject("hour");
         slots.forEach((slot, sums) -> sums.forEach(
                 (k, s) -> hour.withObject("/" + slot).putArray(k).add(s.tasks).add(Math.round(s.cpuS))));
--- a/src/main/java/org/beechhoist/drain/Budgets.java
+++ b/src/main/java/org/beechhoist/drain/Budgets.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All disruption budgets, as one node knows them at one moment. */
+/** A snapshot of all declared disruption budgets. */
 public final class Budgets {
     /** No declared budgets: every team has {@link DisruptionBudget#FALLBACK}. */
     public static final Budgets NONE = new Budgets(List.of());
@@ -14,7 +14,7 @@
 
     /** Creates the set of the given budgets; of two with the same key, the later one counts. */
     public Budgets(Collection<DisruptionBudget> all) {
-        all.forEach(b -> byKey.put(b.key(), b));
+        all.forEach(budget -> byKey.put(budget.key(), budget));
     }
 
     /** Returns the team's own budget, or the default one if it has none. */
--- a/src/main/java/org/beechhoist/drain/Cause.java
+++ b/src/main/java/org/beechhoist/drain/Cause.java
@@ -1,8 +1,8 @@
 package org.beechhoist.drain;
 
 /**
- * Why a task that could have continued was taken off its machine. Each disruption has one cause, and is charged once. The names are
- * stored and shown.
+ * The cause for which a task that could have continued was taken off its machine. Each disruption has one cause, and is charged once. The
+ * names are stored and shown.
  */
 public enum Cause {
     /** Its machine is drained. */
--- a/src/main/java/org/beechhoist/drain/DisruptionBudget.java
+++ b/src/main/java/org/beechhoist/drain/DisruptionBudget.java
@@ -6,7 +6,7 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * How much of the work of a team, or of one of its classes, may be disrupted on purpose.
+ * A limit on the work of a team, or of one of its classes, that may be disrupted on purpose.
  *
  * @param team the team; {@link #DEFAULT} for every team that has no budget of its own
  * @param jobClass the class; null for all classes of the team
@@ -14,8 +14,8 @@
  * @param lostCpuSPerHour CPU seconds of work that may be lost in an hour; losses that were not on purpose count too
  * @param leastUp the share of a service's replicas that stay up; null: all but one; 1: replicas are never disrupted
  * @param againS minimum time between two disruptions of one task, in seconds
- * @param who who declared the budget
- * @param atMs when it was declared, in wall clock time
+ * @param who the operator who declared the budget
+ * @param atMs time of the declaration, in wall clock time
  * @param why the reason that was given
  * @param number the version, which grows with each change
  */
@@ -64,14 +64,16 @@
             throw new MalformedMessageException("class = " + jobClass + ": the default is for all classes");
         }
         int atOnce = (int) Fields.wholeNumber(node, "atOnce", FALLBACK.atOnce, 0, MAX_AT_ONCE);
-        double lost = Fields.number(node, "lostCpuSPerHour", FALLBACK.lostCpuSPerHour, 0, MAX_LOST_CPU_S_PER_HOUR);
-        Double up = Codec.isAbsent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
+        double lostCpuSPerHour =
+                Fields.number(node, "lostCpuSPerHour", FALLBACK.lostCpuSPerHour, 0, MAX_LOST_CPU_S_PER_HOUR);
+        Double leastUp =
+                Codec.isAbsent(node, "leastUp") ? null : Double.valueOf(Fields.number(node, "leastUp", 1, 0, 1));
         return new DisruptionBudget(
                 team,
                 jobClass,
                 atOnce,
-                lost,
-                up,
+                lostCpuSPerHour,
+                leastUp,
                 Fields.wholeNumber(node, "againS", FALLBACK.againS, 0, MAX_AGAIN_S),
                 who,
                 atMs,
@@ -79,7 +81,7 @@
                 number);
     }
 
-    /** Returns how many of a service's replicas may be away at once. */
+    /** Returns the largest number of a service's replicas that may be away at once. */
     public int maxReplicasAway(int replicas) {
         return leastUp == null ? 1 : (int) Math.floor(replicas * (1 - leastUp) + ROUNDING_ERROR);
     }
--- a/src/main/java/org/beechhoist/drain/Drain.java
+++ b/src/main/java/org/beechhoist/drain/Drain.java
@@ -17,13 +17,13 @@
  * @param replace whether this is a rolling replacement: machines are emptied in steps and new ones take their place
  * @param with the type of the new machines; null: the type of the old ones
  * @param selector the machines to drain
- * @param limits how many machines are drained at once, and how long tasks are waited for
- * @param byMs when the machines should be empty, in wall clock time; 0: whenever the least work is lost
- * @param untilMs when the machines are used again, in wall clock time; 0: when the drain is aborted
+ * @param limits the number of machines drained at once, and the time for which tasks may run on
+ * @param byMs time by which the machines should be empty, in wall clock time; 0: the time at which the least work is lost
+ * @param untilMs time from which the machines are used again, in wall clock time; 0: once the drain is aborted
  * @param keep whether machines are kept when they are empty; otherwise they are returned
- * @param pauses at which times nothing is drained
+ * @param pauses the times at which no task is evicted
  * @param state whether the drain runs, is paused or was aborted
- * @param atMs when it was requested, in wall clock time
+ * @param atMs time of the request, in wall clock time
  * @param number the version, which grows with each change
  * @param history the latest changes, oldest first
  */
@@ -59,7 +59,7 @@
         }
     }
 
-    /** One change of a drain: what, who, when and why. */
+    /** One change of a drain: the action, the operator, the time and the reason. */
     public record Change(String what, String who, long atMs, String why) {}
 
     /** Reads and checks a drain from a request; its times are relative to now. */
@@ -75,9 +75,9 @@
         if (replace && keep) {
             throw new MalformedMessageException("keep = true: machines that are replaced are returned");
         }
-        long by = parseRelativeTimeMs(node, "inS", nowMs);
-        long until = parseRelativeTimeMs(node, "forS", nowMs);
-        if (until > 0 && until < by) {
+        long byMs = parseRelativeTimeMs(node, "inS", nowMs);
+        long untilMs = parseRelativeTimeMs(node, "forS", nowMs);
+        if (untilMs > 0 && untilMs < byMs) {
             throw new MalformedMessageException(
                     "forS = " + node.path("forS") + ": at least inS, " + node.path("inS") + ", is expected");
         }
@@ -87,8 +87,8 @@
                 with,
                 Selector.parse(node),
                 DrainLimits.parse(node, replace),
-                by,
-                until,
+                byMs,
+                untilMs,
                 keep,
                 PauseSchedule.parse(node),
                 State.RUNNING,
@@ -97,20 +97,21 @@
                 List.of());
     }
 
+    /** Reads a number of seconds from now and returns the wall clock time; 0 if the field is absent. */
     private static long parseRelativeTimeMs(JsonNode node, String field, long nowMs) throws MalformedMessageException {
         long seconds = Fields.wholeNumber(node, field, 0, 1, MAX_DELAY_S);
         return seconds == 0 ? 0 : nowMs + MS_PER_S * seconds;
     }
 
     /** Returns this drain with another schedule of pauses. */
-    public Drain withPauses(PauseSchedule other) {
+    public Drain withPauses(PauseSchedule schedule) {
         return new Drain(
-                name, replace, with, selector, limits, byMs, untilMs, keep, other, state, atMs, number, history);
+                name, replace, with, selector, limits, byMs, untilMs, keep, schedule, state, atMs, number, history);
     }
 
     /**
-     * Returns this request as the next version of {@code before}, or as the first version if that is null. Machines that are being
-     * drained already stay so.
+     * Returns this request as the next version of {@code before}, or as the first version if that is null. Machines that are already being
+     * drained stay drained.
      */
     public Drain asNextVersionOf(Drain before, String who, long at, String why) {
         return nextVersion(before, State.RUNNING, before == null ? "put" : "put again", who, at, why);
@@ -143,14 +144,14 @@
     }
 
     /**
-     * Returns whether the machines of this drain get no new work now. That holds during a pause too: no task is evicted then, but machines
-     * that are being drained stay so.
+     * Returns whether the machines of this drain get no new work now. That holds during a pause too: no task is evicted then, but
+     * machines that are being drained still get no new work.
      */
     public boolean blocksNewWork(long nowMs) {
         return state != State.ABORTED && (untilMs == 0 || nowMs < untilMs);
     }
 
-    /** Returns the cause with which its evictions are charged. */
+    /** Returns the cause under which its evictions are charged. */
     public Cause cause() {
         return replace ? Cause.ROLLOUT : Cause.DRAIN;
     }
@@ -171,11 +172,11 @@
         limits.writeTo(node, replace);
         pauses.writeTo(node);
         ArrayNode changes = node.putArray("history");
-        history.forEach(earlier -> changes.addObject()
-                .put("what", earlier.what)
-                .put("who", earlier.who)
-                .put("at", earlier.atMs)
-                .put("why", earlier.why));
+        history.forEach(change -> changes.addObject()
+                .put("what", change.what)
+                .put("who", change.who)
+                .put("at", change.atMs)
+                .put("why", change.why));
         return node;
     }
 
@@ -194,12 +195,12 @@
                     "state = " + node.path("state").asText() + ": running, paused or aborted is expected");
         }
         List<Change> history = new ArrayList<>();
-        for (JsonNode earlier : node.path("history")) {
+        for (JsonNode change : node.path("history")) {
             history.add(new Change(
-                    Codec.text(earlier, "what"),
-                    Codec.text(earlier, "who"),
-                    earlier.path("at").asLong(),
-                    Codec.text(earlier, "why")));
+                    Codec.text(change, "what"),
+                    Codec.text(change, "who"),
+                    change.path("at").asLong(),
+                    Codec.text(change, "why")));
         }
         return new Drain(
                 name,
--- a/src/main/java/org/beechhoist/drain/DrainLimits.java
+++ b/src/main/java/org/beechhoist/drain/DrainLimits.java
@@ -5,15 +5,15 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * How many machines are drained at once, and how long each step waits. A plain drain takes all machines at once; a rolling replacement
+ * The number of machines that are drained at once, and the waiting times of each step. A plain drain takes all machines at once; a rolling replacement
  * goes in steps.
  *
- * @param canary number of machines of the first step, which must prove itself before the next one; 0: there is no such step
+ * @param canary number of machines of the first step (canary), after which the replacement waits {@code holdS}; 0: no canary step
  * @param atOnce number of machines that may be drained at once
- * @param perZone how many of them may be in one zone
+ * @param perZone number of these machines that may be in one zone
  * @param spare number of new machines that must be up before an old one is drained
- * @param holdS how long all must be well after the first step, and after an automatic pause, before the replacement continues
- * @param waitS how long tasks of a machine may run to their end before they are evicted, those that lose least first
+ * @param holdS seconds without a failure after the first step, and after an automatic pause, before the replacement continues
+ * @param waitS seconds for which tasks of a machine may run on before they are evicted, those that lose least first
  */
 public record DrainLimits(int canary, int atOnce, int perZone, int spare, long holdS, long waitS) {
     /** Largest number of machines that can be drained at once in a rolling replacement. */
@@ -40,9 +40,9 @@
                 canary, atOnce, perZone, spare, hold, parseCount(node, "waitS", DEFAULT_WAIT_S, 0, MAX_WAIT_S));
     }
 
-    private static int parseCount(JsonNode node, String field, long fallback, long least, long most)
+    private static int parseCount(JsonNode node, String field, long defaultValue, long min, long max)
             throws MalformedMessageException {
-        return (int) Fields.wholeNumber(node, field, fallback, least, most);
+        return (int) Fields.wholeNumber(node, field, defaultValue, min, max);
     }
 
     void writeTo(ObjectNode node, boolean steps) {
--- a/src/main/java/org/beechhoist/drain/Evictions.java
+++ b/src/main/java/org/beechhoist/drain/Evictions.java
@@ -25,10 +25,10 @@
      * @param machine the machine that it runs on
      * @param team the team whose budget applies
      * @param jobClass the class whose budget applies in addition
-     * @param cause what its eviction is charged as
+     * @param cause the cause under which its eviction is charged
      * @param gangSize number of tasks that end with it, itself included; 0: it does not belong to a gang
      * @param replicas number of replicas of its service; 0: it does not belong to a service
-     * @param due whether the moment has come at which stopping it loses least
+     * @param due whether this is the moment at which stopping it loses least
      * @param lostCpuS CPU seconds of work that stopping it now loses
      * @param mayBeEvicted false if it needs a place elsewhere before it is evicted, and has none
      */
@@ -65,33 +65,33 @@
      * @param budgets the budgets of teams and classes
      * @param accounts the accounts by team; evictions are charged on them, so pass copies
      * @param nowMs the current wall clock time
-     * @param most the largest number of tasks to evict
+     * @param maxCount the largest number of tasks to evict
      */
     public static Decision decide(
-            List<Candidate> all, Budgets budgets, Map<String, Account> accounts, long nowMs, int most) {
-        Map<MachineId, Double> loss = new HashMap<>();
-        all.forEach(c -> loss.merge(c.machine, c.lostCpuS, Double::sum));
+            List<Candidate> all, Budgets budgets, Map<String, Account> accounts, long nowMs, int maxCount) {
+        Map<MachineId, Double> lossByMachine = new HashMap<>();
+        all.forEach(c -> lossByMachine.merge(c.machine, c.lostCpuS, Double::sum));
         List<Candidate> order = new ArrayList<>(all);
-        order.sort(Comparator.comparingDouble((Candidate c) -> loss.get(c.machine))
+        order.sort(Comparator.comparingDouble((Candidate c) -> lossByMachine.get(c.machine))
                 .thenComparing(Candidate::machine)
                 .thenComparingDouble(Candidate::lostCpuS)
                 .thenComparing(c -> c.task.toString()));
         List<Candidate> evicted = new ArrayList<>();
         Map<BlockReason, Integer> blocked = new HashMap<>();
-        Set<JobId> gangs = new HashSet<>();
+        Set<JobId> decidedGangs = new HashSet<>();
         for (Candidate candidate : order) {
-            if (!candidate.due || evicted.size() >= most) {
-                continue; // it ends by itself, or reaches its next checkpoint first
+            if (!candidate.due || evicted.size() >= maxCount) {
+                continue; // it ends or reaches its next checkpoint first, or the limit of this call is reached
             }
-            if (candidate.gangSize > 0 && !gangs.add(candidate.task.job())) {
-                continue; // the gang was decided on with its first task
+            if (candidate.gangSize > 0 && !decidedGangs.add(candidate.task.job())) {
+                continue; // the decision on its first task holds for the gang
             }
             Account account = accounts.computeIfAbsent(candidate.team, team -> new Account());
-            String why = candidate.mayBeEvicted
+            String refusal = candidate.mayBeEvicted
                     ? refusalReason(candidate, budgets, account, nowMs)
                     : "no place: none is free for its replica yet";
-            if (why != null) {
-                blocked.merge(new BlockReason(candidate.machine, why), 1, Integer::sum);
+            if (refusal != null) {
+                blocked.merge(new BlockReason(candidate.machine, refusal), 1, Integer::sum);
                 continue;
             }
             account.charge(
@@ -106,8 +106,10 @@
     private static String refusalReason(Candidate candidate, Budgets budgets, Account account, long nowMs) {
         Account.DisruptionRequest request = new Account.DisruptionRequest(
                 candidate.task, candidate.jobClass, candidate.isService(), candidate.replicas, candidate.lostCpuS);
-        String team = account.refusalReason(budgets.forTeam(candidate.team), request, nowMs);
-        DisruptionBudget own = budgets.forClass(candidate.team, candidate.jobClass);
-        return team != null || own == null ? team : account.refusalReason(own, request, nowMs);
+        String teamRefusal = account.refusalReason(budgets.forTeam(candidate.team), request, nowMs);
+        DisruptionBudget classBudget = budgets.forClass(candidate.team, candidate.jobClass);
+        return teamRefusal != null || classBudget == null
+                ? teamRefusal
+                : account.refusalReason(classBudget, request, nowMs);
     }
 }
--- a/src/main/java/org/beechhoist/drain/Fields.java
+++ b/src/main/java/org/beechhoist/drain/Fields.java
@@ -10,31 +10,31 @@
 
     private Fields() {}
 
-    static long wholeNumber(JsonNode node, String field, long fallback, long least, long most)
+    static long wholeNumber(JsonNode node, String field, long defaultValue, long min, long max)
             throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isNumber()
                 || value.doubleValue() != Math.rint(value.doubleValue())
-                || value.doubleValue() < least
-                || value.doubleValue() > most) {
+                || value.doubleValue() < min
+                || value.doubleValue() > max) {
             throw new MalformedMessageException(
-                    field + " = " + value + ": a whole number from " + least + " to " + most + " is expected");
+                    field + " = " + value + ": a whole number from " + min + " to " + max + " is expected");
         }
         return value.longValue();
     }
 
-    static double number(JsonNode node, String field, double fallback, double least, double most)
+    static double number(JsonNode node, String field, double defaultValue, double min, double max)
             throws MalformedMessageException {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
-            return fallback;
+            return defaultValue;
         }
-        if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
+        if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
             throw new MalformedMessageException(
-                    field + " = " + value + ": a number from " + least + " to " + most + " is expected");
+                    field + " = " + value + ": a number from " + min + " to " + max + " is expected");
         }
         return value.doubleValue();
     }
--- a/src/main/java/org/beechhoist/drain/PauseSchedule.java
+++ b/src/main/java/org/beechhoist/drain/PauseSchedule.java
@@ -17,12 +17,12 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * At which times a drain pauses. A drain works between two times of day in a time zone, which may span midnight, on days that are open
+ * The times at which a drain pauses. A drain works between two times of day in a time zone, which may span midnight, on days that are open
  * in a named calendar; an interval that spans midnight belongs to the day on which it begins. The closed days are copied from the calendar
- * when the drain is requested, because nodes that read the calendar by themselves could read different versions.
+ * when the drain is requested, because nodes that read the calendar independently could read different versions.
  *
- * @param from when work begins each day; null: no restriction to hours
- * @param to when work ends each day; null if {@code from} is
+ * @param from time of day at which work begins; null: no restriction to hours
+ * @param to time of day at which work ends; null if {@code from} is null
  * @param zone the time zone of these times and of the days
  * @param calendar the name of the calendar; null: every day is open
  * @param closed the closed days
@@ -35,9 +35,9 @@
 
     /** Reads the schedule from a request or a stored drain. */
     public static PauseSchedule parse(JsonNode node) throws MalformedMessageException {
-        boolean hours = !Codec.isAbsent(node, "from") || !Codec.isAbsent(node, "to");
+        boolean hasHours = !Codec.isAbsent(node, "from") || !Codec.isAbsent(node, "to");
         String calendar = Codec.isAbsent(node, "calendar") ? null : Codec.text(node, "calendar");
-        if (!hours && calendar == null) {
+        if (!hasHours && calendar == null) {
             return NEVER;
         }
         ZoneId zone;
@@ -58,7 +58,11 @@
             }
         }
         return new PauseSchedule(
-                hours ? parseTime(node, "from") : null, hours ? parseTime(node, "to") : null, zone, calendar, closed);
+                hasHours ? parseTime(node, "from") : null,
+                hasHours ? parseTime(node, "to") : null,
+                zone,
+                calendar,
+                closed);
     }
 
     private static LocalTime parseTime(JsonNode node, String field) throws MalformedMessageException {
@@ -70,7 +74,7 @@
         }
     }
 
-    /** Returns this schedule with the closed days from yesterday to about three months ahead. */
+    /** Returns this schedule with the closed days of a period that begins yesterday and ends about three months ahead. */
     public PauseSchedule withClosedDays(Predicate<LocalDate> isClosed, long nowMs) {
         Set<LocalDate> days = new TreeSet<>();
         LocalDate first = Instant.ofEpochMilli(nowMs).atZone(zone).toLocalDate().minusDays(1);
--- a/src/main/java/org/beechhoist/drain/Progress.java
+++ b/src/main/java/org/beechhoist/drain/Progress.java
@@ -10,33 +10,33 @@
 
 /**
  * The progress of a drain, stored by the leader under {@code dr/run/NAME}. Machines that are being drained and new machines in reserve
- * are listed by name; everything else is counted.
+ * are listed by name; all others are only counted.
  */
 public final class Progress {
     /** Version of the drain that this progress belongs to. */
     public long drainVersion;
-    /** Machines that are being drained, and since when, in wall clock time. */
+    /** Machines that are being drained, and the wall clock time at which each drain began. */
     public final Map<MachineId, Long> draining = new TreeMap<>();
-    /** New machines that are in reserve for old ones, and since when, in wall clock time. */
+    /** New machines that are in reserve for old ones, and the wall clock time at which each was rented. */
     public final Map<MachineId, Long> spares = new TreeMap<>();
 
     /** Number of machines that are gone. */
     public int gone;
-    /** Number of new machines that have become ordinary ones: one for each machine that is gone. */
+    /** Number of new machines that were released into normal use: one for each machine that is gone. */
     public int sparesReleased;
 
     /** Number of steps so far. */
     public int steps;
-    /** When the last machine of the first step was gone, in wall clock time; 0: it is not. */
+    /** Wall clock time at which the last machine of the first step was gone; 0: not yet. */
     public long canaryGoneMs;
-    /** Number of requested new machines, counted anew after each automatic pause. */
+    /** Number of requested new machines; reset to the current spares after each automatic pause. */
     public int sparesRequested;
-    /** How many of these did not come up. */
+    /** Number of these that did not come up. */
     public int sparesFailed;
-    /** Why the drain has paused automatically; null: it has not. */
+    /** Reason of the automatic pause; null: the drain has not paused. */
     public String pauseReason;
 
-    /** Since when it has paused automatically, in wall clock time. */
+    /** Wall clock time at which the reason of the automatic pause was last seen. */
     public long pausedAtMs;
     /** Number of automatic pauses so far. */
     public int pauseCount;
@@ -45,13 +45,13 @@
 
     /** Forecast at the start: CPU seconds that will be lost. */
     public double forecastLostCpuS;
-    /** Forecast at the start: when the drain will end, in wall clock time. */
+    /** Forecast at the start: wall clock time at which the drain will end. */
     public long forecastEndMs;
     /** Number of tasks evicted so far. */
     public int evictedTasks;
     /** CPU seconds lost so far. */
     public double lostCpuS;
-    /** When the last machine was gone, in wall clock time; 0: the drain is not over. */
+    /** Wall clock time at which the last machine was gone; 0: the drain has not ended. */
     public long endedAtMs;
 
     /** Returns the stored form; CPU seconds are rounded. */
--- a/src/main/java/org/beechhoist/drain/ReplacementSteps.java
+++ b/src/main/java/org/beechhoist/drain/ReplacementSteps.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import org.beechhoist.wire.MachineId;
 
-/** The steps of a rolling replacement: in which order and how many machines are drained, and what makes the replacement pause. */
+/** The steps of a rolling replacement: the order and number of machines to drain, and the conditions under which the replacement pauses. */
 public final class ReplacementSteps {
-    /** Requested new machines from which on failures among them count. */
+    /** Number of requested new machines below which failures among them are ignored. */
     private static final int MIN_SPARES_FOR_FAILURE_CHECK = 3;
-    /** Share of the requested new machines of which no more may fail to come up. */
+    /** Largest share of the requested new machines that may fail to come up. */
     private static final double MAX_FAILED_SPARE_SHARE = 0.34;
-    /** Least service share with which a replacement continues; the guaranteed minimum is one half. */
+    /** Smallest service share with which a replacement continues; the guaranteed minimum is one half. */
     private static final double MIN_SERVICE_SHARE = 0.55;
-    /** Machines lost within a minute that always make the replacement pause. */
+    /** Number of machines lost within a minute that always makes the replacement pause. */
     private static final int LOST_MACHINE_PAUSE_COUNT = 20;
-    /** Machines lost within a minute that make it pause if they are more than {@link #MAX_LOST_MACHINE_SHARE} of all. */
+    /** Number of machines lost within a minute that makes it pause if they are more than {@link #MAX_LOST_MACHINE_SHARE} of all. */
     private static final int MIN_LOST_MACHINE_COUNT = 4;
 
     private static final double MAX_LOST_MACHINE_SHARE = 0.2;
-    /** Late urgent tasks from which on the replacement pauses. */
+    /** Number of late urgent tasks that makes the replacement pause. */
     private static final int LATE_URGENT_TASK_PAUSE_COUNT = 10;
 
     private static final long MS_PER_S = 1000;
@@ -37,13 +37,13 @@
     public record PendingMachine(MachineId machine, String zone, double lostCpuS, int tasks) {}
 
     /**
-     * How far a replacement has come.
+     * The state of a replacement.
      *
      * @param waiting the machines that are not being drained yet
      * @param drainingByZone number of machines that are being drained, by zone
      * @param gone number of machines that were replaced
-     * @param canaryGoneMs when the last machine of the first step was gone, in wall clock time; 0: it is not
-     * @param sparesUp number of new machines that are up and do not stand for an old one that is gone
+     * @param canaryGoneMs wall clock time at which the last machine of the first step was gone; 0: not yet
+     * @param sparesUp number of new machines that are up and have not yet replaced an old one that is gone
      */
     public record ReplacementState(
             List<PendingMachine> waiting,
@@ -60,13 +60,13 @@
      * The measurements that can make a replacement pause.
      *
      * @param sparesRequested number of new machines that were requested
-     * @param sparesFailed how many of these did not come up
+     * @param sparesFailed number of these that did not come up
      * @param faultySpares number of new machines on which tasks of several jobs fail
      * @param lateUrgentTasks number of urgent tasks that the plan begins later than promised
      * @param minShare the smallest share of its demand that a class or team is served
      * @param minShareGroup the class or team with that share
      * @param recentlyLostMachines number of machines that were lost within the last minute
-     * @param machines number of machines that there are
+     * @param machines number of machines that are up
      */
     public record Health(
             int sparesRequested,
@@ -80,7 +80,7 @@
 
     private ReplacementSteps() {}
 
-    /** Returns why the replacement should pause, or null if it may continue. */
+    /** Returns the reason for which the replacement should pause, or null if it may continue. */
     public static String pauseReason(Health health) {
         if (health.recentlyLostMachines >= LOST_MACHINE_PAUSE_COUNT
                 || health.recentlyLostMachines >= MIN_LOST_MACHINE_COUNT
@@ -104,35 +104,35 @@
     }
 
     /**
-     * Returns the machines to start draining now: those that lose least first, no more than the limits allow, and only as many as there
-     * are new machines up for.
+     * Returns the machines to start draining now: those that lose least first, within the limits, and no more than there are new machines
+     * up to replace them.
      */
     public static List<MachineId> nextMachines(DrainLimits limits, ReplacementState facts, long nowMs) {
-        boolean canary = facts.gone < limits.canary();
-        boolean held = limits.canary() == 0
-                || !canary && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= MS_PER_S * limits.holdS();
-        int most = 0;
-        if (canary) {
-            most = limits.canary() - facts.gone - facts.draining();
-        } else if (held) {
-            most = limits.atOnce() - facts.draining();
+        boolean inCanaryStep = facts.gone < limits.canary();
+        boolean holdElapsed = limits.canary() == 0
+                || !inCanaryStep && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= MS_PER_S * limits.holdS();
+        int maxCount = 0;
+        if (inCanaryStep) {
+            maxCount = limits.canary() - facts.gone - facts.draining();
+        } else if (holdElapsed) {
+            maxCount = limits.atOnce() - facts.draining();
         }
         if (limits.spare() > 0) {
-            // Each spare stands for one old machine that is being drained.
-            most = Math.min(most, facts.sparesUp - facts.draining());
+            // Each spare machine is reserved for one old machine that is being drained.
+            maxCount = Math.min(maxCount, facts.sparesUp - facts.draining());
         }
-        List<PendingMachine> order = new ArrayList<>(facts.waiting);
-        order.sort(Comparator.comparingDouble(PendingMachine::lostCpuS)
+        List<PendingMachine> byLoss = new ArrayList<>(facts.waiting);
+        byLoss.sort(Comparator.comparingDouble(PendingMachine::lostCpuS)
                 .thenComparingInt(PendingMachine::tasks)
                 .thenComparing(PendingMachine::machine));
-        Map<String, Integer> inZone = new HashMap<>(facts.drainingByZone);
+        Map<String, Integer> drainingByZone = new HashMap<>(facts.drainingByZone);
         List<MachineId> out = new ArrayList<>();
-        for (PendingMachine waiting : order) {
-            if (out.size() >= most) {
+        for (PendingMachine waiting : byLoss) {
+            if (out.size() >= maxCount) {
                 break;
             }
-            if (inZone.getOrDefault(waiting.zone, 0) < limits.perZone()) {
-                inZone.merge(waiting.zone, 1, Integer::sum);
+            if (drainingByZone.getOrDefault(waiting.zone, 0) < limits.perZone()) {
+                drainingByZone.merge(waiting.zone, 1, Integer::sum);
                 out.add(waiting.machine);
             }
         }
@@ -142,11 +142,11 @@
     /**
      * Estimates how long the remaining replacement takes.
      *
-     * @param limits how many machines are drained at once
+     * @param limits the limits of the drain
      * @param machines number of machines that remain
      * @param gone number of machines that were replaced
-     * @param machineMs how long one machine takes to become empty
-     * @param spareMs how long a new machine takes to come up
+     * @param machineMs time that one machine takes to become empty
+     * @param spareMs time that a new machine takes to come up
      */
     public static long estimatedDurationMs(DrainLimits limits, int machines, int gone, long machineMs, long spareMs) {
         if (machines <= 0) {
@@ -157,7 +157,7 @@
         long steps = limits.atOnce() >= afterCanary
                 ? Math.min(1, afterCanary)
                 : (afterCanary + limits.atOnce() - 1) / limits.atOnce();
-        long first = canary > 0 ? machineMs + MS_PER_S * limits.holdS() + (limits.spare() > 0 ? spareMs : 0) : 0;
-        return first + steps * (machineMs + (limits.spare() > 0 ? spareMs : 0));
+        long canaryMs = canary > 0 ? machineMs + MS_PER_S * limits.holdS() + (limits.spare() > 0 ? spareMs : 0) : 0;
+        return canaryMs + steps * (machineMs + (limits.spare() > 0 ? spareMs : 0));
     }
 }
--- a/src/main/java/org/beechhoist/drain/Selector.java
+++ b/src/main/java/org/beechhoist/drain/Selector.java
@@ -39,7 +39,7 @@
      * @param type its machine type
      * @param zone its zone
      * @param spot whether it is a spot machine
-     * @param rentedWallMs when it was rented, in wall clock time; 0: not known
+     * @param rentedWallMs time of its rental, in wall clock time; 0: not known
      */
     public record MachineProperties(MachineId id, String type, String zone, boolean spot, long rentedWallMs) {}
 
@@ -47,14 +47,14 @@
      * Returns whether the machine is selected.
      *
      * @param machine the machine
-     * @param atMs when the drain was requested, in wall clock time
+     * @param atMs time of the drain's request, in wall clock time
      */
     public boolean matches(MachineProperties machine, long atMs) {
         if (!names.isEmpty()) {
             return names.contains(machine.id.text());
         }
-        boolean old = machine.rentedWallMs > 0 && machine.rentedWallMs < atMs - MS_PER_S * olderThanS;
-        return old
+        boolean oldEnough = machine.rentedWallMs > 0 && machine.rentedWallMs < atMs - MS_PER_S * olderThanS;
+        return oldEnough
                 && (type == null || type.equals(machine.type))
                 && (zone == null || zone.equals(machine.zone))
                 && (spot == null || spot == machine.spot)
@@ -76,18 +76,18 @@
         String type = Fields.optionalName(node, "type");
         String zone = Fields.optionalName(node, "zone");
         Boolean spot = Codec.isAbsent(node, "spot") ? null : Boolean.valueOf(Fields.bool(node, "spot"));
-        long older = Fields.wholeNumber(node, "olderThanS", 0, 0, MAX_AGE_S);
+        long minAgeS = Fields.wholeNumber(node, "olderThanS", 0, 0, MAX_AGE_S);
         double share = Fields.number(node, "share", 1, MIN_SHARE, 1);
         boolean all = Fields.bool(node, "all");
-        boolean some = type != null || zone != null || spot != null || older > 0 || share < 1;
-        if (names.isEmpty() ? !all && !some : all || some) {
+        boolean hasCriteria = type != null || zone != null || spot != null || minAgeS > 0 || share < 1;
+        if (names.isEmpty() ? !all && !hasCriteria : all || hasCriteria) {
             throw new MalformedMessageException(
                     "machines, type, zone, spot, olderThanS, share, all: names alone, or some of the others, or all = true are expected");
         }
-        return new Selector(names, type, zone, spot, older, share);
+        return new Selector(names, type, zone, spot, minAgeS, share);
     }
 
-    /** Writes the selector into the stored form of a drain or an answer. */
+    /** Writes the selector into the stored form of a drain or into a reply. */
     public void writeTo(ObjectNode node) {
         if (!names.isEmpty()) {
             ArrayNode list = node.putArray("machines");
--- a/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
+++ b/src/test/java/org/beechhoist/drain/DrainDecisionsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Pure decisions of drains: who is meant, who may be disturbed, which machines come next. */
+/** Tests the decisions of drains: selected machines, permitted disruptions, order of the machines. */
 class DrainDecisionsTest {
     private static final long NOW = 1_800_000_000_000L;
 
@@ -42,9 +42,9 @@
         return new DisruptionBudget(team, jobClass, atOnce, lost, up, again, "ops", 1, "", 1);
     }
 
-    /** Drawn candidates and budgets: no account ever shows more than its budget allows, and what is allowed and due leaves. */
+    /** Random candidates and budgets: evictions never exceed a budget, and every due candidate that a budget allows is evicted. */
     @Test
-    void noBudgetIsOverdrawn() {
+    void evictionsStayWithinBudgets() {
         SplittableRandom r = new SplittableRandom(11);
         int left = 0;
         int kept = 0;
@@ -79,10 +79,10 @@
                             + d.blocked().values().stream()
                                     .mapToInt(Integer::intValue)
                                     .sum(),
-                    "each has left or knows why not");
+                    "each is evicted or has a reason");
             left += d.evicted().size();
             kept += d.blocked().size();
-            // Nothing that was refused would be allowed now.
+            // A refused candidate is refused again.
             Map<String, Account> again = new HashMap<>(Map.of("blue", a.copy()));
             List<Evictions.Candidate> rest =
                     all.stream().filter(c -> !d.evicted().contains(c)).toList();
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whoIsRefusedAndWhy() {
+    void refusalNamesTheExceededLimit() {
         Account a = new Account();
         Account.DisruptionRequest ask = new Account.DisruptionRequest(task(1, 0), "c", false, 0, 10);
         assertTrue(
@@ -108,14 +108,15 @@
                 .contains("1 of 1 tasks are away"));
         a.clearAway(task(1, 0));
         assertNull(a.refusalReason(DisruptionBudget.FALLBACK, ask, NOW + 301_000));
-        // A service of three that must keep three is never moved; one that may miss one has one away at a time.
+        // A service of three replicas that must keep three is never disrupted; one that may lack one has one away at a
+        // time.
         Account.DisruptionRequest replica = new Account.DisruptionRequest(task(3, 0), "s", true, 3, 0);
         assertTrue(a.refusalReason(budget("blue", null, 9, 100, 1.0, 0), replica, NOW)
                 .contains("of 3 replicas none may be away"));
         assertNull(a.refusalReason(DisruptionBudget.FALLBACK, replica, NOW));
         a.charge(task(3, 1), new Account.Away(1, "s", Cause.DRAIN, 0, NOW));
         assertTrue(a.refusalReason(DisruptionBudget.FALLBACK, replica, NOW).contains("is away"));
-        // What happens by itself fills the hour, and is never away on purpose.
+        // Disruptions that are not on purpose count for the hour, but their tasks are not away.
         a.charge(task(4, 0), new Account.Away(1, "c", Cause.MACHINE, 5000, NOW));
         assertFalse(a.isAway(task(4, 0)));
         assertTrue(a.refusalReason(
@@ -131,9 +132,9 @@
         assertEquals(5000, a.sums().get("c MACHINE").cpuS(), "sums are kept");
     }
 
-    /** What is written and read is the same account, and giving back leaves nothing. */
+    /** A stored account reads back equal, and a refund removes the charge completely. */
     @Test
-    void accountsAreKept() {
+    void storedAccountReadsBackEqualAndRefundRemovesCharge() {
         SplittableRandom r = new SplittableRandom(5);
         Account a = new Account();
         for (int i = 0; i < 40; i++) {
@@ -160,7 +161,7 @@
     }
 
     @Test
-    void whichMachinesComeNext() throws MalformedMessageException {
+    void nextMachinesFollowStepZoneAndSpareLimits() throws MalformedMessageException {
         DrainLimits p = DrainLimits.parse(
                 Codec.map()
                         .put("canary", 2)
@@ -177,17 +178,17 @@
         List<MachineId> first = ReplacementSteps.nextMachines(
                 p, new ReplacementSteps.ReplacementState(waiting, Map.of(), 0, 0, 0), NOW);
         assertEquals(2, first.size());
-        assertEquals(new MachineId("m-29"), first.get(0), "what loses least first");
+        assertEquals(new MachineId("m-29"), first.get(0), "the machine that loses least comes first");
         assertEquals(
                 List.of(),
                 ReplacementSteps.nextMachines(
                         p, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 2), 0, 0, 0), NOW),
-                "the first step must be over");
+                "the first step must be complete");
         assertEquals(
                 List.of(),
                 ReplacementSteps.nextMachines(
                         p, new ReplacementSteps.ReplacementState(waiting, Map.of(), 2, NOW - 59_000, 0), NOW),
-                "and hold");
+                "the hold time must have passed");
         List<MachineId> next = ReplacementSteps.nextMachines(
                 p, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 1), 2, NOW - 60_000, 0), NOW);
         assertEquals(5, next.size());
@@ -196,7 +197,7 @@
                 next.stream()
                         .filter(h -> Integer.parseInt(h.text().substring(2)) % 4 != 2)
                         .count(),
-                "three of a zone at once: " + next);
+                "three in a zone at once: " + next);
         DrainLimits spare =
                 DrainLimits.parse(Codec.map().put("canary", 0).put("atOnce", 6).put("spare", 4), true);
         assertEquals(
@@ -204,7 +205,7 @@
                 ReplacementSteps.nextMachines(
                                 spare, new ReplacementSteps.ReplacementState(waiting, Map.of("a", 1), 0, 0, 4), NOW)
                         .size(),
-                "one spare for each in hand");
+                "one spare for each machine that is being drained");
         assertNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 0, 100)));
         assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(6, 3, 0, 0, 1, "", 0, 100)));
         assertNotNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 0.5, "class:c", 0, 100)));
@@ -213,17 +214,17 @@
         assertNull(ReplacementSteps.pauseReason(new ReplacementSteps.Health(0, 0, 0, 0, 1, "", 5, 200)));
     }
 
-    /** Machines rented after the drain began are never meant; a share is the same machines each time. */
+    /** Machines rented after the request are never selected; a share selects the same machines each time. */
     @Test
-    void whichMachinesAreMeant() throws MalformedMessageException {
+    void selectorMatchesOnlyOlderMachinesAndAStableShare() throws MalformedMessageException {
         Selector share = Selector.parse(Codec.map().put("share", 0.25).put("type", "c8"));
         int n = 0;
         for (int i = 0; i < 2000; i++) {
             Selector.MachineProperties old =
                     new Selector.MachineProperties(new MachineId("m-" + i), "c8", "a", true, NOW - 1000);
-            boolean meant = share.matches(old, NOW);
-            n += meant ? 1 : 0;
-            assertEquals(meant, Selector.parse(node(share)).matches(old, NOW));
+            boolean selected = share.matches(old, NOW);
+            n += selected ? 1 : 0;
+            assertEquals(selected, Selector.parse(node(share)).matches(old, NOW));
             assertFalse(share.matches(new Selector.MachineProperties(old.id(), "c8", "a", true, NOW + 1), NOW));
             assertFalse(share.matches(new Selector.MachineProperties(old.id(), "c4", "a", true, NOW - 1000), NOW));
         }
@@ -266,7 +267,7 @@
         "2026-12-07T03:00+09:00, true",
         "2026-12-07T23:00+09:00, false"
     })
-    void whenItRests(String at, boolean rests) throws MalformedMessageException {
+    void schedulePausesOutsideWorkingHoursAndOnClosedDays(String at, boolean paused) throws MalformedMessageException {
         PauseSchedule r = PauseSchedule.parse(Codec.map()
                         .put("from", "22:00")
                         .put("to", "06:00")
@@ -279,13 +280,13 @@
                 r.zone(),
                 r.calendar(),
                 java.util.Set.of(LocalDate.parse("2026-12-05"), LocalDate.parse("2026-12-06")));
-        assertEquals(rests, stored.isPaused(ZonedDateTime.parse(at).toInstant().toEpochMilli()), at);
+        assertEquals(paused, stored.isPaused(ZonedDateTime.parse(at).toInstant().toEpochMilli()), at);
         assertFalse(PauseSchedule.NEVER.isPaused(NOW));
     }
 
-    /** What is put, and written, is read back the same; bad input names field, value and what is allowed. */
+    /** Stored drains and budgets read back equal; errors for invalid input name the field, the value and the allowed range. */
     @Test
-    void whatIsPut() throws MalformedMessageException {
+    void storedDrainReadsBackEqualAndInvalidFieldsAreRejected() throws MalformedMessageException {
         ObjectNode n = Codec.map()
                 .put("zone", "a")
                 .put("replace", true)
@@ -322,9 +323,9 @@
                         Codec.map().put("team", "blue").put("leastUp", 1.5), "ops", NOW, "", 1));
     }
 
-    /** However many classes and tasks there were, an account fits a value: it is folded, and counts the hour for longer rather than shorter. */
+    /** An account with many classes and tasks fits a record: its slots are merged, and the sum of the last hour never shrinks. */
     @Test
-    void accountsStaySmall() {
+    void accountWithManyClassesAndTasksFitsRecord() {
         Account a = new Account();
         for (int i = 0; i < 3000; i++) {
             a.charge(
