--- a/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
+++ b/src/main/java/org/beechhoist/controller/DisruptionAccounting.java
@@ -77,7 +77,7 @@
             TokenBucket requests,
             TokenBucket writes,
             ClusterState clusterState,
-            boolean on) {
+            boolean enabled) {
         this.context = context;
         this.settings = settings;
         this.store = store;
@@ -85,7 +85,7 @@
         this.requests = requests;
         this.writes = writes;
         this.clusterState = clusterState;
-        this.enabled = on;
+        this.enabled = enabled;
         this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
 
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -107,7 +107,7 @@
             ElasticWidths elastic,
             MigrationController migrations,
             DisruptionAccounting disruptions,
-            RollingReplacement rollouts,
+            RollingReplacement rollingReplacement,
             DrainRegistry drains) {
         this.context = context;
         this.settings = settings;
@@ -124,7 +124,7 @@
         this.elastic = elastic;
         this.migrations = migrations;
         this.disruptions = disruptions;
-        this.rollingReplacement = rollouts;
+        this.rollingReplacement = rollingReplacement;
         this.drains = drains;
         this.prefixReader = new PrefixReader(context, store, requests, clusterState);
     }
@@ -599,8 +599,8 @@
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("drains");
         drains.drains()
-                .forEach(d -> rows.add(
-                        view(d).without(List.of("history", "closed", "machines")))); // one reply holds up to 40 drains
+                .forEach(drain -> rows.add(view(drain)
+                        .without(List.of("history", "closed", "machines")))); // one reply holds up to 40 drains
         return out;
     }
 
--- a/src/main/java/org/beechhoist/controller/DrainRegistry.java
+++ b/src/main/java/org/beechhoist/controller/DrainRegistry.java
@@ -32,11 +32,11 @@
     private Budgets budgets = Budgets.NONE;
     private boolean loaded;
 
-    DrainRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Runnable changed) {
+    DrainRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Runnable onChange) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.onChange = changed;
+        this.onChange = onChange;
     }
 
     void start() {
--- a/src/main/java/org/beechhoist/controller/RollingReplacement.java
+++ b/src/main/java/org/beechhoist/controller/RollingReplacement.java
@@ -30,7 +30,7 @@
 final class RollingReplacement {
     private static final Logger LOG = LoggerFactory.getLogger(RollingReplacement.class);
     private static final long LOSS_WINDOW_MS = 60_000;
-    /** Service shares of classes and teams with fewer requested tasks are ignored. */
+    /** Classes and teams with fewer requested tasks are ignored: their share says nothing about the guaranteed minimum of one half. */
     private static final int MIN_REQUESTED_TASKS = 6;
     /** Machines that may boot at once as migration targets for tasks of drained machines. */
     private static final int MAX_BOOTING_SPARES = 20;
@@ -54,15 +54,15 @@
             Provisioner provisioner,
             FaultTracker faultTracker,
             JobOrdering ordering,
-            MachineLossTracker lossRecovery,
-            Supplier<Map<String, ServiceShare>> served) {
+            MachineLossTracker lossTracker,
+            Supplier<Map<String, ServiceShare>> serviceShares) {
         this.context = context;
         this.clusterState = clusterState;
         this.provisioner = provisioner;
         this.faultTracker = faultTracker;
         this.ordering = ordering;
-        this.lossTracker = lossRecovery;
-        this.serviceShares = served;
+        this.lossTracker = lossTracker;
+        this.serviceShares = serviceShares;
     }
 
     void startTerm() {
@@ -188,8 +188,8 @@
     // ---- spare machines ----
 
     /**
-     * Releases one spare machine into normal use for each machine that is gone, and counts spares that never came up; returns true if the
-     * progress has changed.
+     * Releases spare machines into normal use and counts those that never came up; returns true if the progress has changed. A rolling
+     * replacement releases one spare for each machine that is gone, a plain drain releases a spare once it has tasks.
      */
     boolean updateSpares(Drain drain, Progress progress) {
         boolean changed = false;
--- a/src/main/java/org/beechhoist/drain/Account.java
+++ b/src/main/java/org/beechhoist/drain/Account.java
@@ -21,7 +21,7 @@
     private static final long HOUR_MS = 3_600_000;
     private static final long SLOT_MS = 300_000;
     private static final long MS_PER_S = 1000;
-    /** Number of tasks that one record can hold beside its sums, to stay below the size limit of a record. */
+    /** Number of tasks that one record can hold in addition to its sums, to stay below the size limit of a record. */
     private static final int MAX_RECORDED_TASKS = 100;
     /** Number of classes with sums of their own; further classes are counted together as {@link #OTHER_CLASSES}. */
     private static final int MAX_CLASSES = 10;
@@ -103,7 +103,7 @@
         away.remove(task);
     }
 
-    /** Takes back the charge for a task that was not stopped after all. */
+    /** Removes the charge for a task that was not stopped after it was charged. */
     public void refund(TaskId task) {
         Away absence = away.remove(task);
         if (absence == null) {
--- a/src/main/java/org/beechhoist/drain/Cause.java
+++ b/src/main/java/org/beechhoist/drain/Cause.java
@@ -9,7 +9,7 @@
     DRAIN(true),
     /** Its machine is replaced in a rolling replacement. */
     ROLLOUT(true),
-    /** It is migrated to make room for a larger task; its place elsewhere is reserved. */
+    /** It is migrated to free capacity for a larger task; its new placement is reserved. */
     MOVE(true),
     /** It is preempted by work of higher priority, or for a team's guaranteed quota. */
     PREEMPTION(false),
--- a/src/main/java/org/beechhoist/drain/ReplacementSteps.java
+++ b/src/main/java/org/beechhoist/drain/ReplacementSteps.java
@@ -107,25 +107,25 @@
      * Returns the machines to start draining now: those that lose least first, within the limits, and no more than there are new machines
      * up to replace them.
      */
-    public static List<MachineId> nextMachines(DrainLimits limits, ReplacementState facts, long nowMs) {
-        boolean inCanaryStep = facts.gone < limits.canary();
+    public static List<MachineId> nextMachines(DrainLimits limits, ReplacementState state, long nowMs) {
+        boolean inCanaryStep = state.gone < limits.canary();
         boolean holdElapsed = limits.canary() == 0
-                || !inCanaryStep && facts.canaryGoneMs > 0 && nowMs - facts.canaryGoneMs >= MS_PER_S * limits.holdS();
+                || !inCanaryStep && state.canaryGoneMs > 0 && nowMs - state.canaryGoneMs >= MS_PER_S * limits.holdS();
         int maxCount = 0;
         if (inCanaryStep) {
-            maxCount = limits.canary() - facts.gone - facts.draining();
+            maxCount = limits.canary() - state.gone - state.draining();
         } else if (holdElapsed) {
-            maxCount = limits.atOnce() - facts.draining();
+            maxCount = limits.atOnce() - state.draining();
         }
         if (limits.spare() > 0) {
             // Each spare machine is reserved for one old machine that is being drained.
-            maxCount = Math.min(maxCount, facts.sparesUp - facts.draining());
+            maxCount = Math.min(maxCount, state.sparesUp - state.draining());
         }
-        List<PendingMachine> byLoss = new ArrayList<>(facts.waiting);
+        List<PendingMachine> byLoss = new ArrayList<>(state.waiting);
         byLoss.sort(Comparator.comparingDouble(PendingMachine::lostCpuS)
                 .thenComparingInt(PendingMachine::tasks)
                 .thenComparing(PendingMachine::machine));
-        Map<String, Integer> drainingByZone = new HashMap<>(facts.drainingByZone);
+        Map<String, Integer> drainingByZone = new HashMap<>(state.drainingByZone);
         List<MachineId> out = new ArrayList<>();
         for (PendingMachine waiting : byLoss) {
             if (out.size() >= maxCount) {
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Estimates how long the remaining replacement takes.
+     * Estimates the remaining duration of the replacement.
      *
      * @param limits the limits of the drain
      * @param machines number of machines that remain
