--- a/src/main/java/org/beechhoist/drain/Cause.java
+++ b/src/main/java/org/beechhoist/drain/Cause.java
@@ -1,15 +1,15 @@
 package org.beechhoist.drain;
 
 /**
- * Why a task that could have continued was taken off its machine. Each disruption has one cause, and is charged once. The names are
- * stored and shown.
+ * The cause for which a task that could have continued was taken off its machine. Each disruption has one cause, and is charged once. The
+ * names are stored and shown.
  */
 public enum Cause {
     /** Its machine is drained. */
     DRAIN(true),
     /** Its machine is replaced in a rolling replacement. */
     ROLLOUT(true),
-    /** It is migrated to make room for a larger task; its place elsewhere is reserved. */
+    /** It is migrated to free capacity for a larger task; its new placement is reserved. */
     MOVE(true),
     /** It is preempted by work of higher priority, or for a team's guaranteed quota. */
     PREEMPTION(false),
