--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -25,17 +25,17 @@
  * the poll came, so an answer is as new as a read's.
  */
 final class ConditionalStatusReads {
-    private static final int REMEMBERED = 3000;
+    private static final int MAX_REMEMBERED_COUNT = 3000;
     /** Of all requests to the state service, what all nodes' polls together are asked with; the polls of one time share one. */
-    private static final double POLLS_SHARE = 0.2;
+    private static final double POLL_REQUEST_SHARE = 0.2;
     /** Users wait 2 s for an answer: with so many nodes or so few requests that this is not enough, polls cost more. */
-    private static final long LONGEST_GATHER_MS = 500;
+    private static final long MAX_BATCH_INTERVAL_MS = 500;
     /** Of a second's requests: the rest is for submissions and cancellations, which no poll may push aside. */
-    private static final double LEFT = 0.3;
+    private static final double RESERVED_REQUEST_SHARE = 0.3;
 
-    private record Known(Revision version, ObjectNode state) {}
+    private record KnownState(Revision version, ObjectNode state) {}
 
-    private record Poll(JobId ref, BiConsumer<Result, ObjectNode> then) {}
+    private record Poll(JobId jobId, BiConsumer<Result, ObjectNode> then) {}
 
     /** What came of a poll. */
     enum Result {
@@ -50,24 +50,24 @@
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final int mostGuards;
-    private final Pacer pace;
-    private final Map<JobId, Known> known = BoundedCollections.leastRecentlyUsedMap(REMEMBERED);
+    private final int maxGuards;
+    private final Pacer pacer;
+    private final Map<JobId, KnownState> known = BoundedCollections.leastRecentlyUsedMap(MAX_REMEMBERED_COUNT);
     private List<Poll> waiting = new ArrayList<>();
-    private boolean asking;
+    private boolean commitInFlight;
 
     /** The state service takes four times as many comparisons as changes in one transaction. */
     ConditionalStatusReads(ControllerContext context, StoreClient store, TokenBucket requests, Settings settings) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.mostGuards = 4 * settings.stateLimits().txnOps();
-        this.pace = new Pacer(context, batchIntervalMs(settings));
+        this.maxGuards = 4 * settings.stateLimits().txnOps();
+        this.pacer = new Pacer(context, batchIntervalMs(settings));
     }
 
     /** The job's record was read or written as this version. */
     void remember(JobId jobId, Revision version, ObjectNode state) {
-        known.put(jobId, new Known(version, state.deepCopy()));
+        known.put(jobId, new KnownState(version, state.deepCopy()));
     }
 
     void forget(JobId jobId) {
@@ -81,81 +81,82 @@
             return;
         }
         waiting.add(new Poll(jobId, then));
-        ask();
+        sendBatch();
     }
 
     /** Whether enough requests are left for what must not wait for polls. */
     static boolean hasSpareRequests(TokenBucket requests, MonotonicTime now) {
-        return requests.available(now) >= 1 + LEFT * requests.capacity();
+        return requests.available(now) >= 1 + RESERVED_REQUEST_SHARE * requests.capacity();
     }
 
     /** How long questions for polls gather while requests run short, for all nodes' to take no more than their share. */
     static long batchIntervalMs(Settings settings) {
         return Math.min(
-                LONGEST_GATHER_MS,
+                MAX_BATCH_INTERVAL_MS,
                 Math.round(1000
                         * settings.nodes()
-                        / (POLLS_SHARE * settings.stateLimits().rps())));
+                        / (POLL_REQUEST_SHARE * settings.stateLimits().rps())));
     }
 
-    private boolean allowed() {
+    private boolean takeRequestToken() {
         return hasSpareRequests(requests, context.now()) && requests.tryTake(context.now(), 1);
     }
 
-    private void ask() {
-        if (asking || waiting.isEmpty()) {
+    private void sendBatch() {
+        if (commitInFlight || waiting.isEmpty()) {
             return;
         }
-        if (pace.postponeIfNotDue(this::ask)) {
+        if (pacer.postponeIfNotDue(this::sendBatch)) {
             return;
         }
         List<Poll> batch = waiting;
         waiting = new ArrayList<>();
-        if (!allowed()) {
+        if (!takeRequestToken()) {
             batch.forEach(p -> p.then.accept(Result.UNAVAILABLE, null));
             return;
         }
-        pace.recordRun();
-        Map<JobId, Known> asked = new LinkedHashMap<>();
+        pacer.recordRun();
+        Map<JobId, KnownState> asked = new LinkedHashMap<>();
         Transaction transaction = new Transaction();
         List<Poll> polls = new ArrayList<>();
         for (Poll poll : batch) {
-            Known version = asked.get(poll.ref);
-            if (version == null && asked.size() == mostGuards) {
+            KnownState version = asked.get(poll.jobId);
+            if (version == null && asked.size() == maxGuards) {
                 waiting.add(poll);
                 continue;
             }
             if (version == null) {
-                version = known.get(poll.ref);
+                version = known.get(poll.jobId);
                 if (version == null) {
                     poll.then.accept(Result.MUST_READ, null);
                     continue;
                 }
-                asked.put(poll.ref, version);
-                transaction.guard(JobRecord.openKey(poll.ref), version.version);
+                asked.put(poll.jobId, version);
+                transaction.guard(JobRecord.openKey(poll.jobId), version.version);
             }
             polls.add(poll);
         }
         if (polls.isEmpty()) {
-            ask();
+            sendBatch();
             return;
         }
-        asking = true;
+        commitInFlight = true;
         store.commit(transaction, commit -> {
-            asking = false;
-            answered(commit, asked, polls);
-            ask();
+            commitInFlight = false;
+            handleCommitResult(commit, asked, polls);
+            sendBatch();
         });
     }
 
-    private void answered(CommitResult commit, Map<JobId, Known> asked, List<Poll> polls) {
+    private void handleCommitResult(CommitResult commit, Map<JobId, KnownState> asked, List<Poll> polls) {
         for (Poll poll : polls) {
             switch (commit.outcome()) {
                 case COMMITTED ->
-                    poll.then.accept(Result.UNCHANGED, asked.get(poll.ref).state.deepCopy());
+                    poll.then.accept(
+                            Result.UNCHANGED, asked.get(poll.jobId).state.deepCopy());
                 case CONFLICT -> {
-                    if (commit.failedKeys().contains(JobRecord.openKey(poll.ref))) {
-                        forget(poll.ref);
+                    if (commit.failedKeys().contains(JobRecord.openKey(poll.jobId))) {
+                        forget(poll.jobId);
                         poll.then.accept(Result.MUST_READ, null);
                     } else {
                         waiting.add(poll); // whether all that failed are named is not said: asked again without those
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -16,7 +16,7 @@
  * with the clocks' readings; what is to be sent and answered is drained after each. It does no I/O and reads no clock.
  */
 public final class Controller {
-    private static final long PERIOD_MS = 500;
+    private static final long RUN_INTERVAL_MS = 500;
     private static final long PUBLISH_INTERVAL_MS = 1000;
 
     private final ControllerContext context;
@@ -25,7 +25,7 @@
     private final Leader leader;
     private final RequestLimitDivider limits;
     private final PeerExchange peerExchange;
-    private MonotonicTime nextPublish = MonotonicTime.ZERO;
+    private MonotonicTime nextPublishAt = MonotonicTime.ZERO;
 
     /** @param seed of the search's random moves */
     public Controller(Settings settings, Policy policy, Metrics metrics, long seed) {
@@ -40,7 +40,7 @@
     /** Starts the node: the first input, once. */
     public void start(MonotonicTime now, long wallMs) {
         context.beginInput(now, wallMs);
-        nextPublish = now.plusMs(PUBLISH_INTERVAL_MS);
+        nextPublishAt = now.plusMs(PUBLISH_INTERVAL_MS);
         components.machineTypes.start();
         components.features.start();
         election.start();
@@ -109,12 +109,12 @@
 
     private void runPeriodic() {
         leader.runPeriodic();
-        if (!context.now().isBefore(nextPublish)) {
-            nextPublish = context.now().plusMs(PUBLISH_INTERVAL_MS);
+        if (!context.now().isBefore(nextPublishAt)) {
+            nextPublishAt = context.now().plusMs(PUBLISH_INTERVAL_MS);
             limits.updateDemand(leader.pendingWrites());
             limits.divide(election.holdsLease());
             peerExchange.publishPeriodically();
         }
-        context.schedule(PERIOD_MS, this::runPeriodic);
+        context.schedule(RUN_INTERVAL_MS, this::runPeriodic);
     }
 }
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -29,7 +29,7 @@
     private static final long MIN_ELECTION_LEASE_MS = 3000;
     private static final long MAX_ELECTION_LEASE_MS = 9000;
     /** A leader's lease is at most this part of a worker's. */
-    private static final long WORKER_LEASE_PART = 4;
+    private static final long MIN_WORKER_TO_ELECTION_LEASE_RATIO = 4;
 
     private static final long MS_PER_S = 1000;
 
@@ -111,14 +111,14 @@
                 access.requestTokens(),
                 access.writeTokens(),
                 users,
-                this::cronHold)));
+                this::cronHoldReason)));
     }
 
     private LeaderElection createElection(StateServiceAccess access) {
         Settings settings = access.settings();
         long leaseMs = Math.max(
                 MIN_ELECTION_LEASE_MS,
-                Math.min(MAX_ELECTION_LEASE_MS, settings.workers().leaseMs() / WORKER_LEASE_PART));
+                Math.min(MAX_ELECTION_LEASE_MS, settings.workers().leaseMs() / MIN_WORKER_TO_ELECTION_LEASE_RATIO));
         return new LeaderElection(
                 context, access.store(), access.requestTokens(), settings.node(), leaseMs, new TermListener());
     }
@@ -146,7 +146,7 @@
     }
 
     /** Why an entry of a cron table is held, or null if it is not or this node does not know. */
-    private String cronHold(String table, String entry) {
+    private String cronHoldReason(String table, String entry) {
         return activeLeader()
                 .flatMap(Leader::cronController)
                 .map(schedules -> schedules.held(table, entry))
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -18,10 +18,10 @@
 final class IdempotencyKeys {
     private final Policy.Cron policy;
     /** Null where key sets are off. */
-    private final KeySetRegistry keys;
+    private final KeySetRegistry keySets;
 
-    IdempotencyKeys(Policy.Cron policy, KeySetRegistry keys) {
-        this.keys = keys;
+    IdempotencyKeys(Policy.Cron policy, KeySetRegistry keySets) {
+        this.keySets = keySets;
         this.policy = policy;
     }
 
@@ -43,7 +43,7 @@
                 .guard(JobRecord.endedKey(spec.id()), Revision.ABSENT)
                 .put(key, new JobRecord(spec, wallMs).toNode());
         if (spec.keySetBinding() != null) {
-            keys.guard(
+            keySets.guard(
                     transaction,
                     spec.keySetBinding().keySet()); // a submission that races a revocation is decided by the store
         }
--- a/src/main/java/org/beechhoist/controller/JobReader.java
+++ b/src/main/java/org/beechhoist/controller/JobReader.java
@@ -13,7 +13,7 @@
 
 /** Reads jobs from the state service and caches their final states. */
 final class JobReader {
-    private static final int CACHED_ENDED = 2000;
+    private static final int MAX_CACHED_ENDED_COUNT = 2000;
 
     /**
      * What the state service holds of a job.
@@ -26,45 +26,45 @@
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final BooleanSupplier cutOff;
-    private final Map<JobId, JsonNode> ended = BoundedCollections.leastRecentlyUsedMap(CACHED_ENDED);
+    private final BooleanSupplier isolated;
+    private final Map<JobId, JsonNode> finalStates = BoundedCollections.leastRecentlyUsedMap(MAX_CACHED_ENDED_COUNT);
 
-    /** Creates a reader; {@code cutOff} says whether the node reaches neither the state service nor another node. */
-    JobReader(ControllerContext context, StoreClient store, TokenBucket requests, BooleanSupplier cutOff) {
+    /** Creates a reader; {@code isolated} says whether the node reaches neither the state service nor another node. */
+    JobReader(ControllerContext context, StoreClient store, TokenBucket requests, BooleanSupplier isolated) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.cutOff = cutOff;
+        this.isolated = isolated;
     }
 
     /** Whether this node reaches neither the state service nor another node: it then sends no requests. */
     boolean isIsolated() {
-        return cutOff.getAsBoolean();
+        return isolated.getAsBoolean();
     }
 
     /** Caches the final state of a job. */
     void cacheEnded(JobId jobId, JsonNode state) {
-        ended.put(jobId, state);
+        finalStates.put(jobId, state);
     }
 
     /** The cached final state of a job, or null. */
     JsonNode cachedEnded(JobId jobId) {
-        return ended.get(jobId);
+        return finalStates.get(jobId);
     }
 
     /** Whether the final state of a job is cached; unlike {@link #cachedEnded} this does not count as a use of it. */
     boolean isEndedCached(JobId jobId) {
-        return ended.containsKey(jobId);
+        return finalStates.containsKey(jobId);
     }
 
     /** Reads a job; hands over null where nothing could be learnt. */
     void read(JobId jobId, boolean allowed, Consumer<StoredJob> then) {
-        JsonNode finalState = ended.get(jobId);
+        JsonNode finalState = finalStates.get(jobId);
         if (finalState != null) {
             then.accept(new StoredJob(JobResponses.endedStatus(jobId, finalState), null));
             return;
         }
-        if (!allowed || cutOff.getAsBoolean()) {
+        if (!allowed || isolated.getAsBoolean()) {
             then.accept(null);
             return;
         }
@@ -79,7 +79,7 @@
         if (!open.answered()) {
             then.accept(null);
         } else if (open.item() != null && JobRecord.isFinalState(open.item().value())) {
-            ended.put(jobId, open.item().value());
+            finalStates.put(jobId, open.item().value());
             then.accept(
                     new StoredJob(JobResponses.endedStatus(jobId, open.item().value()), null));
         } else if (open.item() != null) {
@@ -92,7 +92,7 @@
                 } else if (end.item() == null) {
                     then.accept(new StoredJob(null, null));
                 } else {
-                    ended.put(jobId, end.item().value());
+                    finalStates.put(jobId, end.item().value());
                     then.accept(new StoredJob(
                             JobResponses.endedStatus(jobId, end.item().value()), null));
                 }
--- a/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
+++ b/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
@@ -14,9 +14,9 @@
 final class LeaderReachabilityCheck {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderReachabilityCheck.class);
     /** How long a leader that steps down leaves the leadership to other nodes. */
-    private static final long STEP_DOWN_MS = 30_000;
+    private static final long STEP_DOWN_PERIOD_MS = 30_000;
     /** How long after a term's first reporting window the check still waits for heartbeats. */
-    private static final long FIRST_HEARTBEATS_MS = 4000;
+    private static final long FIRST_HEARTBEATS_GRACE_MS = 4000;
 
     private final ControllerContext context;
     private final Settings settings;
@@ -41,47 +41,47 @@
     boolean stepDownIfUnreachable() {
         long window = WorkerReachability.heartbeatWindowMs(
                 Math.round(1000 * settings.workers().reportS()));
-        if (context.now().since(clusterState.termStartedAt()) < window + FIRST_HEARTBEATS_MS) {
+        if (context.now().since(clusterState.termStartedAt()) < window + FIRST_HEARTBEATS_GRACE_MS) {
             return false;
         }
         MachineCounts counts = countMachines(window);
-        if (WorkerReachability.cannotReachWorkers(counts.expected(), counts.oneWay())) {
+        if (WorkerReachability.cannotReachWorkers(counts.expected(), counts.oneWayPartitioned())) {
             LOG.warn(
-                    "leadership handed over: oneWay={} machines={} cause=\"machines send heartbeats and do not receive calls\"",
-                    counts.oneWay(),
+                    "leadership handed over: oneWayPartitioned={} machines={} cause=\"machines send heartbeats and do not receive calls\"",
+                    counts.oneWayPartitioned(),
                     counts.expected());
-            election.stepDown("what this node says does not reach workers", STEP_DOWN_MS);
+            election.stepDown("what this node says does not reach workers", STEP_DOWN_PERIOD_MS);
             return true;
         }
         if (!WorkerReachability.isUnreachableFromWorkers(
-                counts.expected(), counts.heard(), peers.peerHeartbeatCounts(context.now()))) {
+                counts.expected(), counts.reporting(), peers.peerHeartbeatCounts(context.now()))) {
             return false;
         }
         LOG.warn(
-                "leadership handed over: heard={} machines={} cause=\"heartbeats do not reach this node\"",
-                counts.heard(),
+                "leadership handed over: reporting={} machines={} cause=\"heartbeats do not reach this node\"",
+                counts.reporting(),
                 counts.expected());
-        election.stepDown("workers can't reach this node", STEP_DOWN_MS);
+        election.stepDown("workers can't reach this node", STEP_DOWN_PERIOD_MS);
         return true;
     }
 
     private MachineCounts countMachines(long windowMs) {
         int expected = 0;
-        int heard = 0;
-        int oneWay = 0;
+        int reporting = 0;
+        int oneWayPartitioned = 0;
         for (Machine machine : clusterState.machines()) {
             if (!isExpectedToReport(machine)) {
                 continue;
             }
             expected++;
             if (machine.lastContactAt != null && context.now().since(machine.lastContactAt) < windowMs) {
-                heard++;
+                reporting++;
             }
             if (machine.reachability.isOneWayPartitioned()) {
-                oneWay++;
+                oneWayPartitioned++;
             }
         }
-        return new MachineCounts(expected, heard, oneWay);
+        return new MachineCounts(expected, reporting, oneWayPartitioned);
     }
 
     private static boolean isExpectedToReport(Machine machine) {
@@ -92,11 +92,11 @@
     }
 
     /**
-     * How many machines are heard.
+     * How many machines are reporting.
      *
      * @param expected machines that should send heartbeats
-     * @param heard those of them that did so within the reporting window
-     * @param oneWay those of them that send heartbeats while messages to them are lost
+     * @param reporting those of them that did so within the reporting window
+     * @param oneWayPartitioned those of them that send heartbeats while messages to them are lost
      */
-    private record MachineCounts(int expected, int heard, int oneWay) {}
+    private record MachineCounts(int expected, int reporting, int oneWayPartitioned) {}
 }
--- a/src/main/java/org/beechhoist/controller/NodeReadiness.java
+++ b/src/main/java/org/beechhoist/controller/NodeReadiness.java
@@ -7,11 +7,11 @@
 /** Whether this node can serve users: from the state service's answers and the peers' messages. */
 final class NodeReadiness {
     /** The election's watch and lease make the state service answer more often than this. */
-    private static final long STORE_SILENT_MS = 6000;
-    /** Nothing heard of the state service in {@link #UNANSWERED_CALLS} calls, nor of the peers, who send once a second. */
-    private static final long CUT_OFF_MS = 3000;
+    private static final long STORE_TIMEOUT_MS = 6000;
+    /** Nothing heard of the state service in {@link #MIN_UNANSWERED_CALL_COUNT} calls, nor of the peers, who send once a second. */
+    private static final long ISOLATION_TIMEOUT_MS = 3000;
 
-    private static final int UNANSWERED_CALLS = 2;
+    private static final int MIN_UNANSWERED_CALL_COUNT = 2;
 
     private final ControllerContext context;
     private final StateServiceMonitor stateService;
@@ -45,7 +45,7 @@
      */
     boolean isReady() {
         boolean refusedAlone =
-                stateService.msSinceServed() > STORE_SILENT_MS && peers.isAnotherNodeServing(context.now());
+                stateService.msSinceServed() > STORE_TIMEOUT_MS && peers.isAnotherNodeServing(context.now());
         return isLoaded() && !refusedAlone && !isIsolated();
     }
 
@@ -55,8 +55,9 @@
      */
     boolean isIsolated() {
         long quietMs = stateService.msSinceAnswered();
-        boolean silent = quietMs > STORE_SILENT_MS
-                || stateService.consecutiveUnansweredCalls() >= UNANSWERED_CALLS && quietMs > CUT_OFF_MS;
-        return stateService.hasEverServed() && silent && peers.hasNoMessageWithin(context.now(), CUT_OFF_MS);
+        boolean silent = quietMs > STORE_TIMEOUT_MS
+                || stateService.consecutiveUnansweredCalls() >= MIN_UNANSWERED_CALL_COUNT
+                        && quietMs > ISOLATION_TIMEOUT_MS;
+        return stateService.hasEverServed() && silent && peers.hasNoMessageWithin(context.now(), ISOLATION_TIMEOUT_MS);
     }
 }
--- a/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
+++ b/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
@@ -17,9 +17,9 @@
 
     private static final double MIN_REQUEST_BURST = 1;
     /** How much of the limits is divided. */
-    private static final double SAFETY = 0.9;
+    private static final double DIVIDED_FRACTION = 0.9;
     /** With less of a full bucket a leader's own users may take no more of it than those of any other node. */
-    private static final double SPARE = 0.75;
+    private static final double MIN_SPARE_WRITE_FRACTION = 0.75;
 
     private final StateServiceAccess access;
     private final PeerDirectory peers;
@@ -45,7 +45,7 @@
         List<RequestShares.Demand> demands =
                 new ArrayList<>(List.of(new RequestShares.Demand(hasLeaderShare, ownDemand)));
         demands.addAll(peers.peerDemands(access.context().now(), peerDemand));
-        return RequestShares.rateOfFirstNode(SAFETY * limit, demands);
+        return RequestShares.rateOfFirstNode(DIVIDED_FRACTION * limit, demands);
     }
 
     /** Once a second: takes up what was asked for since, and what waits to be written. */
@@ -58,7 +58,7 @@
     /** Whether the tokens for writes do not suffice for everybody. */
     boolean isShortOfWrites() {
         return access.writeTokens().available(access.context().now())
-                < SPARE * access.writeTokens().capacity();
+                < MIN_SPARE_WRITE_FRACTION * access.writeTokens().capacity();
     }
 
     /** Whether the last division gave this node a leader's share. */
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -23,82 +23,82 @@
  * read, and some jobs were unlucky again and again.
  */
 final class SharedRecordReads {
-    private static final String LISTED = JobRecord.OPEN_PREFIX;
+    private static final String LISTED_PREFIX = JobRecord.OPEN_PREFIX;
     /** Of one listing: some hundred records are a few hundred KB at the most. */
-    private static final int MOST_LISTED = 100;
+    private static final int MAX_LISTED_COUNT = 100;
 
-    private static final int MOST_WAITING = 1000;
+    private static final int MAX_WAITING_COUNT = 1000;
     /** Users wait 2 s; who waited this long is told to come back. */
-    private static final long LONGEST_WAIT_MS = 1400;
+    private static final long MAX_WAIT_MS = 1400;
 
-    private record Waiting(JobId ref, MonotonicTime since, Consumer<ReadResult> then) {}
+    private record WaitingRead(JobId jobId, MonotonicTime since, Consumer<ReadResult> then) {}
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final Pacer pace;
-    private List<Waiting> waiting = new ArrayList<>();
-    private boolean asking;
+    private final Pacer pacer;
+    private List<WaitingRead> waiting = new ArrayList<>();
+    private boolean listingInFlight;
 
     SharedRecordReads(ControllerContext context, StoreClient store, TokenBucket requests, Settings settings) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.pace = new Pacer(context, ConditionalStatusReads.batchIntervalMs(settings));
+        this.pacer = new Pacer(context, ConditionalStatusReads.batchIntervalMs(settings));
     }
 
     /** Hands over what the state service holds, or {@link Read#UNKNOWN}. */
     void read(JobId jobId, Consumer<ReadResult> then) {
         if (ConditionalStatusReads.hasSpareRequests(requests, context.now()) && requests.tryTake(context.now(), 1)) {
             store.get(JobRecord.openKey(jobId), then);
-        } else if (waiting.size() >= MOST_WAITING) {
+        } else if (waiting.size() >= MAX_WAITING_COUNT) {
             then.accept(ReadResult.UNKNOWN);
         } else {
-            waiting.add(new Waiting(jobId, context.now(), then));
-            ask();
+            waiting.add(new WaitingRead(jobId, context.now(), then));
+            sendListing();
         }
     }
 
-    private void ask() {
-        refuseLate();
-        if (asking || waiting.isEmpty()) {
+    private void sendListing() {
+        refuseExpired();
+        if (listingInFlight || waiting.isEmpty()) {
             return;
         }
-        if (pace.postponeIfNotDue(this::ask)) {
+        if (pacer.postponeIfNotDue(this::sendListing)) {
             return;
         }
-        pace.recordRun();
-        asking = true;
-        String first = JobRecord.openKey(waiting.get(0).ref);
-        Set<Waiting> asked = new HashSet<>(waiting);
+        pacer.recordRun();
+        listingInFlight = true;
+        String first = JobRecord.openKey(waiting.get(0).jobId);
+        Set<WaitingRead> asked = new HashSet<>(waiting);
         requests.takeOrOverdraw(context.now(), 1); // so few of them that none needs to wait for its turn
-        store.list(LISTED, before(first), MOST_LISTED, page -> {
-            asking = false;
+        store.list(LISTED_PREFIX, keyBefore(first), MAX_LISTED_COUNT, page -> {
+            listingInFlight = false;
             if (page.isOk()) {
-                listed(first, asked, page);
+                handleListing(first, asked, page);
             }
-            ask();
+            sendListing();
         });
     }
 
     /** A key that comes before this one and after all others that do. */
-    private static String before(String key) {
+    private static String keyBefore(String key) {
         int last = key.length() - 1;
         return key.substring(0, last) + (char) (key.charAt(last) - 1) + "~";
     }
 
-    private void listed(String first, Set<Waiting> asked, StoreClient.Page page) {
+    private void handleListing(String first, Set<WaitingRead> asked, StoreClient.Page page) {
         Map<String, StoreClient.KeyValue> items = new HashMap<>();
         String end = first;
         for (StoreClient.KeyValue item : page.items()) {
             items.put(item.key(), item);
             end = item.key();
         }
-        List<Waiting> before = waiting;
-        List<Waiting> out = new ArrayList<>();
+        List<WaitingRead> before = waiting;
+        List<WaitingRead> out = new ArrayList<>();
         waiting = new ArrayList<>();
-        for (Waiting read : before) {
-            String key = JobRecord.openKey(read.ref);
+        for (WaitingRead read : before) {
+            String key = JobRecord.openKey(read.jobId);
             boolean within = key.compareTo(first) >= 0 && (!page.more() || key.compareTo(end) <= 0);
             if (within && asked.contains(read)) {
                 out.add(read);
@@ -108,12 +108,12 @@
                 // told
             }
         }
-        out.forEach(w -> w.then.accept(new ReadResult(true, items.get(JobRecord.openKey(w.ref)))));
+        out.forEach(w -> w.then.accept(new ReadResult(true, items.get(JobRecord.openKey(w.jobId)))));
     }
 
-    private void refuseLate() {
-        List<Waiting> late = new ArrayList<>();
-        waiting.removeIf(w -> context.now().since(w.since) > LONGEST_WAIT_MS && late.add(w));
+    private void refuseExpired() {
+        List<WaitingRead> late = new ArrayList<>();
+        waiting.removeIf(w -> context.now().since(w.since) > MAX_WAIT_MS && late.add(w));
         late.forEach(w -> w.then.accept(ReadResult.UNKNOWN));
     }
 }
--- a/src/main/java/org/beechhoist/controller/StalledJobReporter.java
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -11,7 +11,7 @@
 final class StalledJobReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StalledJobReporter.class);
     /** How long a job may go without progress before it is logged, and then until it is logged again. */
-    private static final long STALLED_MS = 120_000;
+    private static final long STALL_TIMEOUT_MS = 120_000;
 
     private final ControllerContext context;
     private final ClusterState clusterState;
@@ -29,7 +29,7 @@
     void report() {
         for (Job job : clusterState.jobs()) {
             boolean serves = job.spec().isService() && elastic.regularWaitingCount(job) == 0;
-            if (!serves && context.now().since(job.lastProgressAt) > STALLED_MS) {
+            if (!serves && context.now().since(job.lastProgressAt) > STALL_TIMEOUT_MS) {
                 job.lastProgressAt = context.now();
                 LOG.warn(
                         "job stalled: job={} waiting={} placed={} cause=\"{}\"",
--- a/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
+++ b/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
@@ -11,8 +11,8 @@
 
     private final ControllerContext context;
     private boolean hasEverServed;
-    private MonotonicTime lastServed = MonotonicTime.ZERO;
-    private MonotonicTime lastAnswered = MonotonicTime.ZERO;
+    private MonotonicTime lastServedAt = MonotonicTime.ZERO;
+    private MonotonicTime lastAnsweredAt = MonotonicTime.ZERO;
     private int consecutiveUnansweredCalls;
 
     StateServiceMonitor(ControllerContext context) {
@@ -34,10 +34,10 @@
             return;
         }
         consecutiveUnansweredCalls = 0;
-        lastAnswered = context.now();
+        lastAnsweredAt = context.now();
         if (result.status() < SERVER_ERROR) {
             hasEverServed = true;
-            lastServed = context.now();
+            lastServedAt = context.now();
         }
     }
 
@@ -48,12 +48,12 @@
 
     /** For how long it has not answered other than by a server error. */
     long msSinceServed() {
-        return context.now().since(lastServed);
+        return context.now().since(lastServedAt);
     }
 
     /** For how long it has not answered at all. */
     long msSinceAnswered() {
-        return context.now().since(lastAnswered);
+        return context.now().since(lastAnsweredAt);
     }
 
     /** How many calls in a row had no answer of any kind. */
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -24,10 +24,10 @@
 
 /** Checks submissions of jobs and commits them in batches. */
 final class SubmissionHandler {
-    private static final int MAX_COMMITS = 4;
-    private static final int MAX_QUEUE = 400;
+    private static final int MAX_CONCURRENT_COMMIT_COUNT = 4;
+    private static final int MAX_QUEUED_COUNT = 400;
     /** Well under the size limit of a transaction. */
-    private static final int MAX_BATCH = 20;
+    private static final int MAX_BATCH_WRITE_COUNT = 20;
 
     private static final String QUEUE_FULL = "too many submissions wait here";
     private static final String WRITES_USED_UP = "this node has used its share of the state service's writes";
@@ -49,28 +49,28 @@
     private final TokenBucket writes;
     private final SubmissionRules rules;
     private final JobReader reader;
-    private final ConditionalStatusReads reads;
+    private final ConditionalStatusReads statusReads;
     private final IdempotencyKeys idempotencyKeys;
-    private final BooleanSupplier leaderWrites;
+    private final BooleanSupplier leaderShortOfWrites;
     private final Refusal refusal;
-    private final TeamFairShareLimiter teamTurns = new TeamFairShareLimiter();
+    private final TeamFairShareLimiter teamLimiter = new TeamFairShareLimiter();
     /**
      * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
      * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
      */
-    private final TokenBucket besideLeader;
+    private final TokenBucket userWritesOnLeader;
 
     private final List<Submission> queue = new ArrayList<>();
-    private int commits;
+    private int commitsInFlight;
 
-    /** Creates a handler; {@code leaderWrites} says whether this node leads and its writes run short. */
+    /** Creates a handler; {@code leaderShortOfWrites} says whether this node leads and its writes run short. */
     SubmissionHandler(
             StateServiceAccess access,
             Policy policy,
             SubmissionRules rules,
             JobReads jobReads,
             IdempotencyKeys idempotencyKeys,
-            BooleanSupplier leaderWrites,
+            BooleanSupplier leaderShortOfWrites,
             Refusal refusal) {
         this.context = access.context();
         this.settings = access.settings();
@@ -80,11 +80,11 @@
         this.writes = access.writeTokens();
         this.rules = rules;
         this.reader = jobReads.reader();
-        this.reads = jobReads.statusReads();
+        this.statusReads = jobReads.statusReads();
         this.idempotencyKeys = idempotencyKeys;
-        this.leaderWrites = leaderWrites;
+        this.leaderShortOfWrites = leaderShortOfWrites;
         this.refusal = refusal;
-        this.besideLeader = new TokenBucket(Math.max(
+        this.userWritesOnLeader = new TokenBucket(Math.max(
                 1, RequestShares.guaranteedFollowerRate(settings.stateLimits().writeRps(), settings.nodes())));
     }
 
@@ -126,10 +126,10 @@
             refusal.refuse(request, SubmissionRules.MACHINE_TYPES_UNKNOWN);
             return;
         }
-        enter(request, spec);
+        enqueue(request, spec);
     }
 
-    private void enter(long request, JobSpec spec) {
+    private void enqueue(long request, JobSpec spec) {
         KeySets.Binding binding = rules.keySetBinding(spec);
         if (binding == null) {
             refusal.refuse(request, SubmissionRules.KEY_SETS_UNKNOWN);
@@ -149,27 +149,30 @@
             });
             return;
         }
-        if (queue.size() >= MAX_QUEUE) {
+        if (queue.size() >= MAX_QUEUED_COUNT) {
             refusal.refuse(request, QUEUE_FULL);
             return;
         }
-        if (!teamTurns.allows(
+        if (!teamLimiter.allows(
                 spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
             writes.recordMissed(1);
             refusal.refuse(request, WRITES_USED_UP);
             return;
         }
-        teamTurns.recordAccepted(spec.team(), context.now());
+        teamLimiter.recordAccepted(spec.team(), context.now());
         queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
         flush();
     }
 
     private void flush() {
-        while (!queue.isEmpty() && commits < MAX_COMMITS) {
+        while (!queue.isEmpty() && commitsInFlight < MAX_CONCURRENT_COMMIT_COUNT) {
             double left = Math.min(
                     writes.available(context.now()),
-                    leaderWrites.getAsBoolean() ? besideLeader.available(context.now()) : MAX_BATCH);
-            int limit = (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH), Math.floor(left));
+                    leaderShortOfWrites.getAsBoolean()
+                            ? userWritesOnLeader.available(context.now())
+                            : MAX_BATCH_WRITE_COUNT);
+            int limit =
+                    (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH_WRITE_COUNT), Math.floor(left));
             if (limit < 1 || !requests.tryTake(context.now(), 1)) {
                 // Refused rather than held: the user is told when to come back.
                 writes.recordMissed(queue.size());
@@ -194,7 +197,7 @@
                 puts += IdempotencyKeys.putCount(submission.spec);
             }
             writes.takeOrOverdraw(context.now(), puts);
-            besideLeader.takeOrOverdraw(context.now(), puts);
+            userWritesOnLeader.takeOrOverdraw(context.now(), puts);
             send(batch);
             duplicates.forEach(duplicate -> answerKnown(duplicate.request, duplicate.spec.id()));
         }
@@ -205,9 +208,9 @@
         for (Submission submission : batch) {
             idempotencyKeys.addSubmission(transaction, submission.spec, submission.replacedKey, context.wallMs());
         }
-        commits++;
+        commitsInFlight++;
         store.commit(transaction, commit -> {
-            commits--;
+            commitsInFlight--;
             switch (commit.outcome()) {
                 case COMMITTED -> batch.forEach(submission -> answerQueued(submission, commit));
                 case CONFLICT -> batch.forEach(submission -> resolveConflict(submission, commit));
@@ -219,7 +222,7 @@
 
     private void answerQueued(Submission submission, CommitResult commit) {
         JobId jobId = submission.spec.id();
-        reads.remember(
+        statusReads.remember(
                 jobId,
                 commit.revision(),
                 JobResponses.openStatus(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
@@ -239,7 +242,7 @@
             rules.keySets()
                     .overtaken(
                             Set.of(KeySetRegistry.SETS + spec.keySetBinding().keySet()),
-                            () -> enter(submission.request, spec.withKeySetBinding(null)));
+                            () -> enqueue(submission.request, spec.withKeySetBinding(null)));
         } else {
             queue.add(submission);
         }
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -25,7 +25,7 @@
  */
 final class UserApi {
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
-    private static final int MAX_RACES = 6;
+    private static final int MAX_CANCEL_CONFLICT_COUNT = 6;
 
     /** The refusal of a request that needs the state service. */
     static final String STORE_UNAVAILABLE = "the state service does not answer, or this node has used its share of it";
@@ -37,21 +37,21 @@
     /** Adds to an open job's state what this node knows beyond its record. */
     private final BiConsumer<JobId, ObjectNode> statusDetails;
     /** Receives each committed cancellation with its wall-clock time, before its user is answered. */
-    private final BiConsumer<JobId, Long> confirmed;
+    private final BiConsumer<JobId, Long> cancellationCommitted;
 
     private final CancellationAcknowledgements acknowledgements;
     private final JobReader reader;
-    private final ConditionalStatusReads reads;
-    private final SharedRecordReads openReads;
+    private final ConditionalStatusReads statusReads;
+    private final SharedRecordReads sharedReads;
     private final SubmissionRules rules;
     private final SubmissionHandler submissions;
-    private final ResizeHandler resizing;
+    private final ResizeHandler resizeHandler;
 
     /**
      * Creates the interface.
      *
-     * @param leaderWrites whether this node leads and its writes run short
-     * @param cutOff whether this node reaches neither the state service nor another node
+     * @param leaderShortOfWrites whether this node leads and its writes run short
+     * @param isolated whether this node reaches neither the state service nor another node
      * @param keySets null where key sets are off
      */
     UserApi(
@@ -64,37 +64,37 @@
             MachineTypeCatalog machineTypes,
             BiConsumer<JobId, ObjectNode> statusDetails,
             IdempotencyKeys idempotencyKeys,
-            BooleanSupplier leaderWrites,
-            BooleanSupplier cutOff,
+            BooleanSupplier leaderShortOfWrites,
+            BooleanSupplier isolated,
             KeySetRegistry keySets,
-            BiConsumer<JobId, Long> confirmed,
+            BiConsumer<JobId, Long> cancellationCommitted,
             CancellationAcknowledgements acknowledgements) {
         this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
         this.statusDetails = statusDetails;
-        this.confirmed = confirmed;
+        this.cancellationCommitted = cancellationCommitted;
         this.acknowledgements = acknowledgements;
-        this.reader = new JobReader(context, store, requests, cutOff);
-        this.resizing = new ResizeHandler(
+        this.reader = new JobReader(context, store, requests, isolated);
+        this.resizeHandler = new ResizeHandler(
                 context, store, requests, writes, policy, this::readIfAllowed, id -> refuse(id, STORE_UNAVAILABLE));
-        this.reads = new ConditionalStatusReads(context, store, requests, settings);
-        this.openReads = new SharedRecordReads(context, store, requests, settings);
+        this.statusReads = new ConditionalStatusReads(context, store, requests, settings);
+        this.sharedReads = new SharedRecordReads(context, store, requests, settings);
         this.rules = new SubmissionRules(settings, machineTypes, keySets);
         this.submissions = new SubmissionHandler(
                 new StateServiceAccess(context, settings, store, requests, writes),
                 policy,
                 rules,
-                new SubmissionHandler.JobReads(reader, reads),
+                new SubmissionHandler.JobReads(reader, statusReads),
                 idempotencyKeys,
-                leaderWrites,
+                leaderShortOfWrites,
                 this::refuse);
     }
 
     /** Records the final state of a job. */
     void recordEnded(JobId jobId, JsonNode state) {
-        reads.forget(jobId);
+        statusReads.forget(jobId);
         reader.cacheEnded(jobId, state);
     }
 
@@ -137,13 +137,13 @@
             refuse(request, STORE_UNAVAILABLE);
             return;
         }
-        reads.poll(jobId, (result, state) -> {
+        statusReads.poll(jobId, (result, state) -> {
             switch (result) {
                 case UNCHANGED -> {
                     statusDetails.accept(jobId, state);
                     context.respond(request, 200, state);
                 }
-                case MUST_READ -> openReads.read(jobId, open -> answerPoll(request, jobId, open));
+                case MUST_READ -> sharedReads.read(jobId, open -> answerPoll(request, jobId, open));
                 default -> refuse(request, STORE_UNAVAILABLE);
             }
         });
@@ -165,17 +165,17 @@
             context.respond(request, 404, JobResponses.error("no such job"));
         } else {
             if (found.open() != null) {
-                reads.remember(jobId, found.open().version(), (ObjectNode) found.status());
+                statusReads.remember(jobId, found.open().version(), (ObjectNode) found.status());
                 statusDetails.accept(jobId, (ObjectNode) found.status());
             }
             context.respond(request, 200, found.status());
         }
     }
 
-    /** Cancels a job, again after a conflict; {@code races} counts these. */
-    void cancel(long request, JobId jobId, int races) {
+    /** Cancels a job, again after a conflict; {@code conflicts} counts these. */
+    void cancel(long request, JobId jobId, int conflicts) {
         readIfAllowed(jobId, found -> {
-            if (found == null || races > MAX_RACES) {
+            if (found == null || conflicts > MAX_CANCEL_CONFLICT_COUNT) {
                 refuse(request, STORE_UNAVAILABLE);
             } else if (found.status() == null) {
                 context.respond(request, 404, JobResponses.error("no such job"));
@@ -185,10 +185,11 @@
                         200,
                         JobResponses.status(jobId, found.status().get("status").asText()));
             } else if (found.open().value().path("cancel").asLong() > 0) {
-                confirmed.accept(jobId, found.open().value().path("cancel").asLong());
+                cancellationCommitted.accept(
+                        jobId, found.open().value().path("cancel").asLong());
                 answerCancelled(request, jobId);
             } else {
-                cancelOpen(request, jobId, found.open(), races);
+                cancelOpen(request, jobId, found.open(), conflicts);
             }
         });
     }
@@ -215,17 +216,17 @@
         String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                confirmed.accept(jobId, at);
+                cancellationCommitted.accept(jobId, at);
             }
             then.accept(commit);
         });
     }
 
-    private void cancelOpen(long request, JobId jobId, StoreClient.KeyValue open, int races) {
+    private void cancelOpen(long request, JobId jobId, StoreClient.KeyValue open, int conflicts) {
         commitCancel(jobId, open, commit -> {
             switch (commit.outcome()) {
                 case COMMITTED -> answerCancelled(request, jobId);
-                case CONFLICT -> cancel(request, jobId, races + 1);
+                case CONFLICT -> cancel(request, jobId, conflicts + 1);
                 default -> refuse(request, STORE_UNAVAILABLE);
             }
         });
@@ -238,6 +239,6 @@
 
     /** Changes what width a job's user allows it; the leader follows. */
     void resize(long request, JobId jobId, byte[] body) {
-        resizing.resize(request, jobId, body);
+        resizeHandler.resize(request, jobId, body);
     }
 }
