--- a/src/main/java/org/beechhoist/controller/ApiRequest.java
+++ b/src/main/java/org/beechhoist/controller/ApiRequest.java
@@ -3,12 +3,12 @@
 /**
  * A request on the public address.
  *
- * @param id the request's number, with which it is answered
+ * @param id the request's number, which the response repeats
  * @param path the target without its query
- * @param query what follows the question mark, empty where there is none
+ * @param query the part of the target after the question mark; empty if there is none
  */
 record ApiRequest(long id, String method, String path, String query, byte[] body) {
-    /** Splits the target into path and query. */
+    /** Returns a request whose target is split into path and query. */
     static ApiRequest of(long id, String method, String target, byte[] body) {
         int mark = target.indexOf('?');
         if (mark < 0) {
--- a/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
+++ b/src/main/java/org/beechhoist/controller/ConditionalStatusReads.java
@@ -20,28 +20,38 @@
 import org.beechhoist.wire.Revision;
 
 /**
- * Users poll open jobs whose records seldom change. What was read of one before is not read again: a transaction that only
- * compares asks for many of them at once whether they still have that version. It is decided by the state service after
- * the poll came, so an answer is as new as a read's.
+ * Answers polls of open jobs from cached states, without reading records that have not changed.
+ *
+ * <p>Users poll open jobs whose records seldom change. One transaction that only compares asks the state service for
+ * many cached records at once whether they still have the cached version. The state service decides this after the
+ * poll arrived, so an answer is as recent as that of a read.
  */
 final class ConditionalStatusReads {
     private static final int MAX_REMEMBERED_COUNT = 3000;
-    /** Of all requests to the state service, what all nodes' polls together are asked with; the polls of one time share one. */
+    /**
+     * The share of all requests to the state service that the polls of all nodes may use together; polls that arrive
+     * close together share a request.
+     */
     private static final double POLL_REQUEST_SHARE = 0.2;
-    /** Users wait 2 s for an answer: with so many nodes or so few requests that this is not enough, polls cost more. */
+    /**
+     * The upper bound of the interval between batches, because users wait 2 s for an answer. With so many nodes or so
+     * low a request limit that this is too short, polls exceed their share.
+     */
     private static final long MAX_BATCH_INTERVAL_MS = 500;
-    /** Of a second's requests: the rest is for submissions and cancellations, which no poll may push aside. */
+    /**
+     * The share of a second's requests that polls leave to submissions and cancellations, which polls must not delay.
+     */
     private static final double RESERVED_REQUEST_SHARE = 0.3;
 
     private record KnownState(Revision version, ObjectNode state) {}
 
     private record Poll(JobId jobId, BiConsumer<Result, ObjectNode> then) {}
 
-    /** What came of a poll. */
+    /** The result of a poll. */
     enum Result {
-        /** The state that was handed over is the record's now. */
+        /** The record still has the state that was passed along. */
         UNCHANGED,
-        /** Nothing is known of it, or it has changed: it must be read. */
+        /** The record is not cached or has changed: it must be read. */
         MUST_READ,
         /** The state service was not asked, or did not answer. */
         UNAVAILABLE
@@ -56,7 +66,7 @@
     private List<Poll> waiting = new ArrayList<>();
     private boolean commitInFlight;
 
-    /** The state service takes four times as many comparisons as changes in one transaction. */
+    /** Creates a reader. The state service accepts four times as many comparisons as changes in one transaction. */
     ConditionalStatusReads(ControllerContext context, StoreClient store, TokenBucket requests, Settings settings) {
         this.context = context;
         this.store = store;
@@ -65,16 +75,17 @@
         this.pacer = new Pacer(context, batchIntervalMs(settings));
     }
 
-    /** The job's record was read or written as this version. */
+    /** Caches the state of a job's open record, which was read or written with this version. */
     void remember(JobId jobId, Revision version, ObjectNode state) {
         known.put(jobId, new KnownState(version, state.deepCopy()));
     }
 
+    /** Removes a job from the cache. */
     void forget(JobId jobId) {
         known.remove(jobId);
     }
 
-    /** Hands over the job's state if it is known and certain, in its own time. */
+    /** Passes the cached state to {@code then} if the state service confirms it, possibly later. */
     void poll(JobId jobId, BiConsumer<Result, ObjectNode> then) {
         if (!known.containsKey(jobId)) {
             then.accept(Result.MUST_READ, null);
@@ -84,12 +95,15 @@
         sendBatch();
     }
 
-    /** Whether enough requests are left for what must not wait for polls. */
+    /** Returns whether enough requests are left for submissions and cancellations, which must not wait for polls. */
     static boolean hasSpareRequests(TokenBucket requests, MonotonicTime now) {
         return requests.available(now) >= 1 + RESERVED_REQUEST_SHARE * requests.capacity();
     }
 
-    /** How long questions for polls gather while requests run short, for all nodes' to take no more than their share. */
+    /**
+     * Returns the interval between batches of polls, at most {@link #MAX_BATCH_INTERVAL_MS}, that keeps the polls of
+     * all nodes together within {@link #POLL_REQUEST_SHARE} while requests run short.
+     */
     static long batchIntervalMs(Settings settings) {
         return Math.min(
                 MAX_BATCH_INTERVAL_MS,
@@ -159,7 +173,7 @@
                         forget(poll.jobId);
                         poll.then.accept(Result.MUST_READ, null);
                     } else {
-                        waiting.add(poll); // whether all that failed are named is not said: asked again without those
+                        waiting.add(poll); // the reply need not name every failed key: repeated without the named ones
                     }
                 }
                 default -> poll.then.accept(Result.UNAVAILABLE, null);
--- a/src/main/java/org/beechhoist/controller/Controller.java
+++ b/src/main/java/org/beechhoist/controller/Controller.java
@@ -12,8 +12,9 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * One controller node as a state machine: inputs are requests, results of calls, messages of peers and the passing of time, each
- * with the clocks' readings; what is to be sent and answered is drained after each. It does no I/O and reads no clock.
+ * One controller node as a state machine. Its inputs are requests, results of calls, messages of peers and the passing
+ * of time, each with the readings of the clocks; {@link #drainEffects} returns the resulting effects after each input.
+ * It does no I/O and reads no clock.
  */
 public final class Controller {
     private static final long RUN_INTERVAL_MS = 500;
@@ -27,7 +28,11 @@
     private final PeerExchange peerExchange;
     private MonotonicTime nextPublishAt = MonotonicTime.ZERO;
 
-    /** @param seed of the search's random moves */
+    /**
+     * Creates a node that has not started.
+     *
+     * @param seed seeds the random moves of the plan search
+     */
     public Controller(Settings settings, Policy policy, Metrics metrics, long seed) {
         this.components = new ControllerComponents(settings, policy, metrics, seed);
         this.context = components.context;
@@ -47,14 +52,14 @@
         runPeriodic();
     }
 
-    /** A deadline may have come. */
+    /** Runs the timers that are due. */
     public void handleTimer(MonotonicTime now, long wallMs) {
         beginInput(now, wallMs);
         context.runDueTimers();
         settleInput();
     }
 
-    /** When {@link #handleTimer} should be called next, at the latest. */
+    /** Returns the latest time at which {@link #handleTimer} should be called next. */
     public MonotonicTime nextWakeAt() {
         MonotonicTime deadline = context.nextTimerAt();
         if (leader.hasPendingPlanning()
@@ -64,12 +69,12 @@
         return deadline;
     }
 
-    /** Returns what is to be sent and answered since the last call, in order. */
+    /** Returns the effects since the last call, in order. */
     public List<Effect> drainEffects() {
         return context.drainEffects();
     }
 
-    /** How a call ended that an {@link Effect} asked for. */
+    /** Handles the result of a call that an {@link Effect} requested. */
     public void handleCallResult(MonotonicTime now, long wallMs, long call, CallResult result) {
         beginInput(now, wallMs);
         context.completeCall(call, result);
@@ -77,13 +82,13 @@
         settleInput();
     }
 
-    /** What another controller said of itself. */
+    /** Handles the state that another controller has sent. */
     public void handlePeerState(MonotonicTime now, long wallMs, PeerState state) {
         beginInput(now, wallMs);
         peerExchange.receive(state);
     }
 
-    /** A request on the public address. Each is answered with one {@link Effect.Respond}, perhaps later. */
+    /** Handles a request on the public address. Each is answered with one {@link Effect.Respond}, possibly later. */
     public void handleRequest(MonotonicTime now, long wallMs, long id, String method, String target, byte[] body) {
         beginInput(now, wallMs);
         context.runDueTimers();
@@ -92,8 +97,9 @@
     }
 
     /**
-     * Begins an input. A leader that stood still wakes with a leader's share of the request limits, and with all that users asked
-     * for meanwhile: the share is not its own any more.
+     * Begins an input. A leader that was suspended and has lost its lease resumes with a leader's share of the request
+     * limits, to which it is no longer entitled, and with all user requests that arrived meanwhile; the limits are
+     * divided again first.
      */
     private void beginInput(MonotonicTime now, long wallMs) {
         context.beginInput(now, wallMs);
--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -21,14 +21,16 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * Composition root of a controller node: constructs its components, in this order, and connects them. It decides nothing.
+ * Composition root of a controller node: constructs its components, in this order, and connects them. It contains no
+ * scheduling logic.
  *
- * <p>Components that need a later one are given a method of this class, which reads the field when it is called.
+ * <p>Components that need one constructed later receive a method of this class, which reads the field when it is
+ * called.
  */
 final class ControllerComponents {
     private static final long MIN_ELECTION_LEASE_MS = 3000;
     private static final long MAX_ELECTION_LEASE_MS = 9000;
-    /** A leader's lease is at most this part of a worker's. */
+    /** The minimum ratio of a worker's lease to a leader's lease. */
     private static final long MIN_WORKER_TO_ELECTION_LEASE_RATIO = 4;
 
     private static final long MS_PER_S = 1000;
@@ -45,7 +47,11 @@
     private final JobProgress progress = new JobProgress();
     private final CancellationRegistry cancellations;
 
-    /** @param seed of the random moves of the plan's search */
+    /**
+     * Constructs the components.
+     *
+     * @param seed seeds the random moves of the plan search
+     */
     ControllerComponents(Settings settings, Policy policy, Metrics metrics, long seed) {
         TokenBucket requests = new TokenBucket(settings.stateLimits().rps());
         TokenBucket writes = new TokenBucket(settings.stateLimits().writeRps());
@@ -123,7 +129,7 @@
                 context, access.store(), access.requestTokens(), settings.node(), leaseMs, new TermListener());
     }
 
-    /** The APIs of the features that are on; where two handle a path, the first gets the request. */
+    /** Returns the APIs of the enabled features; if two handle a path, the first receives the request. */
     private List<FeatureApi> featureApis(Optional<FeatureApi> cron) {
         List<FeatureApi> apis = new ArrayList<>();
         cron.ifPresent(apis::add);
@@ -145,7 +151,9 @@
         peerExchange.cancellationConfirmed(jobId, committedWallMs);
     }
 
-    /** Why an entry of a cron table is held, or null if it is not or this node does not know. */
+    /**
+     * Returns the reason why an entry of a cron table is held, or null if it is not held or this node does not know.
+     */
     private String cronHoldReason(String table, String entry) {
         return activeLeader()
                 .flatMap(Leader::cronController)
@@ -153,7 +161,7 @@
                 .orElse(null);
     }
 
-    /** Begins and ends the leader's terms. */
+    /** Starts and ends the leader's terms. */
     private final class TermListener implements LeaderElection.Listener {
         @Override
         public void leadershipWon(FencingToken fencingToken) {
--- a/src/main/java/org/beechhoist/controller/FeatureModules.java
+++ b/src/main/java/org/beechhoist/controller/FeatureModules.java
@@ -7,15 +7,15 @@
 import org.beechhoist.drain.Budgets;
 
 /**
- * The features of a node that a policy may switch off; a module is empty where its feature is off.
+ * The features of a node that a policy can disable; a module is empty if its feature is disabled.
  *
- * @param keySets versions of keys that jobs are bound to
+ * @param keySets key sets, the versions of keys that jobs are bound to
  * @param releases the release calendar
- * @param drains machines emptied by graceful eviction
+ * @param drains graceful eviction of all tasks of a machine
  */
 record FeatureModules(Optional<KeySetModule> keySets, Optional<ReleaseModule> releases, Optional<DrainModule> drains) {
 
-    /** Constructs the modules of the features that the policy has on. */
+    /** Constructs the modules of the features that the policy enables. */
     static FeatureModules create(
             StateServiceAccess access,
             Policy policy,
@@ -30,29 +30,29 @@
         return new FeatureModules(keySets, releases, drains);
     }
 
-    /** Starts to read and follow what is stored of each feature. */
+    /** Starts reading and watching the stored state of each feature. */
     void start() {
         keySets.ifPresent(module -> module.registry().start());
         releases.ifPresent(module -> module.registry().start());
         drains.ifPresent(module -> module.registry().start());
     }
 
-    /** The key set registry, or null where key sets are off. */
+    /** Returns the key set registry, or null if key sets are disabled. */
     KeySetRegistry keySetRegistryOrNull() {
         return keySets.map(KeySetModule::registry).orElse(null);
     }
 
-    /** The release registry, or null where the release calendar is off. */
+    /** Returns the release registry, or null if the release calendar is disabled. */
     ReleaseRegistry releaseRegistryOrNull() {
         return releases.map(ReleaseModule::registry).orElse(null);
     }
 
-    /** The drain registry, or null where drains are off. */
+    /** Returns the drain registry, or null if drains are disabled. */
     DrainRegistry drainRegistryOrNull() {
         return drains.map(DrainModule::registry).orElse(null);
     }
 
-    /** The teams' disruption budgets: none where drains are off. */
+    /** Returns the disruption budgets of the teams: none if drains are disabled. */
     Budgets disruptionBudgets() {
         return drains.map(module -> module.registry().budgets()).orElse(Budgets.NONE);
     }
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -12,12 +12,13 @@
 import org.beechhoist.wire.Revision;
 
 /**
- * Keys that make submissions the same work, whoever comes first: {@code once/<hash of team and key>} holds the first
- * one's ref for as long as its class says. It is written in the transaction that makes the job.
+ * Stores idempotency keys: submissions of a team with the same key create one job, whichever is committed first. The
+ * record {@code once/<hash of team and key>} holds the ID of the first submission's job for the retention time of its
+ * class. It is written in the transaction that creates the job.
  */
 final class IdempotencyKeys {
     private final Policy.Cron policy;
-    /** Null where key sets are off. */
+    /** Null if key sets are disabled. */
     private final KeySetRegistry keySets;
 
     IdempotencyKeys(Policy.Cron policy, KeySetRegistry keySets) {
@@ -25,7 +26,7 @@
         this.policy = policy;
     }
 
-    /** The key's place in the state service, or null for a job without one. */
+    /** Returns the state service key of a job's idempotency record, or null for a job without an idempotency key. */
     static String recordKey(JobSpec spec) {
         return spec.idempotencyKey() == null
                 ? null
@@ -35,7 +36,10 @@
                                 .replaceAll("[^0-9a-zA-Z]", "");
     }
 
-    /** Adds what makes a job enter: its record, guarded against one of its name, and its key where it has one. */
+    /**
+     * Adds the changes that create a job: its record, guarded against an existing job of the same ID, and its
+     * idempotency record if it has a key.
+     */
     void addSubmission(Transaction transaction, JobSpec spec, Revision keyVersion, long wallMs) {
         String key = JobRecord.openKey(spec.id());
         transaction
@@ -45,7 +49,8 @@
         if (spec.keySetBinding() != null) {
             keySets.guard(
                     transaction,
-                    spec.keySetBinding().keySet()); // a submission that races a revocation is decided by the store
+                    spec.keySetBinding()
+                            .keySet()); // the state service decides between a submission and a concurrent revocation
         }
         if (spec.idempotencyKey() != null) {
             ObjectNode value = Codec.map()
@@ -56,11 +61,12 @@
         }
     }
 
+    /** Returns the number of records that {@link #addSubmission} writes for a job. */
     static int putCount(JobSpec spec) {
         return spec.idempotencyKey() == null ? 1 : 2;
     }
 
-    /** Whose work the key is, or null where that is long enough ago. */
+    /** Returns the ID of the job that holds the idempotency key, or null if the key has expired. */
     static JobId unexpiredJobId(JsonNode value, long wallMs) {
         String ref = value.path("ref").asText();
         return value.path("until").asLong() > wallMs && JobId.isValid(ref) ? new JobId(ref) : null;
--- a/src/main/java/org/beechhoist/controller/JobReader.java
+++ b/src/main/java/org/beechhoist/controller/JobReader.java
@@ -16,9 +16,9 @@
     private static final int MAX_CACHED_ENDED_COUNT = 2000;
 
     /**
-     * What the state service holds of a job.
+     * The state service's records of a job.
      *
-     * @param status the job's state as users see it, or null where the state service holds nothing
+     * @param status the job's state as users see it, or null if the state service has no record of it
      * @param open the record of an open job, else null
      */
     record StoredJob(JsonNode status, StoreClient.KeyValue open) {}
@@ -29,7 +29,9 @@
     private final BooleanSupplier isolated;
     private final Map<JobId, JsonNode> finalStates = BoundedCollections.leastRecentlyUsedMap(MAX_CACHED_ENDED_COUNT);
 
-    /** Creates a reader; {@code isolated} says whether the node reaches neither the state service nor another node. */
+    /**
+     * Creates a reader; {@code isolated} returns whether the node reaches neither the state service nor another node.
+     */
     JobReader(ControllerContext context, StoreClient store, TokenBucket requests, BooleanSupplier isolated) {
         this.context = context;
         this.store = store;
@@ -37,7 +39,7 @@
         this.isolated = isolated;
     }
 
-    /** Whether this node reaches neither the state service nor another node: it then sends no requests. */
+    /** Returns whether this node reaches neither the state service nor another node; it then sends no requests. */
     boolean isIsolated() {
         return isolated.getAsBoolean();
     }
@@ -47,17 +49,20 @@
         finalStates.put(jobId, state);
     }
 
-    /** The cached final state of a job, or null. */
+    /** Returns the cached final state of a job, or null. */
     JsonNode cachedEnded(JobId jobId) {
         return finalStates.get(jobId);
     }
 
-    /** Whether the final state of a job is cached; unlike {@link #cachedEnded} this does not count as a use of it. */
+    /**
+     * Returns whether the final state of a job is cached; unlike {@link #cachedEnded} this does not count as a use of
+     * the entry.
+     */
     boolean isEndedCached(JobId jobId) {
         return finalStates.containsKey(jobId);
     }
 
-    /** Reads a job; hands over null where nothing could be learnt. */
+    /** Reads a job and passes it to {@code then}, or null if it could not be read. */
     void read(JobId jobId, boolean allowed, Consumer<StoredJob> then) {
         JsonNode finalState = finalStates.get(jobId);
         if (finalState != null) {
@@ -72,8 +77,8 @@
     }
 
     /**
-     * Interprets what was read of an open record, and reads the ended one if there is none. A job moves from open to ended, so that
-     * this order can't miss it.
+     * Interprets the result of reading an open record, and reads the ended record if there is none. A job moves from
+     * open to ended, so reading in this order cannot miss it.
      */
     void interpret(JobId jobId, StoreClient.ReadResult open, Consumer<StoredJob> then) {
         if (!open.answered()) {
--- a/src/main/java/org/beechhoist/controller/JobStatusDetails.java
+++ b/src/main/java/org/beechhoist/controller/JobStatusDetails.java
@@ -7,14 +7,18 @@
 import org.beechhoist.controller.state.Job;
 import org.beechhoist.wire.JobId;
 
-/** Adds to a job's stored state what this node knows beyond it: counts, plan, key set and drain. */
+/** Adds to a job's stored state the details that only this node knows: counts, plan, key set and drain. */
 final class JobStatusDetails {
     private final ControllerContext context;
     private final FeatureModules features;
     private final JobProgress progress;
     private final Supplier<Optional<Leader>> activeLeader;
 
-    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    /**
+     * Creates an instance.
+     *
+     * @param activeLeader returns this node's leader while it is active, otherwise empty
+     */
     JobStatusDetails(
             ControllerContext context,
             FeatureModules features,
@@ -26,7 +30,7 @@
         this.activeLeader = activeLeader;
     }
 
-    /** Adds what is known of the job to its state. */
+    /** Adds the known details of a job to its state. */
     void addTo(JobId jobId, ObjectNode state) {
         features.keySets().ifPresent(module -> module.registry().tell(state));
         Leader leader = activeLeader.get().orElse(null);
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -20,8 +20,9 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * The leader: begins and ends a term, runs its components periodically and settles each input. What it holds in memory may run
- * ahead of the state service; nothing is commanded or answered before the commit that says so. See docs/design/core.md.
+ * The leader: starts and ends a term, runs its components periodically and completes each input. Its state in memory
+ * can be newer than the state service's; commands and answers are sent only after the commit that they depend on. See
+ * docs/design/core.md.
  */
 final class Leader {
     private final ControllerContext context;
@@ -33,7 +34,11 @@
     private final LeaderReachabilityCheck reachabilityCheck;
     private final StalledJobReporter stalledJobs;
 
-    /** @param random for the random moves of the plan's search */
+    /**
+     * Constructs the leader's components.
+     *
+     * @param random the random numbers for the moves of the plan search
+     */
     Leader(
             ControllerServices services,
             Policy policy,
@@ -51,9 +56,9 @@
         this.stalledJobs = components.stalledJobs;
     }
 
-    // ---- the term ----
+    // ---- Term ----
 
-    /** Begins a term: this node has won the election. */
+    /** Starts a term: this node has won the election. */
     void startTerm() {
         workers.clusterState.reset();
         node.cancellations().reset();
@@ -78,19 +83,21 @@
         scheduling.planner.endTerm();
     }
 
-    /** Whether this node may command workers, and knows all open jobs. */
+    /** Returns whether this node may command workers and knows all open jobs. */
     boolean isActive() {
         return workers.loader.isActive();
     }
 
-    // ---- inputs ----
+    // ---- Inputs ----
 
     /** Handles a worker's heartbeat and answers it. */
     void handleHeartbeat(long request, Heartbeat heartbeat) {
         workers.heartbeatHandler.handle(request, heartbeat);
     }
 
-    /** A job's cancellation is committed, as another node says or this one is about to confirm to its user. */
+    /**
+     * Enforces a committed cancellation that another node reported or that this node is about to confirm to its user.
+     */
     void jobCancelled(JobId jobId) {
         if (election.holdsLease()) {
             workers.cancellationEnforcer.enforceCancellation(jobId);
@@ -98,8 +105,8 @@
     }
 
     /**
-     * Whether it is certain that no task of a cancelled job starts any more: each one that may have been launched is gone, or was
-     * seen running.
+     * Returns whether no task of a cancelled job can start any more: each one that may have been launched is gone or
+     * has been reported running.
      */
     boolean noTaskCanStart(JobId jobId) {
         Job job = workers.clusterState.job(jobId);
@@ -108,76 +115,76 @@
                         || job.record.live.values().stream().allMatch(p -> !p.launchSent || p.runningSince != null));
     }
 
-    /** A key set has changed. */
+    /** Handles a change of a key set. */
     void keySetsChanged() {
         workers.keySetHolds.changed();
     }
 
-    /** A release has changed. */
+    /** Handles a change of a release. */
     void releaseChanged(Release before, Release now) {
         scheduling.releaseController.changed(before, now);
     }
 
-    // ---- what the APIs and views read ----
+    // ---- Accessors ----
 
-    /** The release controller, which knows the forecast of each release. */
+    /** Returns the release controller, which has the forecast of each release. */
     ReleaseController releaseController() {
         return scheduling.releaseController;
     }
 
-    /** The drain controller. */
+    /** Returns the drain controller. */
     DrainController drainController() {
         return features.drainController;
     }
 
-    /** The open jobs and the machines. */
+    /** Returns the open jobs and the machines. */
     ClusterState clusterState() {
         return workers.clusterState;
     }
 
-    /** How many jobs wait to be written. */
+    /** Returns the number of jobs with pending writes. */
     int pendingWrites() {
         return workers.committer.pendingWriteCount();
     }
 
-    /** The recovery of machines lost at once. */
+    /** Returns the tracker of machines that were lost at once. */
     MachineLossTracker lossRecovery() {
         return workers.lossRecovery;
     }
 
-    /** The minimum service share; empty where it is off. */
+    /** Returns the minimum service share; empty if it is disabled. */
     Optional<MinimumServiceShare> serviceShare() {
         return features.serviceShare;
     }
 
-    /** The beginning of the term. */
+    /** Returns the recovery at the start of the term. */
     ColdStartRecovery coldStartRecovery() {
         return workers.coldStart;
     }
 
-    /** The planner, which holds the current plan. */
+    /** Returns the planner, which holds the current plan. */
     Planner planner() {
         return scheduling.planner;
     }
 
-    /** Which machines tasks may be placed on. */
+    /** Returns the admission, which decides on which machines tasks may be placed. */
     Admission admission() {
         return scheduling.admission;
     }
 
-    /** The jobs whose width changes while they run. */
+    /** Returns the widths of elastic jobs. */
     ElasticWidths elasticWidths() {
         return workers.elasticWidths;
     }
 
-    /** The cron controller; empty where cron is off. */
+    /** Returns the cron controller; empty if cron is disabled. */
     Optional<CronController> cronController() {
         return features.cronController;
     }
 
-    // ---- time ----
+    // ---- Periodic work ----
 
-    /** Does what is due every half second. */
+    /** Runs the periodic components; called every half second. */
     void runPeriodic() {
         if (!election.holdsLease()) {
             return;
@@ -196,13 +203,13 @@
         runLongTermComponents();
     }
 
-    /** Removes the tasks of machines whose leases ran out, and sends the commands that wait. */
+    /** Removes the tasks of machines whose leases have expired, and sends pending commands. */
     private void superviseMachines() {
         for (Machine machine : new ArrayList<>(workers.clusterState.machines())) {
             if (!machine.placements.isEmpty()
                     && workers.clusterState.leaseExpiry(machine).isBefore(context.now())
                     && machine.placements.values().stream().allMatch(p -> p.committed)) {
-                workers.taskRemoval.removeAllTasks(machine, "its lease ran out");
+                workers.taskRemoval.removeAllTasks(machine, "its lease expired");
             }
             workers.dispatcher.dispatch(machine);
         }
@@ -227,7 +234,7 @@
         features.cronController.ifPresent(CronController::tick);
     }
 
-    /** Plans if a plan is due, commits what the input changed, and continues the plan's search. */
+    /** Creates a plan if one is due, commits the changes of the input, and continues the plan search. */
     void completeInput() {
         if (mayPlan() && scheduling.planner.isPlanDue()) {
             plan();
@@ -244,7 +251,7 @@
         Plan plan = scheduling.planner.createPlan();
         scheduling.migrationController.startMovedTasks();
         scheduling.taskPlacer.placeDueTasks(plan);
-        // One reading serves both steps: choosing what is narrowed or preempted does not change it.
+        // Valid for both steps: selecting tasks for narrowing or preemption does not change the usage.
         Map<String, double[]> usageByTeam = workers.clusterState.teamResourceUsage();
         if (workers.coldStart.mayPreempt()) {
             scheduling.widthReduction.reduceForLateJobs(plan, usageByTeam);
@@ -253,17 +260,20 @@
         scheduling.planner.startPause();
     }
 
-    /** Whether work may be placed: a task that begins while a cancellation may be unknown could not be kept. */
+    /**
+     * Returns whether tasks may be placed. While a committed cancellation may be unknown to this node it renews no
+     * leases, so a task started then could not keep running.
+     */
     private boolean mayPlan() {
         return isActive() && node.cancellations().mayRenewLeases();
     }
 
-    /** Whether the planner waits for its next plan or step of the search. */
+    /** Returns whether the planner has a plan or a search step to run. */
     boolean hasPendingPlanning() {
         return scheduling.planner.hasPendingWork() && mayPlan();
     }
 
-    /** When the next plan or step of the search is due. */
+    /** Returns the time at which the next plan or search step is due. */
     MonotonicTime nextPlanningAt() {
         return scheduling.planner.nextWorkAt();
     }
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -6,7 +6,10 @@
 import org.beechhoist.controller.leadership.ControllerServices;
 import org.beechhoist.controller.state.Job;
 
-/** Composition root of the leader: constructs its components, in this order, and connects them. It decides nothing. */
+/**
+ * Composition root of the leader: constructs its components, in this order, and connects them. It contains no
+ * scheduling logic.
+ */
 final class LeaderComponents {
     final ControllerServices services;
     final NodeComponents node;
@@ -33,7 +36,7 @@
                 services.context(), workers.clusterState, workers.elasticWidths, scheduling.planner);
     }
 
-    /** Passes a committed end of a job on to all that keep something of it. */
+    /** Notifies the components that track a job of its committed end. */
     private void jobEnded(Job job, JsonNode finalState) {
         node.userApi().recordEnded(job.id(), finalState);
         workers.lossRecovery.stopTrackingJob(job.id());
--- a/src/main/java/org/beechhoist/controller/LeaderFeatures.java
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -11,8 +11,8 @@
 import org.beechhoist.floor.ServiceShare;
 
 /**
- * Wires the leader's features that a policy may switch off, and drains, which reads them. Nothing of a feature that is off is
- * loaded or stored.
+ * Constructs and connects the leader's components of features that a policy can disable, and of drains, which depend
+ * on them. A disabled feature loads and stores nothing.
  *
  * <p>The fields are assigned in the order in which the components are constructed.
  */
--- a/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
+++ b/src/main/java/org/beechhoist/controller/LeaderReachabilityCheck.java
@@ -10,12 +10,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Hands the leadership over when workers no longer reach this node, or no longer receive what it says. */
+/** Gives up the leadership when workers can no longer reach this node or no longer receive its messages. */
 final class LeaderReachabilityCheck {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderReachabilityCheck.class);
-    /** How long a leader that steps down leaves the leadership to other nodes. */
+    /** The time after stepping down during which this node does not campaign, so that other nodes can win. */
     private static final long STEP_DOWN_PERIOD_MS = 30_000;
-    /** How long after a term's first reporting window the check still waits for heartbeats. */
+    /** The additional time after a term's first reporting window before the check relies on missing heartbeats. */
     private static final long FIRST_HEARTBEATS_GRACE_MS = 4000;
 
     private final ControllerContext context;
@@ -37,7 +37,10 @@
         this.peers = peers;
     }
 
-    /** Gives the leadership up if workers do not reach this node or do not hear it; returns whether it did. */
+    /**
+     * Gives up the leadership if workers do not reach this node or do not receive its messages; returns whether it
+     * did.
+     */
     boolean stepDownIfUnreachable() {
         long window = WorkerReachability.heartbeatWindowMs(
                 Math.round(1000 * settings.workers().reportS()));
@@ -47,10 +50,10 @@
         MachineCounts counts = countMachines(window);
         if (WorkerReachability.cannotReachWorkers(counts.expected(), counts.oneWayPartitioned())) {
             LOG.warn(
-                    "leadership handed over: oneWayPartitioned={} machines={} cause=\"machines send heartbeats and do not receive calls\"",
+                    "leader stepping down: oneWayPartitioned={} machines={} cause=\"machines send heartbeats but do not receive calls\"",
                     counts.oneWayPartitioned(),
                     counts.expected());
-            election.stepDown("what this node says does not reach workers", STEP_DOWN_PERIOD_MS);
+            election.stepDown("messages of this node do not reach workers", STEP_DOWN_PERIOD_MS);
             return true;
         }
         if (!WorkerReachability.isUnreachableFromWorkers(
@@ -58,10 +61,10 @@
             return false;
         }
         LOG.warn(
-                "leadership handed over: reporting={} machines={} cause=\"heartbeats do not reach this node\"",
+                "leader stepping down: reporting={} machines={} cause=\"heartbeats do not reach this node\"",
                 counts.reporting(),
                 counts.expected());
-        election.stepDown("workers can't reach this node", STEP_DOWN_PERIOD_MS);
+        election.stepDown("workers cannot reach this node", STEP_DOWN_PERIOD_MS);
         return true;
     }
 
@@ -92,7 +95,7 @@
     }
 
     /**
-     * How many machines are reporting.
+     * The numbers of machines by reachability.
      *
      * @param expected machines that should send heartbeats
      * @param reporting those of them that did so within the reporting window
--- a/src/main/java/org/beechhoist/controller/LeaderRequests.java
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -9,7 +9,7 @@
 import org.beechhoist.wire.Heartbeat;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** Handles the requests that only the leader answers: heartbeats and operators' views. Other nodes redirect them. */
+/** Handles the requests that only the leader answers: heartbeats and operator views. Other nodes redirect them. */
 final class LeaderRequests {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -30,7 +30,10 @@
         this.workerReachability = workerReachability;
     }
 
-    /** Answers an operators' view; the one of the term's beginning also before all open jobs are known. */
+    /**
+     * Answers an operator view. The view of the cold start is available to a lease holder even before all open jobs
+     * are loaded.
+     */
     void answerView(long id, String path) {
         boolean available =
                 path.equals(RequestRouter.COLD_START_VIEW) ? services.election().holdsLease() : leader.isActive();
@@ -54,7 +57,7 @@
         };
     }
 
-    /** Handles a worker's heartbeat. It counts as one that reached this node, whether the node leads or not. */
+    /** Handles a worker's heartbeat. It counts as a heartbeat that reached this node, whether the node leads or not. */
     void handleHeartbeat(long id, byte[] body) {
         Heartbeat heartbeat;
         try {
@@ -71,7 +74,7 @@
         redirect(id);
     }
 
-    /** Answers that this node does not lead, with the address of the leader as far as it is known. */
+    /** Answers that this node does not lead, with the address of the leader if it is known. */
     private void redirect(long id) {
         ObjectNode answer = Codec.map();
         String address = peers.reportedLeader(context.now());
--- a/src/main/java/org/beechhoist/controller/NodeComponents.java
+++ b/src/main/java/org/beechhoist/controller/NodeComponents.java
@@ -5,13 +5,13 @@
 import org.beechhoist.controller.state.MachineTypeCatalog;
 
 /**
- * What every node has, whether it leads or not, and the leader uses too.
+ * The components of every node that the leader uses too.
  *
  * @param machineTypes the cloud's machine types
- * @param userApi the API of jobs, which answers users when jobs end
- * @param idempotencyKeys which repeated submissions are the same job
- * @param peers what the other controllers last said of themselves
- * @param cancellations committed cancellations, and how fresh that knowledge is
+ * @param userApi the job API, which is notified when jobs end
+ * @param idempotencyKeys the idempotency keys of submissions
+ * @param peers the latest states that the other controllers sent
+ * @param cancellations committed cancellations, and how recent that knowledge is
  */
 record NodeComponents(
         MachineTypeCatalog machineTypes,
--- a/src/main/java/org/beechhoist/controller/NodeReadiness.java
+++ b/src/main/java/org/beechhoist/controller/NodeReadiness.java
@@ -4,11 +4,17 @@
 import org.beechhoist.controller.leadership.PeerDirectory;
 import org.beechhoist.controller.state.MachineTypeCatalog;
 
-/** Whether this node can serve users: from the state service's answers and the peers' messages. */
+/** Decides from the state service's answers and the peers' messages whether this node can serve users. */
 final class NodeReadiness {
-    /** The election's watch and lease make the state service answer more often than this. */
+    /**
+     * The time without an answer after which the state service counts as not answering. The watch and lease of the
+     * election make it answer more often than this.
+     */
     private static final long STORE_TIMEOUT_MS = 6000;
-    /** Nothing heard of the state service in {@link #MIN_UNANSWERED_CALL_COUNT} calls, nor of the peers, who send once a second. */
+    /**
+     * A node is isolated if for this long the state service has not answered {@link #MIN_UNANSWERED_CALL_COUNT} calls
+     * and no peer has sent a message; peers send one every second.
+     */
     private static final long ISOLATION_TIMEOUT_MS = 3000;
 
     private static final int MIN_UNANSWERED_CALL_COUNT = 2;
@@ -29,19 +35,20 @@
         this.peers = peers;
     }
 
-    /** Whether the node has loaded what it needs to judge submissions. */
+    /** Returns whether the node has loaded what it needs to check submissions. */
     boolean isLoaded() {
         return machineTypes.isLoaded() && stateService.hasEverServed();
     }
 
-    /** For how long the state service has not served this node. */
+    /** Returns the time since the state service last answered this node other than by a server error, in ms. */
     long msSinceServed() {
         return stateService.msSinceServed();
     }
 
     /**
-     * Whether the node can judge and store submissions. A node that alone is refused by the state service is not ready, so that
-     * users go to those that are served; in an outage that all nodes share, leaving would help nobody and cost a growing pause.
+     * Returns whether the node can check and store submissions. A node that is the only one refused by the state
+     * service is not ready, so that users move to nodes that are served. During an outage that affects all nodes a
+     * node stays ready: leaving would not help users, and would delay them by growing pauses.
      */
     boolean isReady() {
         boolean refusedAlone =
@@ -50,14 +57,17 @@
     }
 
     /**
-     * Whether neither the state service nor any peer reaches this node any more. An outage is answered, by 503, and peers are heard
-     * in it; a filter between nodes leaves the state service. Users are answered so at once, workers are sent on.
+     * Returns whether neither the state service nor any peer reaches this node. In an outage of the state service
+     * calls are still answered, by 503, and messages of peers arrive; a packet filter between nodes does not block the
+     * state service. An isolated node refuses users at once and redirects workers.
      */
     boolean isIsolated() {
-        long quietMs = stateService.msSinceAnswered();
-        boolean silent = quietMs > STORE_TIMEOUT_MS
+        long unansweredMs = stateService.msSinceAnswered();
+        boolean unanswered = unansweredMs > STORE_TIMEOUT_MS
                 || stateService.consecutiveUnansweredCalls() >= MIN_UNANSWERED_CALL_COUNT
-                        && quietMs > ISOLATION_TIMEOUT_MS;
-        return stateService.hasEverServed() && silent && peers.hasNoMessageWithin(context.now(), ISOLATION_TIMEOUT_MS);
+                        && unansweredMs > ISOLATION_TIMEOUT_MS;
+        return stateService.hasEverServed()
+                && unanswered
+                && peers.hasNoMessageWithin(context.now(), ISOLATION_TIMEOUT_MS);
     }
 }
--- a/src/main/java/org/beechhoist/controller/OperatorViews.java
+++ b/src/main/java/org/beechhoist/controller/OperatorViews.java
@@ -12,13 +12,13 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 
-/** What an operator can ask of the leader; cut off before an answer outgrows the protocol's limit. */
+/** The views that an operator can request from the leader; truncated to stay within the protocol's size limit. */
 final class OperatorViews {
     private static final int MAX_ROWS = 250;
 
     private OperatorViews() {}
 
-    /** The open jobs with their planned starts, and counts of the search and of features. */
+    /** Returns the open jobs with their planned starts, and counters of the search and of features. */
     static ObjectNode plan(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("jobs");
@@ -54,7 +54,7 @@
                 .put("searchKept", leader.planner().searchMovesKept());
     }
 
-    /** The machines with their states. */
+    /** Returns the machines with their states. */
     static ObjectNode machines(Leader leader, long nowMs) {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("hosts");
@@ -86,7 +86,7 @@
         return leader.admission().isUsable(machine) ? "usable" : "avoided";
     }
 
-    /** What each team with a quota uses and waits for. */
+    /** Returns the CPUs that each team with a quota uses and waits for. */
     static ObjectNode teams(Leader leader, Settings settings) {
         Map<String, double[]> sums = new HashMap<>();
         for (Job job : leader.clusterState().jobs()) {
@@ -110,7 +110,7 @@
         return out;
     }
 
-    /** Counts newer than the record's; a job that is over, or cancelled, stays what it is. */
+    /** Replaces the counts of the record by newer ones; a job that has ended or is cancelled keeps its state. */
     static void addProgress(JobCount jobCount, ObjectNode state) {
         String status = state.path("status").asText();
         if (jobCount == null || !(status.equals("queued") || status.equals("running"))) {
@@ -121,7 +121,7 @@
                 .put("status", jobCount.running() > 0 ? "running" : "queued");
     }
 
-    /** Adds what only the leader knows of an open job to its state: when it is planned to start and to be over. */
+    /** Adds the planned start and end of an open job, which only the leader knows, to its state. */
     static void addPlannedTimes(Leader leader, JobId jobId, ObjectNode state, long nowMs) {
         Plan plan = leader.planner().currentPlan();
         Job job = leader.clusterState().job(jobId);
--- a/src/main/java/org/beechhoist/controller/PeerExchange.java
+++ b/src/main/java/org/beechhoist/controller/PeerExchange.java
@@ -9,7 +9,7 @@
 import org.beechhoist.peer.PeerState;
 import org.beechhoist.wire.JobId;
 
-/** Exchanges with the other controllers: counts of jobs, cancellations, and acknowledgements of cancellations. */
+/** Exchanges job counts, cancellations and acknowledgements of cancellations with the other controllers. */
 final class PeerExchange {
     private final ControllerContext context;
     private final PeerStatePublisher publisher;
@@ -36,12 +36,12 @@
         this.leader = leader;
     }
 
-    /** Once a second: sends this node's state, and the counts of jobs that have changed if it leads. */
+    /** Sends this node's state, with the changed job counts if it leads; called once a second. */
     void publishPeriodically() {
         publisher.publish(leader.isActive() ? progress.countsToPublish(leader.clusterState()) : List.of());
     }
 
-    /** Takes up what another controller said of itself. */
+    /** Handles the state that another controller has sent. */
     void receive(PeerState state) {
         peers.recordMessage(state, context.now());
         progress.updateFromLeader(state, context.now());
@@ -54,8 +54,8 @@
     }
 
     /**
-     * A cancellation is committed, and a user of this node is about to have it confirmed: whoever leads is to know of it, with or
-     * without the state service.
+     * Handles a committed cancellation that is about to be confirmed to a user of this node. The leader must learn of
+     * it even if the state service is unavailable.
      */
     void cancellationConfirmed(JobId jobId, long committedWallMs) {
         cancellations.recordConfirmed(jobId, committedWallMs);
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Some node is about to confirm a cancellation: if this one leads, it ends the job's tasks and acknowledges once none can start
-     * any more.
+     * Handles a cancellation that some node is about to confirm: a leader ends the job's tasks, and acknowledges the
+     * cancellation once no task can start any more.
      */
     private void enforceCancellation(JobId jobId, long committedWallMs, boolean isNew) {
         if (isNew) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Acknowledges the cancellations of jobs of which no task can start any more. */
+    /** Acknowledges the cancellations of jobs none of whose tasks can start any more. */
     void acknowledgeCancellations() {
         if (!acknowledgements.acknowledgeReady(leader::noTaskCanStart)) {
             return;
@@ -87,7 +87,7 @@
         if (publisher.hasPeers()) {
             publisher.publishUrgently();
         } else {
-            acknowledgements.drainForPeers(); // nobody else waits for them
+            acknowledgements.drainForPeers(); // no peer waits for them
         }
     }
 }
--- a/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
+++ b/src/main/java/org/beechhoist/controller/PeerStatePublisher.java
@@ -11,7 +11,7 @@
 
 /** Sends this node's state to the other controllers. */
 final class PeerStatePublisher {
-    /** What the peers should know at once is sent no more often than this. */
+    /** The minimum interval between urgent messages. */
     private static final long URGENT_INTERVAL_MS = 20;
 
     private final ControllerServices services;
@@ -38,12 +38,12 @@
         this.urgentPacer = new Pacer(services.context(), URGENT_INTERVAL_MS);
     }
 
-    /** Whether this node is configured with peers. */
+    /** Returns whether peers are configured for this node. */
     boolean hasPeers() {
         return !services.settings().seeds().isEmpty();
     }
 
-    /** Sends this node's state, with these counts of jobs, if there are peers. */
+    /** Sends this node's state with the given job counts, if there are peers. */
     void publish(List<JobCount> counts) {
         if (!hasPeers()) {
             return;
@@ -63,7 +63,7 @@
                         acknowledgements.drainForPeers()));
     }
 
-    /** Sends this node's state now, or as soon as the interval since the last urgent message is over. */
+    /** Sends this node's state now, or when the minimum interval since the last urgent message has passed. */
     void publishUrgently() {
         if (!urgentPacer.postponeIfNotDue(this::publishUrgently)) {
             urgentPacer.recordRun();
--- a/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
+++ b/src/main/java/org/beechhoist/controller/RequestLimitDivider.java
@@ -8,17 +8,26 @@
 import org.beechhoist.controller.leadership.RequestShares;
 import org.beechhoist.peer.PeerState;
 
-/** Divides the state service's request limits among the nodes, and sets this node's token buckets to its share. */
+/**
+ * Divides the state service's request limits among the nodes, and sets the rates of this node's token buckets to its
+ * share.
+ */
 final class RequestLimitDivider {
-    /** How much of a node's demand of a second ago is taken to persist. */
+    /** The fraction of a node's demand that is assumed to persist a second later. */
     private static final double DEMAND_DECAY = 0.7;
-    /** Submissions come in bursts: what a node may write at once after a quiet period. */
+    /**
+     * The minimum number of writes that a node may send at once after an idle period, because submissions arrive in
+     * bursts.
+     */
     private static final double MIN_WRITE_BURST = 8;
 
     private static final double MIN_REQUEST_BURST = 1;
-    /** How much of the limits is divided. */
+    /** The fraction of the limits that is divided among the nodes. */
     private static final double DIVIDED_FRACTION = 0.9;
-    /** With less of a full bucket a leader's own users may take no more of it than those of any other node. */
+    /**
+     * The fraction of a full write bucket below which a leader's own users may use no more of it than the users of any
+     * other node.
+     */
     private static final double MIN_SPARE_WRITE_FRACTION = 0.75;
 
     private final StateServiceAccess access;
@@ -48,30 +57,32 @@
         return RequestShares.rateOfFirstNode(DIVIDED_FRACTION * limit, demands);
     }
 
-    /** Once a second: takes up what was asked for since, and what waits to be written. */
+    /**
+     * Updates the demand from the tokens requested since the last call and the pending writes; called once a second.
+     */
     void updateDemand(int pendingWrites) {
         writeDemand = Math.max(DEMAND_DECAY * writeDemand, access.writeTokens().drainDemand() + pendingWrites);
         requestDemand =
                 Math.max(DEMAND_DECAY * requestDemand, access.requestTokens().drainDemand());
     }
 
-    /** Whether the tokens for writes do not suffice for everybody. */
+    /** Returns whether the tokens for writes are too few for both the leader and its users. */
     boolean isShortOfWrites() {
         return access.writeTokens().available(access.context().now())
                 < MIN_SPARE_WRITE_FRACTION * access.writeTokens().capacity();
     }
 
-    /** Whether the last division gave this node a leader's share. */
+    /** Returns whether the last division gave this node a leader's share. */
     boolean hasLeaderShare() {
         return hasLeaderShare;
     }
 
-    /** What this node wants to write a second. */
+    /** Returns the writes that this node needs per second. */
     double writeDemand() {
         return writeDemand;
     }
 
-    /** What this node wants to request a second. */
+    /** Returns the requests that this node needs per second. */
     double requestDemand() {
         return requestDemand;
     }
--- a/src/main/java/org/beechhoist/controller/RequestRouter.java
+++ b/src/main/java/org/beechhoist/controller/RequestRouter.java
@@ -7,7 +7,7 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.JobId;
 
-/** Routes the requests on the public address by path and method. */
+/** Routes requests on the public address by path and method. */
 final class RequestRouter {
     static final String PLAN_VIEW = "/v1/plan";
     static final String MACHINES_VIEW = "/v1/hosts";
@@ -47,7 +47,11 @@
     private final NodeReadiness readiness;
     private final List<FeatureApi> features;
 
-    /** @param features the APIs of the features that are on: the first that handles a path gets the request */
+    /**
+     * Creates a router.
+     *
+     * @param features the APIs of the enabled features: the first that handles a path receives the request
+     */
     RequestRouter(
             ControllerContext context,
             Metrics metrics,
@@ -81,7 +85,7 @@
         }
     }
 
-    /** The method of a path, or null if there is no such path. */
+    /** Returns the method that a path requires, or null if there is no such path. */
     private static String expectedMethod(String path) {
         if (path.equals(JOBS) || path.equals(HEARTBEAT)) {
             return POST;
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -9,7 +9,8 @@
 import org.beechhoist.controller.worker.PreemptionNoticeHandler;
 
 /**
- * Wires what decides where and when tasks run: admission, releases, the plan, migration, width reduction and preemption.
+ * Constructs and connects the components that decide where and when tasks run: admission, releases, the plan,
+ * migration, width reduction and preemption.
  *
  * <p>The fields are assigned in the order in which the components are constructed.
  */
--- a/src/main/java/org/beechhoist/controller/SharedRecordReads.java
+++ b/src/main/java/org/beechhoist/controller/SharedRecordReads.java
@@ -18,17 +18,21 @@
 import org.beechhoist.wire.MonotonicTime;
 
 /**
- * Reads of open records for polls. One each while requests are plentiful. Where they run short none is refused for that: those
- * that come within a moment share listings, which begin at whoever has waited longest. With all nodes started anew each poll was a
- * read, and some jobs were unlucky again and again.
+ * Reads open records for polls. While requests are plentiful each poll has a read of its own. When they run short,
+ * polls that arrive within an interval share listings, each of which starts at the record of the longest waiting poll;
+ * no poll is refused for the shortage alone. When all nodes had restarted, each poll was a single read, and the polls
+ * of some jobs were refused repeatedly.
  */
 final class SharedRecordReads {
     private static final String LISTED_PREFIX = JobRecord.OPEN_PREFIX;
-    /** Of one listing: some hundred records are a few hundred KB at the most. */
+    /** The maximum number of records of one listing: a hundred records are a few hundred KB at most. */
     private static final int MAX_LISTED_COUNT = 100;
 
     private static final int MAX_WAITING_COUNT = 1000;
-    /** Users wait 2 s; who waited this long is told to come back. */
+    /**
+     * The maximum wait of a poll; one that waited longer is refused so that the user retries. Users wait 2 s for an
+     * answer.
+     */
     private static final long MAX_WAIT_MS = 1400;
 
     private record WaitingRead(JobId jobId, MonotonicTime since, Consumer<ReadResult> then) {}
@@ -47,7 +51,7 @@
         this.pacer = new Pacer(context, ConditionalStatusReads.batchIntervalMs(settings));
     }
 
-    /** Hands over what the state service holds, or {@link Read#UNKNOWN}. */
+    /** Passes the record of an open job, or {@link ReadResult#UNKNOWN}, to {@code then}. */
     void read(JobId jobId, Consumer<ReadResult> then) {
         if (ConditionalStatusReads.hasSpareRequests(requests, context.now()) && requests.tryTake(context.now(), 1)) {
             store.get(JobRecord.openKey(jobId), then);
@@ -71,7 +75,7 @@
         listingInFlight = true;
         String first = JobRecord.openKey(waiting.get(0).jobId);
         Set<WaitingRead> asked = new HashSet<>(waiting);
-        requests.takeOrOverdraw(context.now(), 1); // so few of them that none needs to wait for its turn
+        requests.takeOrOverdraw(context.now(), 1); // listings are too rare to be limited
         store.list(LISTED_PREFIX, keyBefore(first), MAX_LISTED_COUNT, page -> {
             listingInFlight = false;
             if (page.isOk()) {
@@ -81,7 +85,7 @@
         });
     }
 
-    /** A key that comes before this one and after all others that do. */
+    /** Returns a key that sorts before the given one and after all existing keys before it. */
     private static String keyBefore(String key) {
         int last = key.length() - 1;
         return key.substring(0, last) + (char) (key.charAt(last) - 1) + "~";
@@ -103,9 +107,8 @@
             if (within && asked.contains(read)) {
                 out.add(read);
             } else {
-                waiting.add(
-                        read); // also who came while the listing was on its way: it may be older than what they were
-                // told
+                // Includes polls that arrived during the listing: it may be older than their last answer.
+                waiting.add(read);
             }
         }
         out.forEach(w -> w.then.accept(new ReadResult(true, items.get(JobRecord.openKey(w.jobId)))));
--- a/src/main/java/org/beechhoist/controller/StalledJobReporter.java
+++ b/src/main/java/org/beechhoist/controller/StalledJobReporter.java
@@ -7,10 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs jobs that make no progress, with the cause as far as it is known. */
+/** Logs jobs that make no progress, with the cause if it is known. */
 final class StalledJobReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StalledJobReporter.class);
-    /** How long a job may go without progress before it is logged, and then until it is logged again. */
+    /** The time without progress after which a job is logged, and the interval at which it is logged again. */
     private static final long STALL_TIMEOUT_MS = 120_000;
 
     private final ControllerContext context;
@@ -25,7 +25,7 @@
         this.planner = planner;
     }
 
-    /** Logs each job without progress; a service whose guaranteed replicas all run needs none. */
+    /** Logs each job without progress; a service whose guaranteed replicas all run is not expected to make any. */
     void report() {
         for (Job job : clusterState.jobs()) {
             boolean serves = job.spec().isService() && elastic.regularWaitingCount(job) == 0;
@@ -54,7 +54,7 @@
         Plan plan = planner.currentPlan();
         Long start = plan == null ? null : plan.plannedStart(job.id());
         if (start == null) {
-            return "no place in the plan";
+            return "not in the plan";
         }
         return "planned in " + (start - context.now().ms()) / 1000 + " s";
     }
--- a/src/main/java/org/beechhoist/controller/StateServiceAccess.java
+++ b/src/main/java/org/beechhoist/controller/StateServiceAccess.java
@@ -6,7 +6,7 @@
 import org.beechhoist.store.TokenBucket;
 
 /**
- * What a component needs to read and write the state service, whether this node leads or not.
+ * The dependencies of a component that reads and writes the state service, on any node.
  *
  * @param requestTokens tokens for requests to the state service
  * @param writeTokens tokens for the changes that its transactions make
--- a/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
+++ b/src/main/java/org/beechhoist/controller/StateServiceMonitor.java
@@ -5,7 +5,7 @@
 import org.beechhoist.wire.CallResult;
 import org.beechhoist.wire.MonotonicTime;
 
-/** Records when the state service answered this node, and how. */
+/** Records when and how the state service answered this node. */
 final class StateServiceMonitor {
     private static final int SERVER_ERROR = 500;
 
@@ -41,22 +41,22 @@
         }
     }
 
-    /** Whether the state service has ever answered other than by a server error. */
+    /** Returns whether the state service has ever answered other than by a server error. */
     boolean hasEverServed() {
         return hasEverServed;
     }
 
-    /** For how long it has not answered other than by a server error. */
+    /** Returns the time since it last answered other than by a server error, in ms. */
     long msSinceServed() {
         return context.now().since(lastServedAt);
     }
 
-    /** For how long it has not answered at all. */
+    /** Returns the time since its last answer of any kind, in ms. */
     long msSinceAnswered() {
         return context.now().since(lastAnsweredAt);
     }
 
-    /** How many calls in a row had no answer of any kind. */
+    /** Returns the number of consecutive calls without an answer of any kind. */
     int consecutiveUnansweredCalls() {
         return consecutiveUnansweredCalls;
     }
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -22,23 +22,27 @@
 import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 
-/** Checks submissions of jobs and commits them in batches. */
+/** Checks job submissions and commits them in batches. */
 final class SubmissionHandler {
     private static final int MAX_CONCURRENT_COMMIT_COUNT = 4;
     private static final int MAX_QUEUED_COUNT = 400;
-    /** Well under the size limit of a transaction. */
+    /** Keeps a transaction well below its size limit. */
     private static final int MAX_BATCH_WRITE_COUNT = 20;
 
     private static final String QUEUE_FULL = "too many submissions wait here";
     private static final String WRITES_USED_UP = "this node has used its share of the state service's writes";
 
-    /** Answers a request that can't be served now. */
+    /** Answers a request that cannot be served now. */
     interface Refusal {
-        /** Answers a request with a reason to come back later. */
+        /** Answers a request with the reason; the user retries later. */
         void refuse(long request, String reason);
     }
 
-    /** {@code replacedKey}: the version of its idempotency key that it was found to replace. */
+    /**
+     * A submission that waits to be committed.
+     *
+     * @param replacedKey the version of the expired idempotency record that it replaces, or absent
+     */
     private record Submission(long request, JobSpec spec, Revision replacedKey) {}
 
     private final ControllerContext context;
@@ -55,15 +59,16 @@
     private final Refusal refusal;
     private final TeamFairShareLimiter teamLimiter = new TeamFairShareLimiter();
     /**
-     * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
-     * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
+     * Limits the writes of a leader's own users, while writes run short, to the rate guaranteed to any other node.
+     * Without it, at a hundred submissions a second, those on the leader's node used all of its share, and nothing was
+     * launched for 20 s.
      */
     private final TokenBucket userWritesOnLeader;
 
     private final List<Submission> queue = new ArrayList<>();
     private int commitsInFlight;
 
-    /** Creates a handler; {@code leaderShortOfWrites} says whether this node leads and its writes run short. */
+    /** Creates a handler; {@code leaderShortOfWrites} returns whether this node leads and its writes run short. */
     SubmissionHandler(
             StateServiceAccess access,
             Policy policy,
@@ -89,26 +94,26 @@
     }
 
     /**
-     * How jobs are read.
+     * The readers of jobs.
      *
      * @param reader reads single jobs
-     * @param statusReads polls, which learn the version of a new job's record
+     * @param statusReads answers polls; caches the version of a new job's record
      */
     record JobReads(JobReader reader, ConditionalStatusReads statusReads) {}
 
-    /** Submits a job, or answers why not. */
+    /** Submits a job, or answers with the reason for the refusal. */
     void submit(long request, byte[] body) {
         JobSpec spec;
         try {
             spec = JobSpec.parse(Codec.decodeMap(body));
             if (!policy.elastic().on()) {
-                spec = spec.withoutWidth(); // as any field that a node does not know
+                spec = spec.withoutWidth(); // ignored, as any unknown field is
             }
             spec = (policy.cron().on() ? spec : spec.withoutIdempotencyKey())
                     .withOrigin(null)
                     .withKeySetBinding(null);
             spec = policy.releases() ? spec : spec.withoutRelease();
-            spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
+            spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // ignored, as any unknown field is
         } catch (MalformedMessageException e) {
             context.respond(request, 400, JobResponses.error(e.getMessage()));
             return;
@@ -137,7 +142,7 @@
         }
         String permanent = rules.permanentRefusal(spec) == null ? binding.refusal() : rules.permanentRefusal(spec);
         if (permanent != null) {
-            // A job that was accepted once, when there were other machine types, is never refused later.
+            // A job that was accepted before, with other machine types, must not be refused now.
             reader.read(spec.id(), requests.tryTake(context.now(), 1), found -> {
                 if (found == null) {
                     refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
@@ -166,15 +171,15 @@
 
     private void flush() {
         while (!queue.isEmpty() && commitsInFlight < MAX_CONCURRENT_COMMIT_COUNT) {
-            double left = Math.min(
+            double availableWrites = Math.min(
                     writes.available(context.now()),
                     leaderShortOfWrites.getAsBoolean()
                             ? userWritesOnLeader.available(context.now())
                             : MAX_BATCH_WRITE_COUNT);
-            int limit =
-                    (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH_WRITE_COUNT), Math.floor(left));
+            int limit = (int) Math.min(
+                    Math.min(settings.stateLimits().txnOps(), MAX_BATCH_WRITE_COUNT), Math.floor(availableWrites));
             if (limit < 1 || !requests.tryTake(context.now(), 1)) {
-                // Refused rather than held: the user is told when to come back.
+                // Refused rather than kept waiting: the answer makes the user retry.
                 writes.recordMissed(queue.size());
                 queue.forEach(submission -> refusal.refuse(submission.request, WRITES_USED_UP));
                 queue.clear();
@@ -188,7 +193,7 @@
                     && (batch.isEmpty() || puts + IdempotencyKeys.putCount(queue.get(0).spec) <= limit)) {
                 Submission submission = queue.get(0);
                 if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.recordKey(submission.spec))) {
-                    break; // the same work twice: the second is answered after the first
+                    break; // same idempotency key: committed after the first, in another transaction
                 }
                 queue.remove(0);
                 boolean duplicate =
@@ -248,7 +253,10 @@
         }
     }
 
-    /** The idempotency key is taken: answers with the first submission's job, unless that is longer ago than its class allows. */
+    /**
+     * Answers with the job of the first submission that used the idempotency key; if that key has expired, the
+     * submission is queued again to replace it.
+     */
     private void answerFirstSubmission(Submission submission) {
         requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.recordKey(submission.spec), read -> {
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -21,20 +21,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' interface, the same on every node: every answer comes from the state service, or is a final state.
+ * The job API for users, the same on every node: each answer is read from the state service or is a cached final
+ * state.
  */
 final class UserApi {
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
     private static final int MAX_CANCEL_CONFLICT_COUNT = 6;
 
-    /** The refusal of a request that needs the state service. */
+    /** The error text for a request that needs the state service while it is unavailable. */
     static final String STORE_UNAVAILABLE = "the state service does not answer, or this node has used its share of it";
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    /** Adds to an open job's state what this node knows beyond its record. */
+    /** Adds the details that only this node knows to an open job's state. */
     private final BiConsumer<JobId, ObjectNode> statusDetails;
     /** Receives each committed cancellation with its wall-clock time, before its user is answered. */
     private final BiConsumer<JobId, Long> cancellationCommitted;
@@ -48,11 +49,11 @@
     private final ResizeHandler resizeHandler;
 
     /**
-     * Creates the interface.
+     * Creates the API.
      *
-     * @param leaderShortOfWrites whether this node leads and its writes run short
-     * @param isolated whether this node reaches neither the state service nor another node
-     * @param keySets null where key sets are off
+     * @param leaderShortOfWrites returns whether this node leads and its writes run short
+     * @param isolated returns whether this node reaches neither the state service nor another node
+     * @param keySets null if key sets are disabled
      */
     UserApi(
             ControllerContext context,
@@ -103,17 +104,20 @@
         context.respond(request, 503, JobResponses.error(why));
     }
 
-    /** Submits a job, or answers why not. */
+    /** Submits a job, or answers with the reason for the refusal. */
     void submit(long request, byte[] body) {
         submissions.submit(request, body);
     }
 
-    /** Why a job of a schedule can't be submitted, temporarily ({@link SubmissionRules#isTemporaryRefusal}) or for ever; or null. */
+    /**
+     * Returns the reason why a scheduled job cannot be submitted, temporarily ({@link
+     * SubmissionRules#isTemporaryRefusal}) or permanently, or null if it can.
+     */
     String refusal(JobSpec spec) {
         return rules.refusal(spec);
     }
 
-    /** A job that was not refused, bound to its key set if it needs one. */
+    /** Returns an accepted job, bound to its key set if it requires one. */
     JobSpec bindToKeySet(JobSpec spec) {
         return rules.bindToKeySet(spec);
     }
@@ -122,7 +126,7 @@
         reader.read(jobId, requests.tryTake(context.now(), 1), then);
     }
 
-    /** A job's state for somebody else's answer, or null where it can't be read now. */
+    /** Reads a job's state for an answer of another API; passes null to {@code then} if it cannot be read now. */
     void readStatus(JobId jobId, Consumer<JsonNode> then) {
         readIfAllowed(jobId, found -> then.accept(found == null ? null : found.status()));
     }
@@ -172,7 +176,11 @@
         }
     }
 
-    /** Cancels a job, again after a conflict; {@code conflicts} counts these. */
+    /**
+     * Cancels a job; retries after a conflict.
+     *
+     * @param conflicts the number of conflicts so far
+     */
     void cancel(long request, JobId jobId, int conflicts) {
         readIfAllowed(jobId, found -> {
             if (found == null || conflicts > MAX_CANCEL_CONFLICT_COUNT) {
@@ -194,7 +202,10 @@
         });
     }
 
-    /** Cancels a run that another of its schedule replaces; {@code then} receives whether that is certain. */
+    /**
+     * Cancels a run that a later run of its schedule replaces; passes to {@code then} whether the run is known to be
+     * cancelled or ended.
+     */
     void cancelReplaced(JobId jobId, Consumer<Boolean> then) {
         readIfAllowed(jobId, found -> {
             if (found == null
@@ -237,7 +248,7 @@
                 jobId, () -> context.respond(request, 200, JobResponses.status(jobId, "cancelled")));
     }
 
-    /** Changes what width a job's user allows it; the leader follows. */
+    /** Changes the width that a user allows a job; the leader adapts the job to it. */
     void resize(long request, JobId jobId, byte[] body) {
         resizeHandler.resize(request, jobId, body);
     }
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -29,10 +29,11 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * Wires the leader's cluster state, the transactions that store it, and what is done with machines and their workers.
+ * Constructs and connects the leader's cluster state, the transactions that store it, and the components that manage
+ * machines and their workers.
  *
- * <p>The fields are assigned in the order in which the components are constructed. Components that need a later one are given a
- * listener, which reads the field when it is called.
+ * <p>The fields are assigned in the order in which the components are constructed. Components that need one
+ * constructed later receive a listener, which reads the field when it is called.
  */
 final class WorkerComponents {
     final ControllerServices services;
@@ -61,7 +62,11 @@
     private final BiConsumer<Job, JsonNode> jobEnded;
     private final ChangeLog changeLog;
 
-    /** @param jobEnded is called with a job and its final state when its end is committed */
+    /**
+     * Constructs the components.
+     *
+     * @param jobEnded called with a job and its final state when its end is committed
+     */
     WorkerComponents(
             ControllerServices services,
             Policy policy,
@@ -158,7 +163,7 @@
                 services, state, dispatcher, taskRemoval, lossRecovery, provisioner, keySetHolds);
     }
 
-    /** Passes on what the state loader reads. */
+    /** Forwards the events of the state loader. */
     private final class LoadedState implements StateLoader.Listener {
         @Override
         public void stateLoaded() {
@@ -176,7 +181,7 @@
         }
     }
 
-    /** Passes on what workers answer to commands and probes. */
+    /** Forwards the answers of workers to commands and probes. */
     private final class CommandOutcomes implements CommandDispatcher.Listener {
         @Override
         public void heartbeatReceived(Machine machine, Heartbeat heartbeat) {
@@ -196,7 +201,7 @@
         }
     }
 
-    /** Passes on what the transaction committer has stored. */
+    /** Forwards the changes that the transaction committer has stored. */
     private final class CommittedChanges implements TransactionCommitter.Listener {
         @Override
         public void placementsCommitted(List<Placement> placed) {
--- a/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
+++ b/src/main/java/org/beechhoist/controller/WorkerRestartHandler.java
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles a machine that stopped and is back under the same name, with a worker that knows nothing.
+ * Handles a machine that restarted under the same name, with a worker that has no state.
  *
- * <p>A probe showed that its worker reports less than before, so the tasks of the previous incarnation are gone. Commands for that
- * incarnation may still be on their way and would be carried out. A task that the new worker does not hold is therefore gone only
- * once that worker has seen a newer fencing token.
+ * <p>A probe has shown that its worker reports less than before, so the tasks of the previous incarnation are gone.
+ * Commands for that incarnation may still be in flight and would be executed by the new one. A task that the new
+ * worker does not report therefore counts as gone only once that worker has seen a newer fencing token.
  */
 final class WorkerRestartHandler {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerRestartHandler.class);
@@ -36,7 +36,7 @@
         this.committer = committer;
     }
 
-    /** Starts the machine's record afresh from the new worker's first heartbeat, and requests a newer fencing token. */
+    /** Resets the machine's record to the new worker's first heartbeat, and requests a newer fencing token. */
     void handleRestart(Machine machine, Heartbeat heartbeat) {
         LOG.info(
                 "worker restarted: machine={} epoch={} sequence={}",
