--- a/src/main/java/org/beechhoist/controller/ControllerComponents.java
+++ b/src/main/java/org/beechhoist/controller/ControllerComponents.java
@@ -157,7 +157,7 @@
     private String cronHoldReason(String table, String entry) {
         return activeLeader()
                 .flatMap(Leader::cronController)
-                .map(schedules -> schedules.held(table, entry))
+                .map(schedules -> schedules.holdReason(table, entry))
                 .orElse(null);
     }
 
--- a/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
+++ b/src/main/java/org/beechhoist/controller/IdempotencyKeys.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.beechhoist.config.Policy;
-import org.beechhoist.cron.Entry;
+import org.beechhoist.cron.Schedule;
 import org.beechhoist.store.JobRecord;
 import org.beechhoist.store.Transaction;
 import org.beechhoist.wire.Codec;
@@ -31,7 +31,7 @@
         return spec.idempotencyKey() == null
                 ? null
                 : "once/"
-                        + Entry.hash(spec.team() + "\n" + spec.idempotencyKey())
+                        + Schedule.hash(spec.team() + "\n" + spec.idempotencyKey())
                                 .toString()
                                 .replaceAll("[^0-9a-zA-Z]", "");
     }
@@ -47,10 +47,8 @@
                 .guard(JobRecord.endedKey(spec.id()), Revision.ABSENT)
                 .put(key, new JobRecord(spec, wallMs).toNode());
         if (spec.keySetBinding() != null) {
-            keySets.guard(
-                    transaction,
-                    spec.keySetBinding()
-                            .keySet()); // the state service decides between a submission and a concurrent revocation
+            // The state service decides between a submission and a concurrent revocation.
+            keySets.addGuard(transaction, spec.keySetBinding().keySet());
         }
         if (spec.idempotencyKey() != null) {
             ObjectNode value = Codec.map()
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -66,18 +66,18 @@
         scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
-        scheduling.releaseController.begin();
+        scheduling.releaseController.startTerm();
         scheduling.migrationController.startTerm();
         features.drainController.startTerm();
         workers.loader.reload();
         features.fleetSnapshots.ifPresent(FleetSnapshots::startTerm);
         features.serviceShare.ifPresent(MinimumServiceShare::startTerm);
-        features.cronController.ifPresent(CronController::begin);
+        features.cronController.ifPresent(CronController::startTerm);
     }
 
     /** Ends the term: this node has lost the leadership. */
     void endTerm() {
-        features.cronController.ifPresent(CronController::end);
+        features.cronController.ifPresent(CronController::endTerm);
         workers.loader.stop();
         workers.clusterState.reset();
         scheduling.planner.endTerm();
@@ -117,12 +117,12 @@
 
     /** Handles a change of a key set. */
     void keySetsChanged() {
-        workers.keySetHolds.changed();
+        workers.keySetHolds.requestRecheck();
     }
 
     /** Handles a change of a release. */
     void releaseChanged(Release before, Release now) {
-        scheduling.releaseController.changed(before, now);
+        scheduling.releaseController.handleReleaseChange(before, now);
     }
 
     // ---- Accessors ----
@@ -216,7 +216,7 @@
     }
 
     private void runTaskComponents() {
-        workers.keySetHolds.tick();
+        workers.keySetHolds.checkAllJobs();
         scheduling.preemptionNotices.evictUnfinishableTasks();
         workers.elasticWidths.reconcileAllWidths();
         features.loadShedding.ifPresent(LoadShedding::updateShedJobs);
@@ -226,12 +226,12 @@
     }
 
     private void runLongTermComponents() {
-        scheduling.releaseController.tick(scheduling.planner);
+        scheduling.releaseController.updateForecasts(scheduling.planner);
         scheduling.migrationController.updateMigrations(scheduling.planner.currentPlan());
         features.drainController.updateDrains(scheduling.planner);
         features.fleetSnapshots.ifPresent(FleetSnapshots::writeNextPart);
         features.serviceShare.ifPresent(MinimumServiceShare::updatePrioritizedJobs);
-        features.cronController.ifPresent(CronController::tick);
+        features.cronController.ifPresent(CronController::fireDueSchedules);
     }
 
     /** Creates a plan if one is due, commits the changes of the input, and continues the plan search. */
@@ -246,8 +246,8 @@
     }
 
     private void plan() {
-        workers.keySetHolds.look();
-        scheduling.releaseController.look();
+        workers.keySetHolds.checkDueJobs();
+        scheduling.releaseController.updateOrder();
         Plan plan = scheduling.planner.createPlan();
         scheduling.migrationController.startMovedTasks();
         scheduling.taskPlacer.placeDueTasks(plan);
