--- a/src/main/java/org/beechhoist/controller/JobReader.java
+++ b/src/main/java/org/beechhoist/controller/JobReader.java
@@ -13,12 +13,12 @@
 
 /** Reads jobs from the state service and caches their final states. */
 final class JobReader {
-    private static final int CACHED_ENDED = 2000;
+    private static final int MAX_CACHED_ENDED_COUNT = 2000;
 
     /**
-     * What the state service holds of a job.
+     * The state service's records of a job.
      *
-     * @param status the job's state as users see it, or null where the state service holds nothing
+     * @param status the job's state as users see it, or null if the state service has no record of it
      * @param open the record of an open job, else null
      */
     record StoredJob(JsonNode status, StoreClient.KeyValue open) {}
@@ -26,45 +26,50 @@
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final BooleanSupplier cutOff;
-    private final Map<JobId, JsonNode> ended = BoundedCollections.leastRecentlyUsedMap(CACHED_ENDED);
+    private final BooleanSupplier isolated;
+    private final Map<JobId, JsonNode> finalStates = BoundedCollections.leastRecentlyUsedMap(MAX_CACHED_ENDED_COUNT);
 
-    /** Creates a reader; {@code cutOff} says whether the node reaches neither the state service nor another node. */
-    JobReader(ControllerContext context, StoreClient store, TokenBucket requests, BooleanSupplier cutOff) {
+    /**
+     * Creates a reader; {@code isolated} returns whether the node reaches neither the state service nor another node.
+     */
+    JobReader(ControllerContext context, StoreClient store, TokenBucket requests, BooleanSupplier isolated) {
         this.context = context;
         this.store = store;
         this.requests = requests;
-        this.cutOff = cutOff;
+        this.isolated = isolated;
     }
 
-    /** Whether this node reaches neither the state service nor another node: it then sends no requests. */
+    /** Returns whether this node reaches neither the state service nor another node; it then sends no requests. */
     boolean isIsolated() {
-        return cutOff.getAsBoolean();
+        return isolated.getAsBoolean();
     }
 
     /** Caches the final state of a job. */
     void cacheEnded(JobId jobId, JsonNode state) {
-        ended.put(jobId, state);
+        finalStates.put(jobId, state);
     }
 
-    /** The cached final state of a job, or null. */
+    /** Returns the cached final state of a job, or null. */
     JsonNode cachedEnded(JobId jobId) {
-        return ended.get(jobId);
+        return finalStates.get(jobId);
     }
 
-    /** Whether the final state of a job is cached; unlike {@link #cachedEnded} this does not count as a use of it. */
+    /**
+     * Returns whether the final state of a job is cached; unlike {@link #cachedEnded} this does not count as a use of
+     * the entry.
+     */
     boolean isEndedCached(JobId jobId) {
-        return ended.containsKey(jobId);
+        return finalStates.containsKey(jobId);
     }
 
-    /** Reads a job; hands over null where nothing could be learnt. */
+    /** Reads a job and passes it to {@code then}, or null if it could not be read. */
     void read(JobId jobId, boolean allowed, Consumer<StoredJob> then) {
-        JsonNode finalState = ended.get(jobId);
+        JsonNode finalState = finalStates.get(jobId);
         if (finalState != null) {
             then.accept(new StoredJob(JobResponses.endedStatus(jobId, finalState), null));
             return;
         }
-        if (!allowed || cutOff.getAsBoolean()) {
+        if (!allowed || isolated.getAsBoolean()) {
             then.accept(null);
             return;
         }
@@ -72,14 +77,14 @@
     }
 
     /**
-     * Interprets what was read of an open record, and reads the ended one if there is none. A job moves from open to ended, so that
-     * this order can't miss it.
+     * Interprets the result of reading an open record, and reads the ended record if there is none. A job moves from
+     * open to ended, so reading in this order cannot miss it.
      */
     void interpret(JobId jobId, StoreClient.ReadResult open, Consumer<StoredJob> then) {
         if (!open.answered()) {
             then.accept(null);
         } else if (open.item() != null && JobRecord.isFinalState(open.item().value())) {
-            ended.put(jobId, open.item().value());
+            finalStates.put(jobId, open.item().value());
             then.accept(
                     new StoredJob(JobResponses.endedStatus(jobId, open.item().value()), null));
         } else if (open.item() != null) {
@@ -92,7 +97,7 @@
                 } else if (end.item() == null) {
                     then.accept(new StoredJob(null, null));
                 } else {
-                    ended.put(jobId, end.item().value());
+                    finalStates.put(jobId, end.item().value());
                     then.accept(new StoredJob(
                             JobResponses.endedStatus(jobId, end.item().value()), null));
                 }
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -22,23 +22,27 @@
 import org.beechhoist.wire.MalformedMessageException;
 import org.beechhoist.wire.Revision;
 
-/** Checks submissions of jobs and commits them in batches. */
+/** Checks job submissions and commits them in batches. */
 final class SubmissionHandler {
-    private static final int MAX_COMMITS = 4;
-    private static final int MAX_QUEUE = 400;
-    /** Well under the size limit of a transaction. */
-    private static final int MAX_BATCH = 20;
+    private static final int MAX_CONCURRENT_COMMIT_COUNT = 4;
+    private static final int MAX_QUEUED_COUNT = 400;
+    /** Keeps a transaction well below its size limit. */
+    private static final int MAX_BATCH_WRITE_COUNT = 20;
 
     private static final String QUEUE_FULL = "too many submissions wait here";
     private static final String WRITES_USED_UP = "this node has used its share of the state service's writes";
 
-    /** Answers a request that can't be served now. */
+    /** Answers a request that cannot be served now. */
     interface Refusal {
-        /** Answers a request with a reason to come back later. */
+        /** Answers a request with the reason; the user retries later. */
         void refuse(long request, String reason);
     }
 
-    /** {@code replacedKey}: the version of its idempotency key that it was found to replace. */
+    /**
+     * A submission that waits to be committed.
+     *
+     * @param replacedKey the version of the expired idempotency record that it replaces, or absent
+     */
     private record Submission(long request, JobSpec spec, Revision replacedKey) {}
 
     private final ControllerContext context;
@@ -49,28 +53,29 @@
     private final TokenBucket writes;
     private final SubmissionRules rules;
     private final JobReader reader;
-    private final ConditionalStatusReads reads;
+    private final ConditionalStatusReads statusReads;
     private final IdempotencyKeys idempotencyKeys;
-    private final BooleanSupplier leaderWrites;
+    private final BooleanSupplier leaderShortOfWrites;
     private final Refusal refusal;
-    private final TeamFairShareLimiter teamTurns = new TeamFairShareLimiter();
+    private final TeamFairShareLimiter teamLimiter = new TeamFairShareLimiter();
     /**
-     * What users may take of a leader's changes while they run short: as much as on any other node. With a hundred submissions
-     * a second those on the leader's node took all of its part, and nothing was launched for 20 s.
+     * Limits the writes of a leader's own users, while writes run short, to the rate guaranteed to any other node.
+     * Without it, at a hundred submissions a second, those on the leader's node used all of its share, and nothing was
+     * launched for 20 s.
      */
-    private final TokenBucket besideLeader;
+    private final TokenBucket userWritesOnLeader;
 
     private final List<Submission> queue = new ArrayList<>();
-    private int commits;
+    private int commitsInFlight;
 
-    /** Creates a handler; {@code leaderWrites} says whether this node leads and its writes run short. */
+    /** Creates a handler; {@code leaderShortOfWrites} returns whether this node leads and its writes run short. */
     SubmissionHandler(
             StateServiceAccess access,
             Policy policy,
             SubmissionRules rules,
             JobReads jobReads,
             IdempotencyKeys idempotencyKeys,
-            BooleanSupplier leaderWrites,
+            BooleanSupplier leaderShortOfWrites,
             Refusal refusal) {
         this.context = access.context();
         this.settings = access.settings();
@@ -80,35 +85,35 @@
         this.writes = access.writeTokens();
         this.rules = rules;
         this.reader = jobReads.reader();
-        this.reads = jobReads.statusReads();
+        this.statusReads = jobReads.statusReads();
         this.idempotencyKeys = idempotencyKeys;
-        this.leaderWrites = leaderWrites;
+        this.leaderShortOfWrites = leaderShortOfWrites;
         this.refusal = refusal;
-        this.besideLeader = new TokenBucket(Math.max(
+        this.userWritesOnLeader = new TokenBucket(Math.max(
                 1, RequestShares.guaranteedFollowerRate(settings.stateLimits().writeRps(), settings.nodes())));
     }
 
     /**
-     * How jobs are read.
+     * The readers of jobs.
      *
      * @param reader reads single jobs
-     * @param statusReads polls, which learn the version of a new job's record
+     * @param statusReads answers polls; caches the version of a new job's record
      */
     record JobReads(JobReader reader, ConditionalStatusReads statusReads) {}
 
-    /** Submits a job, or answers why not. */
+    /** Submits a job, or answers with the reason for the refusal. */
     void submit(long request, byte[] body) {
         JobSpec spec;
         try {
             spec = JobSpec.parse(Codec.decodeMap(body));
             if (!policy.elastic().on()) {
-                spec = spec.withoutWidth(); // as any field that a node does not know
+                spec = spec.withoutWidth(); // ignored, as any unknown field is
             }
             spec = (policy.cron().on() ? spec : spec.withoutIdempotencyKey())
                     .withOrigin(null)
                     .withKeySetBinding(null);
             spec = policy.releases() ? spec : spec.withoutRelease();
-            spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // as any field that a node does not know
+            spec = rules.keySets() == null ? spec.withoutKeySet() : spec; // ignored, as any unknown field is
         } catch (MalformedMessageException e) {
             context.respond(request, 400, JobResponses.error(e.getMessage()));
             return;
@@ -126,10 +131,10 @@
             refusal.refuse(request, SubmissionRules.MACHINE_TYPES_UNKNOWN);
             return;
         }
-        enter(request, spec);
+        enqueue(request, spec);
     }
 
-    private void enter(long request, JobSpec spec) {
+    private void enqueue(long request, JobSpec spec) {
         KeySets.BindingDecision binding = rules.keySetBinding(spec);
         if (binding == null) {
             refusal.refuse(request, SubmissionRules.KEY_SETS_UNKNOWN);
@@ -138,7 +143,7 @@
         String permanent =
                 rules.permanentRefusal(spec) == null ? binding.refusalReason() : rules.permanentRefusal(spec);
         if (permanent != null) {
-            // A job that was accepted once, when there were other machine types, is never refused later.
+            // A job that was accepted before, with other machine types, must not be refused now.
             reader.read(spec.id(), requests.tryTake(context.now(), 1), found -> {
                 if (found == null) {
                     refusal.refuse(request, UserApi.STORE_UNAVAILABLE);
@@ -150,29 +155,32 @@
             });
             return;
         }
-        if (queue.size() >= MAX_QUEUE) {
+        if (queue.size() >= MAX_QUEUED_COUNT) {
             refusal.refuse(request, QUEUE_FULL);
             return;
         }
-        if (!teamTurns.allows(
+        if (!teamLimiter.allows(
                 spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
             writes.recordMissed(1);
             refusal.refuse(request, WRITES_USED_UP);
             return;
         }
-        teamTurns.recordAccepted(spec.team(), context.now());
+        teamLimiter.recordAccepted(spec.team(), context.now());
         queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
         flush();
     }
 
     private void flush() {
-        while (!queue.isEmpty() && commits < MAX_COMMITS) {
-            double left = Math.min(
+        while (!queue.isEmpty() && commitsInFlight < MAX_CONCURRENT_COMMIT_COUNT) {
+            double availableWrites = Math.min(
                     writes.available(context.now()),
-                    leaderWrites.getAsBoolean() ? besideLeader.available(context.now()) : MAX_BATCH);
-            int limit = (int) Math.min(Math.min(settings.stateLimits().txnOps(), MAX_BATCH), Math.floor(left));
+                    leaderShortOfWrites.getAsBoolean()
+                            ? userWritesOnLeader.available(context.now())
+                            : MAX_BATCH_WRITE_COUNT);
+            int limit = (int) Math.min(
+                    Math.min(settings.stateLimits().txnOps(), MAX_BATCH_WRITE_COUNT), Math.floor(availableWrites));
             if (limit < 1 || !requests.tryTake(context.now(), 1)) {
-                // Refused rather than held: the user is told when to come back.
+                // Refused rather than kept waiting: the answer makes the user retry.
                 writes.recordMissed(queue.size());
                 queue.forEach(submission -> refusal.refuse(submission.request, WRITES_USED_UP));
                 queue.clear();
@@ -186,7 +194,7 @@
                     && (batch.isEmpty() || puts + IdempotencyKeys.putCount(queue.get(0).spec) <= limit)) {
                 Submission submission = queue.get(0);
                 if (submission.spec.idempotencyKey() != null && !keys.add(IdempotencyKeys.recordKey(submission.spec))) {
-                    break; // the same work twice: the second is answered after the first
+                    break; // same idempotency key: committed after the first, in another transaction
                 }
                 queue.remove(0);
                 boolean duplicate =
@@ -195,7 +203,7 @@
                 puts += IdempotencyKeys.putCount(submission.spec);
             }
             writes.takeOrOverdraw(context.now(), puts);
-            besideLeader.takeOrOverdraw(context.now(), puts);
+            userWritesOnLeader.takeOrOverdraw(context.now(), puts);
             send(batch);
             duplicates.forEach(duplicate -> answerKnown(duplicate.request, duplicate.spec.id()));
         }
@@ -206,9 +214,9 @@
         for (Submission submission : batch) {
             idempotencyKeys.addSubmission(transaction, submission.spec, submission.replacedKey, context.wallMs());
         }
-        commits++;
+        commitsInFlight++;
         store.commit(transaction, commit -> {
-            commits--;
+            commitsInFlight--;
             switch (commit.outcome()) {
                 case COMMITTED -> batch.forEach(submission -> answerQueued(submission, commit));
                 case CONFLICT -> batch.forEach(submission -> resolveConflict(submission, commit));
@@ -220,7 +228,7 @@
 
     private void answerQueued(Submission submission, CommitResult commit) {
         JobId jobId = submission.spec.id();
-        reads.remember(
+        statusReads.remember(
                 jobId,
                 commit.revision(),
                 JobResponses.openStatus(jobId, new JobRecord(submission.spec, context.wallMs()).toNode()));
@@ -242,13 +250,16 @@
                     .refreshConflicting(
                             Set.of(KeySetRegistry.SETS_PREFIX
                                     + spec.keySetBinding().keySet()),
-                            () -> enter(submission.request, spec.withKeySetBinding(null)));
+                            () -> enqueue(submission.request, spec.withKeySetBinding(null)));
         } else {
             queue.add(submission);
         }
     }
 
-    /** The idempotency key is taken: answers with the first submission's job, unless that is longer ago than its class allows. */
+    /**
+     * Answers with the job of the first submission that used the idempotency key; if that key has expired, the
+     * submission is queued again to replace it.
+     */
     private void answerFirstSubmission(Submission submission) {
         requests.takeOrOverdraw(context.now(), 1);
         store.get(IdempotencyKeys.recordKey(submission.spec), read -> {
--- a/src/main/java/org/beechhoist/controller/UserApi.java
+++ b/src/main/java/org/beechhoist/controller/UserApi.java
@@ -21,38 +21,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' interface, the same on every node: every answer comes from the state service, or is a final state.
+ * The job API for users, the same on every node: each answer is read from the state service or is a cached final
+ * state.
  */
 final class UserApi {
     private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
-    private static final int MAX_RACES = 6;
+    private static final int MAX_CANCEL_CONFLICT_COUNT = 6;
 
-    /** The refusal of a request that needs the state service. */
+    /** The error text for a request that needs the state service while it is unavailable. */
     static final String STORE_UNAVAILABLE = "the state service does not answer, or this node has used its share of it";
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    /** Adds to an open job's state what this node knows beyond its record. */
+    /** Adds the details that only this node knows to an open job's state. */
     private final BiConsumer<JobId, ObjectNode> statusDetails;
     /** Receives each committed cancellation with its wall-clock time, before its user is answered. */
-    private final BiConsumer<JobId, Long> confirmed;
+    private final BiConsumer<JobId, Long> cancellationCommitted;
 
     private final CancellationAcknowledgements acknowledgements;
     private final JobReader reader;
-    private final ConditionalStatusReads reads;
-    private final SharedRecordReads openReads;
+    private final ConditionalStatusReads statusReads;
+    private final SharedRecordReads sharedReads;
     private final SubmissionRules rules;
     private final SubmissionHandler submissions;
-    private final ResizeHandler resizing;
+    private final ResizeHandler resizeHandler;
 
     /**
-     * Creates the interface.
+     * Creates the API.
      *
-     * @param leaderWrites whether this node leads and its writes run short
-     * @param cutOff whether this node reaches neither the state service nor another node
-     * @param keySets null where key sets are off
+     * @param leaderShortOfWrites returns whether this node leads and its writes run short
+     * @param isolated returns whether this node reaches neither the state service nor another node
+     * @param keySets null if key sets are disabled
      */
     UserApi(
             ControllerContext context,
@@ -64,37 +65,37 @@
             MachineTypeCatalog machineTypes,
             BiConsumer<JobId, ObjectNode> statusDetails,
             IdempotencyKeys idempotencyKeys,
-            BooleanSupplier leaderWrites,
-            BooleanSupplier cutOff,
+            BooleanSupplier leaderShortOfWrites,
+            BooleanSupplier isolated,
             KeySetRegistry keySets,
-            BiConsumer<JobId, Long> confirmed,
+            BiConsumer<JobId, Long> cancellationCommitted,
             CancellationAcknowledgements acknowledgements) {
         this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
         this.statusDetails = statusDetails;
-        this.confirmed = confirmed;
+        this.cancellationCommitted = cancellationCommitted;
         this.acknowledgements = acknowledgements;
-        this.reader = new JobReader(context, store, requests, cutOff);
-        this.resizing = new ResizeHandler(
+        this.reader = new JobReader(context, store, requests, isolated);
+        this.resizeHandler = new ResizeHandler(
                 context, store, requests, writes, policy, this::readIfAllowed, id -> refuse(id, STORE_UNAVAILABLE));
-        this.reads = new ConditionalStatusReads(context, store, requests, settings);
-        this.openReads = new SharedRecordReads(context, store, requests, settings);
+        this.statusReads = new ConditionalStatusReads(context, store, requests, settings);
+        this.sharedReads = new SharedRecordReads(context, store, requests, settings);
         this.rules = new SubmissionRules(settings, machineTypes, keySets);
         this.submissions = new SubmissionHandler(
                 new StateServiceAccess(context, settings, store, requests, writes),
                 policy,
                 rules,
-                new SubmissionHandler.JobReads(reader, reads),
+                new SubmissionHandler.JobReads(reader, statusReads),
                 idempotencyKeys,
-                leaderWrites,
+                leaderShortOfWrites,
                 this::refuse);
     }
 
     /** Records the final state of a job. */
     void recordEnded(JobId jobId, JsonNode state) {
-        reads.forget(jobId);
+        statusReads.forget(jobId);
         reader.cacheEnded(jobId, state);
     }
 
@@ -103,17 +104,20 @@
         context.respond(request, 503, JobResponses.error(why));
     }
 
-    /** Submits a job, or answers why not. */
+    /** Submits a job, or answers with the reason for the refusal. */
     void submit(long request, byte[] body) {
         submissions.submit(request, body);
     }
 
-    /** Why a job of a schedule can't be submitted, temporarily ({@link SubmissionRules#isTemporaryRefusal}) or for ever; or null. */
+    /**
+     * Returns the reason why a scheduled job cannot be submitted, temporarily ({@link
+     * SubmissionRules#isTemporaryRefusal}) or permanently, or null if it can.
+     */
     String refusal(JobSpec spec) {
         return rules.refusal(spec);
     }
 
-    /** A job that was not refused, bound to its key set if it needs one. */
+    /** Returns an accepted job, bound to its key set if it requires one. */
     JobSpec bindToKeySet(JobSpec spec) {
         return rules.bindToKeySet(spec);
     }
@@ -122,7 +126,7 @@
         reader.read(jobId, requests.tryTake(context.now(), 1), then);
     }
 
-    /** A job's state for somebody else's answer, or null where it can't be read now. */
+    /** Reads a job's state for an answer of another API; passes null to {@code then} if it cannot be read now. */
     void readStatus(JobId jobId, Consumer<JsonNode> then) {
         readIfAllowed(jobId, found -> then.accept(found == null ? null : found.status()));
     }
@@ -137,13 +141,13 @@
             refuse(request, STORE_UNAVAILABLE);
             return;
         }
-        reads.poll(jobId, (result, state) -> {
+        statusReads.poll(jobId, (result, state) -> {
             switch (result) {
                 case UNCHANGED -> {
                     statusDetails.accept(jobId, state);
                     context.respond(request, 200, state);
                 }
-                case MUST_READ -> openReads.read(jobId, open -> answerPoll(request, jobId, open));
+                case MUST_READ -> sharedReads.read(jobId, open -> answerPoll(request, jobId, open));
                 default -> refuse(request, STORE_UNAVAILABLE);
             }
         });
@@ -165,17 +169,21 @@
             context.respond(request, 404, JobResponses.error("no such job"));
         } else {
             if (found.open() != null) {
-                reads.remember(jobId, found.open().version(), (ObjectNode) found.status());
+                statusReads.remember(jobId, found.open().version(), (ObjectNode) found.status());
                 statusDetails.accept(jobId, (ObjectNode) found.status());
             }
             context.respond(request, 200, found.status());
         }
     }
 
-    /** Cancels a job, again after a conflict; {@code races} counts these. */
-    void cancel(long request, JobId jobId, int races) {
+    /**
+     * Cancels a job; retries after a conflict.
+     *
+     * @param conflicts the number of conflicts so far
+     */
+    void cancel(long request, JobId jobId, int conflicts) {
         readIfAllowed(jobId, found -> {
-            if (found == null || races > MAX_RACES) {
+            if (found == null || conflicts > MAX_CANCEL_CONFLICT_COUNT) {
                 refuse(request, STORE_UNAVAILABLE);
             } else if (found.status() == null) {
                 context.respond(request, 404, JobResponses.error("no such job"));
@@ -185,15 +193,19 @@
                         200,
                         JobResponses.status(jobId, found.status().get("status").asText()));
             } else if (found.open().value().path("cancel").asLong() > 0) {
-                confirmed.accept(jobId, found.open().value().path("cancel").asLong());
+                cancellationCommitted.accept(
+                        jobId, found.open().value().path("cancel").asLong());
                 answerCancelled(request, jobId);
             } else {
-                cancelOpen(request, jobId, found.open(), races);
+                cancelOpen(request, jobId, found.open(), conflicts);
             }
         });
     }
 
-    /** Cancels a run that another of its schedule replaces; {@code then} receives whether that is certain. */
+    /**
+     * Cancels a run that a later run of its schedule replaces; passes to {@code then} whether the run is known to be
+     * cancelled or ended.
+     */
     void cancelReplaced(JobId jobId, Consumer<Boolean> then) {
         readIfAllowed(jobId, found -> {
             if (found == null
@@ -215,17 +227,17 @@
         String key = JobRecord.openKey(jobId);
         store.commit(new Transaction().guard(key, open.version()).put(key, value), commit -> {
             if (commit.outcome() == CommitResult.Outcome.COMMITTED) {
-                confirmed.accept(jobId, at);
+                cancellationCommitted.accept(jobId, at);
             }
             then.accept(commit);
         });
     }
 
-    private void cancelOpen(long request, JobId jobId, StoreClient.KeyValue open, int races) {
+    private void cancelOpen(long request, JobId jobId, StoreClient.KeyValue open, int conflicts) {
         commitCancel(jobId, open, commit -> {
             switch (commit.outcome()) {
                 case COMMITTED -> answerCancelled(request, jobId);
-                case CONFLICT -> cancel(request, jobId, races + 1);
+                case CONFLICT -> cancel(request, jobId, conflicts + 1);
                 default -> refuse(request, STORE_UNAVAILABLE);
             }
         });
@@ -236,8 +248,8 @@
                 jobId, () -> context.respond(request, 200, JobResponses.status(jobId, "cancelled")));
     }
 
-    /** Changes what width a job's user allows it; the leader follows. */
+    /** Changes the width that a user allows a job; the leader adapts the job to it. */
     void resize(long request, JobId jobId, byte[] body) {
-        resizing.resize(request, jobId, body);
+        resizeHandler.resize(request, jobId, body);
     }
 }
