--- a/src/main/java/org/beechhoist/controller/KeySetApi.java
+++ b/src/main/java/org/beechhoist/controller/KeySetApi.java
@@ -24,20 +24,21 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * {@code /v1/keysets}: people propose, approve and revoke versions of key sets, and say which jobs need one. Each change is
- * committed before it is answered, guarded by what it was decided by, with the set's number beside it.
+ * Serves {@code /v1/keysets}: proposals, approvals and revocations of key set versions, and the classes and teams whose jobs need a
+ * key set. Each change is committed before the reply is sent. The commit is guarded by the revision that the change is based on, and
+ * stores the set's change number too.
  */
 final class KeySetApi {
     static final String PATH = "/v1/keysets";
-    private static final int MOST_SETS = 1000;
-    private static final int MOST_REQUIRED = 100;
-    private static final int MOST_JOBS = 200;
-    private static final long USUAL_DRAIN_S = 24 * 3600;
-    private static final long LONGEST_DRAIN_S = 366 * 24 * 3600L;
+    private static final int MAX_SET_COUNT = 1000;
+    private static final int MAX_REQUIRED_COUNT = 100;
+    private static final int MAX_LISTED_COUNT = 200;
+    private static final long DEFAULT_DRAIN_S = 24 * 3600;
+    private static final long MAX_DRAIN_S = 366 * 24 * 3600L;
 
-    /** Makes the next content of a set from what is stored, null: nothing. */
-    private interface Edit {
-        KeySet of(KeySet before) throws MalformedMessageException;
+    /** Computes the next content of a set from the stored one, null if there is none. */
+    private interface KeySetUpdate {
+        KeySet apply(KeySet before) throws MalformedMessageException;
     }
 
     private final ControllerContext context;
@@ -45,8 +46,8 @@
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final KeySetRegistry keys;
-    private final OptimisticUpdater amending;
+    private final KeySetRegistry registry;
+    private final OptimisticUpdater updater;
 
     KeySetApi(
             ControllerContext context,
@@ -54,17 +55,21 @@
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
-            KeySetRegistry keys) {
+            KeySetRegistry registry) {
         this.context = context;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
-        this.keys = keys;
-        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
+        this.registry = registry;
+        this.updater = new OptimisticUpdater(context, settings, store, requests, writes);
     }
 
-    /** @param clusterState of the leading node, or null: who is bound to a set is known there alone */
+    /**
+     * Handles a request.
+     *
+     * @param clusterState the cluster state if this node leads, otherwise null; only the leader knows which jobs are bound to a set
+     */
     void handle(String method, String path, byte[] body, ClusterState clusterState, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
@@ -76,29 +81,30 @@
             if (rest.isEmpty() && !post) {
                 list(responder);
             } else if (rest.equals("required") && post) {
-                require(node, responder);
+                setRequired(node, responder);
             } else if (slash < 0 && !post) {
                 show(name, responder);
             } else if (verb.equals("jobs") && !post) {
-                jobs(name, clusterState, responder);
+                listJobs(name, clusterState, responder);
             } else if (verb.equals("propose") && post) {
                 propose(name, node, responder);
             } else if (verb.equals("approve") && post) {
-                KeySet.Change by = by(node);
+                KeySet.Change requested = parseChange(node);
                 long version = Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE);
                 String digest = Codec.text(node, "digest");
                 long drainS = Codec.isAbsent(node, "drainS")
-                        ? USUAL_DRAIN_S
-                        : Codec.wholeNumber(node, "drainS", 0, LONGEST_DRAIN_S);
+                        ? DEFAULT_DRAIN_S
+                        : Codec.wholeNumber(node, "drainS", 0, MAX_DRAIN_S);
                 change(
                         name,
                         true,
-                        before -> known(name, before).approve(version, digest, context.wallMs() + 1000 * drainS, by),
+                        before -> requireExisting(name, before)
+                                .approve(version, digest, context.wallMs() + 1000 * drainS, requested),
                         responder);
             } else if (verb.equals("revoke") && post) {
-                KeySet.Change by = by(node);
+                KeySet.Change requested = parseChange(node);
                 long version = Codec.wholeNumber(node, "version", 1, Integer.MAX_VALUE);
-                change(name, false, before -> known(name, before).revoke(version, by), responder);
+                change(name, false, before -> requireExisting(name, before).revoke(version, requested), responder);
             } else {
                 responder.respond(404, OptimisticUpdater.errorBody("no such path"));
             }
@@ -107,7 +113,7 @@
         }
     }
 
-    private KeySet.Change by(JsonNode node) throws MalformedMessageException {
+    private KeySet.Change parseChange(JsonNode node) throws MalformedMessageException {
         try {
             return new KeySet.Change(Codec.text(node, "who"), context.wallMs(), Codec.text(node, "why"));
         } catch (IllegalArgumentException e) {
@@ -115,7 +121,7 @@
         }
     }
 
-    private static KeySet known(String name, KeySet before) throws MalformedMessageException {
+    private static KeySet requireExisting(String name, KeySet before) throws MalformedMessageException {
         if (before == null) {
             throw new MalformedMessageException("name = " + name + ": the name of a key set is expected");
         }
@@ -125,7 +131,7 @@
     // ---- changes ----
 
     private void propose(String name, JsonNode node, ApiResponder responder) throws MalformedMessageException {
-        KeySet.Change by = by(node);
+        KeySet.Change requested = parseChange(node);
         String owner = Codec.text(node, "owner");
         if (!settings.teams().containsKey(owner)) {
             throw new MalformedMessageException("owner = " + owner + ": one of "
@@ -134,51 +140,59 @@
         List<String> classes =
                 Codec.isAbsent(node, "classes") ? List.of() : Codec.textList(node.get("classes"), "classes");
         List<String> fingerprints = Codec.textList(node.get("fingerprints"), "fingerprints");
-        if (keys.isLoaded() && keys.names().size() >= MOST_SETS && !keys.names().contains(name)) {
-            throw new MalformedMessageException("name = " + name + ": at most " + MOST_SETS + " key sets are allowed");
+        if (registry.isLoaded()
+                && registry.names().size() >= MAX_SET_COUNT
+                && !registry.names().contains(name)) {
+            throw new MalformedMessageException(
+                    "name = " + name + ": at most " + MAX_SET_COUNT + " key sets are allowed");
         }
-        change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, by), responder);
+        change(name, false, before -> KeySet.propose(before, name, owner, classes, fingerprints, requested), responder);
     }
 
-    /** @param clears whether a mark of a mismatch goes with it: somebody has looked at what it holds, and says that it is right */
-    private void change(String name, boolean clears, Edit edit, ApiResponder responder) {
+    /**
+     * Commits a change of a set.
+     *
+     * @param clearsMismatch whether the change removes a recorded mismatch, because a person has confirmed the content
+     */
+    private void change(String name, boolean clearsMismatch, KeySetUpdate update, ApiResponder responder) {
         if (!KeySet.isValidName(name)) {
             responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
             return;
         }
-        amending.updateAsync(
+        updater.updateAsync(
                 KeySetRegistry.SETS_PREFIX + name,
-                (before, then) -> {
+                (before, completion) -> {
                     KeySet next;
                     try {
-                        next = edit.of(before == null ? null : KeySet.parse(before));
+                        next = update.apply(before == null ? null : KeySet.parse(before));
                     } catch (MalformedMessageException e) {
                         throw new OptimisticUpdater.RejectedException(
                                 before == null && !e.getMessage().startsWith("fingerprints") ? 404 : 409,
                                 e.getMessage());
                     }
-                    then.complete(
+                    completion.complete(
                             next.toNode(),
                             transaction -> {
                                 transaction.put(
                                         KeySetRegistry.CHANGE_NUMBERS_PREFIX + name,
                                         Codec.map().put("number", next.changeNumber()));
-                                if (clears && keys.snapshot().mismatches().containsKey(name)) {
+                                if (clearsMismatch
+                                        && registry.snapshot().mismatches().containsKey(name)) {
                                     transaction.delete(KeySetRegistry.MISMATCHES_PREFIX + name);
                                 }
                             },
-                            shown(next));
+                            toView(next));
                 },
                 responder);
     }
 
-    /** Which classes and teams need a set. */
-    private void require(JsonNode node, ApiResponder responder) throws MalformedMessageException {
+    /** Stores which classes and teams need a key set. */
+    private void setRequired(JsonNode node, ApiResponder responder) throws MalformedMessageException {
         ObjectNode value = Codec.map();
         for (String field : new String[] {"classes", "teams"}) {
             List<String> names = Codec.isAbsent(node, field) ? List.of() : Codec.textList(node.get(field), field);
-            if (names.size() > MOST_REQUIRED) {
-                throw new MalformedMessageException(field + ": at most " + MOST_REQUIRED + " are allowed");
+            if (names.size() > MAX_REQUIRED_COUNT) {
+                throw new MalformedMessageException(field + ": at most " + MAX_REQUIRED_COUNT + " are allowed");
             }
             for (String name : field.equals("teams") ? names : List.<String>of()) {
                 if (!settings.teams().containsKey(name)) {
@@ -200,89 +214,91 @@
         });
     }
 
-    // ---- what is known ----
+    // ---- views ----
 
-    private ObjectNode shown(KeySet keySet) {
+    private ObjectNode toView(KeySet keySet) {
         ObjectNode node = keySet.toNode();
-        KeySets.Mismatch mark = keys.snapshot().mismatches().get(keySet.name());
-        if (mark != null) {
+        KeySets.Mismatch mismatch = registry.snapshot().mismatches().get(keySet.name());
+        if (mismatch != null) {
             node.putObject("mismatch")
-                    .put("saw", mark.found())
-                    .put("known", mark.expected())
-                    .put("since", mark.detectedAtMs())
-                    .put("by", mark.detectedBy());
+                    .put("saw", mismatch.found())
+                    .put("known", mismatch.expected())
+                    .put("since", mismatch.detectedAtMs())
+                    .put("by", mismatch.detectedBy());
         }
         return node;
     }
 
     private void list(ApiResponder responder) {
-        if (!keys.isLoaded()) {
+        if (!registry.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
             return;
         }
-        ObjectNode out = Codec.map();
-        ArrayNode rows = out.putArray("keysets");
-        for (KeySets.StoredKeySet known : keys.snapshot().sets().values()) {
-            if (known.set() != null) {
-                KeySet.Version version = known.set().approvedVersion();
+        ObjectNode reply = Codec.map();
+        ArrayNode rows = reply.putArray("keysets");
+        for (KeySets.StoredKeySet stored : registry.snapshot().sets().values()) {
+            if (stored.set() != null) {
+                KeySet.Version version = stored.set().approvedVersion();
                 ObjectNode row = rows.addObject()
-                        .put("name", known.set().name())
-                        .put("owner", known.set().owner())
-                        .put("versions", known.set().versions().size());
+                        .put("name", stored.set().name())
+                        .put("owner", stored.set().owner())
+                        .put("versions", stored.set().versions().size());
                 row.put("approved", version == null ? null : version.version());
                 row.put(
                         "mismatch",
-                        keys.snapshot().mismatches().containsKey(known.set().name()));
+                        registry.snapshot()
+                                .mismatches()
+                                .containsKey(stored.set().name()));
             }
         }
-        ArrayNode classes = out.putObject("required").putArray("classes");
-        keys.snapshot().requiredClasses().forEach(classes::add);
-        ArrayNode teams = ((ObjectNode) out.get("required")).putArray("teams");
-        keys.snapshot().requiredTeams().forEach(teams::add);
-        responder.respond(200, out);
+        ArrayNode classes = reply.putObject("required").putArray("classes");
+        registry.snapshot().requiredClasses().forEach(classes::add);
+        ArrayNode teams = ((ObjectNode) reply.get("required")).putArray("teams");
+        registry.snapshot().requiredTeams().forEach(teams::add);
+        responder.respond(200, reply);
     }
 
     private void show(String name, ApiResponder responder) {
-        KeySets.StoredKeySet known = keys.snapshot().sets().get(name);
-        if (!keys.isLoaded()) {
+        KeySets.StoredKeySet stored = registry.snapshot().sets().get(name);
+        if (!registry.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
-        } else if (known == null || known.set() == null) {
+        } else if (stored == null || stored.set() == null) {
             responder.respond(404, OptimisticUpdater.errorBody("no such key set"));
         } else {
-            responder.respond(200, shown(known.set()));
+            responder.respond(200, toView(stored.set()));
         }
     }
 
-    private void jobs(String name, ClusterState clusterState, ApiResponder responder) {
+    private void listJobs(String name, ClusterState clusterState, ApiResponder responder) {
         if (clusterState == null) {
             responder.respond(
                     421, OptimisticUpdater.errorBody("who is bound to a key set is known to the leading node"));
             return;
         }
-        ObjectNode out = Codec.map();
-        ArrayNode rows = out.putArray("jobs");
-        int more = 0;
+        ObjectNode reply = Codec.map();
+        ArrayNode rows = reply.putArray("jobs");
+        int omitted = 0;
         for (Job job : clusterState.jobs()) {
-            KeySetBinding pin = job.spec().keySetBinding();
-            if (pin == null || !pin.keySet().equals(name)) {
+            KeySetBinding binding = job.spec().keySetBinding();
+            if (binding == null || !binding.keySet().equals(name)) {
                 continue;
             }
-            if (rows.size() == MOST_JOBS) {
-                more++;
+            if (rows.size() == MAX_LISTED_COUNT) {
+                omitted++;
                 continue;
             }
             ObjectNode row = rows.addObject()
                     .put("ref", job.id().text())
-                    .put("version", pin.version())
-                    .put("digest", pin.digest())
+                    .put("version", binding.version())
+                    .put("digest", binding.digest())
                     .put("held", job.keySetHold == null ? null : job.keySetHold.reason());
             List<String> machines = new ArrayList<>();
             for (Placement p : job.record.live.values()) {
                 machines.add(p.task.index() + " on " + p.machine.text());
             }
-            ArrayNode on = row.putArray("tasks");
-            machines.stream().limit(MOST_JOBS).forEach(on::add);
+            ArrayNode tasks = row.putArray("tasks");
+            machines.stream().limit(MAX_LISTED_COUNT).forEach(tasks::add);
         }
-        responder.respond(200, out.put("more", more));
+        responder.respond(200, reply.put("more", omitted));
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetHolds.java
+++ b/src/main/java/org/beechhoist/controller/KeySetHolds.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds jobs whose key set is revoked, superseded for too long, or not what they are bound to: nothing of them is planned or
- * launched, what runs is stopped and proven gone as for a cancellation, and they stay open. Without a key book, where key sets are
- * off on this node, a bound job is held as well: it was bound by somebody who relied on it.
+ * Holds jobs whose key set version is revoked, superseded beyond its drain deadline, or different from their binding. No task of a
+ * held job is planned or launched; running tasks are stopped and confirmed gone as for a cancellation; the job stays open. If key
+ * sets are disabled on this node, no further task of a bound job is started, because its submitter relied on the binding.
  */
 public final class KeySetHolds implements CommitGuards, JobHolds {
     private static final Logger LOG = LoggerFactory.getLogger(KeySetHolds.class);
-    private static final RunDecision OFF =
+    private static final RunDecision DISABLED =
             new RunDecision(RunDecision.Kind.UNKNOWN, 0, "this node", "key sets are off on the leading node");
 
     private final ControllerContext context;
@@ -33,10 +33,10 @@
     private final ClusterState clusterState;
     private final CommandDispatcher dispatcher;
     private final TaskRemoval taskRemoval;
-    /** Null where key sets are off. */
-    private final KeySetRegistry keys;
+    /** Null if key sets are disabled. */
+    private final KeySetRegistry registry;
 
-    private boolean due = true;
+    private boolean recheckNeeded = true;
 
     KeySetHolds(
             ControllerContext context,
@@ -44,69 +44,70 @@
             ClusterState clusterState,
             CommandDispatcher dispatcher,
             TaskRemoval taskRemoval,
-            KeySetRegistry keys) {
+            KeySetRegistry registry) {
         this.context = context;
         this.settings = settings;
         this.clusterState = clusterState;
         this.dispatcher = dispatcher;
         this.taskRemoval = taskRemoval;
-        this.keys = keys;
+        this.registry = registry;
     }
 
-    /** A key set has changed: all jobs are looked at before anything else is decided. */
+    /** Handles a change of a key set: requests a check of all jobs before the next plan. */
     void requestRecheck() {
-        due = true;
+        recheckNeeded = true;
         clusterState.requestReplan();
     }
 
-    /** Before each plan: who may not run, by what is known of the sets now. */
+    /** Checks before each plan the jobs whose decision may have changed, using the current snapshot. */
     void checkDueJobs() {
         for (Job job : clusterState.jobs()) {
             if (job.spec().keySetBinding() != null
                     && !job.isCancelled()
-                    && (due || job.keySetHold == RunDecision.UNKNOWN)) {
+                    && (recheckNeeded || job.keySetHold == RunDecision.UNKNOWN)) {
                 checkJob(job);
             }
         }
-        due = false;
+        recheckNeeded = false;
     }
 
-    /** Once a turn: a version's time to drain may be over. */
+    /** Checks all jobs; runs periodically because a version's drain deadline may have passed. */
     void checkAllJobs() {
-        due = true;
+        recheckNeeded = true;
         checkDueJobs();
     }
 
     private void checkJob(Job job) {
-        RunDecision verdict = keys == null ? OFF : keys.runDecision(job.spec().keySetBinding());
-        boolean was = job.isHeld();
-        job.keySetHold = verdict.mayRun() ? null : verdict;
-        if (job.isHeld() && !was) {
-            job.heldSinceMs = Math.max(verdict.sinceMs(), 0) == 0 ? context.wallMs() : verdict.sinceMs();
+        RunDecision decision =
+                registry == null ? DISABLED : registry.runDecision(job.spec().keySetBinding());
+        boolean wasHeld = job.isHeld();
+        job.keySetHold = decision.mayRun() ? null : decision;
+        if (job.isHeld() && !wasHeld) {
+            job.heldSinceMs = Math.max(decision.sinceMs(), 0) == 0 ? context.wallMs() : decision.sinceMs();
             LOG.warn(
-                    "{} is held, {} tasks may be running: key set {}: {}, by {}",
+                    "job held: job={} possiblyRunningTasks={} keySet={} reason={} decidedBy={}",
                     job.id(),
                     job.record.live.size(),
                     job.spec().keySetBinding(),
-                    verdict.reason(),
-                    verdict.decidedBy());
+                    decision.reason(),
+                    decision.decidedBy());
             clusterState.requestReplan();
-        } else if (was && !job.isHeld()) {
-            LOG.info("{} goes on: key set {}", job.id(), job.spec().keySetBinding());
+        } else if (wasHeld && !job.isHeld()) {
+            LOG.info("job hold lifted: job={} keySet={}", job.id(), job.spec().keySetBinding());
             job.lastProgressAt = context.now();
             clusterState.requestReplan();
         }
         if (job.isHeld()) {
-            pursue(job, !was);
+            stopTasks(job, !wasHeld);
         }
     }
 
-    /** What was not sent waits again; what was is ended. What is on its way to the state service is looked at when that is over. */
-    private void pursue(Job job, boolean first) {
+    /** Returns unlaunched tasks to the queue and kills launched ones. Placements in a running commit are handled after the commit. */
+    private void stopTasks(Job job, boolean newlyHeld) {
         for (Placement placement : new ArrayList<>(job.record.live.values())) {
             if (!placement.launchSent && (placement.committed || !job.inFlight)) {
                 taskRemoval.remove(job, placement);
-            } else if (placement.launchSent && first) {
+            } else if (placement.launchSent && newlyHeld) {
                 Machine machine = clusterState.machine(placement.machine);
                 machine.outbox.add(WorkerCommand.kill(placement.task, placement.attempt, 0));
                 dispatcher.dispatch(machine);
@@ -114,28 +115,27 @@
         }
     }
 
-    /** By when all of it must be gone, by the time of day. */
     @Override
     public long terminationDeadlineWallMs(Job job) {
         return job.heldSinceMs + settings.workers().cancelMs() - (long) settings.clockErrorMs();
     }
 
-    // ---- with the commits ----
+    // ---- commit guards ----
 
     /**
-     * Whether what is placed of the job may be written now. It is decided anew by the very content that the guard then names: what
-     * was decided for the plan may rest on an older one, and a guard by the newer would let it pass.
+     * Returns whether the job's new placements may be written now. The decision is made again on the content whose revision the guard
+     * names. The decision made for the plan may be based on older content, and a guard with the newer revision would accept it.
      */
     @Override
     public boolean mayWrite(Job job) {
         return job.uncommittedPlacements == 0
                 || job.spec().keySetBinding() == null
-                || keys != null
-                        && keys.isUpToDate(job.spec().keySetBinding().keySet())
-                        && keys.runDecision(job.spec().keySetBinding()).mayRun();
+                || registry != null
+                        && registry.isUpToDate(job.spec().keySetBinding().keySet())
+                        && registry.runDecision(job.spec().keySetBinding()).mayRun();
     }
 
-    /** The guard that a job's new placements need; null: none. */
+    /** Returns the key that guards the job's new placements, or null if none does. */
     @Override
     public String guardKey(Job job) {
         return job.uncommittedPlacements == 0 || job.spec().keySetBinding() == null
@@ -145,18 +145,18 @@
 
     @Override
     public void addGuard(Transaction transaction, Job job) {
-        keys.addGuard(transaction, job.spec().keySetBinding().keySet());
+        registry.addGuard(transaction, job.spec().keySetBinding().keySet());
     }
 
-    /** Whether a commit failed for sets that have changed alone: the others' news are written again at once, without those. */
+    /** Returns whether a commit failed only because key sets changed; the other changes are then written again at once without those. */
     @Override
     public boolean handleGuardConflict(Set<String> failed) {
-        if (keys == null
+        if (registry == null
                 || failed.isEmpty()
                 || !failed.stream().allMatch(k -> k.startsWith(KeySetRegistry.SETS_PREFIX))) {
             return false;
         }
-        LOG.info("commit overtaken by a change of {}", failed);
-        return keys.refreshConflicting(failed, this::requestRecheck);
+        LOG.info("commit conflicts with changed key sets: keys={}", failed);
+        return registry.refreshConflicting(failed, this::requestRecheck);
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetModule.java
+++ b/src/main/java/org/beechhoist/controller/KeySetModule.java
@@ -5,13 +5,13 @@
 import org.beechhoist.controller.context.ApiResponder;
 import org.beechhoist.controller.state.ClusterState;
 
-/** Key sets on one node: their registry and their API. */
+/** The key set feature of a node: its registry and its API. */
 final class KeySetModule implements FeatureApi {
     private final KeySetRegistry registry;
     private final KeySetApi api;
     private final Supplier<Optional<Leader>> activeLeader;
 
-    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    /** @param activeLeader supplies this node's leader while it is active, otherwise empty */
     KeySetModule(StateServiceAccess access, Supplier<Optional<Leader>> activeLeader) {
         this.activeLeader = activeLeader;
         this.registry = new KeySetRegistry(
@@ -30,7 +30,7 @@
                 registry);
     }
 
-    /** Which keys jobs are bound to. */
+    /** Returns the registry of key sets. */
     KeySetRegistry registry() {
         return registry;
     }
@@ -42,7 +42,7 @@
 
     @Override
     public void handle(ApiRequest request, ApiResponder responder) {
-        ClusterState known = activeLeader.get().map(Leader::clusterState).orElse(null);
-        api.handle(request.method(), request.path(), request.body(), known, responder);
+        ClusterState clusterState = activeLeader.get().map(Leader::clusterState).orElse(null);
+        api.handle(request.method(), request.path(), request.body(), clusterState, responder);
     }
 }
--- a/src/main/java/org/beechhoist/controller/KeySetRegistry.java
+++ b/src/main/java/org/beechhoist/controller/KeySetRegistry.java
@@ -27,9 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a node knows of the key sets: read once, then followed. It may be behind, so whatever rests on it is guarded by the
- * revision of the set that it was decided by. A set that holds something else than it did, by a hand that is not ours, is marked
- * in the state service for all nodes, and stays so until somebody approves it anew.
+ * A node's copy of the key sets, read once from the state service and then kept up to date by a watch. The copy may be stale, so
+ * each decision based on it is guarded by the revision of the set. If a set was changed by anything other than this software, a
+ * mismatch is stored in the state service for all nodes. It remains until a person approves a version again.
  */
 final class KeySetRegistry {
     static final String PREFIX = "ks/";
@@ -38,198 +38,213 @@
     static final String MISMATCHES_PREFIX = "ks/bad/";
     static final String REQUIRED_KEY = "ks/must";
     private static final Logger LOG = LoggerFactory.getLogger(KeySetRegistry.class);
-    private static final long AGAIN_MS = 500;
+    private static final long RETRY_DELAY_MS = 500;
 
-    private record Number(long number, Revision revision) {}
+    private record ChangeNumber(long number, Revision revision) {}
 
     private final ControllerContext context;
     private final StoreClient store;
     private final TokenBucket requests;
     private final TokenBucket writes;
-    private final String node;
-    /** Something has changed: who may run is to be looked at anew. */
-    private final Runnable changed;
+    private final String nodeName;
+    /** Runs after each change, so that the run decisions are made again. */
+    private final Runnable onChange;
 
     private final Map<String, KeySets.StoredKeySet> sets = new TreeMap<>();
-    private final Map<String, Number> numbers = new HashMap<>();
-    private final Map<String, KeySets.Mismatch> marks = new HashMap<>();
-    /** Seen here and not stored yet. */
-    private final Map<String, KeySets.Mismatch> toMark = new HashMap<>();
+    private final Map<String, ChangeNumber> changeNumbers = new HashMap<>();
+    private final Map<String, KeySets.Mismatch> mismatches = new HashMap<>();
+    /** Mismatches that were detected here and are not stored yet. */
+    private final Map<String, KeySets.Mismatch> unsavedMismatches = new HashMap<>();
 
-    private final Set<String> classes = new TreeSet<>();
-    private final Set<String> teams = new TreeSet<>();
-    /** Sets whose guard has failed: they have changed, and the change has not come yet. */
-    private final Set<String> behind = new HashSet<>();
+    private final Set<String> requiredClasses = new TreeSet<>();
+    private final Set<String> requiredTeams = new TreeSet<>();
+    /** Sets whose guard failed in a commit: they have changed, and the new content is not read yet. */
+    private final Set<String> staleSets = new HashSet<>();
 
     private KeySets snapshot = KeySets.NONE;
-    private boolean known;
+    private boolean loaded;
 
     KeySetRegistry(
             ControllerContext context,
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
-            String node,
-            Runnable changed) {
+            String nodeName,
+            Runnable onChange) {
         this.context = context;
         this.store = store;
         this.requests = requests;
         this.writes = writes;
-        this.node = node;
-        this.changed = changed;
+        this.nodeName = nodeName;
+        this.onChange = onChange;
     }
 
     void start() {
-        new PrefixWatch(context, store, requests, PREFIX, this::begun, this::take, this::changes).start();
+        new PrefixWatch(context, store, requests, PREFIX, this::clear, this::apply, this::applyChanges).start();
     }
 
-    // ---- what follows from it ----
+    // ---- decisions ----
 
-    /** What the job is bound to, or null: nothing is known yet. */
+    /** Decides which version a new job is bound to; returns null while the key sets are not read yet. */
     KeySets.BindingDecision bind(JobSpec spec) {
-        return known ? snapshot.bind(spec.team(), spec.jobClass(), spec.keySet()) : null;
+        return loaded ? snapshot.bind(spec.team(), spec.jobClass(), spec.keySet()) : null;
     }
 
-    RunDecision runDecision(KeySetBinding pin) {
-        return known ? snapshot.runDecision(pin, context.wallMs()) : RunDecision.UNKNOWN;
+    /** Decides whether a job with this binding may run now. */
+    RunDecision runDecision(KeySetBinding binding) {
+        return loaded ? snapshot.runDecision(binding, context.wallMs()) : RunDecision.UNKNOWN;
     }
 
     KeySets snapshot() {
         return snapshot;
     }
 
+    /** Returns whether the key sets have been read. */
     boolean isLoaded() {
-        return known;
+        return loaded;
     }
 
-    /** Whether what is known of the set may be relied on, under its guard. */
+    /** Returns whether the copy of the set is not known to be stale, so that it may be used together with its guard. */
     boolean isUpToDate(String set) {
-        return known && !behind.contains(set);
+        return loaded && !staleSets.contains(set);
     }
 
-    /** The transaction is made only if the set is as it is known here. */
+    /** Adds a guard to the transaction, which then fails unless the set has the revision known here. */
     void addGuard(Transaction transaction, String set) {
         transaction.guard(SETS_PREFIX + set, snapshot.revision(set));
     }
 
-    /** Whether the transaction failed for a set that has changed; what is known of it is read again, and {@code then} follows. */
-    boolean refreshConflicting(Set<String> failed, Runnable then) {
-        boolean any = false;
+    /**
+     * Reads the sets among the failed guards again, and runs {@code afterwards} for each one that was read.
+     *
+     * @return whether there is a set among the failed guards
+     */
+    boolean refreshConflicting(Set<String> failed, Runnable afterwards) {
+        boolean anySet = false;
         for (String key : failed) {
             if (key.startsWith(SETS_PREFIX)) {
-                any = true;
-                refresh(key.substring(SETS_PREFIX.length()), then);
+                anySet = true;
+                refresh(key.substring(SETS_PREFIX.length()), afterwards);
             }
         }
-        return any;
+        return anySet;
     }
 
-    private void refresh(String set, Runnable then) {
-        behind.add(set);
+    private void refresh(String set, Runnable afterwards) {
+        staleSets.add(set);
         requests.takeOrOverdraw(context.now(), 1);
         store.get(SETS_PREFIX + set, read -> {
             if (!read.answered()) {
-                context.schedule(AGAIN_MS, () -> refresh(set, then));
+                context.schedule(RETRY_DELAY_MS, () -> refresh(set, afterwards));
                 return;
             }
-            // The change is not judged by this one read: its number comes with the watch.
+            // No mismatch check here: the change number arrives only with the watch.
             if (read.item() == null) {
                 sets.remove(set);
             } else if (sets.get(set) == null
                     || sets.get(set).revision().compareTo(read.item().version()) < 0) {
                 sets.put(
                         set,
-                        new KeySets.StoredKeySet(read(read.item()), read.item().version()));
+                        new KeySets.StoredKeySet(
+                                parseOrNull(read.item()), read.item().version()));
             }
-            behind.remove(set);
-            renew();
-            then.run();
+            staleSets.remove(set);
+            publishSnapshot();
+            afterwards.run();
         });
     }
 
-    /** Adds to an open job's state that it is held, since when, by whom and why. */
+    /** Adds to the state of an open job, if the job may not run, since when, by whom and why it is held. */
     void addHoldDetails(ObjectNode state) {
-        JsonNode pin = state.get("keySet");
-        if (pin == null) {
+        JsonNode binding = state.get("keySet");
+        if (binding == null) {
             return;
         }
         try {
-            RunDecision verdict = runDecision(KeySetBinding.parse(pin));
-            if (!verdict.mayRun()) {
+            RunDecision decision = runDecision(KeySetBinding.parse(binding));
+            if (!decision.mayRun()) {
                 ObjectNode held = state.putObject("held");
-                held.put("set", pin.path("set").asText())
-                        .put("version", pin.path("version").asLong())
-                        .put("by", verdict.decidedBy())
-                        .put("why", verdict.reason());
-                if (verdict.sinceMs() > 0) {
-                    held.put("since", verdict.sinceMs());
+                held.put("set", binding.path("set").asText())
+                        .put("version", binding.path("version").asLong())
+                        .put("by", decision.decidedBy())
+                        .put("why", decision.reason());
+                if (decision.sinceMs() > 0) {
+                    held.put("since", decision.sinceMs());
                 }
-                state.put("reason", "held: key set " + pin.path("set").asText() + ": " + verdict.reason());
+                state.put("reason", "held: key set " + binding.path("set").asText() + ": " + decision.reason());
             }
         } catch (MalformedMessageException e) {
             LOG.debug("{}", e.getMessage());
         }
     }
 
-    // ---- reading ----
+    // ---- updates from the state service ----
 
-    private void begun() {
+    private void clear() {
         sets.clear();
-        numbers.clear();
-        marks.clear();
-        classes.clear();
-        teams.clear();
+        changeNumbers.clear();
+        mismatches.clear();
+        requiredClasses.clear();
+        requiredTeams.clear();
     }
 
-    private void changes(List<StoreClient.KeyValue> log) {
-        Map<String, KeySets.StoredKeySet> before = new HashMap<>(sets);
-        log.forEach(this::take);
-        if (!known) {
-            LOG.info("{} key sets, {} classes and {} teams need one", sets.size(), classes.size(), teams.size());
+    private void applyChanges(List<StoreClient.KeyValue> items) {
+        Map<String, KeySets.StoredKeySet> previousSets = new HashMap<>(sets);
+        items.forEach(this::apply);
+        if (!loaded) {
+            LOG.info(
+                    "key sets loaded: sets={} requiredClasses={} requiredTeams={}",
+                    sets.size(),
+                    requiredClasses.size(),
+                    requiredTeams.size());
         }
-        boolean first = !known;
-        known = true;
-        sets.forEach((name, k) -> look(name, first ? null : before.get(name), k));
-        if (first || !log.isEmpty()) {
-            renew();
+        boolean firstRead = !loaded;
+        loaded = true;
+        sets.forEach((name, stored) -> detectMismatch(name, firstRead ? null : previousSets.get(name), stored));
+        if (firstRead || !items.isEmpty()) {
+            publishSnapshot();
         }
-        mark();
+        saveMismatches();
     }
 
-    private static KeySet read(StoreClient.KeyValue item) {
+    private static KeySet parseOrNull(StoreClient.KeyValue item) {
         try {
             return KeySet.parse(item.value());
         } catch (MalformedMessageException e) {
-            LOG.error("{} can't be read, jobs that are bound to it are held: {}", item.key(), e.getMessage());
+            LOG.error(
+                    "key set record cannot be parsed, jobs bound to it are held: key={} error={}",
+                    item.key(),
+                    e.getMessage());
             return null;
         }
     }
 
-    private void take(StoreClient.KeyValue item) {
+    private void apply(StoreClient.KeyValue item) {
         String key = item.key();
-        boolean gone = item.value() == null;
+        boolean deleted = item.value() == null;
         if (key.startsWith(SETS_PREFIX)) {
             String name = key.substring(SETS_PREFIX.length());
-            KeySets.StoredKeySet old = sets.get(name);
-            if (gone) {
+            KeySets.StoredKeySet previous = sets.get(name);
+            if (deleted) {
                 sets.remove(name);
-            } else if (old == null || old.revision().compareTo(item.version()) < 0) {
-                sets.put(name, new KeySets.StoredKeySet(read(item), item.version()));
+            } else if (previous == null || previous.revision().compareTo(item.version()) < 0) {
+                sets.put(name, new KeySets.StoredKeySet(parseOrNull(item), item.version()));
             }
         } else if (key.startsWith(CHANGE_NUMBERS_PREFIX)) {
             String name = key.substring(CHANGE_NUMBERS_PREFIX.length());
-            if (gone) {
-                numbers.remove(name);
+            if (deleted) {
+                changeNumbers.remove(name);
             } else {
-                numbers.put(name, new Number(item.value().path("number").asLong(), item.version()));
+                changeNumbers.put(
+                        name, new ChangeNumber(item.value().path("number").asLong(), item.version()));
             }
         } else if (key.startsWith(MISMATCHES_PREFIX)) {
             String name = key.substring(MISMATCHES_PREFIX.length());
-            toMark.remove(name);
-            if (gone) {
-                marks.remove(name);
+            unsavedMismatches.remove(name);
+            if (deleted) {
+                mismatches.remove(name);
             } else {
-                marks.put(
+                mismatches.put(
                         name,
                         new KeySets.Mismatch(
                                 item.value().path("at").asLong(),
@@ -238,76 +253,73 @@
                                 item.value().path("known").asText()));
             }
         } else if (key.equals(REQUIRED_KEY)) {
-            classes.clear();
-            teams.clear();
-            if (!gone) {
-                item.value().path("classes").forEach(c -> classes.add(c.asText()));
-                item.value().path("teams").forEach(t -> teams.add(t.asText()));
+            requiredClasses.clear();
+            requiredTeams.clear();
+            if (!deleted) {
+                item.value().path("classes").forEach(c -> requiredClasses.add(c.asText()));
+                item.value().path("teams").forEach(t -> requiredTeams.add(t.asText()));
             }
         }
     }
 
-    /** Whether somebody has written over the set: every change of ours moves its number in the same transaction. */
-    private void look(String name, KeySets.StoredKeySet before, KeySets.StoredKeySet now) {
-        Number number = numbers.get(name);
+    /** Records a mismatch if the set was written by other software: this one writes the change number in the same transaction. */
+    private void detectMismatch(String name, KeySets.StoredKeySet before, KeySets.StoredKeySet now) {
+        ChangeNumber number = changeNumbers.get(name);
         if (now.set() == null
-                || marks.containsKey(name)
+                || mismatches.containsKey(name)
                 || before != null && before.revision().equals(now.revision())) {
             return;
         }
-        KeySet old = before == null ? null : before.set();
-        String saw = KeySets.findTampering(old, now.set(), number == null ? null : number.number);
-        if (saw == null && (number == null || !number.revision.equals(now.revision()))) {
-            saw = "change " + now.set().changeNumber() + " of another hand";
+        KeySet previous = before == null ? null : before.set();
+        String found = KeySets.findTampering(previous, now.set(), number == null ? null : number.number);
+        if (found == null && (number == null || !number.revision.equals(now.revision()))) {
+            found = "change " + now.set().changeNumber() + " of another hand";
         }
-        if (saw == null) {
+        if (found == null) {
             return;
         }
-        String should = old != null && old.approvedVersion() != null
-                ? old.approvedVersion().digest()
+        String expected = previous != null && previous.approvedVersion() != null
+                ? previous.approvedVersion().digest()
                 : "change " + (number == null ? "?" : String.valueOf(number.number));
-        LOG.error(
-                "key set {}: mismatch: {} stands there, {} is what was known; jobs that are bound to it are held",
-                name,
-                saw,
-                should);
-        KeySets.Mismatch mark = new KeySets.Mismatch(context.wallMs(), node, saw, should);
-        marks.put(name, mark);
-        toMark.put(name, mark);
+        LOG.error("key set mismatch, jobs bound to it are held: set={} found={} expected={}", name, found, expected);
+        KeySets.Mismatch mismatch = new KeySets.Mismatch(context.wallMs(), nodeName, found, expected);
+        mismatches.put(name, mismatch);
+        unsavedMismatches.put(name, mismatch);
     }
 
-    /** Tells all nodes, those to come too. */
-    private void mark() {
-        for (Map.Entry<String, KeySets.Mismatch> entry : List.copyOf(toMark.entrySet())) {
-            KeySets.Mismatch mark = entry.getValue();
+    /** Stores the detected mismatches for all nodes, including those started later. */
+    private void saveMismatches() {
+        for (Map.Entry<String, KeySets.Mismatch> entry : List.copyOf(unsavedMismatches.entrySet())) {
+            KeySets.Mismatch mismatch = entry.getValue();
             Transaction transaction = new Transaction()
                     .guard(MISMATCHES_PREFIX + entry.getKey(), Revision.ABSENT)
                     .put(
                             MISMATCHES_PREFIX + entry.getKey(),
                             Codec.map()
-                                    .put("at", mark.detectedAtMs())
-                                    .put("node", mark.detectedBy())
-                                    .put("saw", mark.found())
-                                    .put("known", mark.expected()));
+                                    .put("at", mismatch.detectedAtMs())
+                                    .put("node", mismatch.detectedBy())
+                                    .put("saw", mismatch.found())
+                                    .put("known", mismatch.expected()));
             requests.takeOrOverdraw(context.now(), 1);
             writes.takeOrOverdraw(context.now(), 1);
             store.commit(transaction, commit -> {
                 if (commit.outcome() == StoreClient.CommitResult.Outcome.COMMITTED
                         || commit.outcome() == StoreClient.CommitResult.Outcome.CONFLICT) {
-                    toMark.remove(entry.getKey(), mark);
+                    unsavedMismatches.remove(entry.getKey(), mismatch);
                 } else {
-                    context.schedule(AGAIN_MS, this::mark);
+                    context.schedule(RETRY_DELAY_MS, this::saveMismatches);
                 }
             });
         }
     }
 
-    private void renew() {
-        snapshot = new KeySets(Map.copyOf(sets), Map.copyOf(marks), Set.copyOf(classes), Set.copyOf(teams));
-        changed.run();
+    private void publishSnapshot() {
+        snapshot = new KeySets(
+                Map.copyOf(sets), Map.copyOf(mismatches), Set.copyOf(requiredClasses), Set.copyOf(requiredTeams));
+        onChange.run();
     }
 
-    /** Names of all sets, in their order. */
+    /** Returns the names of all sets, sorted. */
     List<String> names() {
         return new ArrayList<>(sets.keySet());
     }
--- a/src/main/java/org/beechhoist/keyset/KeySet.java
+++ b/src/main/java/org/beechhoist/keyset/KeySet.java
@@ -14,34 +14,34 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * A key set as the state service holds it, {@code ks/set/NAME}. It is immutable: a change returns a new one.
+ * A key set as stored in the state service under {@code ks/set/NAME}. Immutable: each change returns a new instance.
  *
- * @param owner the team that it is for
- * @param classes the classes of jobs that it is for; empty: all jobs of that team
- * @param changeNumber the number of its last change; it only grows, and is stored beside the record too ({@code ks/num/NAME}), so that
- *     an old record that somebody writes again is noticed
- * @param versions the oldest first
+ * @param owner the team whose jobs may use the set
+ * @param classes the job classes that may use the set; empty allows all jobs of the owner
+ * @param changeNumber the number of the last change. It only increases and is also stored under {@code ks/num/NAME}, so
+ *     that an old record written back is detected
+ * @param versions all versions, oldest first
  */
 public record KeySet(String name, String owner, List<String> classes, long changeNumber, List<Version> versions) {
-    /** The most versions of a set. */
+    /** Maximum number of versions of a set. */
     public static final int MAX_VERSION_COUNT = 20;
 
-    /** The most fingerprints of a version. */
+    /** Maximum number of fingerprints of a version. */
     public static final int MAX_FINGERPRINT_COUNT = 16;
 
-    private static final int MOST_NAME = 64;
-    private static final int MOST_TEXT = 120;
-    private static final String NAME = "[a-z0-9][a-z0-9._-]{0," + (MOST_NAME - 1) + "}";
-    private static final String FINGERPRINT = "[0-9A-Za-z+/=:_-]{8,100}";
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final int MAX_TEXT_LENGTH = 120;
+    private static final String NAME_PATTERN = "[a-z0-9][a-z0-9._-]{0," + (MAX_NAME_LENGTH - 1) + "}";
+    private static final String FINGERPRINT_PATTERN = "[0-9A-Za-z+/=:_-]{8,100}";
 
-    /** The state of a version; stored and shown in lower case. */
+    /** The state of a version; stored and sent to clients in lower case. */
     public enum State {
         PROPOSED,
         APPROVED,
         SUPERSEDED,
         REVOKED;
 
-        /** Returns the state as it is stored and shown. */
+        /** Returns the lower-case name that is stored and sent to clients. */
         public String text() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -60,11 +60,12 @@
     /**
      * One version of a set.
      *
-     * @param digest the digest of what it holds, as it was proposed
-     * @param changedBy who changed it last
-     * @param changedAtMs when, by the time of day
-     * @param reason the reason for that change
-     * @param drainDeadlineMs until when jobs that are bound to a superseded version may run
+     * @param digest the digest of the content at the time of the proposal
+     * @param changedBy the author of the last change
+     * @param changedAtMs the wall-clock time of that change
+     * @param reason the reason given for that change
+     * @param drainDeadlineMs the wall-clock time until which jobs bound to a superseded version may run; 0 if not
+     *     superseded
      */
     public record Version(
             long version,
@@ -75,68 +76,68 @@
             long changedAtMs,
             String reason,
             long drainDeadlineMs) {
-        Version withState(State next, Change change, long drainUntil) {
+        Version withState(State next, Change change, long drainDeadlineMs) {
             return new Version(
-                    version, fingerprints, digest, next, change.author, change.atMs, change.reason, drainUntil);
+                    version, fingerprints, digest, next, change.author, change.atMs, change.reason, drainDeadlineMs);
         }
     }
 
     /**
-     * Who makes a change, when and why.
+     * The author, time and reason of a change.
      *
-     * @param atMs by the time of day
+     * @param atMs wall-clock time
      */
     public record Change(String author, long atMs, String reason) {
-        /** Checks that who and why are given and not too long. */
+        /** Checks that author and reason are given and not too long. */
         public Change {
-            if (author.isBlank() || author.length() > MOST_TEXT) {
+            if (author.isBlank() || author.length() > MAX_TEXT_LENGTH) {
                 throw new IllegalArgumentException(
-                        "who = \"" + author + "\": 1 to " + MOST_TEXT + " characters are expected");
+                        "who = \"" + author + "\": 1 to " + MAX_TEXT_LENGTH + " characters are expected");
             }
-            if (reason.isBlank() || reason.length() > MOST_TEXT) {
+            if (reason.isBlank() || reason.length() > MAX_TEXT_LENGTH) {
                 throw new IllegalArgumentException(
-                        "why = \"" + reason + "\": 1 to " + MOST_TEXT + " characters are expected");
+                        "why = \"" + reason + "\": 1 to " + MAX_TEXT_LENGTH + " characters are expected");
             }
         }
     }
 
-    /** Returns whether the text can be a set's name. */
+    /** Returns whether the text is a valid name of a set. */
     public static boolean isValidName(String name) {
-        return name.matches(NAME);
+        return name.matches(NAME_PATTERN);
     }
 
     // ---- content ----
 
-    /** Returns the SHA-256 of the canonical form: name, owner and version, then the fingerprints sorted by character, one a line. */
+    /** Returns the SHA-256 of the canonical form: name, owner, version and the fingerprints sorted by character, one per line. */
     public static String digest(String name, String owner, long version, List<String> fingerprints) {
         List<String> lines = new ArrayList<>(List.of(name, owner, Long.toString(version)));
         fingerprints.stream().sorted().forEach(lines::add);
         try {
-            byte[] sum = MessageDigest.getInstance("SHA-256")
+            byte[] hash = MessageDigest.getInstance("SHA-256")
                     .digest(String.join("\n", lines).getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(sum);
+            return HexFormat.of().formatHex(hash);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every JDK has it
+            throw new IllegalStateException(e); // every JDK provides SHA-256
         }
     }
 
-    /** Returns the digest computed from what the version holds now, whatever digest is stored with it. */
+    /** Computes the digest of the version's current content; the digest stored with it is not used. */
     public String computeDigest(Version version) {
         return digest(name, owner, version.version, version.fingerprints);
     }
 
-    /** Returns the version of this number, or null. */
+    /** Returns the version with this number, or null if there is none. */
     public Version version(long number) {
         return versions.stream()
-                .filter(one -> one.version == number)
+                .filter(candidate -> candidate.version == number)
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Returns the approved version, or null. */
+    /** Returns the approved version, or null if there is none. */
     public Version approvedVersion() {
         return versions.stream()
-                .filter(one -> one.state == State.APPROVED)
+                .filter(candidate -> candidate.state == State.APPROVED)
                 .findFirst()
                 .orElse(null);
     }
@@ -144,16 +145,16 @@
     // ---- changes ----
 
     /**
-     * Returns a new set, or a set with a new version.
+     * Returns a new set, or the given set with a further proposed version.
      *
-     * @param before the set so far; null: there is none
+     * @param before the current set, or null if it does not exist yet
      */
     public static KeySet propose(
             KeySet before, String name, String owner, List<String> classes, List<String> fingerprints, Change change)
             throws MalformedMessageException {
         if (!isValidName(name)) {
             throw new MalformedMessageException("name = " + name + ": a to z, 0 to 9, dot, dash and underline, "
-                    + MOST_NAME + " at most, are expected");
+                    + MAX_NAME_LENGTH + " at most, are expected");
         }
         if (before != null && !before.owner.equals(owner)) {
             throw new MalformedMessageException(
@@ -177,7 +178,7 @@
                     "fingerprints: 1 to " + MAX_FINGERPRINT_COUNT + " are expected, not " + fingerprints.size());
         }
         for (String fingerprint : fingerprints) {
-            if (!fingerprint.matches(FINGERPRINT)) {
+            if (!fingerprint.matches(FINGERPRINT_PATTERN)) {
                 throw new MalformedMessageException(
                         "fingerprints: " + fingerprint + ": 8 to 100 letters, digits, and + / = : _ - are expected");
             }
@@ -187,7 +188,10 @@
         }
     }
 
-    /** Removes the oldest version unless it is in use. Jobs that are bound to it are held from then on, as if it had never existed. */
+    /**
+     * Removes the oldest version unless it is in use. Jobs bound to a removed version are held, as for a version that never
+     * existed.
+     */
     private static void removeOldest(List<Version> versions, long nowMs) throws MalformedMessageException {
         Version oldest = versions.get(0);
         if (oldest.state != State.REVOKED && !(oldest.state == State.SUPERSEDED && oldest.drainDeadlineMs < nowMs)) {
@@ -198,36 +202,39 @@
     }
 
     /**
-     * Returns the set with this version approved, if it holds what the digest says; the version approved before is superseded.
+     * Returns the set with this version approved, provided that its content matches the digest. The previously approved version
+     * becomes superseded.
      *
-     * @param drainUntilMs until when jobs that are bound to the superseded version may run
+     * @param drainDeadlineMs wall-clock time until which jobs bound to the superseded version may run
      */
-    public KeySet approve(long version, String digest, long drainUntilMs, Change change)
+    public KeySet approve(long version, String digest, long drainDeadlineMs, Change change)
             throws MalformedMessageException {
-        Version keyVersion = existing(version);
+        Version keyVersion = requireVersion(version);
         if (!keyVersion.digest.equals(digest) || !computeDigest(keyVersion).equals(digest)) {
             throw new MalformedMessageException(
                     "digest = " + digest + ": version " + version + " holds " + computeDigest(keyVersion));
         }
         if (keyVersion.state == State.APPROVED) {
-            return changed(keyVersion, keyVersion);
+            return withReplacedVersion(keyVersion, keyVersion);
         }
-        Version last = approvedVersion();
-        if (last != null && last.version > version && keyVersion.state != State.REVOKED) {
-            throw new MalformedMessageException("version = " + version + ": version " + last.version
+        Version current = approvedVersion();
+        if (current != null && current.version > version && keyVersion.state != State.REVOKED) {
+            throw new MalformedMessageException("version = " + version + ": version " + current.version
                     + " is approved; only a newer one may follow, or one that was revoked");
         }
-        KeySet out = last == null ? this : changed(last, last.withState(State.SUPERSEDED, change, drainUntilMs));
-        return out.changed(keyVersion, keyVersion.withState(State.APPROVED, change, 0));
+        KeySet superseded = current == null
+                ? this
+                : withReplacedVersion(current, current.withState(State.SUPERSEDED, change, drainDeadlineMs));
+        return superseded.withReplacedVersion(keyVersion, keyVersion.withState(State.APPROVED, change, 0));
     }
 
     /** Returns the set with this version revoked. */
     public KeySet revoke(long version, Change change) throws MalformedMessageException {
-        Version revoked = existing(version);
-        return changed(revoked, revoked.withState(State.REVOKED, change, 0));
+        Version revoked = requireVersion(version);
+        return withReplacedVersion(revoked, revoked.withState(State.REVOKED, change, 0));
     }
 
-    private Version existing(long version) throws MalformedMessageException {
+    private Version requireVersion(long version) throws MalformedMessageException {
         Version keyVersion = version(version);
         if (keyVersion == null) {
             throw new MalformedMessageException("version = " + version + ": one of "
@@ -236,22 +243,24 @@
         return keyVersion;
     }
 
-    private KeySet changed(Version from, Version to) {
+    private KeySet withReplacedVersion(Version from, Version to) {
         return new KeySet(
                 name,
                 owner,
                 classes,
                 changeNumber + 1,
-                versions.stream().map(one -> one == from ? to : one).toList());
+                versions.stream()
+                        .map(candidate -> candidate == from ? to : candidate)
+                        .toList());
     }
 
-    // ---- as stored and shown ----
+    // ---- serialization ----
 
-    /** Returns the set as it is stored and shown. */
+    /** Returns the form of the set that is stored and sent to clients. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map().put("name", name).put("owner", owner).put("number", changeNumber);
-        ArrayNode otherClasses = node.putArray("classes");
-        classes.forEach(otherClasses::add);
+        ArrayNode classNames = node.putArray("classes");
+        classes.forEach(classNames::add);
         ArrayNode all = node.putArray("versions");
         for (Version version : versions) {
             ObjectNode row = all.addObject()
@@ -264,8 +273,8 @@
             if (version.drainDeadlineMs > 0) {
                 row.put("drainUntil", version.drainDeadlineMs);
             }
-            ArrayNode prints = row.putArray("fingerprints");
-            version.fingerprints.forEach(prints::add);
+            ArrayNode fingerprintArray = row.putArray("fingerprints");
+            version.fingerprints.forEach(fingerprintArray::add);
         }
         return node;
     }
--- a/src/main/java/org/beechhoist/keyset/KeySets.java
+++ b/src/main/java/org/beechhoist/keyset/KeySets.java
@@ -8,36 +8,36 @@
 import org.beechhoist.wire.Revision;
 
 /**
- * All key sets as a node knows them at one moment; immutable.
+ * An immutable snapshot of all key sets, as a node has read them.
  *
- * @param sets by name
- * @param mismatches mismatches by the set's name: a node has seen the set hold something else than it did, and nobody has approved it
- *     since
- * @param requiredClasses every job of these classes must be bound to a set
- * @param requiredTeams every job of these teams must be bound to a set
+ * @param sets the sets by name
+ * @param mismatches detected mismatches by set name: a node found that the content was changed without a recorded change, and no
+ *     version has been approved since
+ * @param requiredClasses job classes whose jobs must be bound to a set
+ * @param requiredTeams teams whose jobs must be bound to a set
  */
 public record KeySets(
         Map<String, StoredKeySet> sets,
         Map<String, Mismatch> mismatches,
         Set<String> requiredClasses,
         Set<String> requiredTeams) {
-    /** No key sets. */
+    /** The snapshot without key sets. */
     public static final KeySets NONE = new KeySets(Map.of(), Map.of(), Set.of(), Set.of());
 
     /**
-     * A set and the revision of its record.
+     * A key set and the revision of its stored record.
      *
-     * @param set null if the record can't be read
+     * @param set the key set, or null if the record cannot be parsed
      */
     public record StoredKeySet(KeySet set, Revision revision) {}
 
     /**
-     * A mismatch that was seen.
+     * A difference between the stored and the expected content of a key set.
      *
-     * @param detectedAtMs when, by the time of day
-     * @param detectedBy which node saw it
-     * @param found what the set held
-     * @param expected what it should hold
+     * @param detectedAtMs wall-clock time of the detection
+     * @param detectedBy the node that detected it
+     * @param found the digest or change that was found
+     * @param expected the digest or change that was expected
      */
     public record Mismatch(long detectedAtMs, String detectedBy, String found, String expected) {
         String description() {
@@ -46,105 +46,105 @@
     }
 
     /**
-     * What a submission is bound to, or why it is refused.
+     * The version that a submission is bound to, or the reason why it is refused.
      *
-     * @param keySetBinding null: it is bound to no set, and need not be
-     * @param refusalReason why it can't be accepted; null: it can
+     * @param keySetBinding the binding; null if the job is refused, or is not bound to a set and need not be
+     * @param refusalReason the reason for the refusal; null if the job is accepted
      */
     public record BindingDecision(KeySetBinding keySetBinding, String refusalReason) {
-        private static BindingDecision refused(String why) {
-            return new BindingDecision(null, why);
+        private static BindingDecision refused(String reason) {
+            return new BindingDecision(null, reason);
         }
     }
 
-    /** Returns the revision of the set's record. */
+    /** Returns the revision of the set's record; {@link Revision#ABSENT} if there is no such set. */
     public Revision revision(String set) {
-        StoredKeySet known = sets.get(set);
-        return known == null ? Revision.ABSENT : known.revision;
+        StoredKeySet stored = sets.get(set);
+        return stored == null ? Revision.ABSENT : stored.revision;
     }
 
     /**
-     * Returns what a new job is bound to: the approved version of the set that it names, or of the one set that fits it if its class
-     * or team needs one.
+     * Decides which version a new job is bound to: the approved version of the set that it names or, if its class or team requires
+     * a set, of the only set that applies to it.
      *
-     * @param named the set that the job names, or null
+     * @param named the set named by the job, or null
      */
     public BindingDecision bind(String team, String jobClass, String named) {
         if (named != null) {
-            StoredKeySet known = sets.get(named);
-            if (known == null || known.set == null) {
+            StoredKeySet stored = sets.get(named);
+            if (stored == null || stored.set == null) {
                 return BindingDecision.refused("keySet = " + named + ": no such key set");
             }
-            if (!isFor(known.set, team, jobClass)) {
-                return BindingDecision.refused("keySet = " + named + ": it is for " + known.set.owner()
-                        + (known.set.classes().isEmpty() ? "" : " and " + known.set.classes()));
+            if (!appliesTo(stored.set, team, jobClass)) {
+                return BindingDecision.refused("keySet = " + named + ": it is for " + stored.set.owner()
+                        + (stored.set.classes().isEmpty() ? "" : " and " + stored.set.classes()));
             }
-            return bound(known.set);
+            return decideFor(stored.set);
         }
         if (!requiredClasses.contains(jobClass) && !requiredTeams.contains(team)) {
             return new BindingDecision(null, null);
         }
-        Map<String, KeySet> fitting = new TreeMap<>();
-        for (StoredKeySet known : sets.values()) {
-            if (known.set != null && isFor(known.set, team, jobClass) && known.set.approvedVersion() != null) {
-                fitting.put(known.set.name(), known.set);
+        Map<String, KeySet> applicable = new TreeMap<>();
+        for (StoredKeySet stored : sets.values()) {
+            if (stored.set != null && appliesTo(stored.set, team, jobClass) && stored.set.approvedVersion() != null) {
+                applicable.put(stored.set.name(), stored.set);
             }
         }
-        // A set for the class goes before one for the whole team.
-        List<KeySet> forClass = fitting.values().stream()
+        // A set for the job class takes precedence over one for the whole team.
+        List<KeySet> forClass = applicable.values().stream()
                 .filter(set -> !set.classes().isEmpty())
                 .toList();
-        List<KeySet> left = forClass.isEmpty() ? List.copyOf(fitting.values()) : forClass;
-        if (left.isEmpty()) {
+        List<KeySet> candidates = forClass.isEmpty() ? List.copyOf(applicable.values()) : forClass;
+        if (candidates.isEmpty()) {
             return BindingDecision.refused(
                     "keySet: jobs of " + team + " and " + jobClass + " need an approved key set, and there is none");
         }
-        if (left.size() > 1) {
+        if (candidates.size() > 1) {
             return BindingDecision.refused(
-                    "keySet: one of " + left.stream().map(KeySet::name).toList() + " is expected");
+                    "keySet: one of " + candidates.stream().map(KeySet::name).toList() + " is expected");
         }
-        return bound(left.get(0));
+        return decideFor(candidates.get(0));
     }
 
-    private BindingDecision bound(KeySet keySet) {
+    private BindingDecision decideFor(KeySet keySet) {
         KeySet.Version version = keySet.approvedVersion();
         if (version == null) {
             return BindingDecision.refused("keySet = " + keySet.name() + ": no version of it is approved");
         }
-        Mismatch mark = mismatches.get(keySet.name());
-        if (mark != null || !keySet.computeDigest(version).equals(version.digest())) {
+        Mismatch mismatch = mismatches.get(keySet.name());
+        if (mismatch != null || !keySet.computeDigest(version).equals(version.digest())) {
             return BindingDecision.refused("keySet = " + keySet.name() + ": mismatch, "
-                    + (mark != null ? mark.description() : "it does not hold what was approved"));
+                    + (mismatch != null ? mismatch.description() : "it does not hold what was approved"));
         }
         return new BindingDecision(new KeySetBinding(keySet.name(), version.version(), version.digest()), null);
     }
 
-    private static boolean isFor(KeySet keySet, String team, String jobClass) {
+    private static boolean appliesTo(KeySet keySet, String team, String jobClass) {
         return keySet.owner().equals(team)
                 && (keySet.classes().isEmpty() || keySet.classes().contains(jobClass));
     }
 
     /**
-     * Returns whether a job that is bound so may run: only if the set still has exactly this version with exactly this content, and it
-     * is approved, or superseded and may still be drained.
+     * Decides whether a job with this binding may run. The set must still contain this version with the same content, and the version
+     * must be approved, or superseded with its drain deadline not yet reached.
      */
     public RunDecision runDecision(KeySetBinding binding, long nowMs) {
-        StoredKeySet known = sets.get(binding.keySet());
-        if (known == null) {
+        StoredKeySet stored = sets.get(binding.keySet());
+        if (stored == null) {
             return RunDecision.held(0, "the state service", "the key set is gone");
         }
-        Mismatch mark = mismatches.get(binding.keySet());
-        if (mark != null) {
-            return RunDecision.held(mark.detectedAtMs, mark.detectedBy, "mismatch: " + mark.description());
+        Mismatch mismatch = mismatches.get(binding.keySet());
+        if (mismatch != null) {
+            return RunDecision.held(mismatch.detectedAtMs, mismatch.detectedBy, "mismatch: " + mismatch.description());
         }
-        KeySet.Version version = known.set == null ? null : known.set.version(binding.version());
+        KeySet.Version version = stored.set == null ? null : stored.set.version(binding.version());
         if (version == null) {
             return RunDecision.held(
                     0,
                     "the state service",
-                    known.set == null ? "mismatch: the key set can't be read" : "the version is gone");
+                    stored.set == null ? "mismatch: the key set can't be read" : "the version is gone");
         }
-        String now = known.set.computeDigest(version);
+        String now = stored.set.computeDigest(version);
         if (!now.equals(binding.digest()) || !version.digest().equals(binding.digest())) {
             return RunDecision.held(
                     0, "the state service", "mismatch: it holds " + now + ", the job is bound to " + binding.digest());
@@ -165,15 +165,15 @@
     }
 
     /**
-     * Returns what of a changed record can't have been written by this software, but only by somebody who writes to the state service
-     * directly; null if there is nothing of the kind.
+     * Returns the digest or change in a modified record that this software cannot have written, which means that the record was
+     * written to the state service directly; null if there is none.
      *
-     * @param before the set as it was known, or null
-     * @param number the number of its last change as stored beside it, or null
+     * @param before the previously read set, or null
+     * @param number the number of the last change as stored under its own key, or null
      */
     public static String findTampering(KeySet before, KeySet now, Long number) {
         if (now == null) {
-            return null; // its verdict says so
+            return null; // runDecision reports a record that cannot be parsed
         }
         for (KeySet.Version version : now.versions()) {
             KeySet.Version old = before == null ? null : before.version(version.version());
--- a/src/main/java/org/beechhoist/keyset/RunDecision.java
+++ b/src/main/java/org/beechhoist/keyset/RunDecision.java
@@ -1,30 +1,30 @@
 package org.beechhoist.keyset;
 
 /**
- * Whether a job that is bound to a key set may run.
+ * The decision whether a job that is bound to a key set may run, with its reason.
  *
- * @param sinceMs since when it may not, by the time of day; 0 if that is not known
- * @param decidedBy who or what decided it
- * @param reason the reason, as it is shown
+ * @param sinceMs wall-clock time since which the job must not run; 0 if unknown
+ * @param decidedBy the person, node or service that the decision comes from
+ * @param reason the reason sent to clients
  */
 public record RunDecision(Kind kind, long sinceMs, String decidedBy, String reason) {
-    /** What follows for the job. */
+    /** The consequence for the job. */
     public enum Kind {
-        /** It may start and run. */
+        /** The job may start and run. */
         MAY_RUN,
-        /** Nothing is known yet: nothing new of it starts, and nothing that runs is stopped. */
+        /** The key sets are not read yet: no task of the job is started, and running tasks are not stopped. */
         UNKNOWN,
-        /** Nothing of it starts, and what runs is stopped. */
+        /** No task of the job is started, and running tasks are stopped. */
         HELD
     }
 
     static final RunDecision MAY_RUN = new RunDecision(Kind.MAY_RUN, 0, "", "");
-    /** The verdict while the key sets are not read yet. */
+    /** The decision until the key sets are read. */
     public static final RunDecision UNKNOWN =
             new RunDecision(Kind.UNKNOWN, 0, "this node", "the key sets are not read yet");
 
-    static RunDecision held(long sinceMs, String decidedBy, String why) {
-        return new RunDecision(Kind.HELD, sinceMs, decidedBy, why);
+    static RunDecision held(long sinceMs, String decidedBy, String reason) {
+        return new RunDecision(Kind.HELD, sinceMs, decidedBy, reason);
     }
 
     /** Returns whether the job may start and run. */
