--- a/src/main/java/org/beechhoist/controller/ReleaseApi.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseApi.java
@@ -18,23 +18,24 @@
 import org.beechhoist.wire.Codec;
 import org.beechhoist.wire.MalformedMessageException;
 
-/** {@code /v1/releases}: people put, move and remove what makers were promised; every change is a commit with its history. */
+/** Serves {@code /v1/releases}: puts, moves and removes releases; each change is committed together with its history. */
 final class ReleaseApi {
     static final String PATH = "/v1/releases";
-    private static final int MOST_RELEASES = 500;
-    private static final int MOST_TEXT = 120;
+    private static final int MAX_RELEASE_COUNT = 500;
+    private static final int MAX_TEXT_LENGTH = 120;
 
-    private interface Edit {
-        /** @param open whether a day counts for the lead */
-        Release of(Release before, Predicate<LocalDate> open) throws MalformedMessageException;
+    /** Computes the next content of a release from the stored one, null if there is none. */
+    private interface ReleaseUpdate {
+        /** @param open tests whether a day counts as a lead day */
+        Release apply(Release before, Predicate<LocalDate> open) throws MalformedMessageException;
     }
 
     private final ControllerContext context;
     private final Settings settings;
     private final StoreClient store;
     private final TokenBucket requests;
-    private final ReleaseRegistry releases;
-    private final OptimisticUpdater amending;
+    private final ReleaseRegistry registry;
+    private final OptimisticUpdater updater;
     private final OpenDaysReader openDays;
 
     ReleaseApi(
@@ -43,17 +44,21 @@
             StoreClient store,
             TokenBucket requests,
             TokenBucket writes,
-            ReleaseRegistry releases) {
+            ReleaseRegistry registry) {
         this.context = context;
         this.settings = settings;
         this.store = store;
         this.requests = requests;
-        this.releases = releases;
-        this.amending = new OptimisticUpdater(context, settings, store, requests, writes);
+        this.registry = registry;
+        this.updater = new OptimisticUpdater(context, settings, store, requests, writes);
         this.openDays = new OpenDaysReader(context, store, requests);
     }
 
-    /** @param leader null on a node that does not lead: it knows no plan */
+    /**
+     * Handles a request.
+     *
+     * @param leader null on a node that does not lead and thus has no plan
+     */
     void handle(String method, String path, byte[] body, Leader leader, ApiResponder responder) {
         boolean post = method.equals("POST");
         String rest = path.length() > PATH.length() ? path.substring(PATH.length() + 1) : "";
@@ -77,7 +82,7 @@
                         null,
                         (before, open) -> before.withShipDate(
                                 ship,
-                                inTime(
+                                requireFutureDue(
                                         ship.toString(),
                                         Release.computeDueMs(ship, before.zone(), before.leadDays(), open)),
                                 who,
@@ -98,14 +103,14 @@
 
     private static String text(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
-        if (text.isBlank() || text.length() > MOST_TEXT) {
+        if (text.isBlank() || text.length() > MAX_TEXT_LENGTH) {
             throw new MalformedMessageException(
-                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+                    field + " = " + text + ": 1 to " + MAX_TEXT_LENGTH + " characters are expected");
         }
         return text;
     }
 
-    private long inTime(String ship, long due) throws MalformedMessageException {
+    private long requireFutureDue(String ship, long due) throws MalformedMessageException {
         if (due <= context.wallMs()) {
             throw new MalformedMessageException(
                     "ship = " + ship + ": a date whose factory moment, less the lead, is yet to come is expected");
@@ -121,16 +126,16 @@
             throw new MalformedMessageException("team = " + described.team() + ": one of "
                     + new TreeSet<>(settings.teams().keySet()) + " is expected");
         }
-        if (releases.find(name) == null && releases.size() >= MOST_RELEASES) {
+        if (registry.find(name) == null && registry.size() >= MAX_RELEASE_COUNT) {
             throw new MalformedMessageException(
-                    "name = " + name + ": at most " + MOST_RELEASES + " releases are allowed, removed ones too");
+                    "name = " + name + ": at most " + MAX_RELEASE_COUNT + " releases are allowed, removed ones too");
         }
         change(
                 name,
                 described,
                 (before, open) -> described.withPut(
                         before,
-                        inTime(
+                        requireFutureDue(
                                 described.ship().toString(),
                                 Release.computeDueMs(described.ship(), described.zone(), described.leadDays(), open)),
                         who,
@@ -139,11 +144,15 @@
                 responder);
     }
 
-    /** @param described what is put, or null: what stands is changed */
-    private void change(String name, Release described, Edit edit, ApiResponder responder) {
-        amending.updateAsync(
+    /**
+     * Commits a change of a release.
+     *
+     * @param described the release to put, or null if the stored one is changed
+     */
+    private void change(String name, Release described, ReleaseUpdate update, ApiResponder responder) {
+        updater.updateAsync(
                 ReleaseRegistry.RELEASES_PREFIX + name,
-                (node, then) -> {
+                (node, completion) -> {
                     Release before;
                     try {
                         before = node == null ? null : Release.parse(node);
@@ -157,27 +166,31 @@
                     }
                     openDays.readOpenDays(
                             described != null ? described.calendar() : before.calendar(), responder, open -> {
-                                ObjectNode next = edit.of(before, open).toNode();
-                                then.complete(next, t -> {}, next);
+                                ObjectNode next = update.apply(before, open).toNode();
+                                completion.complete(next, t -> {}, next);
                             });
                 },
                 responder);
     }
 
-    /** @param orderAlone which every node knows; what is done, and when it will be over, is known to the leading one alone */
-    private void list(Leader leader, boolean orderAlone, ApiResponder responder) {
-        if (!releases.isLoaded()) {
+    /**
+     * Replies with all releases.
+     *
+     * @param orderOnly whether only the order is requested, which every node knows; only the leader knows progress and forecasts
+     */
+    private void list(Leader leader, boolean orderOnly, ApiResponder responder) {
+        if (!registry.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
             return;
         }
-        ObjectNode out = Codec.map();
-        if (leader != null && !orderAlone) {
-            out.set("releases", leader.releaseController().view(leader.planner()));
-            responder.respond(200, out);
+        ObjectNode reply = Codec.map();
+        if (leader != null && !orderOnly) {
+            reply.set("releases", leader.releaseController().view(leader.planner()));
+            responder.respond(200, reply);
             return;
         }
-        ArrayNode rows = out.putArray("releases");
-        List<Release> all = releases.snapshot().all().stream()
+        ArrayNode rows = reply.putArray("releases");
+        List<Release> all = registry.snapshot().all().stream()
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList();
         all.forEach(release -> rows.addObject()
@@ -188,12 +201,12 @@
                 .put("due", release.dueMs())
                 .put("dueInS", (release.dueMs() - context.wallMs()) / 1000.0));
         responder.respond(
-                orderAlone ? 200 : 421, orderAlone ? out : out.put("error", "this node does not lead: no forecast"));
+                orderOnly ? 200 : 421, orderOnly ? reply : reply.put("error", "this node does not lead: no forecast"));
     }
 
     private void show(String name, ApiResponder responder) {
-        Release release = releases.find(name);
-        if (!releases.isLoaded()) {
+        Release release = registry.find(name);
+        if (!registry.isLoaded()) {
             OptimisticUpdater.respondUnavailable(responder);
         } else if (release == null) {
             responder.respond(404, OptimisticUpdater.errorBody("no such release"));
--- a/src/main/java/org/beechhoist/controller/ReleaseController.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseController.java
@@ -28,26 +28,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's side of the release calendar: which jobs go first for it, what was done of each release, and whether it will be met. */
+/**
+ * The leader's part of the release calendar: orders jobs by their releases, counts the finished work of each release and forecasts
+ * its end.
+ */
 final class ReleaseController {
-    /** What is done of each release: jobs, tasks, CPU seconds, and when the last job ended. Hints, written now and then. */
+    /** Finished jobs, tasks and CPU seconds of each release, and when its last job ended. Written periodically; may be outdated. */
     static final String TALLIES_KEY = "rl/tally";
-    /** Which jobs' order a change has changed. */
+    /** Jobs whose order was affected by the last change of a release. */
     static final String REORDERED_PREFIX = "rl/moved/";
 
     private static final Logger LOG = LoggerFactory.getLogger(ReleaseController.class);
-    private static final long LOOK_EVERY_MS = 5000;
-    private static final long WRITE_EVERY_MS = 15_000;
-    private static final double PLENTY = 0.5;
-    private static final int MOST_TOLD = 50;
-    private static final int MOST_TALLIED = 150;
-    /** Forecasts of one release that are held against what happens, this far apart; no release has this name. */
-    private static final int MOST_SAID = 8;
+    private static final long FORECAST_INTERVAL_MS = 5000;
+    private static final long TALLY_WRITE_INTERVAL_MS = 15_000;
+    private static final double MIN_FREE_WRITE_TOKENS_FRACTION = 0.5;
+    private static final int MAX_LISTED_JOB_COUNT = 50;
+    private static final int MAX_STORED_TALLY_COUNT = 150;
+    /** Maximum number of forecasts per release that are kept to be compared with the actual end. */
+    private static final int MAX_PENDING_FORECAST_COUNT = 8;
 
-    private static final long SAID_EVERY_MS = 30_000;
-    private static final String RATIOS = "~forecasts";
+    private static final long PENDING_FORECAST_INTERVAL_MS = 30_000;
+    /** Field of the calibration ratios in the tally record; not a valid name of a release. */
+    private static final String RATIOS_FIELD = "~forecasts";
 
-    private record Tally(int jobs, int tasks, double cpuS, long lastMs) {}
+    private record Tally(int jobs, int tasks, double cpuS, long lastEndMs) {}
 
     private final ControllerContext context;
     private final StoreClient store;
@@ -57,24 +61,24 @@
     private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final Admission admission;
-    /** Null where the calendar is off. */
-    private final ReleaseRegistry releases;
+    /** Null if the release calendar is disabled. */
+    private final ReleaseRegistry registry;
 
-    private Map<JobId, Long> keys = Map.of();
+    private Map<JobId, Long> orderKeys = Map.of();
     private final Map<String, Tally> tallies = new TreeMap<>();
     private final Map<String, String> risks = new HashMap<>();
     private final Calibration calibration = new Calibration();
-    /** By release: when it was said, and when it was said to end, by the time of day. */
-    private final Map<String, List<long[]>> said = new HashMap<>();
+    /** By release name: pairs of the wall-clock time of a forecast and the planned end. */
+    private final Map<String, List<long[]>> pendingForecasts = new HashMap<>();
 
-    private boolean tallied;
+    private boolean tallyLoaded;
     private boolean tallyDirty;
-    private Due next = new Due();
+    private NextRuns nextRuns = new NextRuns();
 
-    /** When something is next due. */
-    private static final class Due {
-        private long lookMs;
-        private long writeMs;
+    /** Times of the next periodic actions. */
+    private static final class NextRuns {
+        private long forecastMs;
+        private long tallyWriteMs;
     }
 
     ReleaseController(
@@ -86,7 +90,7 @@
             ClusterState clusterState,
             DurationEstimates estimates,
             Admission admission,
-            ReleaseRegistry releases) {
+            ReleaseRegistry registry) {
         this.context = context;
         this.store = store;
         this.election = election;
@@ -95,37 +99,37 @@
         this.clusterState = clusterState;
         this.estimates = estimates;
         this.admission = admission;
-        this.releases = releases;
+        this.registry = registry;
     }
 
-    /** A new leadership begins. */
+    /** Resets all state at the start of a term. */
     void startTerm() {
-        keys = Map.of();
+        orderKeys = Map.of();
         tallies.clear();
         risks.clear();
         calibration.clear();
-        said.clear();
-        tallied = false;
+        pendingForecasts.clear();
+        tallyLoaded = false;
         tallyDirty = false;
-        next = new Due();
+        nextRuns = new NextRuns();
     }
 
-    private boolean on() {
-        return releases != null && !releases.snapshot().isEmpty();
+    private boolean hasReleases() {
+        return registry != null && !registry.snapshot().isEmpty();
     }
 
-    // ---- the order ----
+    // ---- job order ----
 
-    /** Before each plan: the order of all open jobs, by what is stored alone. */
+    /** Computes the order of all open jobs before each plan, from stored data only. */
     void updateOrder() {
-        keys = on() ? keys(releases.snapshot()) : Map.of();
+        orderKeys = hasReleases() ? computeOrderKeys(registry.snapshot()) : Map.of();
     }
 
-    private Map<JobId, Long> keys(Releases of) {
+    private Map<JobId, Long> computeOrderKeys(Releases currentReleases) {
         List<ReleaseOrder.OpenJob> open = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (!job.isCancelled()) {
-                job.release = of.releaseOf(job.spec());
+                job.release = currentReleases.releaseOf(job.spec());
                 open.add(new ReleaseOrder.OpenJob(
                         job.id(),
                         job.release,
@@ -138,56 +142,60 @@
         return ReleaseOrder.sortKeys(open, context.wallMs());
     }
 
-    /** The smaller the earlier; {@link ReleaseOrder#NO_KEY} for a job that no release speaks for. */
+    /** Returns the job's sort key, lower first; {@link ReleaseOrder#NO_KEY} for a job that is not ordered by a release. */
     long orderKey(Job job) {
-        return keys.getOrDefault(job.id(), ReleaseOrder.NO_KEY);
+        return orderKeys.getOrDefault(job.id(), ReleaseOrder.NO_KEY);
     }
 
-    /** The factory moment of what it counts for, by the time of day, or null. */
+    /** Returns the wall-clock due time of the job's release, or null. */
     Long dueMs(Job job) {
-        return job.release == null || !on() ? null : Long.valueOf(job.release.dueMs());
+        return job.release == null || !hasReleases() ? null : Long.valueOf(job.release.dueMs());
     }
 
-    /** A release has changed: who moved it is in its history; which jobs go in another order for it is written beside it. */
+    /**
+     * Handles a change of a release: computes the order again and stores which waiting jobs changed places. The author of the change is
+     * in the release's history.
+     */
     void handleReleaseChange(Release before, Release now) {
-        Map<JobId, Long> old = keys;
+        Map<JobId, Long> previous = orderKeys;
         updateOrder();
         clusterState.requestReplan();
         Release release = now != null ? now : before;
         if (release == null) {
             return;
         }
-        List<JobId> moved = new ArrayList<>();
+        List<JobId> reorderedJobs = new ArrayList<>();
         for (Job job : clusterState.jobs()) {
             if (job.record.waitingCount() > 0
-                    && !old.getOrDefault(job.id(), ReleaseOrder.NO_KEY).equals(orderKey(job))) {
-                moved.add(job.id());
+                    && !previous.getOrDefault(job.id(), ReleaseOrder.NO_KEY).equals(orderKey(job))) {
+                reorderedJobs.add(job.id());
             }
         }
         LOG.info(
-                "release {}: {} at {} {}, {} waiting jobs go in another order",
+                "release changed: release={} status={} ship={} zone={} reorderedJobs={}",
                 release.name(),
                 now == null || now.removed() ? "removed" : "stands",
                 release.ship(),
                 release.zone(),
-                moved.size());
-        ObjectNode value = Codec.map().put("number", release.changeNumber()).put("jobs", moved.size());
-        ArrayNode names = value.putArray("first");
-        moved.stream().sorted().limit(MOST_TOLD).forEach(m -> names.add(m.text()));
-        write(election.guardedTransaction().put(REORDERED_PREFIX + release.name(), value));
+                reorderedJobs.size());
+        ObjectNode value = Codec.map().put("number", release.changeNumber()).put("jobs", reorderedJobs.size());
+        ArrayNode firstJobs = value.putArray("first");
+        reorderedJobs.stream().sorted().limit(MAX_LISTED_JOB_COUNT).forEach(m -> firstJobs.add(m.text()));
+        commitHint(election.guardedTransaction().put(REORDERED_PREFIX + release.name(), value));
     }
 
-    private void write(Transaction transaction) {
+    private void commitHint(Transaction transaction) {
         requests.takeOrOverdraw(context.now(), 1);
         writes.takeOrOverdraw(context.now(), 1);
-        store.commit(transaction, c -> {}); // a hint: the next change says it again
+        store.commit(transaction, c -> {}); // a failure is ignored: the next change writes again
     }
 
-    // ---- what is done, and whether it will be met ----
+    // ---- progress and forecasts ----
 
-    /** The job is over, by its tasks. */
+    /** Counts a finished job for its release. */
     void recordEndedJob(Job job) {
-        Release release = on() && !job.isCancelled() ? releases.snapshot().releaseOf(job.spec()) : null;
+        Release release =
+                hasReleases() && !job.isCancelled() ? registry.snapshot().releaseOf(job.spec()) : null;
         if (release != null) {
             Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
             tallies.put(
@@ -205,24 +213,25 @@
         }
     }
 
+    /** Updates the forecasts and writes the tallies; runs periodically. */
     void updateForecasts(Planner planner) {
-        if (!on()) {
+        if (!hasReleases()) {
             return;
         }
-        if (!tallied) {
+        if (!tallyLoaded) {
             readTally();
         }
-        if (context.now().ms() >= next.lookMs) {
-            next.lookMs = context.now().ms() + LOOK_EVERY_MS;
-            Map<String, List<Job>> jobs = jobsOf();
-            for (Release release : releases.snapshot().all()) {
+        if (context.now().ms() >= nextRuns.forecastMs) {
+            nextRuns.forecastMs = context.now().ms() + FORECAST_INTERVAL_MS;
+            Map<String, List<Job>> jobs = openJobsByRelease();
+            for (Release release : registry.snapshot().all()) {
                 List<Job> open = jobs.getOrDefault(release.name(), List.of());
-                remember(release, open, plannedEnd(open, planner));
+                recordPlannedEnd(release, open, plannedEnd(open, planner));
                 Forecast forecast = forecast(release, open, planner);
-                String old = risks.put(release.name(), forecast.risk() == null ? "" : forecast.risk());
-                if (forecast.risk() != null && (old == null || old.isEmpty())) {
+                String previous = risks.put(release.name(), forecast.risk() == null ? "" : forecast.risk());
+                if (forecast.risk() != null && (previous == null || previous.isEmpty())) {
                     LOG.warn(
-                            "release {} of {} is at risk: {}; {} s left to its factory moment",
+                            "release at risk: release={} maker={} risk={} dueInS={}",
                             release.name(),
                             release.maker(),
                             forecast.risk(),
@@ -231,49 +240,50 @@
             }
         }
         if (tallyDirty
-                && tallied
-                && context.now().ms() >= next.writeMs
-                && writes.available(context.now()) >= PLENTY * writes.capacity()) {
-            next.writeMs = context.now().ms() + WRITE_EVERY_MS;
+                && tallyLoaded
+                && context.now().ms() >= nextRuns.tallyWriteMs
+                && writes.available(context.now()) >= MIN_FREE_WRITE_TOKENS_FRACTION * writes.capacity()) {
+            nextRuns.tallyWriteMs = context.now().ms() + TALLY_WRITE_INTERVAL_MS;
             tallyDirty = false;
-            write(election.guardedTransaction().put(TALLIES_KEY, tallyNode()));
+            commitHint(election.guardedTransaction().put(TALLIES_KEY, tallyNode()));
         }
     }
 
-    /** What the plan says now is kept until the release's last job is over, and then held against that. */
-    private void remember(Release release, List<Job> open, long saidMs) {
-        List<long[]> before = said.computeIfAbsent(release.name(), k -> new ArrayList<>());
+    /** Keeps the planned end until the last job of the release has ended, and then compares it with the actual end. */
+    private void recordPlannedEnd(Release release, List<Job> open, long plannedEndMs) {
+        List<long[]> pending = pendingForecasts.computeIfAbsent(release.name(), k -> new ArrayList<>());
         if (open.isEmpty()) {
             Tally tally = tallies.get(release.name());
-            if (tally != null && !before.isEmpty()) {
-                before.forEach(s -> calibration.addOutcome(s[0], s[1], tally.lastMs));
+            if (tally != null && !pending.isEmpty()) {
+                pending.forEach(s -> calibration.addOutcome(s[0], s[1], tally.lastEndMs));
                 tallyDirty = true;
             }
-            before.clear();
-        } else if (saidMs > 0
-                && before.size() < MOST_SAID
-                && (before.isEmpty() || context.wallMs() - before.get(before.size() - 1)[0] >= SAID_EVERY_MS)) {
-            before.add(new long[] {context.wallMs(), saidMs});
+            pending.clear();
+        } else if (plannedEndMs > 0
+                && pending.size() < MAX_PENDING_FORECAST_COUNT
+                && (pending.isEmpty()
+                        || context.wallMs() - pending.get(pending.size() - 1)[0] >= PENDING_FORECAST_INTERVAL_MS)) {
+            pending.add(new long[] {context.wallMs(), plannedEndMs});
         }
     }
 
     private ObjectNode tallyNode() {
         ObjectNode node = Codec.map();
-        ArrayNode ratios = node.putArray(RATIOS);
+        ArrayNode ratios = node.putArray(RATIOS_FIELD);
         calibration.ratios().forEach(x -> ratios.add(Math.round(100 * x)));
         tallies.entrySet().stream()
-                .sorted(Comparator.comparingLong(e -> -e.getValue().lastMs))
-                .limit(MOST_TALLIED)
+                .sorted(Comparator.comparingLong(e -> -e.getValue().lastEndMs))
+                .limit(MAX_STORED_TALLY_COUNT)
                 .forEach(entry -> node.putArray(entry.getKey())
                         .add(entry.getValue().jobs)
                         .add(entry.getValue().tasks)
                         .add(Math.round(entry.getValue().cpuS))
-                        .add(entry.getValue().lastMs));
+                        .add(entry.getValue().lastEndMs));
         return node;
     }
 
     private void readTally() {
-        tallied = true;
+        tallyLoaded = true;
         long term = clusterState.term();
         requests.takeOrOverdraw(context.now(), 1);
         store.get(TALLIES_KEY, read -> {
@@ -281,13 +291,13 @@
                 return;
             }
             if (!read.answered()) {
-                tallied = false;
+                tallyLoaded = false;
                 return;
             }
             if (read.item() != null) {
                 for (Map.Entry<String, JsonNode> entry : read.item().value().properties()) {
                     JsonNode row = entry.getValue();
-                    if (entry.getKey().equals(RATIOS)) {
+                    if (entry.getKey().equals(RATIOS_FIELD)) {
                         row.forEach(x -> calibration.addRatio(x.asDouble() / 100));
                         continue;
                     }
@@ -298,24 +308,26 @@
                                     tally.jobs + row.path(0).asInt(),
                                     tally.tasks + row.path(1).asInt(),
                                     tally.cpuS + row.path(2).asDouble(),
-                                    Math.max(tally.lastMs, row.path(3).asLong())));
+                                    Math.max(tally.lastEndMs, row.path(3).asLong())));
                 }
             }
         });
     }
 
-    private Map<String, List<Job>> jobsOf() {
-        Map<String, List<Job>> out = new LinkedHashMap<>();
+    private Map<String, List<Job>> openJobsByRelease() {
+        Map<String, List<Job>> jobsByRelease = new LinkedHashMap<>();
         for (Job job : clusterState.jobs()) {
-            Release release = job.isCancelled() ? null : releases.snapshot().releaseOf(job.spec());
+            Release release = job.isCancelled() ? null : registry.snapshot().releaseOf(job.spec());
             if (release != null) {
-                out.computeIfAbsent(release.name(), k -> new ArrayList<>()).add(job);
+                jobsByRelease
+                        .computeIfAbsent(release.name(), k -> new ArrayList<>())
+                        .add(job);
             }
         }
-        return out;
+        return jobsByRelease;
     }
 
-    /** When the last of those that are planned is over by the plan, by the time of day; 0: none is planned. */
+    /** Returns the wall-clock time at which the last planned job ends; 0 if none is planned. */
     private long plannedEnd(List<Job> jobs, Planner planner) {
         long end = 0;
         for (Job job : jobs) {
@@ -348,27 +360,27 @@
                                         : planner.currentPlan().unplacedCount(job.id()));
             }
         }
-        long said = plannedEnd(jobs, planner);
-        long end = said == 0 ? 0 : calibration.medianEndMs(context.wallMs(), said);
+        long plannedEndMs = plannedEnd(jobs, planner);
+        long end = plannedEndMs == 0 ? 0 : calibration.medianEndMs(context.wallMs(), plannedEndMs);
         return Forecast.of(
                 new Forecast.Inputs(jobs.size(), held, unplanned, limited, end, longest),
                 release.dueMs(),
                 context.wallMs());
     }
 
-    /** For each release what is asked, done, running and waiting, and when it will be over: by the plan as it is. */
+    /** Returns for each release the requested, done, running and waiting work and the forecast, based on the current plan. */
     ArrayNode view(Planner planner) {
         ArrayNode rows = Codec.list();
-        Map<String, List<Job>> jobs = jobsOf();
-        for (Release release : releases.snapshot().all().stream()
+        Map<String, List<Job>> jobs = openJobsByRelease();
+        for (Release release : registry.snapshot().all().stream()
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList()) {
-            rows.add(row(release, jobs.getOrDefault(release.name(), List.of()), planner));
+            rows.add(viewOf(release, jobs.getOrDefault(release.name(), List.of()), planner));
         }
         return rows;
     }
 
-    private ObjectNode row(Release release, List<Job> jobs, Planner planner) {
+    private ObjectNode viewOf(Release release, List<Job> jobs, Planner planner) {
         Tally tally = tallies.getOrDefault(release.name(), new Tally(0, 0, 0, 0));
         int done = tally.tasks;
         int running = 0;
@@ -377,13 +389,13 @@
         double runningS = 0;
         double waitingS = 0;
         for (Job job : jobs) {
-            double each = job.spec().cpus() * estimates.expectedMs(job.spec()) / 1000.0;
+            double cpuSPerTask = job.spec().cpus() * estimates.expectedMs(job.spec()) / 1000.0;
             done += job.record.done.size();
-            doneS += each * job.record.done.size();
+            doneS += cpuSPerTask * job.record.done.size();
             running += job.record.live.size();
-            runningS += each * job.record.live.size();
+            runningS += cpuSPerTask * job.record.live.size();
             waiting += job.record.waitingCount();
-            waitingS += each * job.record.waitingCount();
+            waitingS += cpuSPerTask * job.record.waitingCount();
         }
         Forecast forecast = forecast(release, jobs, planner);
         ObjectNode node = Codec.map()
@@ -404,17 +416,17 @@
                 .put("cpuSRunning", Math.round(runningS))
                 .put("cpuSWaiting", Math.round(waitingS));
         if (forecast.endMs() > 0) {
-            long said = plannedEnd(jobs, planner);
+            long plannedEndMs = plannedEnd(jobs, planner);
             node.put("endsInS", (forecast.endMs() - context.wallMs()) / 1000.0)
                     .put("slackS", forecast.slackMs() / 1000.0)
-                    .put("endsInSByPlan", (said - context.wallMs()) / 1000.0)
+                    .put("endsInSByPlan", (plannedEndMs - context.wallMs()) / 1000.0)
                     .put(
                             "nineOfTenInS",
-                            (calibration.percentile90EndMs(context.wallMs(), said) - context.wallMs()) / 1000.0)
+                            (calibration.percentile90EndMs(context.wallMs(), plannedEndMs) - context.wallMs()) / 1000.0)
                     .put("forecastsSeen", calibration.size());
         }
-        if (jobs.isEmpty() && tally.lastMs > 0) {
-            node.put("lastEnded", tally.lastMs).put("met", tally.lastMs <= release.dueMs());
+        if (jobs.isEmpty() && tally.lastEndMs > 0) {
+            node.put("lastEnded", tally.lastEndMs).put("met", tally.lastEndMs <= release.dueMs());
         }
         return node.put("atRisk", forecast.risk());
     }
--- a/src/main/java/org/beechhoist/controller/ReleaseModule.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseModule.java
@@ -4,13 +4,13 @@
 import java.util.function.Supplier;
 import org.beechhoist.controller.context.ApiResponder;
 
-/** The release calendar on one node: its registry and its API. */
+/** The release calendar of a node: its registry and its API. */
 final class ReleaseModule implements FeatureApi {
     private final ReleaseRegistry registry;
     private final ReleaseApi api;
     private final Supplier<Optional<Leader>> activeLeader;
 
-    /** @param activeLeader this node's leader while it is active, otherwise empty */
+    /** @param activeLeader supplies this node's leader while it is active, otherwise empty */
     ReleaseModule(StateServiceAccess access, Supplier<Optional<Leader>> activeLeader) {
         this.activeLeader = activeLeader;
         this.registry = new ReleaseRegistry(
@@ -26,7 +26,7 @@
                 registry);
     }
 
-    /** The releases that are stored. */
+    /** Returns the registry of releases. */
     ReleaseRegistry registry() {
         return registry;
     }
--- a/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
+++ b/src/main/java/org/beechhoist/controller/ReleaseRegistry.java
@@ -13,13 +13,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a node knows of the release calendar: read once, then followed. */
+/** A node's copy of the release calendar, read once from the state service and then kept up to date by a watch. */
 final class ReleaseRegistry {
     static final String RELEASES_PREFIX = "rl/set/";
     private static final Logger LOG = LoggerFactory.getLogger(ReleaseRegistry.class);
 
-    /** A release was put, moved or removed, {@code before} or {@code now} being null where there was or is none. */
+    /** Receives changes of releases. */
     interface Listener {
+        /**
+         * Called after a release was put, moved or removed; {@code before} or {@code now} is null if there was or is none. Both are
+         * null after the first read.
+         */
         void releaseChanged(Release before, Release now);
     }
 
@@ -27,9 +31,9 @@
     private final StoreClient store;
     private final TokenBucket requests;
     private final Listener listener;
-    private final Map<String, Release> known = new TreeMap<>();
+    private final Map<String, Release> releases = new TreeMap<>();
     private Releases snapshot = Releases.NONE;
-    private boolean read;
+    private boolean loaded;
 
     ReleaseRegistry(ControllerContext context, StoreClient store, TokenBucket requests, Listener listener) {
         this.context = context;
@@ -39,67 +43,72 @@
     }
 
     void start() {
-        new PrefixWatch(context, store, requests, RELEASES_PREFIX, known::clear, this::take, this::changes).start();
+        new PrefixWatch(context, store, requests, RELEASES_PREFIX, releases::clear, this::apply, this::applyChanges)
+                .start();
     }
 
     Releases snapshot() {
         return snapshot;
     }
 
+    /** Returns whether the releases have been read. */
     boolean isLoaded() {
-        return read;
+        return loaded;
     }
 
-    /** The release, removed ones too, or null. */
+    /** Returns the release, also if it is removed, or null if there is none. */
     Release find(String name) {
-        return known.get(name);
+        return releases.get(name);
     }
 
     int size() {
-        return known.size();
+        return releases.size();
     }
 
-    private void take(StoreClient.KeyValue item) {
+    private void apply(StoreClient.KeyValue item) {
         String name = item.key().substring(RELEASES_PREFIX.length());
         try {
             if (item.value() == null) {
-                known.remove(name);
+                releases.remove(name);
             } else {
                 Release release = Release.parse(item.value());
-                Release old = known.get(name);
-                if (old != null && old.changeNumber() > release.changeNumber()) {
+                Release previous = releases.get(name);
+                if (previous != null && previous.changeNumber() > release.changeNumber()) {
                     LOG.error(
-                            "release {}: change {} stands after change {}: somebody else has written it; {} is kept",
+                            "older release record ignored, it was written by other software: release={} change={} knownChange={} keptShip={}",
                             name,
                             release.changeNumber(),
-                            old.changeNumber(),
-                            old.ship());
+                            previous.changeNumber(),
+                            previous.ship());
                     return;
                 }
-                known.put(name, release);
+                releases.put(name, release);
             }
         } catch (MalformedMessageException e) {
-            LOG.error("{} can't be read, its jobs go as those without a release: {}", item.key(), e.getMessage());
-            known.remove(name);
+            LOG.error(
+                    "release record cannot be parsed, its jobs are ordered as jobs without a release: key={} error={}",
+                    item.key(),
+                    e.getMessage());
+            releases.remove(name);
         }
     }
 
-    private void changes(List<StoreClient.KeyValue> log) {
-        Map<String, Release> before = new TreeMap<>(known);
-        log.forEach(this::take);
-        boolean first = !read;
-        read = true;
-        if (!first && log.isEmpty()) {
+    private void applyChanges(List<StoreClient.KeyValue> items) {
+        Map<String, Release> before = new TreeMap<>(releases);
+        items.forEach(this::apply);
+        boolean firstRead = !loaded;
+        loaded = true;
+        if (!firstRead && items.isEmpty()) {
             return;
         }
-        snapshot = new Releases(known.values());
-        if (first) {
+        snapshot = new Releases(releases.values());
+        if (firstRead) {
             listener.releaseChanged(null, null);
             return;
         }
-        for (StoreClient.KeyValue item : log) {
+        for (StoreClient.KeyValue item : items) {
             String name = item.key().substring(RELEASES_PREFIX.length());
-            listener.releaseChanged(before.get(name), known.get(name));
+            listener.releaseChanged(before.get(name), releases.get(name));
         }
     }
 }
--- a/src/main/java/org/beechhoist/release/Forecast.java
+++ b/src/main/java/org/beechhoist/release/Forecast.java
@@ -1,26 +1,30 @@
 package org.beechhoist.release;
 
 /**
- * Whether a release will be met, by the plan as it is.
+ * The forecast whether a release will be met, based on the current plan.
  *
- * @param endMs when its last job is over, by the time of day; 0: the plan does not reach that far, or it has no job
- * @param slackMs from then to the factory moment
- * @param risk null: it will be met with something to spare; else what stands in the way
+ * @param endMs wall-clock time at which the last job of the release ends; 0 if it is beyond the plan, or if there is no open job
+ * @param slackMs time from that end to the due time
+ * @param risk the reason why the release is at risk; null if it will be met with enough slack
  */
 public record Forecast(long endMs, long slackMs, String risk) {
-    /** Estimates are off by half; a release that has less to spare than this part of what is left is at risk. */
-    private static final double SPARE = 0.15;
+    /** A release with less slack than this fraction of the remaining time is at risk; estimates are off by half. */
+    private static final double MIN_SLACK_FRACTION = 0.15;
 
-    private static final long LEAST_SPARE_MS = 30_000;
+    private static final long MIN_SLACK_MS = 30_000;
+
+    /** A release counts as due soon within this many times its longest task. */
+    private static final int DUE_SOON_FACTOR = 10;
 
     /**
-     * What is known of its open jobs.
+     * The state of the open jobs of a release.
      *
-     * @param openJobs that are open, {@code held} of them by their key set
-     * @param unplannedTasks tasks that have no place in the plan
-     * @param quotaLimited whether the team's limit keeps some of them waiting
-     * @param plannedEndMs when the last of those that are planned is over
-     * @param longestTaskMs the longest task's estimate
+     * @param openJobs number of open jobs
+     * @param heldJobs number of open jobs that are held because of their key set
+     * @param unplannedTasks number of tasks without a reservation in the plan
+     * @param quotaLimited whether the team's maximum quota keeps some of the jobs waiting
+     * @param plannedEndMs wall-clock time at which the last planned job ends; 0 if none is planned
+     * @param longestTaskMs estimated duration of the longest task
      */
     public record Inputs(
             int openJobs,
@@ -30,39 +34,39 @@
             long plannedEndMs,
             long longestTaskMs) {}
 
-    /** The forecast for a release that is due at {@code dueMs}. */
-    public static Forecast of(Inputs facts, long dueMs, long nowMs) {
-        if (facts.openJobs == 0) {
+    /** Returns the forecast for a release that is due at {@code dueMs}. */
+    public static Forecast of(Inputs inputs, long dueMs, long nowMs) {
+        if (inputs.openJobs == 0) {
             return new Forecast(0, dueMs - nowMs, null);
         }
-        long slack = facts.plannedEndMs == 0 ? 0 : dueMs - facts.plannedEndMs;
-        if (facts.heldJobs > 0) {
-            return new Forecast(facts.plannedEndMs, slack, "key set: " + facts.heldJobs + " of its jobs are held");
+        long slack = inputs.plannedEndMs == 0 ? 0 : dueMs - inputs.plannedEndMs;
+        if (inputs.heldJobs > 0) {
+            return new Forecast(inputs.plannedEndMs, slack, "key set: " + inputs.heldJobs + " of its jobs are held");
         }
         if (nowMs > dueMs) {
-            return new Forecast(facts.plannedEndMs, slack, "overdue");
+            return new Forecast(inputs.plannedEndMs, slack, "overdue");
         }
-        if (facts.plannedEndMs == 0 || facts.unplannedTasks > 0) {
-            // Out of the plan's sight; whether that is late can be told only where the moment is near.
-            boolean near = dueMs - nowMs < 10 * Math.max(facts.longestTaskMs, LEAST_SPARE_MS);
+        if (inputs.plannedEndMs == 0 || inputs.unplannedTasks > 0) {
+            // The end is beyond the plan; the release counts as at risk only when it is due soon.
+            boolean dueSoon = dueMs - nowMs < DUE_SOON_FACTOR * Math.max(inputs.longestTaskMs, MIN_SLACK_MS);
             return new Forecast(
                     0,
                     0,
-                    !near
+                    !dueSoon
                             ? null
-                            : facts.quotaLimited
+                            : inputs.quotaLimited
                                     ? "limit: its team may use no more"
-                                    : "machines: " + facts.unplannedTasks + " tasks have no place in the plan");
+                                    : "machines: " + inputs.unplannedTasks + " tasks have no place in the plan");
         }
-        long spare = Math.max(LEAST_SPARE_MS, Math.round(SPARE * (facts.plannedEndMs - nowMs)));
-        if (slack >= spare) {
-            return new Forecast(facts.plannedEndMs, slack, null);
+        long requiredSlack = Math.max(MIN_SLACK_MS, Math.round(MIN_SLACK_FRACTION * (inputs.plannedEndMs - nowMs)));
+        if (slack >= requiredSlack) {
+            return new Forecast(inputs.plannedEndMs, slack, null);
         }
         return new Forecast(
-                facts.plannedEndMs,
+                inputs.plannedEndMs,
                 slack,
-                facts.quotaLimited
+                inputs.quotaLimited
                         ? "limit: its team may use no more"
-                        : nowMs + facts.longestTaskMs > dueMs ? "one long task" : "machines");
+                        : nowMs + inputs.longestTaskMs > dueMs ? "one long task" : "machines");
     }
 }
--- a/src/main/java/org/beechhoist/release/Release.java
+++ b/src/main/java/org/beechhoist/release/Release.java
@@ -15,14 +15,17 @@
 import org.beechhoist.wire.MalformedMessageException;
 
 /**
- * What a maker has promised to ship, as the state service holds it: {@code rl/set/NAME}.
+ * A shipment that a maker has promised, as stored in the state service under {@code rl/set/NAME}.
  *
- * @param ship by the clock of the factory's zone
- * @param leadDays business days of {@code calendar} that the factory needs before it; all days where there is no calendar
- * @param team whose jobs count for it, and {@code jobClass} and {@code image}; null: any. With none of them only jobs that name it
- * @param dueMs the factory moment, by the time of day: computed when it was put or moved, so that all nodes have the same
- * @param changeNumber of its last change; it only grows
- * @param history the oldest first
+ * @param ship the ship date and time in the factory's time zone
+ * @param leadDays business days of {@code calendar} that the factory needs before the ship date; all days count if there is no
+ *     calendar
+ * @param team the team whose jobs belong to the release; null matches any, likewise for {@code jobClass} and {@code image}. If all
+ *     three are null, only jobs that name the release belong to it
+ * @param dueMs wall-clock time at which the factory needs the images, computed when the release is put or moved, so that all nodes
+ *     use the same value
+ * @param changeNumber the number of the last change; it only increases
+ * @param history the changes, oldest first
  */
 public record Release(
         String name,
@@ -39,41 +42,43 @@
         long changeNumber,
         boolean removed,
         List<HistoryEntry> history) {
+    /** Maximum lead in days. */
     public static final int MAX_LEAD_DAYS = 60;
-    private static final int MOST_HISTORY = 20;
-    private static final int MOST_TEXT = 120;
-    private static final int LONGEST_BACK_DAYS = 400;
-    private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
 
-    /** One change: who moved which date when, and why. */
+    private static final int MAX_HISTORY_COUNT = 20;
+    private static final int MAX_TEXT_LENGTH = 120;
+    private static final int MAX_LOOKBACK_DAYS = 400;
+    private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
+
+    /** One change of a release: action, author, time, reason, and the ship date before and after. */
     public record HistoryEntry(String action, String author, long atMs, String reason, String from, String to) {}
 
-    /** Whether the text can be a release's name. */
+    /** Returns whether the text is a valid name of a release. */
     public static boolean isValidName(String name) {
-        return name.matches(NAME);
+        return name.matches(NAME_PATTERN);
     }
 
-    /** The moment by which the factory needs the images: the ship date less its lead, at the same hour by the clock there. */
+    /** Computes when the factory needs the images: the ship date minus the lead days, at the same local time. */
     public static long computeDueMs(LocalDateTime ship, ZoneId zone, int leadDays, Predicate<LocalDate> open)
             throws MalformedMessageException {
         LocalDate day = ship.toLocalDate();
-        int left = leadDays;
-        for (int i = 0; left > 0; i++) {
-            if (i == LONGEST_BACK_DAYS) {
+        int remainingDays = leadDays;
+        for (int i = 0; remainingDays > 0; i++) {
+            if (i == MAX_LOOKBACK_DAYS) {
                 throw new MalformedMessageException("leadDays = " + leadDays
                         + ": the calendar has not so many business days before " + ship.toLocalDate());
             }
             day = day.minusDays(1);
-            left -= open.test(day) ? 1 : 0;
+            remainingDays -= open.test(day) ? 1 : 0;
         }
-        // An hour that the clocks leave out is the one after it; of an hour that comes twice it is the first.
+        // A local time in a daylight saving gap becomes the one after the gap; in an overlap it is the earlier one.
         return LocalDateTime.of(day, ship.toLocalTime())
                 .atZone(zone)
                 .toInstant()
                 .toEpochMilli();
     }
 
-    /** What a person puts: checked, without the moment, which needs the calendar. */
+    /** Parses and checks a release from a request; its due time is not set, because that needs the calendar. */
     public static Release parseDescription(String name, JsonNode node) throws MalformedMessageException {
         if (!isValidName(name)) {
             throw new MalformedMessageException(
@@ -87,18 +92,19 @@
             throw new MalformedMessageException(
                     "zone = " + node.path("zone").asText() + ": a zone such as Asia/Tokyo is expected");
         }
-        int lead = Codec.isAbsent(node, "leadDays") ? 0 : (int) Codec.wholeNumber(node, "leadDays", 0, MAX_LEAD_DAYS);
+        int leadDays =
+                Codec.isAbsent(node, "leadDays") ? 0 : (int) Codec.wholeNumber(node, "leadDays", 0, MAX_LEAD_DAYS);
         return new Release(
                 name,
                 text(node, "maker"),
                 Codec.isAbsent(node, "factory") ? "" : text(node, "factory"),
                 ship,
                 zone,
-                lead,
-                optional(node, "calendar"),
-                optional(node, "team"),
-                optional(node, "class"),
-                optional(node, "bundle"),
+                leadDays,
+                optionalText(node, "calendar"),
+                optionalText(node, "team"),
+                optionalText(node, "class"),
+                optionalText(node, "bundle"),
                 0,
                 0,
                 false,
@@ -108,7 +114,7 @@
     /**
      * Reads a date and time without a zone.
      *
-     * @param field names it in the exception's message
+     * @param field the field name for the exception's message
      */
     public static LocalDateTime parseDateTime(String field, String text) throws MalformedMessageException {
         try {
@@ -119,26 +125,27 @@
         }
     }
 
-    private static String optional(JsonNode node, String field) throws MalformedMessageException {
+    private static String optionalText(JsonNode node, String field) throws MalformedMessageException {
         return Codec.isAbsent(node, field) ? null : text(node, field);
     }
 
     private static String text(JsonNode node, String field) throws MalformedMessageException {
         String text = Codec.text(node, field);
-        if (text.isBlank() || text.length() > MOST_TEXT) {
+        if (text.isBlank() || text.length() > MAX_TEXT_LENGTH) {
             throw new MalformedMessageException(
-                    field + " = " + text + ": 1 to " + MOST_TEXT + " characters are expected");
+                    field + " = " + text + ": 1 to " + MAX_TEXT_LENGTH + " characters are expected");
         }
         return text;
     }
 
-    /** The change of this release that makes it what is described, and its moment; {@code before} is null for the first. */
-    public Release withPut(Release before, long due, String who, long atMs, String why) {
-        return change(before, this, due, before == null || before.removed ? "put" : "put again", who, atMs, why);
+    /** Returns this release with the due time and the history of {@code before}, null for the first, plus the change. */
+    public Release withPut(Release before, long newDueMs, String author, long atMs, String reason) {
+        return withChange(
+                before, this, newDueMs, before == null || before.removed ? "put" : "put again", author, atMs, reason);
     }
 
-    /** The release with another ship date, and the change in its history. */
-    public Release withShipDate(LocalDateTime to, long due, String who, long atMs, String why) {
+    /** Returns the release with another ship date, and the change added to its history. */
+    public Release withShipDate(LocalDateTime to, long newDueMs, String author, long atMs, String reason) {
         Release next = new Release(
                 name,
                 maker,
@@ -150,16 +157,16 @@
                 team,
                 jobClass,
                 image,
-                due,
+                newDueMs,
                 changeNumber,
                 false,
                 history);
-        return change(this, next, due, "moved", who, atMs, why);
+        return withChange(this, next, newDueMs, "moved", author, atMs, reason);
     }
 
-    /** The removed release, and the change in its history. */
-    public Release withRemoval(String who, long atMs, String why) {
-        Release out = change(this, this, dueMs, "removed", who, atMs, why);
+    /** Returns the release marked as removed, and the change added to its history. */
+    public Release withRemoval(String author, long atMs, String reason) {
+        Release changed = withChange(this, this, dueMs, "removed", author, atMs, reason);
         return new Release(
                 name,
                 maker,
@@ -172,17 +179,17 @@
                 jobClass,
                 image,
                 dueMs,
-                out.changeNumber,
+                changed.changeNumber,
                 true,
-                out.history);
+                changed.history);
     }
 
-    private static Release change(
-            Release before, Release to, long due, String what, String who, long atMs, String why) {
-        List<HistoryEntry> past = new ArrayList<>(before == null ? List.of() : before.history);
-        past.add(new HistoryEntry(
-                what, who, atMs, why, before == null ? "" : before.ship.toString(), to.ship.toString()));
-        List<HistoryEntry> kept = past.subList(Math.max(0, past.size() - MOST_HISTORY), past.size());
+    private static Release withChange(
+            Release before, Release to, long newDueMs, String action, String author, long atMs, String reason) {
+        List<HistoryEntry> entries = new ArrayList<>(before == null ? List.of() : before.history);
+        entries.add(new HistoryEntry(
+                action, author, atMs, reason, before == null ? "" : before.ship.toString(), to.ship.toString()));
+        List<HistoryEntry> kept = entries.subList(Math.max(0, entries.size() - MAX_HISTORY_COUNT), entries.size());
         return new Release(
                 to.name,
                 to.maker,
@@ -194,13 +201,13 @@
                 to.team,
                 to.jobClass,
                 to.image,
-                due,
+                newDueMs,
                 before == null ? 1 : before.changeNumber + 1,
                 false,
                 List.copyOf(kept));
     }
 
-    /** The release as it is stored and answered. */
+    /** Returns the form of the release that is stored and sent to clients. */
     public ObjectNode toNode() {
         ObjectNode node = Codec.map()
                 .put("name", name)
@@ -216,8 +223,8 @@
                 .put("due", dueMs)
                 .put("number", changeNumber)
                 .put("removed", removed);
-        ArrayNode past = node.putArray("history");
-        history.forEach(earlier -> past.addObject()
+        ArrayNode entries = node.putArray("history");
+        history.forEach(earlier -> entries.addObject()
                 .put("what", earlier.action)
                 .put("who", earlier.author)
                 .put("at", earlier.atMs)
--- a/src/main/java/org/beechhoist/release/ReleaseOrder.java
+++ b/src/main/java/org/beechhoist/release/ReleaseOrder.java
@@ -8,55 +8,64 @@
 import org.beechhoist.wire.JobId;
 
 /**
- * In which order jobs go for their releases' sake, within one rank: those of the nearest factory moment first; then those whose
- * moment has passed, the least late first, for the longest overdue is the least likely to be waited for; then all others. What can
- * still be met is not given up for what can't.
+ * The order of jobs of the same rank by their releases. Jobs of releases that are not overdue come first, earliest due time first.
+ * Jobs of overdue releases follow, least overdue first, because the factory is least likely to wait for the longest overdue one. All
+ * other jobs come last. So a release that can still be met does not lose to one that cannot.
  *
- * <p>A maker for whom everything is due tomorrow overtakes others with no more than three quarters of the work that is open; beyond that its
- * jobs go as if they had no release. Without others there is nobody to overtake, and no bound.
+ * <p>At most three quarters of the open work can be put first for one maker, so that a maker with every release due tomorrow cannot
+ * block the others. Its further jobs are ordered as jobs without a release. A maker's first
+ * job is always put first, and there is no limit if all open work is of one maker.
  */
 public final class ReleaseOrder {
-    /** The key of a job without a release, and of one that is beyond its maker's bound. */
+    /** The sort key of a job without a release, and of a job beyond its maker's limit. */
     public static final long NO_KEY = Long.MAX_VALUE;
 
-    private static final long OVERDUE = 1L << 60;
-    private static final double MOST_OF_ALL = 0.75;
+    private static final long OVERDUE_BASE = 1L << 60;
+    private static final double MAX_MAKER_FRACTION = 0.75;
+    private static final double CPU_S_TOLERANCE = 1e-6;
 
-    /** @param requestedCpuS all that the job asked for when it was submitted, done or not: the same for every leader */
+    /**
+     * An open job.
+     *
+     * @param release the release that the job belongs to, or null
+     * @param requestedCpuS CPU seconds requested at submission, whether done or not, so that every leader computes the same order
+     */
     public record OpenJob(JobId job, Release release, long submittedMs, double requestedCpuS) {}
 
     private ReleaseOrder() {}
 
-    /** The smaller the earlier; only jobs that have a release within its maker's bound are in it. */
+    /** Returns the sort keys, lower first, of the jobs that have a release and are within their maker's limit. */
     public static Map<JobId, Long> sortKeys(List<OpenJob> open, long nowMs) {
-        double all = 0;
-        Map<String, Double> ofMaker = new HashMap<>();
-        List<OpenJob> released = new ArrayList<>();
+        double totalCpuS = 0;
+        Map<String, Double> cpuSByMaker = new HashMap<>();
+        List<OpenJob> jobsWithRelease = new ArrayList<>();
         for (OpenJob job : open) {
-            all += job.requestedCpuS;
+            totalCpuS += job.requestedCpuS;
             if (job.release != null) {
-                released.add(job);
-                ofMaker.merge(job.release.maker(), job.requestedCpuS, Double::sum);
+                jobsWithRelease.add(job);
+                cpuSByMaker.merge(job.release.maker(), job.requestedCpuS, Double::sum);
             }
         }
-        released.sort(Comparator.comparingLong((OpenJob o) -> key(o.release, nowMs))
+        jobsWithRelease.sort(Comparator.comparingLong((OpenJob o) -> sortKey(o.release, nowMs))
                 .thenComparingLong(OpenJob::submittedMs)
                 .thenComparing(OpenJob::job));
-        Map<JobId, Long> out = new HashMap<>();
-        Map<String, Double> taken = new HashMap<>();
-        for (OpenJob job : released) {
+        Map<JobId, Long> keys = new HashMap<>();
+        Map<String, Double> acceptedCpuSByMaker = new HashMap<>();
+        for (OpenJob job : jobsWithRelease) {
             String maker = job.release.maker();
-            double before = taken.getOrDefault(maker, 0.0);
-            boolean alone = ofMaker.get(maker) > all - 1e-6;
-            if (alone || before == 0 || before + job.requestedCpuS <= MOST_OF_ALL * all + 1e-6) {
-                out.put(job.job, key(job.release, nowMs));
-                taken.put(maker, before + job.requestedCpuS);
+            double acceptedCpuS = acceptedCpuSByMaker.getOrDefault(maker, 0.0);
+            boolean onlyMaker = cpuSByMaker.get(maker) > totalCpuS - CPU_S_TOLERANCE;
+            if (onlyMaker
+                    || acceptedCpuS == 0
+                    || acceptedCpuS + job.requestedCpuS <= MAX_MAKER_FRACTION * totalCpuS + CPU_S_TOLERANCE) {
+                keys.put(job.job, sortKey(job.release, nowMs));
+                acceptedCpuSByMaker.put(maker, acceptedCpuS + job.requestedCpuS);
             }
         }
-        return out;
+        return keys;
     }
 
-    private static long key(Release release, long nowMs) {
-        return release.dueMs() >= nowMs ? release.dueMs() : OVERDUE - release.dueMs();
+    private static long sortKey(Release release, long nowMs) {
+        return release.dueMs() >= nowMs ? release.dueMs() : OVERDUE_BASE - release.dueMs();
     }
 }
--- a/src/main/java/org/beechhoist/release/Releases.java
+++ b/src/main/java/org/beechhoist/release/Releases.java
@@ -7,39 +7,43 @@
 import java.util.TreeMap;
 import org.beechhoist.wire.JobSpec;
 
-/** All releases that stand, as a node knows them at one moment. */
+/** An immutable snapshot of all releases that are not removed, as a node has read them. */
 public final class Releases {
+    /** The snapshot without releases. */
     public static final Releases NONE = new Releases(List.of());
 
     private final Map<String, Release> byName = new TreeMap<>();
-    /** Those that jobs need not name, the nearest first. */
-    private final List<Release> matching;
+    /** Releases that select jobs by team, class or image, earliest due time first. */
+    private final List<Release> matchedByCriteria;
 
-    /** Those of the releases that are not removed. */
+    /** Keeps those of the given releases that are not removed. */
     public Releases(Collection<Release> all) {
         all.stream().filter(r -> !r.removed()).forEach(r -> byName.put(r.name(), r));
-        matching = byName.values().stream()
+        matchedByCriteria = byName.values().stream()
                 .filter(r -> r.team() != null || r.jobClass() != null || r.image() != null)
                 .sorted(Comparator.comparingLong(Release::dueMs).thenComparing(Release::name))
                 .toList();
     }
 
-    /** Whether there is none. */
+    /** Returns whether there are no releases. */
     public boolean isEmpty() {
         return byName.isEmpty();
     }
 
-    /** All of them. */
+    /** Returns all releases, ordered by name. */
     public Collection<Release> all() {
         return byName.values();
     }
 
-    /** What the job counts for: what it names, else the nearest that fits it; null: nothing. A name that nobody has put is nothing. */
+    /**
+     * Returns the release that the job belongs to: the one that it names, otherwise the matching release that is due first. Returns
+     * null if there is none, also if the job names an unknown release.
+     */
     public Release releaseOf(JobSpec spec) {
         if (spec.release() != null) {
             return byName.get(spec.release());
         }
-        for (Release release : matching) {
+        for (Release release : matchedByCriteria) {
             if ((release.team() == null || release.team().equals(spec.team()))
                     && (release.jobClass() == null || release.jobClass().equals(spec.jobClass()))
                     && (release.image() == null || release.image().equals(spec.image()))) {
