--- a/src/main/java/org/beechhoist/daemon/Node.java
+++ b/src/main/java/org/beechhoist/daemon/Node.java
@@ -69,7 +69,10 @@
         listen(settings.internalAddress(), MAX_PEER_BODY_BYTES, MAX_PEER_CONNECTIONS, this::handlePeerRequest);
     }
 
-    /** Listens on an address; retries while it is in use, as a process restarted at once may find it held by the one being stopped. */
+    /**
+     * Listens on an address, and retries while it is in use: a process restarted at once may find its addresses still held by
+     * the previous process, which is being stopped.
+     */
     private void listen(InetSocketAddress address, int maxBodyBytes, int maxConnections, HttpServer.Handler handler)
             throws IOException {
         for (int retries = 0; ; retries++) {
--- a/src/main/java/org/beechhoist/metrics/Metrics.java
+++ b/src/main/java/org/beechhoist/metrics/Metrics.java
@@ -19,7 +19,7 @@
         counters.merge(name, 1L, Long::sum);
     }
 
-    /** Records a latency in milliseconds, limited to the range of 1 to {@value #MAX_LATENCY_MS}. */
+    /** Records a latency in milliseconds, limited to between 1 and {@code MAX_LATENCY_MS}. */
     public void recordLatency(String name, long ms) {
         latencies
                 .computeIfAbsent(name, k -> new Histogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS))
--- a/src/main/java/org/beechhoist/net/HttpServer.java
+++ b/src/main/java/org/beechhoist/net/HttpServer.java
@@ -36,12 +36,11 @@
     private static final long ACCEPT_PAUSE_MS = 50;
     /** Pause in accepting connections after accepting failed. */
     private static final long ACCEPT_FAILURE_PAUSE_MS = 100;
-    /** Connections accepted per event, so that the other connections are served in between. */
-    private static final int MAX_ACCEPTS_PER_EVENT = 64;
 
+    private static final int MAX_ACCEPTS_PER_EVENT = 64;
     private static final long IDLE_CHECK_INTERVAL_MS = 5000;
     private static final int LISTEN_BACKLOG = 1024;
-    /** A connection with an incomplete request that has received nothing for longer is closed, so that slow senders hold no sockets. */
+    /** A connection that waits longer for the rest of a request is closed, so that slow senders hold no sockets. */
     private static final long MAX_PARTIAL_MESSAGE_MS = 15_000;
 
     private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
@@ -59,7 +58,7 @@
 
     private final EventLoop loop;
     private final Handler handler;
-    private final int maxBody;
+    private final int maxBodyBytes;
     private final int maxConnections;
     /** Above this number of connections, each connection is closed after its response. */
     private final int closeAfterResponseThreshold;
@@ -73,11 +72,11 @@
      *
      * @throws IOException if the address cannot be bound
      */
-    public HttpServer(EventLoop loop, InetSocketAddress address, int maxBody, int maxConnections, Handler handler)
+    public HttpServer(EventLoop loop, InetSocketAddress address, int maxBodyBytes, int maxConnections, Handler handler)
             throws IOException {
         this.loop = loop;
         this.handler = handler;
-        this.maxBody = maxBody;
+        this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
         this.closeAfterResponseThreshold =
                 maxConnections - Math.min(maxConnections / 2, Math.max(8, maxConnections / 8));
@@ -184,7 +183,7 @@
 
         @Override
         public void onFailure(IOException cause) {
-            // No file descriptors are left. The listener stays ready, so retrying at once would busy-loop.
+            // No sockets are left. The listener stays ready, so retrying at once would busy-loop.
             pause(ACCEPT_FAILURE_PAUSE_MS);
         }
     }
@@ -195,7 +194,7 @@
         private MonotonicTime lastReceivedAt = loop.now();
 
         Connection(SocketChannel channel) {
-            super(loop, channel, new HttpParser(true, maxBody));
+            super(loop, channel, new HttpParser(true, maxBodyBytes));
         }
 
         @Override
@@ -210,12 +209,12 @@
             connections.remove(this); // re-added at the end: the set is ordered by last use
             connections.add(this);
             closeAfter |= message.closesConnection();
-            boolean[] answered = new boolean[1];
+            boolean[] responded = new boolean[1];
             handler.handle(message, (status, type, body, retry) -> {
-                if (answered[0]) {
+                if (responded[0]) {
                     throw new IllegalStateException("a second response to one request");
                 }
-                answered[0] = true;
+                responded[0] = true;
                 respond(status, type, body, retry);
             });
         }
@@ -226,10 +225,8 @@
             }
             busy = false;
             // With more workers than sockets, workers must take turns. A client that reads "Connection: close"
-            // reconnects at
-            // once, while one whose connection is closed during its next request takes that for a failure and tries
-            // another
-            // node.
+            // reconnects at once, while one whose connection is closed during its next request takes that for a
+            // failure and tries another node.
             closeAfter |= connections.size() > closeAfterResponseThreshold;
             StringBuilder head = new StringBuilder(128)
                     .append("HTTP/1.1 ")
--- a/src/test/java/org/beechhoist/net/CrowdedServerTest.java
+++ b/src/test/java/org/beechhoist/net/CrowdedServerTest.java
@@ -41,23 +41,29 @@
         EventLoop clientLoop = new EventLoop();
         List<Long> latenciesMs = new ArrayList<>();
         List<String> failures = new ArrayList<>();
-        CountDownLatch over = new CountDownLatch(CLIENT_COUNT * REPORTS_PER_CLIENT);
+        CountDownLatch pendingReports = new CountDownLatch(CLIENT_COUNT * REPORTS_PER_CLIENT);
         for (int i = 0; i < CLIENT_COUNT; i++) {
             HttpClient client = new HttpClient(clientLoop, "text/plain", 1);
             clientLoop.schedule(
                     i * REPORT_INTERVAL_MS / CLIENT_COUNT,
                     () -> report(
-                            clientLoop, client, server[0].address(), REPORTS_PER_CLIENT, latenciesMs, failures, over));
+                            clientLoop,
+                            client,
+                            server[0].address(),
+                            REPORTS_PER_CLIENT,
+                            latenciesMs,
+                            failures,
+                            pendingReports));
         }
-        Thread a = run(serverLoop);
-        Thread b = run(clientLoop);
-        boolean done = over.await(20, TimeUnit.SECONDS);
+        Thread serverThread = run(serverLoop);
+        Thread clientThread = run(clientLoop);
+        boolean done = pendingReports.await(20, TimeUnit.SECONDS);
         serverLoop.stop();
         clientLoop.stop();
-        a.join();
-        b.join();
+        serverThread.join();
+        clientThread.join();
         assertEquals(List.of(), failures);
-        assertTrue(done, over.getCount() + " reports without an answer");
+        assertTrue(done, pendingReports.getCount() + " reports without an answer");
         assertTrue(maxOpen[0] <= MAX_CONNECTIONS, maxOpen[0] + " connections at once");
         assertTrue(maxOpen[0] > MAX_CONNECTIONS / 2, "only " + maxOpen[0] + " connections at once");
         long slowestMs = latenciesMs.stream().mapToLong(Long::longValue).max().orElse(0);
@@ -83,7 +89,7 @@
             int remainingReports,
             List<Long> latenciesMs,
             List<String> failures,
-            CountDownLatch over) {
+            CountDownLatch pendingReports) {
         if (remainingReports == 0) {
             return;
         }
@@ -93,10 +99,10 @@
                 failures.add(o.toString());
             }
             latenciesMs.add(loop.now().ms() - sent);
-            over.countDown();
+            pendingReports.countDown();
             loop.schedule(
                     Math.max(0, REPORT_INTERVAL_MS - (loop.now().ms() - sent)),
-                    () -> report(loop, client, to, remainingReports - 1, latenciesMs, failures, over));
+                    () -> report(loop, client, to, remainingReports - 1, latenciesMs, failures, pendingReports));
         });
     }
 }
