--- a/src/main/java/org/beechhoist/config/Settings.java
+++ b/src/main/java/org/beechhoist/config/Settings.java
@@ -67,7 +67,7 @@
     public record Cloud(double rps, double listLagS) {}
 
     /** How fresh a leader's knowledge of cancellations must be. */
-    public CancellationFreshness freshness() {
+    public CancellationFreshness cancellationFreshness() {
         return new CancellationFreshness(workers.cancelMs(), workers.leaseMs());
     }
 
--- a/src/main/java/org/beechhoist/controller/Admission.java
+++ b/src/main/java/org/beechhoist/controller/Admission.java
@@ -32,8 +32,8 @@
     private final MachineTypeCatalog machineTypes;
     private final ClusterState clusterState;
     private final FaultTracker faultTracker;
-    /** Null until set by {@link #setMigrations}. */
-    private MigrationController migrations;
+    /** Null until set by {@link #setMigrationController}. */
+    private MigrationController migrationController;
 
     Admission(
             ControllerContext context,
@@ -49,8 +49,8 @@
     }
 
     /** Sets the source of the resources reserved for migrating tasks and for the jobs that benefit from a migration. */
-    void setMigrations(MigrationController controller) {
-        migrations = controller;
+    void setMigrationController(MigrationController controller) {
+        migrationController = controller;
     }
 
     /**
@@ -59,7 +59,7 @@
      */
     boolean mayWiden(Machine machine) {
         return isUsable(machine)
-                && machine.growthDamping.allowsGrowth(context.now().ms())
+                && machine.growthBackoff.allowsGrowth(context.now().ms())
                 && !faultTracker.isMachineFaulty(machine)
                 && context.now().since(clusterState.lastContactAt(machine))
                         < settings.workers().reportS() * MAX_WIDEN_HEARTBEAT_AGE_MS_PER_REPORT_S;
@@ -106,7 +106,8 @@
             }
             free = free.plus(other.spec(), -1);
         }
-        for (JobSpec reserved : migrations == null ? List.<JobSpec>of() : migrations.reservedOn(machine.id)) {
+        for (JobSpec reserved :
+                migrationController == null ? List.<JobSpec>of() : migrationController.reservedOn(machine.id)) {
             free = free.plus(reserved, -1);
         }
         return free;
@@ -163,7 +164,7 @@
         if (free == null
                 || !free.isNonNegative()
                 || exceedsTeamLimit(job, used)
-                || migrations != null && migrations.isReservedForAnotherJob(machine.id, job.id())) {
+                || migrationController != null && migrationController.isReservedForAnotherJob(machine.id, job.id())) {
             return false;
         }
         if (spec.sameZone() || spec.antiAffinity()) {
--- a/src/main/java/org/beechhoist/controller/DrainController.java
+++ b/src/main/java/org/beechhoist/controller/DrainController.java
@@ -72,7 +72,7 @@
     private final CommandDispatcher dispatcher;
     private final Provisioner provisioner;
     private final ElasticWidths elastic;
-    private final MigrationController migrations;
+    private final MigrationController migrationController;
     private final DisruptionAccounting disruptions;
     private final RollingReplacement rollingReplacement;
     private final PrefixReader prefixReader;
@@ -105,7 +105,7 @@
             CommandDispatcher dispatcher,
             Provisioner provisioner,
             ElasticWidths elastic,
-            MigrationController migrations,
+            MigrationController migrationController,
             DisruptionAccounting disruptions,
             RollingReplacement rollingReplacement,
             DrainRegistry drains) {
@@ -122,7 +122,7 @@
         this.dispatcher = dispatcher;
         this.provisioner = provisioner;
         this.elastic = elastic;
-        this.migrations = migrations;
+        this.migrationController = migrationController;
         this.disruptions = disruptions;
         this.rollingReplacement = rollingReplacement;
         this.drains = drains;
@@ -214,7 +214,7 @@
         }
         idle = nothingStored;
         updateCordons();
-        if (!loaded || !disruptions.isLoaded() || !migrations.isLoaded()) {
+        if (!loaded || !disruptions.isLoaded() || !migrationController.isLoaded()) {
             return;
         }
         List<Evictions.Candidate> candidates = new ArrayList<>();
@@ -305,7 +305,10 @@
             machinesRemain |= !empty || !drain.keep();
             if (empty && machine.up && !drain.keep()) {
                 provisioner.releaseMachine(machine, "it is emptied: drain " + drain.name());
-            } else if (!empty && active && progress.pauseReason == null && !migrations.isMigrating(machine.id)) {
+            } else if (!empty
+                    && active
+                    && progress.pauseReason == null
+                    && !migrationController.isMigrating(machine.id)) {
                 if (addCandidates(drain, progress, machine, freeCapacity, candidates, targets)) {
                     lackingByKind.merge(RollingReplacement.machineKind(machine), 1, Integer::sum);
                 }
@@ -397,7 +400,7 @@
             Map<TaskId, MachineId> targets) {
         JobSpec spec = job.spec();
         long sinceMs = drain.replace() ? progress.draining.getOrDefault(machine.id, context.wallMs()) : drain.atMs();
-        TaskTermination termination = elastic.chooseEnding(job, placement, capacityNeed(drain, sinceMs));
+        TaskTermination termination = elastic.chooseTermination(job, placement, capacityNeed(drain, sinceMs));
         boolean due = termination.method() != TaskTermination.Method.AT_END
                 && termination.method() != TaskTermination.Method.WITHDRAW
                 && termination.atMs() <= context.now().ms() + UPDATE_INTERVAL_MS;
@@ -491,7 +494,7 @@
                 PROGRESS_PREFIX + name,
                 addEvictions(progressByDrain.get(name), evictedByDrain.get(name), 1)
                         .toNode()));
-        migrationTargets.forEach((machine, taskTargets) -> migrations.addDrainMigration(
+        migrationTargets.forEach((machine, taskTargets) -> migrationController.addDrainMigration(
                 transaction, machine, clusterState.findMachine(machine).cordonedBy, taskTargets));
         commit(transaction, committed -> {
             if (committed) {
@@ -499,7 +502,7 @@
                 migrationTargets.forEach((machineId, taskTargets) -> {
                     Machine machine = clusterState.findMachine(machineId);
                     if (machine != null && machine.cordonedBy != null) {
-                        migrations.applyDrainMigration(machineId, machine.cordonedBy, taskTargets);
+                        migrationController.applyDrainMigration(machineId, machine.cordonedBy, taskTargets);
                     }
                 });
                 stopped.forEach(this::evict);
@@ -576,7 +579,7 @@
                 machines,
                 clusterState,
                 machineTypes,
-                (job, placement) -> elastic.chooseEnding(job, placement, capacityNeed(drain, context.wallMs())),
+                (job, placement) -> elastic.chooseTermination(job, placement, capacityNeed(drain, context.wallMs())),
                 context.now().ms());
     }
 
--- a/src/main/java/org/beechhoist/controller/DrainForecast.java
+++ b/src/main/java/org/beechhoist/controller/DrainForecast.java
@@ -44,7 +44,7 @@
             List<Machine> machines,
             ClusterState clusterState,
             MachineTypeCatalog machineTypes,
-            BiFunction<Job, Placement, TaskTermination> chooseEnding,
+            BiFunction<Job, Placement, TaskTermination> chooseTermination,
             long nowMs) {
         int tasks = 0;
         double cpuS = 0;
@@ -61,7 +61,7 @@
                 if (job == null) {
                     continue;
                 }
-                TaskTermination termination = chooseEnding.apply(job, placement);
+                TaskTermination termination = chooseTermination.apply(job, placement);
                 machineMs = Math.max(machineMs, termination.freedAtMs() - nowMs);
                 if (termination.method() != TaskTermination.Method.AT_END
                         && termination.method() != TaskTermination.Method.WITHDRAW) {
--- a/src/main/java/org/beechhoist/controller/ElasticWidths.java
+++ b/src/main/java/org/beechhoist/controller/ElasticWidths.java
@@ -73,7 +73,7 @@
 
     /** Returns the number of tasks that count against the width: the live tasks less those that are being ended. */
     static int retainedTaskCount(Job job) {
-        return job.record.live.size() - job.endings.size();
+        return job.record.live.size() - job.terminations.size();
     }
 
     /** Returns how many of the job's waiting tasks are placed like those of any other job, without widening. */
@@ -150,7 +150,7 @@
     /** Returns whether a committed placement must not be launched because its task or its machine is about to go; counts it. */
     @Override
     public boolean shouldWithdraw(Job job, Placement placement, Machine machine) {
-        boolean aboutToGo = machine.isLeaving() || (job != null && job.endings.containsKey(placement));
+        boolean aboutToGo = machine.isLeaving() || (job != null && job.terminations.containsKey(placement));
         if (job == null || job.record.width == null || placement.launchSent || !aboutToGo) {
             return false;
         }
@@ -166,7 +166,7 @@
     // ---- width reduction ----
 
     /** Returns how the task is best terminated for the given need of capacity. */
-    TaskTermination chooseEnding(Job job, Placement placement, TaskTermination.CapacityNeed need) {
+    TaskTermination chooseTermination(Job job, Placement placement, TaskTermination.CapacityNeed need) {
         JobSpec spec = job.spec();
         // Reports arrive late: a task whose image should be fetched by now, or soon, may be running when the kill
         // arrives.
@@ -190,16 +190,16 @@
     }
 
     /** Returns whether the task may be terminated: it is neither being stopped nor already scheduled to be terminated. */
-    static boolean mayBeEnded(Job job, Placement placement) {
-        return !placement.stopRequested && !job.endings.containsKey(placement);
+    static boolean mayBeTerminated(Job job, Placement placement) {
+        return !placement.stopRequested && !job.terminations.containsKey(placement);
     }
 
     /** Schedules the termination of a task and reduces the job's width; no command is sent before the smaller width is committed. */
     void scheduleTermination(Job job, Placement placement, TaskTermination termination, String reason) {
-        if (job.endings.isEmpty() || retainedTaskCount(job) == job.record.width.target()) {
+        if (job.terminations.isEmpty() || retainedTaskCount(job) == job.record.width.target()) {
             narrowed++;
         }
-        job.endings.put(placement, termination);
+        job.terminations.put(placement, termination);
         placement.expectedGoneAtMs = termination.freedAtMs();
         WidthRecord width = job.record.width;
         job.record.width = width.withTarget(Math.min(width.target(), retainedTaskCount(job)));
@@ -226,12 +226,12 @@
                     new TaskTermination.CapacityNeed(context.now().ms() + RESIZE_FREE_WITHIN_MS, false);
             List<Placement> candidates = new ArrayList<>();
             for (Placement placement : job.record.live.values()) {
-                if (mayBeEnded(job, placement)) {
+                if (mayBeTerminated(job, placement)) {
                     candidates.add(placement);
                 }
             }
             for (SurplusTaskSelector.Candidate<Placement> c :
-                    SurplusTaskSelector.select(candidates, surplus, p -> chooseEnding(job, p, need))) {
+                    SurplusTaskSelector.select(candidates, surplus, p -> chooseTermination(job, p, need))) {
                 scheduleTermination(job, c.task(), c.termination(), "task count exceeds width " + width.target());
             }
         }
@@ -240,7 +240,7 @@
 
     /** Executes the terminations that are due, for at most as many tasks as exceed the committed width. */
     private void executeDueTerminations(Job job) {
-        for (Map.Entry<Placement, TaskTermination> entry : new ArrayList<>(job.endings.entrySet())) {
+        for (Map.Entry<Placement, TaskTermination> entry : new ArrayList<>(job.terminations.entrySet())) {
             Placement placement = entry.getKey();
             TaskTermination termination = entry.getValue();
             if (job.record.live.size() - stopRequestedCount(job) <= job.committedWidth
@@ -255,8 +255,8 @@
                 // The task runs longer than expected: it is checkpointed now if it can be.
                 TaskTermination.CapacityNeed need =
                         new TaskTermination.CapacityNeed(context.now().ms() + RESIZE_FREE_WITHIN_MS, false);
-                TaskTermination newTermination = chooseEnding(job, placement, need);
-                job.endings.put(placement, newTermination);
+                TaskTermination newTermination = chooseTermination(job, placement, need);
+                job.terminations.put(placement, newTermination);
                 placement.expectedGoneAtMs = newTermination.freedAtMs();
             } else {
                 endedByMethod.merge(termination.method(), 1, Integer::sum);
@@ -272,7 +272,7 @@
 
     private static int stopRequestedCount(Job job) {
         int count = 0;
-        for (Placement p : job.endings.keySet()) {
+        for (Placement p : job.terminations.keySet()) {
             count += p.stopRequested ? 1 : 0;
         }
         return count;
--- a/src/main/java/org/beechhoist/controller/Leader.java
+++ b/src/main/java/org/beechhoist/controller/Leader.java
@@ -22,7 +22,7 @@
 /**
  * The leader: starts and ends a term, runs its components periodically and completes each input. Its state in memory
  * can be newer than the state service's; commands and answers are sent only after the commit that they depend on. See
- * docs/design/core.md.
+ * docs/architecture.md.
  */
 final class Leader {
     private final ControllerContext context;
@@ -62,7 +62,7 @@
     void startTerm() {
         workers.clusterState.reset();
         node.cancellations().reset();
-        workers.coldStart.begin();
+        workers.coldStart.restart();
         scheduling.planner.startTerm();
         workers.committer.reset();
         workers.provisioner.reset(election.fencingToken());
@@ -148,8 +148,8 @@
     }
 
     /** Returns the tracker of machines that were lost at once. */
-    MachineLossTracker lossRecovery() {
-        return workers.lossRecovery;
+    MachineLossTracker lossTracker() {
+        return workers.lossTracker;
     }
 
     /** Returns the minimum service share; empty if it is disabled. */
--- a/src/main/java/org/beechhoist/controller/LeaderComponents.java
+++ b/src/main/java/org/beechhoist/controller/LeaderComponents.java
@@ -39,7 +39,7 @@
     /** Notifies the components that track a job of its committed end. */
     private void jobEnded(Job job, JsonNode finalState) {
         node.userApi().recordEnded(job.id(), finalState);
-        workers.lossRecovery.stopTrackingJob(job.id());
+        workers.lossTracker.stopTrackingJob(job.id());
         features.serviceShare.ifPresent(share -> share.recordEnded(job));
         scheduling.releaseController.recordEndedJob(job);
     }
--- a/src/main/java/org/beechhoist/controller/LeaderFeatures.java
+++ b/src/main/java/org/beechhoist/controller/LeaderFeatures.java
@@ -112,7 +112,7 @@
                 workers.provisioner,
                 workers.faultTracker,
                 workers.jobOrdering,
-                workers.lossRecovery,
+                workers.lossTracker,
                 this::serviceShares);
     }
 
--- a/src/main/java/org/beechhoist/controller/LeaderRequests.java
+++ b/src/main/java/org/beechhoist/controller/LeaderRequests.java
@@ -49,7 +49,7 @@
         return switch (path) {
             case RequestRouter.PLAN_VIEW -> OperatorViews.plan(leader, nowMs);
             case RequestRouter.MACHINES_VIEW -> OperatorViews.machines(leader, nowMs);
-            case RequestRouter.LOSS_RECOVERY_VIEW -> leader.lossRecovery().view();
+            case RequestRouter.LOSS_RECOVERY_VIEW -> leader.lossTracker().view();
             case RequestRouter.COLD_START_VIEW -> leader.coldStartRecovery().view();
             case RequestRouter.SERVICE_SHARE_VIEW ->
                 leader.serviceShare().map(MinimumServiceShare::view).orElseGet(Codec::map);
--- a/src/main/java/org/beechhoist/controller/MigrationController.java
+++ b/src/main/java/org/beechhoist/controller/MigrationController.java
@@ -128,7 +128,7 @@
     private final Admission admission;
     private final TaskEviction eviction;
     private final CommandDispatcher dispatcher;
-    private final TaskPlacer dispatch;
+    private final TaskPlacer taskPlacer;
     private final MigrationSearch search;
     private final PrefixReader prefixReader;
     private final DisruptionAccounting disruptions;
@@ -156,7 +156,7 @@
             Admission admission,
             TaskEviction eviction,
             CommandDispatcher dispatcher,
-            TaskPlacer dispatch,
+            TaskPlacer taskPlacer,
             DisruptionAccounting disruptions,
             Supplier<Budgets> budgets) {
         this.context = context;
@@ -170,7 +170,7 @@
         this.admission = admission;
         this.eviction = eviction;
         this.dispatcher = dispatcher;
-        this.dispatch = dispatch;
+        this.taskPlacer = taskPlacer;
         this.disruptions = disruptions;
         this.prefixReader = new PrefixReader(context, store, requests, clusterState);
         this.search = new MigrationSearch(
@@ -360,7 +360,7 @@
                 Machine to = clusterState.findMachine(entry.getValue());
                 if (awaitsPlacement(entry.getKey()) && to != null) {
                     Job job = clusterState.job(entry.getKey().job());
-                    if (dispatch.place(job, entry.getKey().index(), to)) {
+                    if (taskPlacer.place(job, entry.getKey().index(), to)) {
                         movedAtWallMs.put(entry.getKey(), context.wallMs());
                         LOG.info(
                                 "migrated task started: task={} machine={} from={}",
--- a/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
+++ b/src/main/java/org/beechhoist/controller/MinimumServiceShare.java
@@ -52,8 +52,8 @@
     private final ClusterState clusterState;
     private final DurationEstimates estimates;
     private final JobOrdering ordering;
-    private final ServiceShareWindow ledger = new ServiceShareWindow();
-    private final LargestJobGroups largest = new LargestJobGroups();
+    private final ServiceShareWindow serviceShareWindow = new ServiceShareWindow();
+    private final LargestJobGroups largestJobGroups = new LargestJobGroups();
     private final ToDoubleFunction<Machine> machineCpus;
     private final Set<JobId> countedJobs = new HashSet<>();
     private Set<JobId> prioritizedJobs = Set.of();
@@ -88,8 +88,8 @@
 
     /** Starts a new term: clears the counts and schedules reading those of the previous leader. */
     void startTerm() {
-        ledger.clear();
-        largest.clear();
+        serviceShareWindow.clear();
+        largestJobGroups.clear();
         countedJobs.clear();
         prioritizedJobs = Set.of();
         loaded = false;
@@ -123,11 +123,12 @@
             countedUntilWallMs = context.wallMs();
             if (read.item() != null) {
                 try {
-                    countedUntilWallMs = ServiceShareRecord.read(read.item().value(), ledger, largest);
+                    countedUntilWallMs =
+                            ServiceShareRecord.read(read.item().value(), serviceShareWindow, largestJobGroups);
                 } catch (MalformedMessageException e) {
                     LOG.warn("service share record unreadable, counts restart from zero: error={}", e.getMessage());
-                    ledger.clear();
-                    largest.clear();
+                    serviceShareWindow.clear();
+                    largestJobGroups.clear();
                 }
             }
             loaded = true;
@@ -157,8 +158,8 @@
             if (job.release != null) {
                 groups.add("maker:" + job.release.maker());
             }
-            groups.addAll(
-                    largest.recordJob(spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
+            groups.addAll(largestJobGroups.recordJob(
+                    spec.jobClass(), spec.tasks() * spec.cpus() * Math.max(1, spec.estimateS())));
             job.shareGroups = Set.copyOf(groups);
         }
         return job.shareGroups;
@@ -173,7 +174,7 @@
     }
 
     private void recordOutcome(Job job, boolean served) {
-        groups(job).forEach(g -> ledger.recordOutcome(g, context.wallMs(), served));
+        groups(job).forEach(g -> serviceShareWindow.recordOutcome(g, context.wallMs(), served));
     }
 
     /** Counts jobs whose time limit has passed, selects the prioritized and starving jobs, and stores the counts periodically. */
@@ -215,7 +216,7 @@
             }
         }
         Set<JobId> previous = prioritizedJobs;
-        prioritizedJobs = PrioritizedJobSelector.select(ledger.shares(context.wallMs()), waiting);
+        prioritizedJobs = PrioritizedJobSelector.select(serviceShareWindow.shares(context.wallMs()), waiting);
         Map<JobId, Integer> expeditedTasks = selectStarvingJobs();
         for (Job job : clusterState.jobs()) {
             Integer expedited = expeditedTasks.get(job.id());
@@ -295,8 +296,8 @@
                 .put(
                         ServiceShareRecord.KEY,
                         ServiceShareRecord.toNode(
-                                ledger,
-                                largest,
+                                serviceShareWindow,
+                                largestJobGroups,
                                 context.wallMs(),
                                 settings.stateLimits().valueBytes()));
         requests.takeOrOverdraw(context.now(), 1);
@@ -306,14 +307,14 @@
 
     /** Returns the recently requested and served jobs by group. */
     Map<String, ServiceShare> shares() {
-        return ledger.shares(context.wallMs());
+        return serviceShareWindow.shares(context.wallMs());
     }
 
     /** Returns the shares of all groups and the prioritized jobs as a view. */
     ObjectNode view() {
         ObjectNode out = Codec.map();
         ArrayNode rows = out.putArray("served");
-        ledger.shares(context.wallMs()).forEach((group, share) -> {
+        serviceShareWindow.shares(context.wallMs()).forEach((group, share) -> {
             int colon = group.indexOf(':');
             rows.addObject()
                     .put("kind", group.substring(0, colon))
--- a/src/main/java/org/beechhoist/controller/PlacementLauncher.java
+++ b/src/main/java/org/beechhoist/controller/PlacementLauncher.java
@@ -16,25 +16,25 @@
     private final ClusterState clusterState;
     private final ElasticWidths elastic;
     private final TaskRemoval taskRemoval;
-    private final MachineLossTracker lossRecovery;
+    private final MachineLossTracker lossTracker;
     private final CommandDispatcher dispatcher;
 
     PlacementLauncher(
             ClusterState clusterState,
             ElasticWidths elastic,
             TaskRemoval taskRemoval,
-            MachineLossTracker lossRecovery,
+            MachineLossTracker lossTracker,
             CommandDispatcher dispatcher) {
         this.clusterState = clusterState;
         this.elastic = elastic;
         this.taskRemoval = taskRemoval;
-        this.lossRecovery = lossRecovery;
+        this.lossTracker = lossTracker;
         this.dispatcher = dispatcher;
     }
 
     /** Launches the placed tasks and withdraws those that are to be ended or whose machine is about to be removed. */
     void launch(List<Placement> placements) {
-        placements.forEach(lossRecovery::recordTaskPlaced);
+        placements.forEach(lossTracker::recordTaskPlaced);
         Set<Machine> machinesWithCommands = new LinkedHashSet<>();
         for (Placement placement : placements) {
             Job job = clusterState.job(placement.task.job());
--- a/src/main/java/org/beechhoist/controller/PlanBuilder.java
+++ b/src/main/java/org/beechhoist/controller/PlanBuilder.java
@@ -47,7 +47,7 @@
     private final Provisioner provisioner;
     private final ElasticWidths elastic;
     private final ColdStartRecovery coldStart;
-    private final MigrationController migrations;
+    private final MigrationController migrationController;
     private final PreemptionNoticeHandler preemptionNotices;
 
     PlanBuilder(
@@ -55,7 +55,7 @@
             Policy policy,
             MachineTypeCatalog machineTypes,
             Admission admission,
-            MigrationController migrations,
+            MigrationController migrationController,
             PreemptionNoticeHandler preemptionNotices) {
         this.context = workers.services.context();
         this.settings = workers.services.settings();
@@ -68,7 +68,7 @@
         this.provisioner = workers.provisioner;
         this.elastic = workers.elasticWidths;
         this.coldStart = workers.coldStart;
-        this.migrations = migrations;
+        this.migrationController = migrationController;
         this.preemptionNotices = preemptionNotices;
     }
 
@@ -77,7 +77,7 @@
         long now = context.now().ms();
         Set<MachineId> plannedIds = new HashSet<>();
         Plan plan = new Plan(now, planMachines(plannedIds));
-        plan.setGpuSizes(migrations.requestedSizes());
+        plan.setGpuSizes(migrationController.requestedSizes());
         addTeamUsage(plan, plannedIds);
         placeWaiting(plan, order);
         widenElasticJobs(plan, order, widths);
@@ -111,7 +111,7 @@
                 machine.up ? now : provisioner.expectedReadyAtMs(machine, type));
         planMachine.setCachedImages(machine.images.keySet());
         occupyByTasks(planMachine, machine);
-        for (JobSpec reserved : migrations.reservedOn(machine.id)) {
+        for (JobSpec reserved : migrationController.reservedOn(machine.id)) {
             planMachine.occupy(now + UNKNOWN_DURATION_MS, reserved.cpus(), reserved.gpus(), reserved.memGb());
         }
         if (machine.up && admission.mayWiden(machine)) {
@@ -171,7 +171,7 @@
             }
             int regular = job.maxPlaceable(elastic.regularWaitingCount(job))
                     - expeditedTasks(job)
-                    - migrations.migratingTaskCount(job);
+                    - migrationController.migratingTaskCount(job);
             if (regular > 0) {
                 plan.place(planEntry(job, regular, ordering.patienceMs(job)));
             }
@@ -180,7 +180,7 @@
 
     /** Returns how many tasks of the job are placed before all others: expedited ones and those for which a migration frees capacity. */
     private int expeditedTasks(Job job) {
-        return Math.max(job.expeditedTasks(), migrations.pendingMigrationCount(job));
+        return Math.max(job.expeditedTasks(), migrationController.pendingMigrationCount(job));
     }
 
     private Plan.Entry planEntry(Job job, int waiting, long patienceMs) {
--- a/src/main/java/org/beechhoist/controller/Provisioner.java
+++ b/src/main/java/org/beechhoist/controller/Provisioner.java
@@ -83,7 +83,7 @@
     private final TokenBucket calls;
     private final ScaleOutPolicy scaleOut;
     private final FailureDetector failureDetector;
-    private final MachineLossTracker lossRecovery;
+    private final MachineLossTracker lossTracker;
     private final ColdStartRecovery coldStart;
     private final Set<MachineId> released = BoundedCollections.insertionOrderedSet(MAX_REMEMBERED_RELEASES);
     private MonotonicTime nextRunAt = MonotonicTime.ZERO;
@@ -104,7 +104,7 @@
             DurationEstimates estimates,
             FaultTracker faultTracker,
             TaskRemoval taskRemoval,
-            MachineLossTracker lossRecovery,
+            MachineLossTracker lossTracker,
             ColdStartRecovery coldStart,
             BiConsumer<Machine, Heartbeat> workerRestarted) {
         this.coldStart = coldStart;
@@ -117,8 +117,8 @@
         this.faultTracker = faultTracker;
         this.taskRemoval = taskRemoval;
         this.failureDetector =
-                new FailureDetector(services, policy, clusterState, coldStart, lossRecovery, workerRestarted);
-        this.lossRecovery = lossRecovery;
+                new FailureDetector(services, policy, clusterState, coldStart, lossTracker, workerRestarted);
+        this.lossTracker = lossTracker;
         this.calls = new TokenBucket(settings.cloudLimits().rps() * CLOUD_CALL_SHARE);
         this.scaleOut = new ScaleOutPolicy(
                 context, policy, election, machineTypes, clusterState, jobOrdering, estimates, calls);
@@ -131,7 +131,7 @@
         listInFlight = false;
         returnCalls = 0;
         failureDetector.reset();
-        lossRecovery.reset();
+        lossTracker.reset();
         nextListAt = context.now();
         nextRunAt = context.now();
     }
@@ -349,7 +349,7 @@
 
     /** Sends release calls, several at a time: 500 lost machines take five calls, and their tasks cannot restart before those. */
     private void sendReturns(boolean withTasks) {
-        List<Machine> due = lossRecovery.machinesToRelease(withTasks);
+        List<Machine> due = lossTracker.machinesToRelease(withTasks);
         for (int from = 0;
                 from < due.size() && returnCalls < MAX_CONCURRENT_RETURN_CALLS;
                 from += MAX_MACHINES_PER_RETURN) {
--- a/src/main/java/org/beechhoist/controller/SchedulingComponents.java
+++ b/src/main/java/org/beechhoist/controller/SchedulingComponents.java
@@ -48,7 +48,7 @@
         workers.jobOrdering.setReleases(releaseController);
         taskPlacer = new TaskPlacer(
                 context, workers.clusterState, admission, workers.estimates, workers.elasticWidths, machineTypes);
-        migrationController = createMigrations();
+        migrationController = createMigrationController();
         connectMigrations();
         preemptionNotices = new PreemptionNoticeHandler(
                 context, workers.clusterState, workers.estimates, workers.eviction, workers.dispatcher);
@@ -70,7 +70,7 @@
                 features.releaseRegistryOrNull());
     }
 
-    private MigrationController createMigrations() {
+    private MigrationController createMigrationController() {
         return new MigrationController(
                 services.context(),
                 policy,
@@ -92,7 +92,7 @@
         workers.disruptionAccounting.setMigrationPending(migrationController::isMigrating);
         workers.provisioner.setReservedForMigration(
                 machine -> !migrationController.reservedOn(machine).isEmpty());
-        admission.setMigrations(migrationController);
+        admission.setMigrationController(migrationController);
     }
 
     private Planner createPlanner(SplittableRandom random) {
--- a/src/main/java/org/beechhoist/controller/SubmissionHandler.java
+++ b/src/main/java/org/beechhoist/controller/SubmissionHandler.java
@@ -57,7 +57,7 @@
     private final IdempotencyKeys idempotencyKeys;
     private final BooleanSupplier leaderShortOfWrites;
     private final Refusal refusal;
-    private final TeamFairShareLimiter teamLimiter = new TeamFairShareLimiter();
+    private final TeamFairShareLimiter teamFairShareLimiter = new TeamFairShareLimiter();
     /**
      * Limits the writes of a leader's own users, while writes run short, to the rate guaranteed to any other node.
      * Without it, at a hundred submissions a second, those on the leader's node used all of its share, and nothing was
@@ -159,13 +159,13 @@
             refusal.refuse(request, QUEUE_FULL);
             return;
         }
-        if (!teamLimiter.allows(
+        if (!teamFairShareLimiter.allows(
                 spec.team(), writes.available(context.now()) - queue.size(), writes.capacity(), context.now())) {
             writes.recordMissed(1);
             refusal.refuse(request, WRITES_USED_UP);
             return;
         }
-        teamLimiter.recordAccepted(spec.team(), context.now());
+        teamFairShareLimiter.recordAccepted(spec.team(), context.now());
         queue.add(new Submission(request, spec.withKeySetBinding(binding.keySetBinding()), Revision.ABSENT));
         flush();
     }
--- a/src/main/java/org/beechhoist/controller/WidthReduction.java
+++ b/src/main/java/org/beechhoist/controller/WidthReduction.java
@@ -233,7 +233,7 @@
                         c.termination(),
                         "capacity needed by " + job.id());
             }
-            option.machine.growthDamping = option.machine.growthDamping.afterNarrowing(
+            option.machine.growthBackoff = option.machine.growthBackoff.afterNarrowing(
                     context.now().ms(), policy.elastic().settleMs());
             helped += option.taskCount;
         }
@@ -259,9 +259,9 @@
             Job owner = clusterState.job(placement.task.job());
             boolean counts = reducibleJobs.contains(owner)
                     && (!limited || owner.spec().team().equals(spec.team()));
-            if (counts && ElasticWidths.mayBeEnded(owner, placement)) {
-                candidates.add(
-                        new SurplusTaskSelector.Candidate<>(placement, elastic.chooseEnding(owner, placement, need)));
+            if (counts && ElasticWidths.mayBeTerminated(owner, placement)) {
+                candidates.add(new SurplusTaskSelector.Candidate<>(
+                        placement, elastic.chooseTermination(owner, placement, need)));
             }
         }
         candidates.sort(SurplusTaskSelector.LEAST_LOSS_FIRST);
--- a/src/main/java/org/beechhoist/controller/WorkerComponents.java
+++ b/src/main/java/org/beechhoist/controller/WorkerComponents.java
@@ -42,7 +42,7 @@
     final StateLoader loader;
     final LeaderState state;
     final ColdStartRecovery coldStart;
-    final MachineLossTracker lossRecovery;
+    final MachineLossTracker lossTracker;
     final CommandDispatcher dispatcher;
     final DisruptionAccounting disruptionAccounting;
     final TaskEviction eviction;
@@ -85,11 +85,11 @@
         loader = createLoader();
         state = new LeaderState(clusterState, loader, node.machineTypes(), estimates, node.cancellations());
         coldStart = new ColdStartRecovery(context, settings, clusterState);
-        lossRecovery = new MachineLossTracker(context, clusterState);
+        lossTracker = new MachineLossTracker(context, clusterState);
         dispatcher = new CommandDispatcher(services, state, coldStart, new CommandOutcomes());
         disruptionAccounting = createDisruptions(features.drains().isPresent());
         eviction = new TaskEviction(clusterState, dispatcher, disruptionAccounting);
-        taskRemoval = new TaskRemoval(clusterState, eviction, lossRecovery);
+        taskRemoval = new TaskRemoval(clusterState, eviction, lossTracker);
         keySetHolds = new KeySetHolds(
                 context, settings, clusterState, dispatcher, taskRemoval, features.keySetRegistryOrNull());
         committer = createCommitter();
@@ -97,7 +97,7 @@
         jobOrdering = new JobOrdering(context, settings, policy, clusterState, estimates);
         provisioner = createProvisioner();
         elasticWidths = createElasticWidths();
-        launcher = new PlacementLauncher(clusterState, elasticWidths, taskRemoval, lossRecovery, dispatcher);
+        launcher = new PlacementLauncher(clusterState, elasticWidths, taskRemoval, lossTracker, dispatcher);
         heartbeatHandler = new HeartbeatHandler(
                 services, state, dispatcher, taskRemoval, faultTracker, provisioner, elasticWidths);
         cancellationEnforcer = createCancellationEnforcer();
@@ -142,7 +142,7 @@
                 estimates,
                 faultTracker,
                 taskRemoval,
-                lossRecovery,
+                lossTracker,
                 coldStart,
                 restarts::handleRestart);
     }
@@ -160,7 +160,7 @@
 
     private CancellationEnforcer createCancellationEnforcer() {
         return new CancellationEnforcer(
-                services, state, dispatcher, taskRemoval, lossRecovery, provisioner, keySetHolds);
+                services, state, dispatcher, taskRemoval, lossTracker, provisioner, keySetHolds);
     }
 
     /** Forwards the events of the state loader. */
--- a/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
+++ b/src/main/java/org/beechhoist/controller/state/CancellationRegistry.java
@@ -28,7 +28,7 @@
     private static final int MAX_NEWEST_MESSAGE_COUNT = 100;
 
     private final ControllerContext context;
-    private final CancellationFreshness freshness;
+    private final CancellationFreshness cancellationFreshness;
     private final long cancelMs;
     /** Commit time of each cancellation (time of day), in the order in which this node learned of them. */
     private final Map<JobId, Long> committedAtMs = new LinkedHashMap<>();
@@ -40,7 +40,7 @@
     /** Creates an empty registry. */
     public CancellationRegistry(ControllerContext context, Settings settings) {
         this.context = context;
-        this.freshness = settings.freshness();
+        this.cancellationFreshness = settings.cancellationFreshness();
         this.cancelMs = settings.workers().cancelMs();
     }
 
@@ -56,7 +56,7 @@
 
     /** Returns the time until which workers' leases may be renewed. */
     public MonotonicTime leasesRenewableUntil() {
-        return freshness.renewUntil(completeAsOf);
+        return cancellationFreshness.renewUntil(completeAsOf);
     }
 
     /** Returns whether the records were read recently enough for workers' leases to be renewed now. */
@@ -66,8 +66,8 @@
 
     /** Returns how long the next watch request may stay open; 0 requests an immediate answer if the last one is too old, as after an outage. */
     long watchHoldMs() {
-        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * freshness.watchHoldMs()
-                ? freshness.watchHoldMs()
+        return completeAsOf != null && context.now().since(completeAsOf) <= 2 * cancellationFreshness.watchHoldMs()
+                ? cancellationFreshness.watchHoldMs()
                 : 0;
     }
 
--- a/src/main/java/org/beechhoist/controller/state/Job.java
+++ b/src/main/java/org/beechhoist/controller/state/Job.java
@@ -59,7 +59,7 @@
     /** No other job's width is reduced, and no other task preempted, for the job before this time. */
     public MonotonicTime nextWidthReductionAt = MonotonicTime.ZERO;
     /** The decided termination of each placement whose task is to be stopped; most are not stopped yet. */
-    public final Map<Placement, TaskTermination> endings = new LinkedHashMap<>();
+    public final Map<Placement, TaskTermination> terminations = new LinkedHashMap<>();
     /** The width stored in the state service. */
     public int committedWidth;
     /** The number of failures in the stored record. */
--- a/src/main/java/org/beechhoist/controller/state/Machine.java
+++ b/src/main/java/org/beechhoist/controller/state/Machine.java
@@ -104,7 +104,7 @@
     /** No task is placed on the machine before this time, because tasks have recently failed there. */
     public MonotonicTime avoidUntil = MonotonicTime.ZERO;
     /** The back-off that delays the growth of elastic jobs onto the machine. */
-    public GrowthBackoff growthDamping = GrowthBackoff.NONE;
+    public GrowthBackoff growthBackoff = GrowthBackoff.NONE;
     /** The worker epoch of the images if an earlier leader stored them, otherwise 0. */
     public long imagesEpoch;
     /** The images expected in the cache with their sizes in GB, least recently used first. */
--- a/src/main/java/org/beechhoist/controller/state/StateLoader.java
+++ b/src/main/java/org/beechhoist/controller/state/StateLoader.java
@@ -273,9 +273,9 @@
                 markRecovered(job, placement);
             }
             clusterState.machine(placement.machine).placements.put(placement.task, placement);
-            TaskTermination ending = known == null ? null : known.endings.get(placement);
-            if (ending != null) {
-                job.endings.put(placement, ending);
+            TaskTermination termination = known == null ? null : known.terminations.get(placement);
+            if (termination != null) {
+                job.terminations.put(placement, termination);
             }
         }
         if (known == null && !job.record.live.isEmpty()) {
--- a/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
+++ b/src/main/java/org/beechhoist/controller/worker/ColdStartRecovery.java
@@ -35,11 +35,11 @@
         this.settings = settings;
         this.clusterState = clusterState;
         this.heartbeatIntervalMs = Math.round(1000 * settings.workers().reportS());
-        begin();
+        restart();
     }
 
     /** Restarts the recovery for a new term. */
-    public void begin() {
+    public void restart() {
         progress = new RecoveryProgress(
                 context.now(), heartbeatIntervalMs, settings.workers().leaseMs());
         pacer = new RecoveryPacer(settings.maxSockets());
--- a/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
+++ b/src/main/java/org/beechhoist/controller/worker/TaskRemoval.java
@@ -52,7 +52,7 @@
 
     /** Removes a placement whose task is certainly not on the machine; the task waits again unless it is done. */
     public void remove(Job job, Placement placement) {
-        job.endings.remove(placement);
+        job.terminations.remove(placement);
         if (job.record.live.remove(placement.task.index(), placement) && !placement.committed) {
             job.uncommittedPlacements--;
         }
@@ -91,7 +91,7 @@
                 job.record.live.remove(placement.task.index());
                 lossTracker.recordTaskLost(job, placement);
                 eviction.recordTaskLost(placement);
-                job.endings.remove(placement);
+                job.terminations.remove(placement);
                 job.uncommittedPlacements -= placement.committed ? 0 : 1;
                 if (job.spec().isGang()) {
                     job.record.live.values().forEach(eviction::evictGangMember);
--- a/src/main/java/org/beechhoist/store/ServiceShareRecord.java
+++ b/src/main/java/org/beechhoist/store/ServiceShareRecord.java
@@ -19,11 +19,12 @@
     private ServiceShareRecord() {}
 
     /** @param wallMs jobs whose time was up before are in it */
-    public static ObjectNode toNode(ServiceShareWindow ledger, LargestJobGroups largest, long wallMs, int mostBytes) {
+    public static ObjectNode toNode(
+            ServiceShareWindow serviceShareWindow, LargestJobGroups largestJobGroups, long wallMs, int mostBytes) {
         ObjectNode node = Codec.map().put("v", VERSION).put("at", wallMs);
         int bytes = 40;
         ObjectNode sizes = node.putObject("sizes");
-        for (Map.Entry<String, long[]> entry : largest.minSizes().entrySet()) {
+        for (Map.Entry<String, long[]> entry : largestJobGroups.minSizes().entrySet()) {
             bytes += entry.getKey().length() + 40;
             if (bytes > mostBytes / 4) {
                 break;
@@ -35,7 +36,7 @@
         }
         ObjectNode groups = node.putObject("groups");
         for (Map.Entry<String, Map<Long, ServiceShare>> entry :
-                ledger.stepsByGroup(wallMs).entrySet()) {
+                serviceShareWindow.stepsByGroup(wallMs).entrySet()) {
             bytes += entry.getKey().length() + 8 + 24 * entry.getValue().size();
             if (bytes > mostBytes) {
                 break; // what is left out is counted anew
@@ -47,7 +48,7 @@
     }
 
     /** Adds what it says to the ledger; returns when it was written. */
-    public static long read(JsonNode node, ServiceShareWindow into, LargestJobGroups largest)
+    public static long read(JsonNode node, ServiceShareWindow into, LargestJobGroups largestJobGroups)
             throws MalformedMessageException {
         if (node == null
                 || node.path("v").asInt() != VERSION
@@ -70,7 +71,7 @@
             for (int i = 0; i < from.length; i++) {
                 from[i] = Math.max(0, entry.getValue().get(i).asLong());
             }
-            largest.restoreMinSizes(entry.getKey(), from);
+            largestJobGroups.restoreMinSizes(entry.getKey(), from);
         }
         return node.path("at").asLong();
     }
--- a/src/test/java/org/beechhoist/cron/OccurrencesTest.java
+++ b/src/test/java/org/beechhoist/cron/OccurrencesTest.java
@@ -170,7 +170,7 @@
             Instant until = from.plus(Duration.ofDays(40));
             Schedule e = line(zone, fields + " j");
             assertEquals(
-                    new PlainCron(fields, zone, Map.of(), true, false).between(from, until),
+                    new ReferenceCron(fields, zone, Map.of(), true, false).between(from, until),
                     Occurrences.between(e, null, from, until, 100_000),
                     "seed " + seed + ": " + fields + " " + zone);
         }
--- a/src/test/java/org/beechhoist/cron/PlainCron.java
+++ b/src/test/java/org/beechhoist/cron/ReferenceCron.java
@@ -13,13 +13,14 @@
  * A reference implementation of crontab lines: checks each day and each minute and parses the fields as text every time. It
  * shares no code with the code under test.
  */
-public record PlainCron(String fields, String zone, Map<LocalDate, String> holidays, boolean weekends, boolean next) {
+public record ReferenceCron(
+        String fields, String zone, Map<LocalDate, String> holidays, boolean weekends, boolean next) {
     /**
      * Checks that there are five fields.
      *
      * @param weekends whether Saturdays and Sundays are open
      */
-    public PlainCron {
+    public ReferenceCron {
         if (fields.split(" ").length != 5) {
             throw new IllegalArgumentException(fields);
         }
--- a/src/test/java/org/beechhoist/sim/CalendarTrial.java
+++ b/src/test/java/org/beechhoist/sim/CalendarTrial.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.beechhoist.cron.PlainCron;
+import org.beechhoist.cron.ReferenceCron;
 import org.beechhoist.wire.Codec;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,7 @@
     /** A leader's change takes hours by this time of day; runs that come in it are late or missed. */
     private static final long GAP_MS = 36 * 3_600_000L;
 
-    private record Line(PlainCron plain, String options, boolean all) {}
+    private record Line(ReferenceCron plain, String options, boolean all) {}
 
     @Test
     void aYear() {
@@ -89,23 +89,27 @@
     private static List<Line> lines(Map<LocalDate, String> holidays) {
         List<Line> out = new ArrayList<>();
         Map<LocalDate, String> none = Map.of();
-        out.add(new Line(new PlainCron("30 2 * * *", "America/New_York", none, true, false), "", false));
-        out.add(new Line(new PlainCron("30 1 * * *", "Europe/Berlin", none, true, false), "missed=all most=100", true));
+        out.add(new Line(new ReferenceCron("30 2 * * *", "America/New_York", none, true, false), "", false));
         out.add(new Line(
-                new PlainCron("15 2 * * 0", "Australia/Lord_Howe", none, true, false), "missed=all most=100", true));
-        out.add(new Line(new PlainCron("0 */6 * * *", "UTC", none, true, false), "missed=all most=100", true));
-        out.add(new Line(new PlainCron("0 0 29 2 *", "UTC", none, true, false), "", false));
-        out.add(new Line(new PlainCron("0 12 31 * *", "Asia/Tokyo", none, true, false), "missed=all most=100", true));
+                new ReferenceCron("30 1 * * *", "Europe/Berlin", none, true, false), "missed=all most=100", true));
         out.add(new Line(
-                new PlainCron("0 3 13 * 5", "America/Costa_Rica", none, true, false), "missed=all most=100", true));
+                new ReferenceCron("15 2 * * 0", "Australia/Lord_Howe", none, true, false),
+                "missed=all most=100",
+                true));
+        out.add(new Line(new ReferenceCron("0 */6 * * *", "UTC", none, true, false), "missed=all most=100", true));
+        out.add(new Line(new ReferenceCron("0 0 29 2 *", "UTC", none, true, false), "", false));
+        out.add(new Line(
+                new ReferenceCron("0 12 31 * *", "Asia/Tokyo", none, true, false), "missed=all most=100", true));
+        out.add(new Line(
+                new ReferenceCron("0 3 13 * 5", "America/Costa_Rica", none, true, false), "missed=all most=100", true));
         out.add(new Line(
-                new PlainCron("30 1 * * *", "Asia/Tokyo", holidays, true, false), "missed=all most=100", true));
+                new ReferenceCron("30 1 * * *", "Asia/Tokyo", holidays, true, false), "missed=all most=100", true));
         out.add(new Line(
-                new PlainCron("0 5 * * 1,3,5", "America/Costa_Rica", holidays, false, true),
+                new ReferenceCron("0 5 * * 1,3,5", "America/Costa_Rica", holidays, false, true),
                 "missed=all most=100",
                 true));
         out.add(new Line(
-                new PlainCron("0 5 1,15 * *", "America/Costa_Rica", holidays, false, true), "missed=once", false));
+                new ReferenceCron("0 5 1,15 * *", "America/Costa_Rica", holidays, false, true), "missed=once", false));
         return out;
     }
 
